--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -4,12 +4,12 @@
 
 namespace tt {
 namespace {
-constexpr Span roundSooner = 60ms;
-constexpr Span newsEvery = 250ms;
-constexpr Span parentSilent = 800ms;
-constexpr Span suspectFor = 5s;
-constexpr Span followerKept = 1s;
-constexpr Span behindMost = 150ms;
+constexpr Duration roundSooner = 60ms;
+constexpr Duration newsEvery = 250ms;
+constexpr Duration parentSilent = 800ms;
+constexpr Duration suspectFor = 5s;
+constexpr Duration followerKept = 1s;
+constexpr Duration behindMost = 150ms;
 constexpr std::size_t recentMost = 1024;
 }  // namespace
 
@@ -24,7 +24,7 @@
   return rows;
 }
 
-std::uint64_t Agent::appliedBelow(Moment now) const {
+std::uint64_t Agent::appliedBelow(TimePoint now) const {
   if (now - startedAt < timing.readersWait + 70ms) return 0;
   std::uint64_t applied = view.index();
   for (const auto& [address, at] : proxies)
@@ -59,10 +59,10 @@
   for (const auto& [weight, address] : ranked) order.push_back(address);
   if (order.empty()) return;
   bool silent = !parent.empty() && effects.now - std::max(parentHeard, parentSince) > parentSilent;
-  bool behind = behindSince != Moment{} && effects.now - behindSince > 3 * behindMost;
+  bool behind = behindSince != TimePoint{} && effects.now - behindSince > 3 * behindMost;
   if (silent || behind) {
     suspects[parent] = effects.now + suspectFor;
-    behindSince = Moment{};
+    behindSince = TimePoint{};
     effects.note("parent dropped", parent);
   }
   std::string drawn;
@@ -75,7 +75,7 @@
   if (drawn != parent) {
     parent = drawn;
     parentSince = effects.now;
-    newsAt = Moment{};
+    newsAt = TimePoint{};
     effects.note("follows", parent);
   }
 }
@@ -108,7 +108,7 @@
     effects.note("applied", settings.name, static_cast<std::int64_t>(entry.index));
   }
   if (!passed.entries.empty()) spread(effects, passed);
-  if (view.index() >= clusterView.knownCommit()) behindSince = Moment{};
+  if (view.index() >= clusterView.knownCommit()) behindSince = TimePoint{};
   clusterView.weigh(effects.now, view);
 }
 
@@ -134,7 +134,7 @@
 }
 
 void Agent::tick(Effects& effects) {
-  if (startedAt == Moment{}) startedAt = effects.now;
+  if (startedAt == TimePoint{}) startedAt = effects.now;
   bool moved = appliedBelow(effects.now) > toldApplied && effects.now - roundAt >= roundSooner;
   if (moved || effects.now - roundAt >= timing.roundEvery) askEnds(effects);
   if (fresh(effects.now) != wasFresh) {
@@ -142,12 +142,12 @@
     effects.note(wasFresh ? "fresh" : "stale", settings.name);
   }
   drawParent(effects);
-  if (clusterView.knownCommit() > view.index() && behindSince == Moment{}) behindSince = effects.now;
+  if (clusterView.knownCommit() > view.index() && behindSince == TimePoint{}) behindSince = effects.now;
   if (!parent.empty() && effects.now - newsAt >= newsEvery) {
     newsAt = effects.now;
     effects.send(parent, NewsAsk{settings.address, view.index(), cellMarks()});
   }
-  if (behindSince != Moment{} && effects.now - behindSince > behindMost && effects.now - mendAt > behindMost) {
+  if (behindSince != TimePoint{} && effects.now - behindSince > behindMost && effects.now - mendAt > behindMost) {
     mendAt = effects.now;
     if (auto core = clusterView.furthestCore(effects.now, view.index()); !core.empty()) {
       effects.note("mended at source", core);
@@ -188,7 +188,7 @@
     proxies[from] = effects.now;
     proxyMarks[from] = feed->cells;
     proxyApplied[from] = feed->applied;
-    bool known = clusterView.stamp() != Moment{};
+    bool known = clusterView.stamp() != TimePoint{};
     bool lags = feed->applied < view.index() || feed->applied == 0 || feed->cells.size() < cells.size();
     for (const auto& mark : feed->cells)
       if (auto kept = cells.find(mark.locality); kept != cells.end())
@@ -216,16 +216,16 @@
   }
 }
 
-bool Agent::feeds(Moment now) const {
+bool Agent::feeds(TimePoint now) const {
   return std::any_of(proxies.begin(), proxies.end(), [&](const auto& row) { return now - row.second < 1s; });
 }
 
-std::string Agent::condition(Moment now) const {
+std::string Agent::condition(TimePoint now) const {
   JsonObject whole;
   whole["agent"] = Json(settings.name);
   whole["fresh"] = Json(fresh(now));
-  whole["freshAgeMs"] =
-      jsonNumber(clusterView.stamp() == Moment{} ? -1 : static_cast<double>(inMs(now - clusterView.stamp())));
+  whole["freshAgeMs"] = jsonNumber(
+      clusterView.stamp() == TimePoint{} ? -1 : static_cast<double>(toMilliseconds(now - clusterView.stamp())));
   whole["revision"] = jsonNumber(static_cast<double>(view.revision()));
   whole["applied"] = jsonNumber(static_cast<double>(view.index()));
   whole["follows"] = Json(parent);
--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -20,11 +20,11 @@
   void tick(Effects& effects) override;
   const Configuration& configuration() const { return view; }
   /// The moment up to which this view is known to be complete.
-  Moment freshStamp() const { return clusterView.stamp(); }
-  bool fresh(Moment now) const { return clusterView.fresh(now); }
-  std::string condition(Moment now) const;
+  TimePoint freshStamp() const { return clusterView.stamp(); }
+  bool fresh(TimePoint now) const { return clusterView.fresh(now); }
+  std::string condition(TimePoint now) const;
   /// Whether a proxy has asked to be fed of late.
-  bool feeds(Moment now) const;
+  bool feeds(TimePoint now) const;
   const std::string& followed() const { return parent; }
 
  private:
@@ -34,15 +34,15 @@
   std::map<std::string, CellNews> cells;
   ClusterView clusterView;
   std::string parent;
-  Moment startedAt{}, parentHeard{}, parentSince{}, roundAt{}, newsAt{}, behindSince{}, mendAt{};
-  std::map<std::string, Moment> suspects, followers, proxies;
+  TimePoint startedAt{}, parentHeard{}, parentSince{}, roundAt{}, newsAt{}, behindSince{}, mendAt{};
+  std::map<std::string, TimePoint> suspects, followers, proxies;
   std::map<std::string, std::vector<CellMark>> proxyMarks;
   std::map<std::string, std::uint64_t> proxyApplied;
   std::uint64_t toldApplied{0};
   bool wasFresh{false};
 
   void askEnds(Effects& effects);
-  std::uint64_t appliedBelow(Moment now) const;
+  std::uint64_t appliedBelow(TimePoint now) const;
   void drawParent(Effects& effects);
   void onNews(Effects& effects, const NewsMsg& news);
   void onNewsAsk(Effects& effects, const std::string& from, std::uint64_t applied, const std::vector<CellMark>& known);
--- a/src/base/base.hpp
+++ b/src/base/base.hpp
@@ -20,8 +20,8 @@
 namespace tt {
 
 using Clock = std::chrono::steady_clock;
-using Moment = Clock::time_point;
-using Span = Clock::duration;
+using TimePoint = Clock::time_point;
+using Duration = Clock::duration;
 using namespace std::chrono_literals;
 
 /// Numbered result codes; the table is codes.def and docs/codes.md is made from it.
@@ -84,10 +84,12 @@
 std::vector<std::string> cutPrompt(const std::vector<std::string>& parts, std::size_t blocks);
 
 /// Milliseconds of a span.
-inline std::int64_t inMs(Span span) { return std::chrono::duration_cast<std::chrono::milliseconds>(span).count(); }
-inline std::int64_t inNs(Moment moment) {
+inline std::int64_t toMilliseconds(Duration span) {
+  return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
+}
+inline std::int64_t toNanoseconds(TimePoint moment) {
   return std::chrono::duration_cast<std::chrono::nanoseconds>(moment.time_since_epoch()).count();
 }
-inline Moment fromNs(std::int64_t ns) { return Moment(std::chrono::nanoseconds(ns)); }
+inline TimePoint fromNanoseconds(std::int64_t ns) { return TimePoint(std::chrono::nanoseconds(ns)); }
 
 }  // namespace tt
--- a/src/base/effects.cpp
+++ b/src/base/effects.cpp
@@ -4,7 +4,7 @@
 
 namespace tt {
 
-void Journal::append(Moment at, std::string kind, std::string subject, std::int64_t number) {
+void Journal::append(TimePoint at, std::string kind, std::string subject, std::int64_t number) {
   rows.push_back(Event{at, std::move(kind), std::move(subject), number});
   ++countRows[rows.back().kind];
   Event copy = rows.back();
--- a/src/base/effects.hpp
+++ b/src/base/effects.hpp
@@ -9,7 +9,7 @@
 
 /// What happened in a process, in order.
 struct Event {
-  Moment at;
+  TimePoint at;
   std::string kind;
   std::string subject;
   std::int64_t number{0};
@@ -20,7 +20,7 @@
  public:
   boost::signals2::signal_type<void(const Event&),
                                boost::signals2::keywords::mutex_type<boost::signals2::dummy_mutex>>::type appended;
-  void append(Moment at, std::string kind, std::string subject = {}, std::int64_t number = 0);
+  void append(TimePoint at, std::string kind, std::string subject = {}, std::int64_t number = 0);
   const std::deque<Event>& events() const { return rows; }
   /// How often each kind was appended: the view that counters are read from.
   const std::map<std::string, std::int64_t>& counts() const { return countRows; }
@@ -72,7 +72,7 @@
     Record record;
     std::function<void(Effects&)> then;
   };
-  Moment now;
+  TimePoint now;
   std::mt19937_64& randomSource;
   Journal& journal;
   std::vector<std::pair<std::string, Message>> sends;
--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -37,10 +37,10 @@
   auto& core = found->second;
   auto asked = core.asks.find(reply.askId);
   if (asked == core.asks.end()) return;
-  Moment askedAt = asked->second;
+  TimePoint askedAt = asked->second;
   core.asks.erase(core.asks.begin(), std::next(asked));
   if (reply.marksKnown && reply.marksAge >= 0) {
-    Moment listedAt = askedAt - Span(reply.marksAge);
+    TimePoint listedAt = askedAt - Duration(reply.marksAge);
     if (reply.marksDigest == digest && marksKnown())
       marksAskedAt = std::max(marksAskedAt, listedAt);
     else if (digestOf(reply.machines) == reply.marksDigest)
@@ -65,7 +65,7 @@
   weigh(effects.now, view);
 }
 
-bool ClusterView::offerMarks(const std::vector<Machine>& machines, Moment askedAt) {
+bool ClusterView::offerMarks(const std::vector<Machine>& machines, TimePoint askedAt) {
   if (machines.empty()) return false;
   if (marksKnown() && askedAt <= marksAskedAt && settings.defences.stands(Defence::listOrder)) return false;
   marksAskedAt = askedAt;
@@ -76,7 +76,7 @@
   return true;
 }
 
-std::string ClusterView::furthestCore(Moment now, Count beyond) const {
+std::string ClusterView::furthestCore(TimePoint now, Count beyond) const {
   std::string best;
   Count most = beyond;
   for (const auto& [address, core] : cores)
@@ -115,14 +115,14 @@
   return heard;
 }
 
-Moment ClusterView::completeBy(const std::vector<const CoreRow*>& heard, std::size_t least, std::size_t voters,
-                               Count applied) const {
+TimePoint ClusterView::completeBy(const std::vector<const CoreRow*>& heard, std::size_t least, std::size_t voters,
+                                  Count applied) const {
   for (std::size_t number = least; number <= heard.size(); ++number) {
     std::vector<const CoreRow*> newest(heard.begin(), heard.begin() + static_cast<std::ptrdiff_t>(number));
     auto needed = neededBy(newest, voters);
     if (needed && *needed <= applied) return newest.back()->askedAt;
   }
-  return Moment{};
+  return TimePoint{};
 }
 
 void ClusterView::noteVersions(const Configuration& view) {
@@ -130,11 +130,11 @@
   notedIndex = view.index();
   const auto* models = view.sectionAt("models");
   if (!models) return;
-  auto complete = completeUntil == Moment{} ? std::nullopt : std::optional<Moment>(completeUntil);
+  auto complete = completeUntil == TimePoint{} ? std::nullopt : std::optional<TimePoint>(completeUntil);
   for (const auto& [model, item] : *models) timeline.observe(model, textOr(item, "weights"), complete, view.index());
 }
 
-void ClusterView::learnFrom(Effects& effects, const std::string& from, const LogEndResponse& reply, Moment askedAt) {
+void ClusterView::learnFrom(Effects& effects, const std::string& from, const LogEndResponse& reply, TimePoint askedAt) {
   timeline.learn(reply.namings, askedAt);
   for (const auto& mine : timeline.knownNewest(effects.now))
     if (forgot(reply, mine)) return effects.send(from, NamingsMsg{timeline.tellAll(effects.now)});
@@ -146,11 +146,11 @@
   });
 }
 
-void ClusterView::weigh(Moment now, const Configuration& view) {
+void ClusterView::weigh(TimePoint now, const Configuration& view) {
   noteVersions(view);
   timeline.forgetEnded(now, timing.versionMost);
   if (!settings.defences.stands(Defence::freshnessWeighed)) {
-    completeUntil = majorityUntil = view.members().empty() ? Moment{} : now;
+    completeUntil = majorityUntil = view.members().empty() ? TimePoint{} : now;
     return;
   }
   std::size_t voters = static_cast<std::size_t>(
--- a/src/cluster/cluster_view.hpp
+++ b/src/cluster/cluster_view.hpp
@@ -24,39 +24,39 @@
   void ask(Effects& effects, Count applied, const std::vector<CellMark>& cells, const Configuration& view);
   void take(Effects& effects, const std::string& from, const LogEndResponse& reply, const Configuration& view);
   /// Looks again at how complete the view is, after it has moved on.
-  void weigh(Moment now, const Configuration& view);
+  void weigh(TimePoint now, const Configuration& view);
   /// Takes a list of machines that was asked of the platform at this moment; an older or empty one is not taken.
-  bool offerMarks(const std::vector<Machine>& machines, Moment askedAt);
+  bool offerMarks(const std::vector<Machine>& machines, TimePoint askedAt);
   /// The moment up to which the view is known to be complete.
-  Moment stamp() const { return completeUntil; }
+  TimePoint stamp() const { return completeUntil; }
   /// The moment up to which the view is known to be complete by the word of more than half of the voters. Enough for
   /// completeness is half of an even number; reading back takes a majority.
-  Moment majorityStamp() const { return majorityUntil; }
-  bool fresh(Moment now) const { return completeUntil != Moment{} && now < completeUntil + timing.freshFor; }
+  TimePoint majorityStamp() const { return majorityUntil; }
+  bool fresh(TimePoint now) const { return completeUntil != TimePoint{} && now < completeUntil + timing.freshFor; }
   Strings coreAddresses(const Configuration& view) const;
   /// The core that has lately told of the highest commit beyond an index; empty if none has.
-  std::string furthestCore(Moment now, Count beyond) const;
+  std::string furthestCore(TimePoint now, Count beyond) const;
   Count knownCommit() const { return highestCommit; }
   const Strings& watch() const { return watchRows; }
   const std::vector<Machine>& machines() const { return machineRows; }
-  bool marksKnown() const { return marksAskedAt != Moment{}; }
-  Moment marksAt() const { return marksAskedAt; }
+  bool marksKnown() const { return marksAskedAt != TimePoint{}; }
+  TimePoint marksAt() const { return marksAskedAt; }
   Count marksDigest() const { return digest; }
   /// When weights were named. The view's own namings are noted at each weigh(); to be called besides after each entry,
   /// while the view is known to be complete up to just before it.
   void noteVersions(const Configuration& view);
   const VersionTimeline& versions() const { return timeline; }
   /// Learns when weights were named from a reader that remembers it.
-  void learnVersions(const std::vector<VersionNaming>& namings, Moment now) { timeline.learn(namings, now); }
+  void learnVersions(const std::vector<VersionNaming>& namings, TimePoint now) { timeline.learn(namings, now); }
   /// Settles namings of unknown moment once this process has run for longer than any old version may be used.
-  void settleVersions(Moment ownStart, Moment now) { timeline.settleUnknown(ownStart, now, timing.versionMost); }
+  void settleVersions(TimePoint ownStart, TimePoint now) { timeline.settleUnknown(ownStart, now, timing.versionMost); }
   /// Learns of a commit by another way than an answer of its own.
   void seeCommit(Count commit) { highestCommit = std::max(highestCommit, commit); }
 
  private:
   struct CoreRow {
-    std::map<Count, Moment> asks;
-    Moment askedAt{};
+    std::map<Count, TimePoint> asks;
+    TimePoint askedAt{};
     LogEndResponse reply;
     bool heard{false};
   };
@@ -65,7 +65,7 @@
   Strings toldAddresses, watchRows;
   std::vector<Machine> machineRows;
   Count digest{0}, askCount{0}, highestCommit{0}, toldCommit{0};
-  Moment marksAskedAt{}, completeUntil{}, majorityUntil{};
+  TimePoint marksAskedAt{}, completeUntil{}, majorityUntil{};
   bool outOfTouch{true};
   VersionTimeline timeline;
   /// Up to which index the view's namings are noted.
@@ -73,13 +73,13 @@
   /// What was heard of the voters, newest first.
   std::vector<const CoreRow*> heardOf(const std::vector<Member>& members) const;
   /// Takes the moments of namings from a core, and tells it those that it has forgotten.
-  void learnFrom(Effects& effects, const std::string& from, const LogEndResponse& reply, Moment askedAt);
+  void learnFrom(Effects& effects, const std::string& from, const LogEndResponse& reply, TimePoint askedAt);
   static bool forgot(const LogEndResponse& reply, const VersionNaming& newest);
   /// Up to which index a reader must have applied, by the word of some of the voters; none if these are too few.
   std::optional<Count> neededBy(const std::vector<const CoreRow*>& heard, std::size_t voters) const;
   /// When the oldest was asked of the newest words, at least so many, by which an index is complete.
-  Moment completeBy(const std::vector<const CoreRow*>& heard, std::size_t least, std::size_t voters,
-                    Count applied) const;
+  TimePoint completeBy(const std::vector<const CoreRow*>& heard, std::size_t least, std::size_t voters,
+                       Count applied) const;
 };
 
 }  // namespace tt
--- a/src/cluster/core.cpp
+++ b/src/cluster/core.cpp
@@ -4,13 +4,13 @@
 
 namespace tt {
 namespace {
-constexpr Span missedEvery = 200ms;
-constexpr Span watchKept = 2s;
-constexpr Span watchSought = 250ms;
-constexpr Span agentKept = 2s;
-constexpr Span followerKept = 1s;
-constexpr Span platformFirst = 600ms;
-constexpr Span stallAfter = 800ms;
+constexpr Duration missedEvery = 200ms;
+constexpr Duration watchKept = 2s;
+constexpr Duration watchSought = 250ms;
+constexpr Duration agentKept = 2s;
+constexpr Duration followerKept = 1s;
+constexpr Duration platformFirst = 600ms;
+constexpr Duration stallAfter = 800ms;
 constexpr std::size_t rootRanks = 4;
 }  // namespace
 
@@ -30,7 +30,7 @@
   return drawn;
 }
 
-Core::Core(CoreSettings coreSettings, const Recovered& recovered, std::mt19937_64& randomSource, Moment now)
+Core::Core(CoreSettings coreSettings, const Recovered& recovered, std::mt19937_64& randomSource, TimePoint now)
     : settings(std::move(coreSettings)), startedAt(now), membersMovedAt(now) {
   std::string id = recovered.identity;
   if (id.empty()) {
@@ -102,7 +102,7 @@
   effects.send(news.holder, NewsAsk{self.address, replicatedLog->configuration().index(), marks});
 }
 
-Strings Core::watchFor(const std::string& agent, Moment now) const {
+Strings Core::watchFor(const std::string& agent, TimePoint now) const {
   Strings fellows;
   for (const auto& [address, row] : agents)
     if (row.relays && now - row.at < agentKept) fellows.push_back(address);
@@ -198,9 +198,9 @@
   bool stalled = diskWait > stallAfter;
   if (stalled != diskStalled) {
     diskStalled = stalled;
-    effects.note(stalled ? "disk stalled" : "disk well", self.id, inMs(diskWait));
+    effects.note(stalled ? "disk stalled" : "disk well", self.id, toMilliseconds(diskWait));
   }
-  bool mayStand = !diskStalled && leaveAt == Moment{};
+  bool mayStand = !diskStalled && leaveAt == TimePoint{};
   replicatedLog->election.mayStand = mayStand;
   for (auto& [locality, cell] : cells) cell->election.mayStand = mayStand;
   replicatedLog->tick(effects);
@@ -211,7 +211,7 @@
                effects.now - clusterView->marksAt() >= timing.listOld;
   if (!settings.platformAddress.empty() && lists && effects.now - platformAt >= timing.listEvery) {
     platformAt = effects.now;
-    effects.send(settings.platformAddress, MachinesAsk{inNs(effects.now)});
+    effects.send(settings.platformAddress, MachinesAsk{toNanoseconds(effects.now)});
   }
   if (replicatedLog->formed() && effects.now - endsAt >= timing.roundEvery) {
     askLogEnds(effects);
@@ -227,7 +227,7 @@
     row = effects.now - row->second > followerKept ? followers.erase(row) : std::next(row);
 }
 
-bool Core::mayCommand(const ControlAsk& command, Moment now) const {
+bool Core::mayCommand(const ControlAsk& command, TimePoint now) const {
   return std::any_of(cells.begin(), cells.end(), [&](const auto& row) { return row.second->mayCommand(command, now); });
 }
 
@@ -258,10 +258,10 @@
       effects.send(leader, message);
   } else if (auto* machines = std::get_if<MachinesReply>(&message)) {
     platformHeard = true;
-    clusterView->offerMarks(machines->machines, fromNs(machines->askedAt));
+    clusterView->offerMarks(machines->machines, fromNanoseconds(machines->askedAt));
     takeMarks(effects);
   } else if (auto* listed = std::get_if<MarksMsg>(&message)) {
-    if (listed->age >= 0) clusterView->offerMarks(listed->machines, effects.now - Span(listed->age));
+    if (listed->age >= 0) clusterView->offerMarks(listed->machines, effects.now - Duration(listed->age));
     takeMarks(effects);
   } else if (auto* named = std::get_if<NamingsMsg>(&message)) {
     clusterView->learnVersions(named->namings, effects.now);
@@ -317,7 +317,7 @@
 }
 
 void Core::resign(Effects& effects) {
-  if (leaveAt != Moment{}) return;
+  if (leaveAt != TimePoint{}) return;
   leaveAt = effects.now;
   for (auto& [locality, cell] : cells) cell->election.resign(effects);
   replicatedLog->leave(effects);
--- a/src/cluster/core.hpp
+++ b/src/cluster/core.hpp
@@ -22,7 +22,7 @@
  public:
   /// Marks the round in which a core that leaves asks who holds what it holds.
   static constexpr Count copiesRound = ~Count{0};
-  Core(CoreSettings coreSettings, const Recovered& recovered, std::mt19937_64& randomSource, Moment now);
+  Core(CoreSettings coreSettings, const Recovered& recovered, std::mt19937_64& randomSource, TimePoint now);
   void take(Effects& effects, const std::string& from, const Message& message) override;
   void tick(Effects& effects) override;
   /// Gives up all duties, for a clean stop: the lead goes to a fellow that has the whole log, and this core counts for
@@ -33,72 +33,72 @@
   const ReplicatedLog& agreement() const { return *replicatedLog; }
   const std::map<std::string, std::unique_ptr<Cell>>& cellsByLocality() const { return cells; }
   /// Everything an operator may want to see, as JSON text.
-  std::string condition(Moment now) const;
+  std::string condition(TimePoint now) const;
   /// The host's word on how long the oldest write has waited for its sync.
-  void diskWaits(Span span) { diskWait = span; }
+  void diskWaits(Duration span) { diskWait = span; }
   const std::string& id() const { return self.id; }
   /// Whether a command to a worker may still leave at this moment.
-  bool mayCommand(const ControlAsk& command, Moment now) const;
+  bool mayCommand(const ControlAsk& command, TimePoint now) const;
   /// Whether this core's view of the configuration is fresh, as an agent's is. What is read back to an operator takes
   /// more: see ReadRequest and settleReads().
-  bool readsConfirmed(Moment now) const { return clusterView->fresh(now); }
+  bool readsConfirmed(TimePoint now) const { return clusterView->fresh(now); }
 
  private:
   struct AgentRow {
     std::string id, locality;
     /// Whom it was last told to watch, and when that was drawn.
     Strings watch;
-    Moment watchAt{};
+    TimePoint watchAt{};
     std::uint64_t applied{0};
     bool fresh{false}, relays{true};
-    Moment at{};
+    TimePoint at{};
   };
   struct Asked {
     std::string from, askId, leaderAddress;
-    Moment at{}, agreedAt{};
+    TimePoint at{}, agreedAt{};
     std::uint64_t revision{0}, index{0}, term{0};
     OperatorRequest ask;
     Count seen{0};
     bool agreed{false};
-    Moment sentAt{};
+    TimePoint sentAt{};
   };
   /// A read of the configuration that waits until this core knows all that was agreed before it was asked for.
   struct PendingRead {
     std::string from, askId;
-    Moment at{};
+    TimePoint at{};
   };
   CoreSettings settings;
   Member self;
   std::unique_ptr<ReplicatedLog> replicatedLog;
   std::map<std::string, std::unique_ptr<Cell>> cells;
   std::map<std::string, AgentRow> agents;
-  std::map<std::string, Moment> followers;
+  std::map<std::string, TimePoint> followers;
   std::map<std::string, CellNews> lastNews;
   std::unique_ptr<ClusterView> clusterView;
   /// One round of asking all cores which readers they know, for all acknowledgements that wait.
   struct ReadersRound {
     std::uint64_t id{0}, index{0}, term{0};
-    Moment at{};
+    TimePoint at{};
     std::set<std::string> having, answered;
     std::map<std::string, std::uint64_t> appliedByReader;
   };
   ReadersRound round;
-  Moment missedAt{};
+  TimePoint missedAt{};
   Count cellDigest{0}, servicesDigest{0};
   std::map<std::string, HelloResponse> hellos;
   std::map<std::string, Asked> asked;
   std::deque<PendingRead> pendingReads;
-  Moment helloAt{}, platformAt{}, joinAt{}, startedAt{}, idSavedAt{}, endsAt{};
+  TimePoint helloAt{}, platformAt{}, joinAt{}, startedAt{}, idSavedAt{}, endsAt{};
   /// When this core last started, or took in or applied a change of members.
-  Moment membersMovedAt{};
+  TimePoint membersMovedAt{};
   /// Since when this core leaves, when it last asked who holds what it holds, and who does.
-  Moment leaveAt{}, copiesAt{};
+  TimePoint leaveAt{}, copiesAt{};
   std::set<std::string> copyHolders;
   bool idSynced{false}, diskStalled{false}, platformHeard{false};
-  Span diskWait{};
+  Duration diskWait{};
   std::uint64_t askCount{0};
   /// From when on this core's log was agreed up to an index, as far back as a copy of a change may lie unread.
-  std::deque<std::pair<Moment, Count>> commitsSeen;
+  std::deque<std::pair<TimePoint, Count>> commitsSeen;
 
   Cell& cellFor(const std::string& locality);
   void seekFleet(Effects& effects);
@@ -114,12 +114,12 @@
   void passOn(Effects& effects, const std::string& name, Asked& row);
   /// A name that no other life of this core gives to an ask.
   std::string freshAskName();
-  void noteCommit(Moment now);
+  void noteCommit(TimePoint now);
   /// The commit that this core knew of before any copy of a change that it reads now can have been sent.
-  Count seenBefore(Moment now);
+  Count seenBefore(TimePoint now);
   /// Whether every reader that may still be fresh is known to have a change. Sound only if this core's members are
   /// those under which the change was agreed, and readers that know earlier members only have gone stale.
-  bool readersHave(const Asked& row, Moment now) const;
+  bool readersHave(const Asked& row, TimePoint now) const;
   void askReaders(Effects& effects);
   void askCopies(Effects& effects);
   void onCopiesReply(const ReadersResponse& reply);
@@ -140,7 +140,7 @@
   void spread(Effects& effects, const Message& message);
   void keepNews(Effects& effects, const CellNews& news, bool own);
   void askMissed(Effects& effects, const CellNews& news);
-  Strings watchFor(const std::string& agent, Moment now) const;
+  Strings watchFor(const std::string& agent, TimePoint now) const;
 };
 
 /// Whose news a daemon follows: its few lower-ranked fellows that rendezvous hashing names. As rank depends on the
--- a/src/cluster/core_membership.cpp
+++ b/src/cluster/core_membership.cpp
@@ -4,13 +4,13 @@
 
 namespace tt {
 namespace {
-constexpr Span helloEvery = 300ms;
-constexpr Span copiesEvery = 50ms;
+constexpr Duration helloEvery = 300ms;
+constexpr Duration copiesEvery = 50ms;
 }  // namespace
 
 void Core::seekFleet(Effects& effects) {
   if (!idSynced) {
-    if (idSavedAt == Moment{}) {
+    if (idSavedAt == TimePoint{}) {
       idSavedAt = effects.now;
       effects.save(identityRecord(self.id), [this](Effects&) { idSynced = true; });
     }
@@ -28,7 +28,7 @@
       if (seed != self.address) effects.send(seed, HelloRequest{self, replicatedLog->formed()});
     considerForming(effects);
   }
-  if (effects.now - joinAt < timing.joinEvery || leaveAt != Moment{}) return;
+  if (effects.now - joinAt < timing.joinEvery || leaveAt != TimePoint{}) return;
   std::set<std::string> told;
   for (const auto& [seed, hello] : hellos)
     for (const auto& row : hello.members) told.insert(row.address);
@@ -58,7 +58,7 @@
 }
 
 void Core::askCopies(Effects& effects) {
-  if (leaveAt == Moment{} || mayEnd() || effects.now - copiesAt < copiesEvery) return;
+  if (leaveAt == TimePoint{} || mayEnd() || effects.now - copiesAt < copiesEvery) return;
   copiesAt = effects.now;
   Count end = replicatedLog->syncedEnd();
   Count term = replicatedLog->election.logEnd().first;
@@ -67,7 +67,7 @@
 }
 
 void Core::onCopiesReply(const ReadersResponse& reply) {
-  if (reply.has && leaveAt != Moment{} && reply.core != self.id) copyHolders.insert(reply.core);
+  if (reply.has && leaveAt != TimePoint{} && reply.core != self.id) copyHolders.insert(reply.core);
 }
 
 bool Core::mayEnd() const { return !replicatedLog->formed() || copyHolders.size() >= timing.copiesLeast(); }
--- a/src/cluster/core_operators.cpp
+++ b/src/cluster/core_operators.cpp
@@ -4,12 +4,12 @@
 
 namespace tt {
 namespace {
-constexpr Span agentKept = 2s;
-constexpr Span readersEvery = 50ms;
-constexpr Span operatorWait = 6s;
-constexpr Span passAgain = 700ms;
+constexpr Duration agentKept = 2s;
+constexpr Duration readersEvery = 50ms;
+constexpr Duration operatorWait = 6s;
+constexpr Duration passAgain = 700ms;
 /// How long a copy of a change may lie unread before a core, but for the time that the core stands still.
-constexpr Span copyLife = operatorWait;
+constexpr Duration copyLife = operatorWait;
 constexpr std::size_t mostAsked = 1024;
 }  // namespace
 
@@ -50,13 +50,13 @@
   return self.id + "/" + std::to_string(startedAt.time_since_epoch().count()) + "/" + std::to_string(++askCount);
 }
 
-void Core::noteCommit(Moment now) {
+void Core::noteCommit(TimePoint now) {
   if (commitsSeen.empty() || commitsSeen.back().second != replicatedLog->commit())
     commitsSeen.emplace_back(now, replicatedLog->commit());
   (void)seenBefore(now);
 }
 
-Count Core::seenBefore(Moment now) {
+Count Core::seenBefore(TimePoint now) {
   while (commitsSeen.size() > 1 && commitsSeen[1].first <= now - copyLife) commitsSeen.pop_front();
   return commitsSeen.front().second;
 }
@@ -86,7 +86,7 @@
   for (const auto& [address, agent] : agents)
     reached += agent.relays && effects.now - agent.at < agentKept && agent.applied >= row.index;
   effects.note("change acked", row.ask.changeId, static_cast<std::int64_t>(row.index));
-  effects.note("ack wait ms", row.ask.changeId, inMs(effects.now - row.agreedAt));
+  effects.note("ack wait ms", row.ask.changeId, toMilliseconds(effects.now - row.agreedAt));
   effects.note("change in force", row.ask.changeId + " touches" + touchedBy(row.ask.body),
                static_cast<std::int64_t>(row.revision));
   effects.send(
@@ -112,16 +112,16 @@
     if (settled) {
       confirm(effects, row);
     } else if (late) {
-      Code code = row.sentAt == Moment{} ? Code::notLeading : Code::changeUnsure;
+      Code code = row.sentAt == TimePoint{} ? Code::notLeading : Code::changeUnsure;
       effects.send(row.from, OperatorResponse{row.askId, static_cast<int>(code), "accord", codeText(code), 0, 0});
-    } else if (!row.agreed && (row.sentAt == Moment{} || effects.now - row.sentAt >= passAgain)) {
+    } else if (!row.agreed && (row.sentAt == TimePoint{} || effects.now - row.sentAt >= passAgain)) {
       passOn(effects, found->first, row);
     }
     found = settled || late ? asked.erase(found) : std::next(found);
   }
 }
 
-bool Core::readersHave(const Asked& row, Moment now) const {
+bool Core::readersHave(const Asked& row, TimePoint now) const {
   if (now - membersMovedAt < timing.readersWait || replicatedLog->commit() < row.index ||
       replicatedLog->memberChangePending())
     return false;
--- a/src/cluster/core_reads.cpp
+++ b/src/cluster/core_reads.cpp
@@ -3,9 +3,9 @@
 namespace tt {
 namespace {
 /// How long a read waits for a majority; those who ask go on to another core after a second of silence.
-constexpr Span readMost = 800ms;
+constexpr Duration readMost = 800ms;
 /// How often a majority is asked anew while reads wait.
-constexpr Span readAgain = 20ms;
+constexpr Duration readAgain = 20ms;
 constexpr std::size_t mostReads = 256;
 }  // namespace
 
--- a/src/cluster/core_report.cpp
+++ b/src/cluster/core_report.cpp
@@ -2,7 +2,7 @@
 
 namespace tt {
 
-std::string Core::condition(Moment now) const {
+std::string Core::condition(TimePoint now) const {
   JsonObject whole;
   whole["core"] = Json(self.id);
   whole["locality"] = Json(self.locality);
@@ -10,7 +10,7 @@
   whole["diskStalled"] = Json(diskStalled);
   whole["confirmed"] = Json(readsConfirmed(now));
   whole["listAgeMs"] =
-      jsonNumber(clusterView->marksKnown() ? static_cast<double>(inMs(now - clusterView->marksAt())) : -1);
+      jsonNumber(clusterView->marksKnown() ? static_cast<double>(toMilliseconds(now - clusterView->marksAt())) : -1);
   whole["revision"] = jsonNumber(static_cast<double>(replicatedLog->configuration().revision()));
   whole["commit"] = jsonNumber(static_cast<double>(replicatedLog->commit()));
   whole["logEnd"] = jsonNumber(static_cast<double>(replicatedLog->logEnd()));
@@ -48,7 +48,7 @@
       row["leaving"] = Json(keeper.machine.leaving);
       row["indexConfirmed"] = Json(keeper.confirmed);
       row["kept"] = jsonNumber(static_cast<double>(keeper.kept.size()));
-      row["reportAgeMs"] = jsonNumber(keeper.known ? static_cast<double>(inMs(now - keeper.heardAt)) : -1);
+      row["reportAgeMs"] = jsonNumber(keeper.known ? static_cast<double>(toMilliseconds(now - keeper.heardAt)) : -1);
       row["rollout"] = Json(cell->rolloutState(name));
       workers[name] = Json(row);
     }
@@ -63,7 +63,7 @@
     row["locality"] = Json(agent.locality);
     row["applied"] = jsonNumber(static_cast<double>(agent.applied));
     row["fresh"] = Json(agent.fresh);
-    row["heardMs"] = jsonNumber(static_cast<double>(inMs(now - agent.at)));
+    row["heardMs"] = jsonNumber(static_cast<double>(toMilliseconds(now - agent.at)));
     agentRows[agent.id] = Json(row);
   }
   whole["agents"] = Json(agentRows);
--- a/src/config/configuration.hpp
+++ b/src/config/configuration.hpp
@@ -23,7 +23,7 @@
   std::string host, prefix;
   std::vector<std::pair<std::string, double>> split;
   Repeat repeat{Repeat::once};
-  Span timeout{0}, aim{0}, gap{0};
+  Duration timeout{0}, aim{0}, gap{0};
   int tries{0}, priority{5};
   bool open{false}, resumable{false};
   bool byPath() const { return !prefix.empty(); }
@@ -46,7 +46,7 @@
 /// What callers may send and how long they may take.
 struct CallerLimits {
   std::size_t headerBytes{16384}, bodyBytes{4u << 20};
-  Span headerWait{3s}, idleWait{15s};
+  Duration headerWait{3s}, idleWait{15s};
 };
 
 /// What operators declare, as agreed: sections of named items, a revision, and the changes already taken.
--- a/src/config/item_readers.cpp
+++ b/src/config/item_readers.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 /// A span in milliseconds; no clock reaches further than the most.
-Span spanOr(const Json& item, const std::string& name, std::int64_t fallbackMs) {
+Duration spanOr(const Json& item, const std::string& name, std::int64_t fallbackMs) {
   constexpr std::int64_t mostMs = 1000000000000;
   return std::chrono::milliseconds(std::clamp(numberOr(item, name, fallbackMs), -mostMs, mostMs));
 }
@@ -96,8 +96,8 @@
   CallerLimits limits;
   limits.headerBytes = bytesOr(item, "headerBytes", 16384);
   limits.bodyBytes = bytesOr(item, "bodyBytes", 4 << 20);
-  limits.headerWait = std::max(Span(0), spanOr(item, "headerMs", 3000));
-  limits.idleWait = std::max(Span(0), spanOr(item, "idleMs", 15000));
+  limits.headerWait = std::max(Duration(0), spanOr(item, "headerMs", 3000));
+  limits.idleWait = std::max(Duration(0), spanOr(item, "idleMs", 15000));
   return limits;
 }
 
--- a/src/config/patch_checks.cpp
+++ b/src/config/patch_checks.cpp
@@ -192,7 +192,7 @@
   auto owner = routeByPrefix.emplace(std::make_pair(route.host, route.prefix), checked.name).first->second;
   if (owner != checked.name)
     return fault(Code::blueprintBad, checked.path, "route " + owner + " has the same host and prefix");
-  if (checked.fields.count("timeoutMs") && route.timeout <= Span(0))
+  if (checked.fields.count("timeoutMs") && route.timeout <= Duration(0))
     return fault(Code::blueprintBad, checked.path + ".timeoutMs", "must be more than 0");
   return checkSplit(route.split, checked.path);
 }
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -17,7 +17,7 @@
 }
 }  // namespace
 
-void Timing::setMembers(Span contact, Span catchUp, std::size_t lossBudget) {
+void Timing::setMembers(Duration contact, Duration catchUp, std::size_t lossBudget) {
   memberGone = 2 * contact;
   votersLeast = 2 * lossBudget + 1;
   successorWait = std::min(contact / 3, catchUp / 4);
@@ -34,14 +34,14 @@
   return table;
 }
 
-Election::Election(std::string duty, std::string self, Span waitBeforeStanding, Defences defencesGiven)
+Election::Election(std::string duty, std::string self, Duration waitBeforeStanding, Defences defencesGiven)
     : dutyName(std::move(duty)),
       selfId(std::move(self)),
       eagerness(waitBeforeStanding),
       defences(defencesGiven),
       walk("election", actions(), "idle") {}
 
-void Election::restore(const Vote& saved, Moment now) {
+void Election::restore(const Vote& saved, TimePoint now) {
   vote = saved;
   promisedUntil = now + timing.promise;
 }
@@ -73,14 +73,14 @@
   return !voterSets.empty();
 }
 
-Moment Election::leaseStart(Moment now) const {
-  Moment start = now;
+TimePoint Election::leaseStart(TimePoint now) const {
+  TimePoint start = now;
   for (const auto& ids : voterSets) start = std::min(start, leaseStart(now, ids));
   return start;
 }
 
-Moment Election::leaseStart(Moment now, const Strings& voterIds) const {
-  std::vector<Moment> starts;
+TimePoint Election::leaseStart(TimePoint now, const Strings& voterIds) const {
+  std::vector<TimePoint> starts;
   for (const auto& id : voterIds) {
     if (id == selfId) {
       starts.push_back(now);
@@ -89,16 +89,16 @@
     }
   }
   std::size_t needed = voterIds.size() / 2 + 1;
-  if (starts.size() < needed) return Moment{};
+  if (starts.size() < needed) return TimePoint{};
   std::sort(starts.rbegin(), starts.rend());
   return starts[needed - 1];
 }
 
-bool Election::holds(Moment now) const {
+bool Election::holds(TimePoint now) const {
   if (!won() || voters.empty()) return false;
   if (!defences.stands(Defence::leaseLimits)) return true;
-  Moment start = leaseStart(now);
-  return start != Moment{} && now < start + timing.lease;
+  TimePoint start = leaseStart(now);
+  return start != TimePoint{} && now < start + timing.lease;
 }
 
 void Election::tick(Effects& effects) {
@@ -117,7 +117,7 @@
   if (walk.in("idle")) {
     if (effects.now >= standAt && effects.now >= promisedUntil && voter() && mayStand)
       walk.happen(*this, "vacant", effects);
-  } else if (effects.now >= askedAt + timing.voteWait + (walk.in("asking") ? slowness() : Span(0))) {
+  } else if (effects.now >= askedAt + timing.voteWait + (walk.in("asking") ? slowness() : Duration(0))) {
     walk.happen(*this, "lapsed", effects);
   }
 }
@@ -135,7 +135,7 @@
   grants.clear();
   vote = Vote{vote.term + 1, selfId};
   std::uint64_t askedTerm = vote.term;
-  Moment savedAt = effects.now;
+  TimePoint savedAt = effects.now;
   askedAt = effects.now + timing.slowDiskMost;
   effects.save(voteRecord(dutyName, vote), [this, askedTerm, savedAt](Effects& later) {
     syncSpan = later.now - savedAt;
@@ -169,13 +169,13 @@
 }
 
 void Election::waitAgain(Effects& effects) {
-  auto spread = 400 + 4 * static_cast<std::uint64_t>(inMs(slowness()));
+  auto spread = 400 + 4 * static_cast<std::uint64_t>(toMilliseconds(slowness()));
   standAt = effects.now + eagerness + std::chrono::milliseconds(100 + effects.roll(spread));
 }
 
 void Election::sendHolds(Effects& effects) {
   heldAt = effects.now;
-  toOthers(effects, Heartbeat{dutyName, vote.term, selfId, inNs(effects.now)});
+  toOthers(effects, Heartbeat{dutyName, vote.term, selfId, toNanoseconds(effects.now)});
 }
 
 void Election::resign(Effects& effects, const std::string& successor) {
@@ -271,7 +271,7 @@
       seeTerm(effects, kept->term);
     } else if (kept->granted && kept->term == vote.term && won() && kept->sentAt >= 0) {
       auto& renewal = renewals[kept->voter];
-      renewal = std::max(renewal, fromNs(kept->sentAt));
+      renewal = std::max(renewal, fromNanoseconds(kept->sentAt));
     }
   }
 }
--- a/src/consensus/election.hpp
+++ b/src/consensus/election.hpp
@@ -7,39 +7,39 @@
 
 /// The spans that duties, freshness and news keep to: one set for a whole fleet, set before a process starts its logic.
 struct Timing {
-  Span holdEvery{150ms}, lease{900ms}, promise{1100ms}, voteWait{300ms};
+  Duration holdEvery{150ms}, lease{900ms}, promise{1100ms}, voteWait{300ms};
   /// How much of its own disk's slowness a election waits for, at most.
-  Span slowDiskMost{700ms};
+  Duration slowDiskMost{700ms};
   /// How long a reader serves on what it last knew to be complete.
-  Span freshFor{1500ms};
+  Duration freshFor{1500ms};
   /// How long an acknowledgement waits for readers that are silent.
-  Span readersWait{1530ms};
+  Duration readersWait{1530ms};
   /// How often agents and cores ask the cores for their logs' ends, and proxies their agent.
-  Span roundEvery{250ms}, feedEvery{100ms};
+  Duration roundEvery{250ms}, feedEvery{100ms};
   /// How often the platform's list is read, and how old a list may be before a core that need not read it does.
-  Span listEvery{300ms}, listOld{300ms};
+  Duration listEvery{300ms}, listOld{300ms};
   /// How long a new holder of a cell sends no commands, so that holders never take turns at a worker.
-  Span commandRest{0};
+  Duration commandRest{0};
   /// How long a command may be on its way to a worker.
-  Span commandWait{2s};
+  Duration commandWait{2s};
   /// How long after newer weights were named work may begin on a model's older ones, as promised; how long orders may
   /// be sent to workers that still have them; and when those sent there that have not begun are taken back.
-  Span versionMost{20s}, rolloutMost{18s}, unbegunMost{19500ms};
+  Duration versionMost{20s}, rolloutMost{18s}, unbegunMost{19500ms};
   /// After which workers that have not begun to change to newer weights are overdue.
-  Span rolloutLatest() const { return rolloutMost * 17 / 20; }
+  Duration rolloutLatest() const { return rolloutMost * 17 / 20; }
   /// How long a voter must be silent before it is taken out for good, and how many voters must stay; 0 takes none out.
-  Span memberGone{0};
+  Duration memberGone{0};
   std::size_t votersLeast{3};
   /// How long a voter must be silent before an empty core of its name takes its place, and before one of another name
   /// does; a voter that is silent for `suspectAfter` keeps others from being added until it is heard or replaced.
-  Span successorWait{1s}, strangerWait{2s}, suspectAfter{500ms};
+  Duration successorWait{1s}, strangerWait{2s}, suspectAfter{500ms};
   /// How often a core that is no member asks to join.
-  Span joinEvery{250ms};
+  Duration joinEvery{250ms};
   /// How long a learner must be silent before it is dropped.
-  Span learnerGone{9s};
+  Duration learnerGone{9s};
   /// Sets what rests on how long a machine may be out of touch, how long a new one has to catch up, and how many may be
   /// lost at once.
-  void setMembers(Span contact, Span catchUp, std::size_t lossBudget);
+  void setMembers(Duration contact, Duration catchUp, std::size_t lossBudget);
   /// On how many disks a change must rest before one that holds it may leave.
   std::size_t copiesLeast() const { return votersLeast / 2 + 1; }
 };
@@ -53,8 +53,8 @@
 class Election {
  public:
   using LogEnd = std::function<std::pair<std::uint64_t, std::uint64_t>()>;
-  Election(std::string dutyName, std::string selfId, Span waitBeforeStanding, Defences defencesGiven = {});
-  void restore(const Vote& vote, Moment now);
+  Election(std::string dutyName, std::string selfId, Duration waitBeforeStanding, Defences defencesGiven = {});
+  void restore(const Vote& vote, TimePoint now);
   /// Who votes, by id and address. While a change of members is not known to be agreed, the outgoing ones count too:
   /// then more than half of each of the two sets is needed, for a ballot and for the lease.
   void setVoters(const std::vector<Member>& members, const std::vector<Member>& outgoing = {});
@@ -65,7 +65,7 @@
   void tick(Effects& effects);
   void take(Effects& effects, const std::string& from, const Message& message);
   /// Whether the lease is good at this moment: asked just before every command that leaves.
-  bool holds(Moment now) const;
+  bool holds(TimePoint now) const;
   /// Whether this core won the current term's election, lease good or not.
   bool won() const { return walk.in("holding"); }
   /// Gives the duty up at once, so that others need not wait for the lease. A successor that is named stands at once,
@@ -86,7 +86,7 @@
  private:
   friend class StateDump;
   std::string dutyName, selfId;
-  Span eagerness;
+  Duration eagerness;
   Defences defences;
   Vote vote;
   std::vector<Member> voters;
@@ -94,13 +94,13 @@
   std::vector<Strings> voterSets;
   std::map<std::string, std::string> addressById;
   std::string knownHolder;
-  Moment promisedUntil{}, standAt{}, askedAt{}, heldAt{};
+  TimePoint promisedUntil{}, standAt{}, askedAt{}, heldAt{};
   bool started{false};
   /// How long this core's last vote took to be synced; others' disks are taken to be no faster.
-  Span syncSpan{};
-  Span slowness() const { return std::min(syncSpan, timing.slowDiskMost); }
+  Duration syncSpan{};
+  Duration slowness() const { return std::min(syncSpan, timing.slowDiskMost); }
   std::set<std::string> grants;
-  std::map<std::string, Moment> renewals;
+  std::map<std::string, TimePoint> renewals;
   std::uint64_t seenTerm{0};
   ChartWalk<Election, Effects&> walk;
 
@@ -113,8 +113,8 @@
   void waitAgain(Effects& effects);
   void sendHolds(Effects& effects);
   void toOthers(Effects& effects, const Message& message);
-  Moment leaseStart(Moment now) const;
-  Moment leaseStart(Moment now, const Strings& voterIds) const;
+  TimePoint leaseStart(TimePoint now) const;
+  TimePoint leaseStart(TimePoint now, const Strings& voterIds) const;
   /// Whether more than half of each set of voters has granted.
   bool elected() const;
   void onAsk(Effects& effects, const std::string& from, const VoteRequest& ask);
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -65,17 +65,17 @@
 
 bool ReplicatedLog::memberChangePending() const { return newestMembersIndex() > commitIndex; }
 
-bool ReplicatedLog::mayChangeMembers(Moment now) const {
+bool ReplicatedLog::mayChangeMembers(TimePoint now) const {
   return election.holds(now) && !memberChangePending() && speaksForTerm();
 }
 
-bool ReplicatedLog::heardWithin(const Member& member, Span span, Moment now) const {
+bool ReplicatedLog::heardWithin(const Member& member, Duration span, TimePoint now) const {
   return member.id == selfRow.id || now - lastHeard(member) < span;
 }
 
-Moment ReplicatedLog::lastHeard(const Member& member) const {
+TimePoint ReplicatedLog::lastHeard(const Member& member) const {
   auto heard = heardFrom.find(member.id);
-  return heard == heardFrom.end() ? Moment{} : heard->second;
+  return heard == heardFrom.end() ? TimePoint{} : heard->second;
 }
 
 void ReplicatedLog::setMembers(Effects& effects, std::vector<Member> rows) {
@@ -134,7 +134,7 @@
   return true;
 }
 
-std::optional<std::string> ReplicatedLog::placeFor(const Member& learner, Moment now) const {
+std::optional<std::string> ReplicatedLog::placeFor(const Member& learner, TimePoint now) const {
   const Member* namesake = nullptr;
   const Member* silent = nullptr;
   for (const auto& member : memberRows) {
@@ -153,9 +153,9 @@
   return replaced->id;
 }
 
-Moment ReplicatedLog::firstKnown(const Member& learner) const {
+TimePoint ReplicatedLog::firstKnown(const Member& learner) const {
   auto since = learnsSince.find(learner.id);
-  return since == learnsSince.end() ? Moment{} : since->second;
+  return since == learnsSince.end() ? TimePoint{} : since->second;
 }
 
 bool ReplicatedLog::promote(Effects& effects, const Member& learner) {
@@ -173,7 +173,7 @@
 }
 
 void ReplicatedLog::dropGone(Effects& effects) {
-  if (timing.memberGone == Span(0) || !mayChangeMembers(effects.now)) return;
+  if (timing.memberGone == Duration(0) || !mayChangeMembers(effects.now)) return;
   std::size_t voters = 0;
   std::string gone;
   for (const auto& member : memberRows) {
--- a/src/consensus/replicated_log.cpp
+++ b/src/consensus/replicated_log.cpp
@@ -8,7 +8,7 @@
 namespace {
 constexpr std::size_t entriesPerMessage = 128;
 constexpr std::size_t bytesPerMessage = 512 * 1024;
-constexpr Span appendAgain = 150ms;
+constexpr Duration appendAgain = 150ms;
 }  // namespace
 
 ReplicatedLog::ReplicatedLog(Member self, std::size_t recordRoom, Defences defencesGiven)
@@ -23,7 +23,7 @@
   election.changed = [this](Effects& effects, bool won) { whenLeads(effects, won); };
 }
 
-void ReplicatedLog::restore(const Recovered& recovered, Moment now) {
+void ReplicatedLog::restore(const Recovered& recovered, TimePoint now) {
   if (recovered.snapshot) {
     base = *recovered.snapshot;
     (void)applied.adopt(base);
@@ -277,8 +277,8 @@
   if (!from->votes) mendMembers(effects);
 }
 
-void ReplicatedLog::countOwnPause(Moment now) {
-  Span pause = awakeAt == Moment{} ? Span(0) : now - awakeAt;
+void ReplicatedLog::countOwnPause(TimePoint now) {
+  Duration pause = awakeAt == TimePoint{} ? Duration(0) : now - awakeAt;
   awakeAt = now;
   if (pause <= timing.suspectAfter) return;
   for (auto& [id, heard] : heardFrom) heard += pause;
--- a/src/consensus/replicated_log.hpp
+++ b/src/consensus/replicated_log.hpp
@@ -10,7 +10,7 @@
 class ReplicatedLog {
  public:
   ReplicatedLog(Member self, std::size_t recordRoom, Defences defencesGiven = {});
-  void restore(const Recovered& recovered, Moment now);
+  void restore(const Recovered& recovered, TimePoint now);
   void tick(Effects& effects);
   void take(Effects& effects, const std::string& from, const Message& message);
   /// Writes the first entry of a fleet: who its cores are.
@@ -26,11 +26,11 @@
   const std::vector<Member>& outgoingMembers() const { return outgoingRows; }
   const Member& self() const { return selfRow; }
   std::string leaderAddress() const;
-  bool leads(Moment now) const { return election.holds(now); }
+  bool leads(TimePoint now) const { return election.holds(now); }
   /// Whether what this core says of commits covers all earlier terms.
   bool speaksForTerm() const;
   /// When a sound word of the leader last came.
-  Moment heardLeaderAt() const { return leaderHeard; }
+  TimePoint heardLeaderAt() const { return leaderHeard; }
   std::uint64_t syncedEnd() const { return syncedIndex; }
   std::uint64_t commit() const { return commitIndex; }
   std::uint64_t logEnd() const;
@@ -54,7 +54,7 @@
     std::uint64_t next{1};
     std::uint64_t matched{0};
     std::uint64_t toldCommit{0};
-    Moment sentAt{};
+    TimePoint sentAt{};
     /// Whether entries are under way, up to which one, and the number of the last message.
     bool pending{false};
     std::uint64_t sentEnd{0}, round{0};
@@ -78,7 +78,7 @@
   std::vector<Waiter> waiters;
   std::size_t logBytes{0};
   std::uint64_t verifiedTerm{0}, verifiedEnd{0};
-  Moment leaderHeard{};
+  TimePoint leaderHeard{};
   /// The number of the last message that this follower had from its leader.
   std::uint64_t heardRound{0};
   SnapshotReceiver receiver;
@@ -117,7 +117,7 @@
   /// Sends what is due of a follower's snapshot. Returns false if it needs none.
   bool sendSnapshot(Effects& effects, const Member& member, Follower& follower);
   /// The first entry that a follower in touch still needs; entries from there on are kept within a bound of bytes.
-  std::uint64_t firstNeeded(Moment now) const;
+  std::uint64_t firstNeeded(TimePoint now) const;
   void dropEntriesBefore(std::uint64_t index);
   /// The bytes of all entries behind an index.
   std::size_t bytesAfter(std::uint64_t index) const;
@@ -134,11 +134,11 @@
   bool dropLearner(Effects& effects, const Member& learner);
   bool promote(Effects& effects, const Member& learner);
   /// Whom a learner is to replace: a voter's id, or nobody if it is an additional voter; no value if it must wait.
-  std::optional<std::string> placeFor(const Member& learner, Moment now) const;
-  bool mayChangeMembers(Moment now) const;
-  bool heardWithin(const Member& member, Span span, Moment now) const;
-  Moment lastHeard(const Member& member) const;
-  Moment firstKnown(const Member& learner) const;
+  std::optional<std::string> placeFor(const Member& learner, TimePoint now) const;
+  bool mayChangeMembers(TimePoint now) const;
+  bool heardWithin(const Member& member, Duration span, TimePoint now) const;
+  TimePoint lastHeard(const Member& member) const;
+  TimePoint firstKnown(const Member& learner) const;
   /// Takes a voter out that has long been silent, while enough stay.
   void dropGone(Effects& effects);
   void onAppend(Effects& effects, const std::string& from, const AppendRequest& message);
@@ -148,12 +148,12 @@
   void onReply(Effects& effects, const AppendResponse& reply);
   void onJoin(Effects& effects, const JoinRequest& ask);
   void setMembers(Effects& effects, std::vector<Member> rows);
-  std::map<std::string, Moment> heardFrom;
-  Moment awakeAt{};
+  std::map<std::string, TimePoint> heardFrom;
+  TimePoint awakeAt{};
   /// Does not count the time in which this core itself stood still as others' silence.
-  void countOwnPause(Moment now);
+  void countOwnPause(TimePoint now);
   /// Since when this leader knows each learner.
-  std::map<std::string, Moment> learnsSince;
+  std::map<std::string, TimePoint> learnsSince;
 };
 
 }  // namespace tt
--- a/src/consensus/snapshot.cpp
+++ b/src/consensus/snapshot.cpp
@@ -6,7 +6,7 @@
 namespace {
 constexpr std::size_t entriesBeforeSnapshot = 1024;
 /// How long a follower may be silent and still have entries kept for it.
-constexpr Span keptFor = 5s;
+constexpr Duration keptFor = 5s;
 }  // namespace
 
 void ReplicatedLog::trim(Effects& effects) {
@@ -27,7 +27,7 @@
   return bytes;
 }
 
-std::uint64_t ReplicatedLog::firstNeeded(Moment now) const {
+std::uint64_t ReplicatedLog::firstNeeded(TimePoint now) const {
   std::uint64_t needed = base.index + 1;
   if (!election.won()) return needed;
   for (const auto& [id, follower] : followers) {
--- a/src/consensus/snapshot_transfer.cpp
+++ b/src/consensus/snapshot_transfer.cpp
@@ -13,7 +13,7 @@
   return image;
 }
 
-std::optional<InstallSnapshot> SnapshotSender::due(Moment now) {
+std::optional<InstallSnapshot> SnapshotSender::due(TimePoint now) {
   if (waiting && now - sentAt < pause) return std::nullopt;
   if (waiting) pause = std::min(2 * pause, mostPause);
   InstallSnapshot message;
@@ -29,11 +29,11 @@
   return message;
 }
 
-void SnapshotSender::take(const InstallSnapshotResponse& response, Moment now) {
+void SnapshotSender::take(const InstallSnapshotResponse& response, TimePoint now) {
   if (response.digest != image_->digest || response.offset > image_->bytes.size()) return;
   bool further = response.offset > acknowledgedBytes;
   if (!further && response.attempt != attempt) return;
-  if (further) pause = std::clamp<Span>(4 * (now - sentAt), leastPause, mostPause);
+  if (further) pause = std::clamp<Duration>(4 * (now - sentAt), leastPause, mostPause);
   acknowledgedBytes = response.offset;
   waiting = whole();
   if (whole()) sentAt = now;
--- a/src/consensus/snapshot_transfer.hpp
+++ b/src/consensus/snapshot_transfer.hpp
@@ -18,17 +18,17 @@
   explicit SnapshotSender(std::shared_ptr<const SnapshotImage> sentImage) : image_(std::move(sentImage)) {}
   const SnapshotImage& image() const { return *image_; }
   /// The message that is due, if any; the leader fills in who it is.
-  std::optional<InstallSnapshot> due(Moment now);
-  void take(const InstallSnapshotResponse& response, Moment now);
+  std::optional<InstallSnapshot> due(TimePoint now);
+  void take(const InstallSnapshotResponse& response, TimePoint now);
   Count acknowledged() const { return acknowledgedBytes; }
 
  private:
   std::shared_ptr<const SnapshotImage> image_;
   Count acknowledgedBytes{0}, attempt{0};
   bool waiting{false};
-  Moment sentAt{};
-  Span pause{leastPause};
-  static constexpr Span leastPause = 300ms, mostPause = 2400ms;
+  TimePoint sentAt{};
+  Duration pause{leastPause};
+  static constexpr Duration leastPause = 300ms, mostPause = 2400ms;
   bool whole() const { return acknowledgedBytes == image_->bytes.size(); }
 };
 
--- a/src/consensus/timing_check.cpp
+++ b/src/consensus/timing_check.cpp
@@ -3,9 +3,9 @@
 namespace tt {
 namespace {
 /// How long a core remembers a reader that it no longer hears (see Core::tick).
-constexpr Span readerKept = 10s;
+constexpr Duration readerKept = 10s;
 /// How long an agent waits for news that it knows to exist before it asks a core for them (see Agent::tick).
-constexpr Span newsWait = 150ms;
+constexpr Duration newsWait = 150ms;
 
 struct Inequality {
   const char* text;
@@ -14,10 +14,10 @@
 }  // namespace
 
 Result<void> checkTiming(const Timing& spans, const TimingBounds& bounds) {
-  Span newsLate = spans.roundEvery + newsWait + spans.feedEvery;
+  Duration newsLate = spans.roundEvery + newsWait + spans.feedEvery;
   bool revokes = bounds.revoke.has_value();
   const Inequality inequalities[] = {
-      {"holdEvery > 0 and 3 holdEvery < lease", spans.holdEvery > Span(0) && 3 * spans.holdEvery < spans.lease},
+      {"holdEvery > 0 and 3 holdEvery < lease", spans.holdEvery > Duration(0) && 3 * spans.holdEvery < spans.lease},
       {"lease < promise", spans.lease < spans.promise},
       {"voteWait < promise", spans.voteWait < spans.promise},
       {"2 roundEvery + 2 feedEvery <= freshFor", 2 * spans.roundEvery + 2 * spans.feedEvery <= spans.freshFor},
@@ -30,7 +30,7 @@
       {"listEvery <= listOld and listOld + listEvery < DrainMs",
        spans.listEvery <= spans.listOld && spans.listOld + spans.listEvery < bounds.drain},
       {"commandRest >= LeaseMs", spans.commandRest >= bounds.commandLease},
-      {"memberGone > promise", spans.memberGone == Span(0) || spans.memberGone > spans.promise},
+      {"memberGone > promise", spans.memberGone == Duration(0) || spans.memberGone > spans.promise},
       {"last start of a roll-out < last use of old weights < unbegun orders dropped < VersionMs",
        spans.rolloutLatest() < spans.rolloutMost && spans.rolloutMost < spans.unbegunMost &&
            spans.unbegunMost < spans.versionMost},
--- a/src/index/cell.cpp
+++ b/src/index/cell.cpp
@@ -4,14 +4,14 @@
 
 namespace tt {
 namespace {
-constexpr Span askAgain = 700ms;
-constexpr Span droppedKept = 30s;
+constexpr Duration askAgain = 700ms;
+constexpr Duration droppedKept = 30s;
 constexpr std::size_t droppedMost = 50000;
-constexpr Span weighEvery = 500ms;
-constexpr Span movingEvery = 250ms;
-constexpr Span publishIdle = 500ms;
-constexpr Span summariesEvery = 250ms;
-constexpr Span speedKept = 30s;
+constexpr Duration weighEvery = 500ms;
+constexpr Duration movingEvery = 250ms;
+constexpr Duration publishIdle = 500ms;
+constexpr Duration summariesEvery = 250ms;
+constexpr Duration speedKept = 30s;
 constexpr std::size_t summaryMost = 8192;
 }  // namespace
 
@@ -43,7 +43,7 @@
 }
 
 Cell::Cell(std::string locality, const Member& self, bool local, Defences defencesGiven, CellSettings cellSettings)
-    : election("cell/" + locality, self.id, local ? Span(0) : Span(600ms), defencesGiven),
+    : election("cell/" + locality, self.id, local ? Duration(0) : Duration(600ms), defencesGiven),
       place(std::move(locality)),
       selfId(self.id),
       selfAddress(self.address),
@@ -62,7 +62,7 @@
     keeper.heardAt = effects.now;
     keeper.known = false;
     keeper.last.countsOrders = false;
-    keeper.conditionAt = keeper.conditionAskedAt = Moment{};
+    keeper.conditionAt = keeper.conditionAskedAt = TimePoint{};
   }
   rollouts.clear();
   watches.clear();
@@ -81,7 +81,7 @@
     auto& keeper = rows[machine.name];
     if (keeper.machine.address != machine.address) keeper = Keeper{};
     if (keeper.machine.leaving != machine.leaving || keeper.machine.name.empty()) newsDue = true;
-    if (settings.apart && keeper.conditionAt == Moment{}) {
+    if (settings.apart && keeper.conditionAt == TimePoint{}) {
       keeper.last.weights = machine.weights;
       keeper.last.model = machine.model;
       keeper.last.slots = machine.slots;
@@ -119,7 +119,7 @@
     if (keeper.askPending ? effects.now - keeper.askedAt < askAgain : effects.now - keeper.askedAt < settings.askEvery)
       continue;
     bool sweeping = false;
-    if (keeper.confirmed && settings.sweepEvery > Span(0) && effects.now - sweptAt > settings.sweepEvery &&
+    if (keeper.confirmed && settings.sweepEvery > Duration(0) && effects.now - sweptAt > settings.sweepEvery &&
         name > sweptLast) {
       sweeping = true;
       sweptAt = effects.now;
@@ -139,8 +139,8 @@
   auto rollout = rollouts.find(keeper.machine.name);
   bool moving =
       rollout != rollouts.end() && !rollout->second.walk->in("serving") && !rollout->second.walk->in("marking");
-  if (keeper.conditionAt != Moment{} && !moving && settings.conditionEvery == Span(0)) return;
-  Span every = moving ? movingEvery : keeper.conditionAt == Moment{} ? askAgain : settings.conditionEvery;
+  if (keeper.conditionAt != TimePoint{} && !moving && settings.conditionEvery == Duration(0)) return;
+  Duration every = moving ? movingEvery : keeper.conditionAt == TimePoint{} ? askAgain : settings.conditionEvery;
   if (effects.now - keeper.conditionAskedAt < every) return;
   keeper.conditionAskedAt = effects.now;
   effects.send(keeper.machine.address,
@@ -149,7 +149,7 @@
 
 void Cell::onCondition(Effects& effects, Keeper& keeper, const Report& report) {
   bool changed = keeper.last.weights != report.weights || keeper.last.draining != report.draining ||
-                 keeper.conditionAt == Moment{} || keeper.last.waiting != report.waiting ||
+                 keeper.conditionAt == TimePoint{} || keeper.last.waiting != report.waiting ||
                  keeper.last.running / 4 != report.running / 4;
   keeper.conditionAt = effects.now;
   keeper.last.weights = report.weights;
@@ -249,7 +249,7 @@
   if (report.sequence != keeper.applied) doubt(effects, keeper, "gap");
 }
 
-void Cell::weighStore(Keeper& keeper, const BlockHash& prefix, Moment now) {
+void Cell::weighStore(Keeper& keeper, const BlockHash& prefix, TimePoint now) {
   if (keeper.kept.count(prefix))
     ++keeper.found;
   else if (auto gone = keeper.dropped.find(prefix); gone != keeper.dropped.end() && now - gone->second < droppedKept)
@@ -285,7 +285,7 @@
   effects.send(ask.replyTo, reply);
 }
 
-bool Cell::mayCommand(const ControlAsk& command, Moment now) const {
+bool Cell::mayCommand(const ControlAsk& command, TimePoint now) const {
   return rows.count(command.worker) > 0 && command.term == election.term() && election.holds(now);
 }
 
@@ -295,7 +295,7 @@
   return count;
 }
 
-void Cell::agentHas(const std::string& agent, const CellMark& mark, Moment now) {
+void Cell::agentHas(const std::string& agent, const CellMark& mark, TimePoint now) {
   agentMarks[agent] = AgentMark{mark, now};
 }
 
@@ -304,7 +304,7 @@
   speeds[{watch.ask.source, watch.ask.target}] =
       Speed{static_cast<double>(watch.ask.hashes.size()) / std::max(seconds, 0.001), effects.now};
   newsDue = true;
-  effects.note("transfer done", watch.ask.moveId, inMs(effects.now - watch.startedAt));
+  effects.note("transfer done", watch.ask.moveId, toMilliseconds(effects.now - watch.startedAt));
   effects.send(watch.ask.replyTo, TransferDone{watch.ask.moveId, true});
 }
 
--- a/src/index/cell.hpp
+++ b/src/index/cell.hpp
@@ -18,7 +18,7 @@
 struct Keeper {
   Machine machine;
   Report last;
-  Moment heardAt{}, askedAt{}, sweptAt{}, conditionAt{}, conditionAskedAt{};
+  TimePoint heardAt{}, askedAt{}, sweptAt{}, conditionAt{}, conditionAskedAt{};
   bool known{false}, confirmed{false}, askPending{false};
   std::uint64_t applied{0};
   std::unordered_set<BlockHash, BlockHashKey> kept;
@@ -26,9 +26,9 @@
   bool summaryStale{true};
   /// A store's prefixes that gave way of late; of lookups lately, those it had and those that it had let go; and the
   /// share of prefixes, in thousandths, that it is to be given so that what it has is still there when it is wanted.
-  std::unordered_map<BlockHash, Moment, BlockHashKey> dropped;
+  std::unordered_map<BlockHash, TimePoint, BlockHashKey> dropped;
   int found{0}, regretted{0}, savedShare{1000};
-  Moment weighedAt{};
+  TimePoint weighedAt{};
 };
 
 /// How a cell deals with the workers it has, where it is not as with the project's own.
@@ -42,15 +42,15 @@
   /// Whether news carry summaries of what each keeper has.
   bool summaries{true};
   /// How often a serving worker's condition is asked; 0 asks it only when it is not known or is about to change.
-  Span conditionEvery{0};
-  Span askEvery{50ms}, sweepEvery{1s}, lateAfter{1s}, goneAfter{1500ms}, publishEvery{60ms}, markWait{1s};
+  Duration conditionEvery{0};
+  Duration askEvery{50ms}, sweepEvery{1s}, lateAfter{1s}, goneAfter{1500ms}, publishEvery{60ms}, markWait{1s};
   /// How many workers of a model in this locality may be taken to other weights at once: one in so many.
   int rolloutParts{3};
   /// How long a roll-out waits for further namings before it starts its first worker.
-  Span rolloutSettle{0};
+  Duration rolloutSettle{0};
   /// Over how long a locality's workers are started on other weights, one after the other; 0 starts all that there is
   /// room for.
-  Span rolloutSpan{0};
+  Duration rolloutSpan{0};
 };
 
 /// A locality's cell: its workers, its exact block index, and the commands to its workers. Every core has one for
@@ -64,7 +64,7 @@
   void tick(Effects& effects, const Configuration& configuration);
   void take(Effects& effects, const std::string& from, const Message& message);
   /// What an agent is known to have applied of this cell's news.
-  void agentHas(const std::string& agent, const CellMark& mark, Moment now);
+  void agentHas(const std::string& agent, const CellMark& mark, TimePoint now);
   /// Where fresh news go: the other cores and the agents that follow this core.
   std::function<void(Effects&, const CellNews&)> publish;
   /// All cells' newest news, so that small cells can take turns.
@@ -74,7 +74,7 @@
   const std::string& locality() const { return place; }
   const std::map<std::string, Keeper>& keepers() const { return rows; }
   /// Whether a command may still leave: asked again in the instant before it is written to its worker.
-  bool mayCommand(const ControlAsk& command, Moment now) const;
+  bool mayCommand(const ControlAsk& command, TimePoint now) const;
   std::string rolloutState(const std::string& worker) const;
   std::int64_t unconfirmedCount() const;
 
@@ -82,28 +82,28 @@
   using RolloutWalk = ChartWalk<Cell, Effects&, const std::string&>;
   struct Rollout {
     std::string weights, model;
-    Moment since{}, sentAt{}, readyAt{};
+    TimePoint since{}, sentAt{}, readyAt{};
     std::uint64_t markSequence{0};
     /// The number of the last command, which its answer brings back.
     Count commandNumber{0};
     /// When the worker last said that it has taken the command.
-    Moment takenAt{};
+    TimePoint takenAt{};
     bool failed{false};
     std::unique_ptr<RolloutWalk> walk;
   };
   struct Watch {
     WatchMsg ask;
-    Moment startedAt{}, deadline{};
+    TimePoint startedAt{}, deadline{};
     std::unique_ptr<ChartWalk<Cell, Effects&, Watch&>> walk;
   };
   struct AgentMark {
     CellMark mark;
-    Moment at{};
+    TimePoint at{};
   };
   std::string place, selfId, selfAddress;
   Defences defences;
   CellSettings settings;
-  Moment wonAt{};
+  TimePoint wonAt{};
   const Configuration* lastConfiguration{nullptr};
   std::map<std::string, Keeper> rows;
   std::map<std::string, Rollout> rollouts;
@@ -112,14 +112,14 @@
   PrefillLedger prefills;
   struct Speed {
     double blocksPerSecond{0};
-    Moment at{};
+    TimePoint at{};
   };
   std::map<std::pair<std::string, std::string>, Speed> speeds;
   std::uint64_t sequence{0};
   Count lastCommand{0};
   /// What the last news said, so that the next need only say what has changed.
   std::map<std::string, WorkerView> said;
-  Moment publishedAt{}, summariesAt{}, sweptAt{};
+  TimePoint publishedAt{}, summariesAt{}, sweptAt{};
   std::string sweptLast;
   bool newsDue{true};
   using RolloutActions = RolloutWalk::Actions;
@@ -137,7 +137,7 @@
   void command(Effects& effects, const std::string& worker, const std::string& action);
   void onReport(Effects& effects, const Report& report);
   void onLookup(Effects& effects, const LookupMsg& ask);
-  void weighStore(Keeper& keeper, const BlockHash& prefix, Moment now);
+  void weighStore(Keeper& keeper, const BlockHash& prefix, TimePoint now);
   /// Whether a worker tells of itself; a plain one behind an interface with reports of their own has none, and counts
   /// as alive for as long as it is listed.
   bool reports(const Keeper& keeper) const;
@@ -148,15 +148,15 @@
   Rollout& rolloutOf(const std::string& worker);
   void advance(Effects& effects, const std::string& worker, Rollout& rollout, const char* event);
   /// Whether a worker was heard lately, so that it counts among those to be taken to other weights.
-  bool takesPart(const Keeper& keeper, Moment now) const;
-  Moment supersededAt(const Report& report, const std::string& wanted) const;
+  bool takesPart(const Keeper& keeper, TimePoint now) const;
+  TimePoint supersededAt(const Report& report, const std::string& wanted) const;
   RolloutStep stepOf(const std::string& worker, bool right) const;
-  std::set<std::string> workersDue(Moment now, const Configuration& configuration) const;
+  std::set<std::string> workersDue(TimePoint now, const Configuration& configuration) const;
   /// Whether a worker of another cell has the newest weights, so that they can be loaded.
   bool loadedElsewhere(const std::string& model) const;
   /// Whether a cell with a single worker of a model leaves the turn to cells before it, so that not all of a model's
   /// workers change at once.
-  bool waitsItsTurn(const std::string& model, Moment superseded, Moment now) const;
+  bool waitsItsTurn(const std::string& model, TimePoint superseded, TimePoint now) const;
   void startRollout(Effects& effects, const Keeper& keeper, Rollout& rollout, const std::string& wanted, bool due);
   /// Goes on with a change that has begun. A load that a worker has taken is finished also where newer weights were
   /// named meanwhile: it takes no other order before, and would never serve if it were always sent on to the next.
@@ -165,7 +165,7 @@
   void publishNews(Effects& effects);
   void tellChanges(CellNews& news);
   void whenHolds(Effects& effects, bool won);
-  bool agentsHave(std::uint64_t markSequence, Moment now) const;
+  bool agentsHave(std::uint64_t markSequence, TimePoint now) const;
   void doubt(Effects& effects, Keeper& keeper, const char* why);
 };
 
--- a/src/index/cell_rollouts.cpp
+++ b/src/index/cell_rollouts.cpp
@@ -7,15 +7,15 @@
 namespace tt {
 namespace {
 /// A worker reports its condition some hundred ms late.
-constexpr Span idleSure = 800ms;
-constexpr Span drainWait = 3s;
-constexpr Span loadWait = 8s;
-constexpr Span commandAgain = 500ms;
-constexpr Span retryWait = 3s;
+constexpr Duration idleSure = 800ms;
+constexpr Duration drainWait = 3s;
+constexpr Duration loadWait = 8s;
+constexpr Duration commandAgain = 500ms;
+constexpr Duration retryWait = 3s;
 /// How long a cell with a single worker waits for each cell before it, at most, and for how many cells.
-constexpr Span turnMost = 4500ms;
+constexpr Duration turnMost = 4500ms;
 constexpr int turnsMost = 3;
-constexpr Span agentKnownFor = 2s;
+constexpr Duration agentKnownFor = 2s;
 }  // namespace
 
 const Cell::RolloutActions& Cell::rolloutActions() {
@@ -41,7 +41,7 @@
   rollout.since = effects.now;
   rollout.markSequence = sequence + 1;
   newsDue = true;
-  publishedAt = Moment{};
+  publishedAt = TimePoint{};
   effects.note("weights hold", worker);
 }
 void Cell::sendDrain(Effects& effects, const std::string& worker) { command(effects, worker, "drain"); }
@@ -49,7 +49,7 @@
 void Cell::sendAdmit(Effects& effects, const std::string& worker) { command(effects, worker, "admit"); }
 void Cell::release(Effects& effects, const std::string& worker) {
   newsDue = true;
-  publishedAt = Moment{};
+  publishedAt = TimePoint{};
   rollouts[worker].failed = false;
   effects.note("weights in use", worker + " " + rollouts[worker].weights);
 }
@@ -63,7 +63,7 @@
   return found == rollouts.end() ? "serving" : found->second.walk->state();
 }
 
-bool Cell::agentsHave(std::uint64_t markSequence, Moment now) const {
+bool Cell::agentsHave(std::uint64_t markSequence, TimePoint now) const {
   for (const auto& [agent, row] : agentMarks) {
     if (now - row.at > agentKnownFor) continue;
     if (row.mark.term < election.term() || (row.mark.term == election.term() && row.mark.sequence < markSequence))
@@ -87,16 +87,16 @@
   effects.note("rollout", worker + " " + rollout.walk->state());
 }
 
-bool Cell::takesPart(const Keeper& keeper, Moment now) const {
+bool Cell::takesPart(const Keeper& keeper, TimePoint now) const {
   return keeper.machine.kind == "language" && keeper.known && now - keeper.heardAt <= settings.goneAfter;
 }
 
-Moment Cell::supersededAt(const Report& report, const std::string& wanted) const {
-  if (report.weights == wanted) return Moment::max();
-  if (!versions) return Moment::min();
+TimePoint Cell::supersededAt(const Report& report, const std::string& wanted) const {
+  if (report.weights == wanted) return TimePoint::max();
+  if (!versions) return TimePoint::min();
   if (!defences.stands(Defence::endFromFirstNewer)) return versions->newestAt(report.model);
-  Moment moment = versions->supersededAt(report.model, report.weights);
-  return moment == Moment::max() ? Moment::min() : moment;
+  TimePoint moment = versions->supersededAt(report.model, report.weights);
+  return moment == TimePoint::max() ? TimePoint::min() : moment;
 }
 
 RolloutStep Cell::stepOf(const std::string& worker, bool right) const {
@@ -107,7 +107,7 @@
   return found->second.walk->in("serving") ? RolloutStep::serving : RolloutStep::changing;
 }
 
-std::set<std::string> Cell::workersDue(Moment now, const Configuration& configuration) const {
+std::set<std::string> Cell::workersDue(TimePoint now, const Configuration& configuration) const {
   std::map<std::string, std::vector<RolloutWorker>> workersByModel;
   for (const auto& [name, keeper] : rows) {
     auto wanted = configuration.weightsOf(keeper.last.model);
@@ -135,8 +135,8 @@
   return false;
 }
 
-bool Cell::waitsItsTurn(const std::string& model, Moment superseded, Moment now) const {
-  if (!allNews || superseded == Moment::max()) return false;
+bool Cell::waitsItsTurn(const std::string& model, TimePoint superseded, TimePoint now) const {
+  if (!allNews || superseded == TimePoint::max()) return false;
   int before = 0;
   bool unfinished = false;
   for (const auto& [locality, news] : *allNews) {
@@ -152,7 +152,7 @@
     ++before;
     unfinished = unfinished || sole->held || !versions || !versions->isNewest(model, sole->weights);
   }
-  Span turn = std::min<Span>(turnMost, timing.rolloutLatest() / turnsMost);
+  Duration turn = std::min<Duration>(turnMost, timing.rolloutLatest() / turnsMost);
   return unfinished && now < endOfUse(superseded, std::min(before, turnsMost) * turn);
 }
 
@@ -193,7 +193,7 @@
   bool idled = rollout.takenAt >= rollout.sentAt && keeper.conditionAt > rollout.takenAt + idleSure && !report.draining;
   bool again = (settings.loadsWhole ? unanswered || idled : effects.now - rollout.sentAt >= commandAgain) &&
                defences.stands(Defence::commandAgain);
-  Span since = effects.now - rollout.since;
+  Duration since = effects.now - rollout.since;
   auto happen = [&](const char* event) { advance(effects, worker, rollout, event); };
   if (rollout.weights != target) {
     rollout.failed = false;
--- a/src/index/prefill_ledger.cpp
+++ b/src/index/prefill_ledger.cpp
@@ -5,9 +5,9 @@
 namespace tt {
 namespace {
 /// A prompt whose end nobody told of is forgotten after this long.
-constexpr Span promptKept = 6s;
+constexpr Duration promptKept = 6s;
 /// How long after its reading a block counts as kept before the worker's own events tell of it.
-constexpr Span pendingKept = 2s;
+constexpr Duration pendingKept = 2s;
 /// An estimate is made from at least so many tokens, so that the way there and back weighs little.
 constexpr double leastObservedTokens = 16000;
 constexpr double observationShare = 0.3, meanShare = 0.05;
@@ -23,7 +23,7 @@
 }
 }  // namespace
 
-void PrefillLedger::dropOverdue(Row& row, Moment now) {
+void PrefillLedger::dropOverdue(Row& row, TimePoint now) {
   for (auto prompt = row.prompts.begin(); prompt != row.prompts.end();) {
     if (now - prompt->second.startedAt < promptKept) {
       ++prompt;
@@ -36,7 +36,7 @@
     block = now >= block->second ? row.pendingUntil.erase(block) : std::next(block);
 }
 
-void PrefillLedger::countBusy(Row& row, Moment now) {
+void PrefillLedger::countBusy(Row& row, TimePoint now) {
   if (!row.prompts.empty())
     row.busyMs += std::max(0.0, std::chrono::duration<double, std::milli>(now - row.countedAt).count());
   row.countedAt = now;
@@ -51,7 +51,7 @@
   row.readTokens = row.busyMs = 0;
 }
 
-void PrefillLedger::start(const PrefillStarted& prompt, Moment now) {
+void PrefillLedger::start(const PrefillStarted& prompt, TimePoint now) {
   auto& row = rows[prompt.worker];
   dropOverdue(row, now);
   countBusy(row, now);
@@ -59,7 +59,7 @@
   for (const auto& hash : prompt.hashes) row.pendingUntil[hash] = now + promptKept;
 }
 
-void PrefillLedger::end(const PrefillEnded& prompt, Moment now) {
+void PrefillLedger::end(const PrefillEnded& prompt, TimePoint now) {
   auto found = rows.find(prompt.worker);
   if (found == rows.end()) return;
   auto& row = found->second;
@@ -77,7 +77,7 @@
   }
 }
 
-PrefillLoad PrefillLedger::loadOf(const std::string& worker, Moment now) const {
+PrefillLoad PrefillLedger::loadOf(const std::string& worker, TimePoint now) const {
   auto found = rows.find(worker);
   if (found == rows.end()) return PrefillLoad{0, meanTokensPerMs};
   const auto& row = found->second;
@@ -87,7 +87,7 @@
   return PrefillLoad{tokens, row.tokensPerMs > 0 ? row.tokensPerMs : meanTokensPerMs};
 }
 
-int PrefillLedger::pendingHits(const std::string& worker, const Hashes& hashes, Moment now) const {
+int PrefillLedger::pendingHits(const std::string& worker, const Hashes& hashes, TimePoint now) const {
   auto found = rows.find(worker);
   if (found == rows.end()) return 0;
   int hits = 0;
--- a/src/index/prefill_ledger.hpp
+++ b/src/index/prefill_ledger.hpp
@@ -19,12 +19,12 @@
 /// what is not told of in time is forgotten.
 class PrefillLedger {
  public:
-  void start(const PrefillStarted& prompt, Moment now);
+  void start(const PrefillStarted& prompt, TimePoint now);
   /// A prompt that was read teaches how fast its worker reads; one that was given up is only taken off.
-  void end(const PrefillEnded& prompt, Moment now);
-  PrefillLoad loadOf(const std::string& worker, Moment now) const;
+  void end(const PrefillEnded& prompt, TimePoint now);
+  PrefillLoad loadOf(const std::string& worker, TimePoint now) const;
   /// How many of a prompt's leading blocks the worker is reading, or has read too lately for its events to tell.
-  int pendingHits(const std::string& worker, const Hashes& hashes, Moment now) const;
+  int pendingHits(const std::string& worker, const Hashes& hashes, TimePoint now) const;
   /// Forgets workers that are not listed any more.
   void keepOnly(const std::set<std::string>& workers);
   void clear() { rows.clear(); }
@@ -32,23 +32,23 @@
  private:
   struct Prompt {
     int tokens{0};
-    Moment startedAt{};
+    TimePoint startedAt{};
   };
   struct Row {
     std::map<std::string, Prompt> prompts;
     double tokensPerMs{0};
     /// What was read since the last estimate, and for how long there was something to read meanwhile.
     double readTokens{0}, busyMs{0};
-    Moment countedAt{};
-    std::unordered_map<BlockHash, Moment, BlockHashKey> pendingUntil;
+    TimePoint countedAt{};
+    std::unordered_map<BlockHash, TimePoint, BlockHashKey> pendingUntil;
   };
   std::map<std::string, Row> rows;
   /// The mean of all workers, for those of which nothing was observed yet.
   double meanTokensPerMs{0};
 
-  void dropOverdue(Row& row, Moment now);
+  void dropOverdue(Row& row, TimePoint now);
   /// Counts the time since the last event as busy if there was anything to read.
-  static void countBusy(Row& row, Moment now);
+  static void countBusy(Row& row, TimePoint now);
   void learn(Row& row);
 };
 
--- a/src/model/breadth.cpp
+++ b/src/model/breadth.cpp
@@ -43,7 +43,7 @@
       ++report.depth;
       nextLevel.clear();
       for (auto& node : level) {
-        if (full() || (limits.longest > Span(0) && Clock::now() >= deadline)) return report;
+        if (full() || (limits.longest > Duration(0) && Clock::now() >= deadline)) return report;
         expand(node);
         node.state = ModelWorld::State{};
       }
--- a/src/model/model_world.cpp
+++ b/src/model/model_world.cpp
@@ -6,11 +6,11 @@
 
 namespace tt::model {
 namespace {
-const Moment startOfTime = Moment(std::chrono::hours(100));
+const TimePoint startOfTime = TimePoint(std::chrono::hours(100));
 const std::string clientAddress = "client";
-constexpr Span roundSpan = 20ms;
-constexpr Span leaderSilent = 3s;
-constexpr Span livenessSpan = 15s, livenessStep = 500ms;
+constexpr Duration roundSpan = 20ms;
+constexpr Duration leaderSilent = 3s;
+constexpr Duration livenessSpan = 15s, livenessStep = 500ms;
 /// A longer wait, in which nothing happens at all, is no calm.
 constexpr int mostCalmWait = 100;
 constexpr std::uint64_t luckSpread = 0x9e3779b97f4a7c15ull;
@@ -359,14 +359,14 @@
 void ModelWorld::breakCalm() {
   for (int number = 0; number < worldSetup.machines(); ++number) {
     auto& machine = machines[static_cast<std::size_t>(number)];
-    if (machine.calm == Span(0)) continue;
-    machine.calm = Span(0);
+    if (machine.calm == Duration(0)) continue;
+    machine.calm = Duration(0);
     changed(number);
   }
 }
 
-void ModelWorld::fairRounds(Span span, bool allUp) {
-  Moment until = clock + span;
+void ModelWorld::fairRounds(Duration span, bool allUp) {
+  TimePoint until = clock + span;
   while (clock < until && !broken()) {
     clock += roundSpan;
     bool joins = (clock - startOfTime) % timing.joinEvery < roundSpan;
@@ -395,14 +395,14 @@
 
 void ModelWorld::checkLiveness() {
   int last = worldSetup.changes;
-  Moment until = clock + livenessSpan;
+  TimePoint until = clock + livenessSpan;
   while (clock < until && !broken() && !history->acknowledged(last)) {
     fairRounds(livenessStep, true);
     if (auto leading = leader(); leading && !broken()) sendChange(*leading, last);
   }
   if (!history->acknowledged(last))
     writeHistory().breakRule("no-majority", std::string(leader() ? "a change is not agreed" : "nobody leads") +
-                                                " after " + std::to_string(inMs(livenessSpan)) +
+                                                " after " + std::to_string(toMilliseconds(livenessSpan)) +
                                                 " ms in which all was well");
 }
 
@@ -558,16 +558,16 @@
   const std::vector<int>& labels;
 };
 
-std::uint64_t inPlace(const StateDump::Mark& mark, Moment now) {
-  if (mark.at == Moment{}) return 1;
-  Span since = std::min<Span>(now - mark.at, mark.matters);
-  return static_cast<std::uint64_t>(inMs(since) + 1'000'000);
+std::uint64_t inPlace(const StateDump::Mark& mark, TimePoint now) {
+  if (mark.at == TimePoint{}) return 1;
+  Duration since = std::min<Duration>(now - mark.at, mark.matters);
+  return static_cast<std::uint64_t>(toMilliseconds(since) + 1'000'000);
 }
 }  // namespace
 
 std::string ModelWorld::describe() const {
-  std::string text = "at " + std::to_string(inMs(clock - startOfTime)) + " ms, " + std::to_string(packets.size()) +
-                     " messages under way\n";
+  std::string text = "at " + std::to_string(toMilliseconds(clock - startOfTime)) + " ms, " +
+                     std::to_string(packets.size()) + " messages under way\n";
   for (int number = 0; number < worldSetup.machines(); ++number) {
     const auto& machine = machines[static_cast<std::size_t>(number)];
     text += "  " + idOf(number) + (machine.lost ? " (disk counts as lost)" : "");
@@ -633,7 +633,7 @@
     const auto& bytes = dump(static_cast<int>(at));
     mixer.text(bytes.text);
     for (const auto& group : bytes.groups) mixer.group(group);
-    if (machine.lost) mixer.number(static_cast<std::uint64_t>(inMs(machine.calm)));
+    if (machine.lost) mixer.number(static_cast<std::uint64_t>(toMilliseconds(machine.calm)));
     if (!machine.up()) return;
     std::uint64_t ofMembers = 0;
     for (const auto& mark : StateDump::marks(*machine.log)) {
@@ -672,7 +672,7 @@
     one.number(static_cast<std::uint64_t>(labels[static_cast<std::size_t>(packet.from)] * 16 +
                                           labels[static_cast<std::size_t>(packet.to)]));
     one.text(letter.bytes);
-    if (sentAt > 0) one.number(inPlace({fromNs(sentAt), timing.lease, {}}, clock));
+    if (sentAt > 0) one.number(inPlace({fromNanoseconds(sentAt), timing.lease, {}}, clock));
     if (sentAt < 0) one.number(2);
     letters += one.sum;
   }
--- a/src/model/model_world.hpp
+++ b/src/model/model_world.hpp
@@ -20,7 +20,7 @@
   std::vector<Record> written;
   /// Whether its disk counts as lost, and how long it has been back with all well since.
   bool lost{false};
-  Span calm{0};
+  Duration calm{0};
   bool up() const { return log.has_value(); }
 };
 
@@ -60,7 +60,7 @@
   const std::vector<Packet>& network() const { return packets; }
   const Machine& machine(int number) const { return machines[static_cast<std::size_t>(number)]; }
   const History& past() const { return *history; }
-  Moment now() const { return clock; }
+  TimePoint now() const { return clock; }
   /// The machine that leads with a good lease; nothing if none does.
   std::optional<int> leader() const;
   /// One line on each machine, for people.
@@ -74,7 +74,7 @@
     std::vector<std::shared_ptr<const StateBytes>> dumps;
     std::vector<Packet> packets;
     std::shared_ptr<const History> history;
-    Moment clock;
+    TimePoint clock;
   };
   State save();
   void load(const State& state);
@@ -92,7 +92,7 @@
   std::vector<Packet> packets;
   std::optional<History> history;
   std::shared_ptr<const History> historyImage;
-  Moment clock;
+  TimePoint clock;
   std::mt19937_64 random;
   Journal journal;
 
@@ -111,7 +111,7 @@
   void sendChange(int number, int change);
   /// Lets all be well and asks for a new change: breaks the rule no-majority where it is not agreed in time.
   void checkLiveness();
-  void fairRounds(Span span, bool allUp);
+  void fairRounds(Duration span, bool allUp);
   void changed(int number);
   /// A new disk stops counting as lost once all was well for long enough without a break.
   void countCalm();
--- a/src/model/search.hpp
+++ b/src/model/search.hpp
@@ -26,7 +26,7 @@
   /// Ends the search after so many counterexamples.
   std::size_t mostFound{1};
   /// For runs by hand: no new walk is begun after this span; 0 sets no such end.
-  Span longest{0};
+  Duration longest{0};
 };
 
 /// Walks at random, each walk from its own seed: the same seed is the same walk on every machine.
@@ -39,7 +39,7 @@
   int crashes{1}, drops{1}, duplicates{0}, wipes{0}, waits{4}, changes{1};
   /// Events that lead to the state from which the search starts.
   std::vector<Choice> opening;
-  Span longest{0};
+  Duration longest{0};
 };
 
 /// Goes through all orders of events from a start, nearest first, each state once.
--- a/src/model/setup.cpp
+++ b/src/model/setup.cpp
@@ -13,8 +13,9 @@
 std::string Setup::text() const {
   std::ostringstream line;
   line << setupWord << " voters=" << voters << " spares=" << spares << " changes=" << changes << " room=" << room
-       << " faultBudget=" << faultBudget << " catchUpMs=" << inMs(catchUp) << " memberGoneMs=" << inMs(memberGone)
-       << " votersLeast=" << votersLeast << " openSyncs=" << openSyncs << " networkRoom=" << networkRoom;
+       << " faultBudget=" << faultBudget << " catchUpMs=" << toMilliseconds(catchUp)
+       << " memberGoneMs=" << toMilliseconds(memberGone) << " votersLeast=" << votersLeast << " openSyncs=" << openSyncs
+       << " networkRoom=" << networkRoom;
   for (const auto& name : without) line << " without=" << name;
   for (const auto& rule : known) line << " known=" << rule;
   return line.str();
--- a/src/model/setup.hpp
+++ b/src/model/setup.hpp
@@ -14,9 +14,9 @@
   std::size_t room{1 << 20};
   /// Disks that may be lost at once, and how long a new disk counts as lost after its return.
   int faultBudget{1};
-  Span catchUp{4s};
+  Duration catchUp{4s};
   /// How long a voter must be silent to be taken out, and how many voters must stay.
-  Span memberGone{6s};
+  Duration memberGone{6s};
   std::size_t votersLeast{3};
   /// Whether a starting process syncs what it finds written before it counts it.
   bool openSyncs{true};
--- a/src/model/state_dump.cpp
+++ b/src/model/state_dump.cpp
@@ -5,9 +5,9 @@
 namespace tt {
 namespace {
 /// At least as long as the silences that the membership and the sending of entries look at.
-constexpr Span longestSilence = 10s;
-constexpr Span leaderSilence = 3s;
-constexpr Span sendAgain = 150ms;
+constexpr Duration longestSilence = 10s;
+constexpr Duration leaderSilence = 3s;
+constexpr Duration sendAgain = 150ms;
 
 std::string rowOf(const std::string& id, std::initializer_list<std::uint64_t> numbers) {
   StateBytes row;
@@ -82,9 +82,9 @@
 
 std::vector<StateDump::Mark> StateDump::marks(const ReplicatedLog& log) {
   const auto& election = log.election;
-  Span longest = std::max<Span>(timing.memberGone, longestSilence);
-  std::vector<Mark> rows{{election.promisedUntil, Span(0), {}},
-                         {election.standAt, Span(0), {}},
+  Duration longest = std::max<Duration>(timing.memberGone, longestSilence);
+  std::vector<Mark> rows{{election.promisedUntil, Duration(0), {}},
+                         {election.standAt, Duration(0), {}},
                          {election.askedAt, timing.voteWait + election.slowness(), {}},
                          {log.leaderHeard, leaderSilence, {}}};
   if (!election.won()) return rows;
--- a/src/model/state_dump.hpp
+++ b/src/model/state_dump.hpp
@@ -22,8 +22,8 @@
   /// A moment that matters later, and how long after it nothing changes any more for being later still. Marks of
   /// another member bear its id and come in no order of their own.
   struct Mark {
-    Moment at;
-    Span matters;
+    TimePoint at;
+    Duration matters;
     std::string member;
   };
   static std::vector<Mark> marks(const ReplicatedLog& log);
--- a/src/model/walks.cpp
+++ b/src/model/walks.cpp
@@ -142,7 +142,8 @@
     if (machine.frozen && below(3) == 0) return happen(ChoiceKind::wake, number);
     if (below(4) == 0) return happen(ChoiceKind::join, number, 0, anyMachine());
     if (below(16) == 0)
-      happen(ChoiceKind::settle, 0, static_cast<int>(inMs(world.setup().catchUp)) + 20 * static_cast<int>(below(40)));
+      happen(ChoiceKind::settle, 0,
+             static_cast<int>(toMilliseconds(world.setup().catchUp)) + 20 * static_cast<int>(below(40)));
   }
 
   void closingFault() {
@@ -165,7 +166,7 @@
   auto work = [&] {
     ModelWorld world(setup);
     for (std::uint64_t number; (number = next++) < limits.walks;) {
-      if (limits.longest > Span(0) && Clock::now() >= deadline) return;
+      if (limits.longest > Duration(0) && Clock::now() >= deadline) return;
       world.reset();
       Run run{setup, Walker(world, limits.firstSeed + number).walk(limits.events)};
       std::lock_guard<std::mutex> guard(lock);
--- a/src/net/calls.cpp
+++ b/src/net/calls.cpp
@@ -17,7 +17,7 @@
 constexpr std::size_t easyHandlesKept = 256;
 constexpr long keepAliveUntold = 15;
 /// How long a peer is taken for one that forgets idle connections early.
-constexpr Span forgetfulFor = 30s;
+constexpr Duration forgetfulFor = 30s;
 
 std::string_view trimmed(std::string_view text) {
   auto from = text.find_first_not_of(" \t");
@@ -106,7 +106,7 @@
     /// Closing resets, so that the system sends nothing of what was given up.
     bool resets{false};
     /// When it last carried something of a call.
-    Moment usedAt{};
+    TimePoint usedAt{};
   };
   struct Row {
     Inner* owner{nullptr};
@@ -121,7 +121,7 @@
     bool added{false}, headWhole{false}, sent{false}, resendRefused{false}, dropped{false}, foundStale{false};
     bool keptConnection{false}, heard{false}, unsound{false}, leaveRefused{false};
     curl_socket_t newSocket{CURL_SOCKET_BAD}, usedSocket{CURL_SOCKET_BAD};
-    Span idle{};
+    Duration idle{};
     /// Takes no more of an answer that nobody could be sure to read right; what a callback says to end the transfer.
     std::size_t refuseAnswer() {
       unsound = true;
@@ -145,8 +145,8 @@
   /// Peers that forgot a kept connection: how long one may be idle there to be used again, and since when that is
   /// known.
   struct Forgetful {
-    Span idleMost{};
-    Moment since{};
+    Duration idleMost{};
+    TimePoint since{};
   };
   std::unordered_map<std::string, Forgetful> forgetful;
   std::uint64_t lastId{0}, opened{0};
@@ -233,8 +233,8 @@
   static int onTune(void* owner, curl_socket_t socket, curlsocktype) {
     const auto& call = static_cast<Row*>(owner)->call;
     int on = 1, idle = 5, every = 1, unanswered = 2000;
-    if (call.alone && call.wholeWait > Span(0))
-      unanswered = static_cast<int>(std::min<std::int64_t>(unanswered, inMs(call.wholeWait)));
+    if (call.alone && call.wholeWait > Duration(0))
+      unanswered = static_cast<int>(std::min<std::int64_t>(unanswered, toMilliseconds(call.wholeWait)));
     ::setsockopt(socket, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
     ::setsockopt(socket, IPPROTO_TCP, TCP_KEEPIDLE, &idle, sizeof idle);
     ::setsockopt(socket, IPPROTO_TCP, TCP_KEEPINTVL, &every, sizeof every);
@@ -297,9 +297,9 @@
   }
   /// Whether the peer lately forgot a connection that had been idle for not much longer than this one.
   bool mayBeForgotten(Row& row, const std::string& ends) {
-    Moment now = Clock::now();
+    TimePoint now = Clock::now();
     auto watch = watches.find(socketOf.at(ends));
-    row.idle = watch == watches.end() ? Span(0) : now - watch->second->usedAt;
+    row.idle = watch == watches.end() ? Duration(0) : now - watch->second->usedAt;
     auto peer = forgetful.find(row.call.address);
     if (peer == forgetful.end()) return false;
     if (now - peer->second.since > forgetfulFor) {
@@ -309,7 +309,7 @@
     return row.idle >= peer->second.idleMost;
   }
   void noteUse(const Row& row, bool forgotten) {
-    Moment now = Clock::now();
+    TimePoint now = Clock::now();
     if (auto watch = watches.find(row.usedSocket); watch != watches.end()) watch->second->usedAt = now;
     if (forgotten) forgetful[row.call.address] = Forgetful{row.idle / 2, now};
   }
@@ -509,9 +509,9 @@
     curl_easy_setopt(easy, CURLOPT_ERRORBUFFER, row.errorText);
     curl_easy_setopt(easy, CURLOPT_PRIVATE, &row);
 
-    auto wholeMs = [](Span span) { return std::max(1L, static_cast<long>(inMs(span))); };
-    if (call.connectWait > Span(0)) curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, wholeMs(call.connectWait));
-    if (call.wholeWait > Span(0)) curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, wholeMs(call.wholeWait));
+    auto wholeMs = [](Duration span) { return std::max(1L, static_cast<long>(toMilliseconds(span))); };
+    if (call.connectWait > Duration(0)) curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, wholeMs(call.connectWait));
+    if (call.wholeWait > Duration(0)) curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, wholeMs(call.wholeWait));
 
     if (call.alone) {
       curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
--- a/src/net/calls.hpp
+++ b/src/net/calls.hpp
@@ -15,7 +15,7 @@
   std::string body;
   HttpHeaders headers;
   /// Zero means no bound.
-  Span connectWait{1s}, wholeWait{0};
+  Duration connectWait{1s}, wholeWait{0};
   /// The other side must never get this call a second time through the library's own resend.
   bool once{false};
   /// Takes a connection of its own that is reset afterwards: nothing said to another call can be taken for its answer,
--- a/src/net/gate.cpp
+++ b/src/net/gate.cpp
@@ -7,7 +7,7 @@
 
 namespace tt {
 namespace {
-constexpr Span acceptPause = 50ms, sweepPause = 100ms;
+constexpr Duration acceptPause = 50ms, sweepPause = 100ms;
 }  // namespace
 
 Result<void> Gate::Inner::open() {
@@ -45,7 +45,7 @@
   });
 }
 
-void Gate::Inner::wakeBy(Moment moment) {
+void Gate::Inner::wakeBy(TimePoint moment) {
   moment = std::max(moment, lastSweep + sweepPause);
   if (closed || moment >= sweepAt) return;
   sweepAt = moment;
@@ -59,7 +59,7 @@
   lastSweep = Clock::now();
   sweepAt = never;
   std::vector<std::shared_ptr<Connection>> due;
-  Moment next = never;
+  TimePoint next = never;
   for (const auto& connection : connections) {
     if (connection->due() <= lastSweep)
       due.push_back(connection);
--- a/src/net/gate.hpp
+++ b/src/net/gate.hpp
@@ -16,11 +16,11 @@
 struct GateLimits {
   std::size_t headerBytes{16384}, bodyBytes{4u << 20};
   /// How long a head may take from its first byte, and a body may go without a byte.
-  Span headerWait{3s};
+  Duration headerWait{3s};
   /// How long a connection without a request is kept.
-  Span idleWait{15s};
+  Duration idleWait{15s};
   /// How long an idle connection is kept once the gate is leaving.
-  Span idleClose{300ms};
+  Duration idleClose{300ms};
   /// How many bytes of answers may wait, over all connections, for callers to take them.
   std::size_t queuedBytes{64u << 20};
 };
@@ -34,7 +34,7 @@
 
 /// What the gate knows of an exchange under way.
 struct GateExchange {
-  Moment connectedAt{}, takenAt{};
+  TimePoint connectedAt{}, takenAt{};
   /// Which request of its connection it is, from 1.
   std::size_t requestNumber{0};
   bool answerStarted{false};
--- a/src/net/gate_connection.cpp
+++ b/src/net/gate_connection.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t smallRead = 4096, bigRead = 64 * 1024;
 constexpr std::size_t heldBytes = 64 * 1024;
 constexpr std::size_t keptCapacity = 64 * 1024;
-constexpr Span lingerWait = 500ms, deadlineRetry = 100ms;
+constexpr Duration lingerWait = 500ms, deadlineRetry = 100ms;
 constexpr int requestTimeout = 408;
 constexpr int keepIdleSeconds = 10, keepIntervalSeconds = 2, keepProbes = 3, userTimeoutMs = 2000;
 
@@ -40,7 +40,7 @@
   if (phase == Phase::idle) setDeadline(std::min(deadline, Clock::now() + gate->limits.idleClose));
 }
 
-void Gate::Connection::setDeadline(Moment moment) {
+void Gate::Connection::setDeadline(TimePoint moment) {
   deadline = moment;
   if (moment != never) gate->wakeBy(moment);
 }
@@ -268,7 +268,7 @@
   onFailure();
 }
 
-Moment Gate::Connection::restsUntil() const {
+TimePoint Gate::Connection::restsUntil() const {
   if (gate->leaving) return Clock::now() + gate->limits.idleClose;
   return std::max(Clock::now() + gate->limits.idleWait, keptUntil);
 }
--- a/src/net/gate_connection.hpp
+++ b/src/net/gate_connection.hpp
@@ -15,7 +15,7 @@
   void start();
   /// The gate is leaving: a connection without a request is closed soon.
   void leave();
-  Moment due() const { return deadline; }
+  TimePoint due() const { return deadline; }
   void onDeadline();
   void close();
 
@@ -40,7 +40,7 @@
   std::shared_ptr<Inner> gate;
   asio::ip::tcp::socket socket;
   Phase phase{Phase::idle};
-  Moment deadline{never};
+  TimePoint deadline{never};
 
   std::unique_ptr<char[]> readSpace;
   std::size_t readRoom{0};
@@ -49,18 +49,18 @@
 
   AnswerFraming framing;
   bool exchanging{false}, ended{false}, keeps{false};
-  Moment connectedAt{}, takenAt{};
+  TimePoint connectedAt{}, takenAt{};
   std::size_t requestCount{0};
   /// How long the answer under way promises to keep the connection, and until when an earlier one did.
-  Span promised{0};
-  Moment keptUntil{};
+  Duration promised{0};
+  TimePoint keptUntil{};
 
   std::string pending, flying;
   std::size_t flown{0};
   bool flushPosted{false};
 
-  void setDeadline(Moment moment);
-  Moment restsUntil() const;
+  void setDeadline(TimePoint moment);
+  TimePoint restsUntil() const;
   void resetOnClose(bool resets);
 
   void read();
--- a/src/net/gate_drain.cpp
+++ b/src/net/gate_drain.cpp
@@ -4,7 +4,7 @@
 
 namespace tt {
 namespace {
-constexpr Span stepEvery = 50ms;
+constexpr Duration stepEvery = 50ms;
 }  // namespace
 
 GateDrain::GateDrain(asio::io_context& context, Gate& drained) : gate(drained), timer(context) {}
@@ -25,7 +25,7 @@
 }
 
 void GateDrain::step() {
-  Moment now = Clock::now();
+  TimePoint now = Clock::now();
   if (now >= plan.refusesFrom) gate.stopAccepting();
   bool isEmpty = now >= plan.refusesFrom && gate.connections() == 0;
   if (!isEmpty && now < plan.exitsBy) return wait();
@@ -34,7 +34,9 @@
 }
 
 void GateDrain::tellGivenUp() const {
-  auto sinceSignal = [this](Moment moment) { return std::to_string(inMs(moment - plan.startedAt)) + " ms"; };
+  auto sinceSignal = [this](TimePoint moment) {
+    return std::to_string(toMilliseconds(moment - plan.startedAt)) + " ms";
+  };
   auto exchanges = gate.exchangesUnderWay();
   logInfo("Ending " + sinceSignal(Clock::now()) + " after the signal: connections " +
           std::to_string(gate.connections()) + ", exchanges " + std::to_string(exchanges.size()) + ".");
--- a/src/net/gate_listener.hpp
+++ b/src/net/gate_listener.hpp
@@ -5,7 +5,7 @@
 
 namespace tt {
 
-constexpr Moment never = Moment::max();
+constexpr TimePoint never = TimePoint::max();
 
 /// The listening side of a gate: takes connections, ends those whose time is over, and keeps the bytes that wait for
 /// clients within their limit. All on the context's one thread.
@@ -26,7 +26,7 @@
   bool leaving{false}, closed{false};
   std::unordered_set<std::shared_ptr<Connection>> connections;
   std::size_t exchanges{0};
-  Moment sweepAt{never}, lastSweep{};
+  TimePoint sweepAt{never}, lastSweep{};
   std::size_t queuedBytes{0};
   std::uint64_t receivedBytes{0};
   bool shedPosted{false};
@@ -35,7 +35,7 @@
   void accept();
   void stopAccepting();
   /// Has a connection's deadline looked at by then.
-  void wakeBy(Moment moment);
+  void wakeBy(TimePoint moment);
   /// Ends the connections whose deadlines have passed.
   void sweep();
   void close();
--- a/src/net/host.cpp
+++ b/src/net/host.cpp
@@ -6,7 +6,7 @@
 
 namespace tt {
 namespace {
-constexpr Span untakenMost = 2s;
+constexpr Duration untakenMost = 2s;
 
 void tune(asio::ip::tcp::socket& socket) {
   asio::error_code ignored;
@@ -15,7 +15,7 @@
   auto set = [&](int name, int value) {
     (void)::setsockopt(socket.native_handle(), IPPROTO_TCP, name, &value, sizeof value);
   };
-  set(TCP_USER_TIMEOUT, static_cast<int>(inMs(untakenMost)));
+  set(TCP_USER_TIMEOUT, static_cast<int>(toMilliseconds(untakenMost)));
   set(TCP_KEEPIDLE, 5);
   set(TCP_KEEPINTVL, 2);
   set(TCP_KEEPCNT, 3);
@@ -228,7 +228,7 @@
   acceptor.close(ignored);
 }
 
-Host::Host(Node& hostedNode, asio::io_context& context, Span tickEvery)
+Host::Host(Node& hostedNode, asio::io_context& context, Duration tickEvery)
     : node(hostedNode), timer(context), every(tickEvery), randomSource(std::random_device{}()) {}
 
 Host::~Host() { stop(); }
@@ -273,16 +273,16 @@
 void Host::finish(Effects& effects) {
   if (!effects.saves.empty()) {
     std::lock_guard<std::mutex> guard(diskLock);
-    if (saves.empty() && oldestSave == Moment{}) oldestSave = Clock::now();
+    if (saves.empty() && oldestSave == TimePoint{}) oldestSave = Clock::now();
     for (auto& save : effects.saves) saves.push_back(std::move(save));
     diskWake.notify_one();
   }
   for (auto& [to, message] : effects.sends) carry(to, std::move(message));
 }
 
-Span Host::diskWait() const {
+Duration Host::diskWait() const {
   std::lock_guard<std::mutex> guard(diskLock);
-  return oldestSave == Moment{} ? Span(0) : Clock::now() - oldestSave;
+  return oldestSave == TimePoint{} ? Duration(0) : Clock::now() - oldestSave;
 }
 
 void Host::runDisk() {
@@ -304,7 +304,7 @@
     }
     {
       std::lock_guard<std::mutex> guard(diskLock);
-      oldestSave = saves.empty() ? Moment{} : Clock::now();
+      oldestSave = saves.empty() ? TimePoint{} : Clock::now();
     }
     with([&](Effects& effects) {
       for (auto& save : batch)
--- a/src/net/host.hpp
+++ b/src/net/host.hpp
@@ -50,7 +50,7 @@
 class Host {
  public:
   using Carry = std::function<void(const std::string& to, Message&& message)>;
-  Host(Node& hostedNode, asio::io_context& context, Span tickEvery);
+  Host(Node& hostedNode, asio::io_context& context, Duration tickEvery);
   ~Host();
   /// Carries out what the logic sends; set before start.
   Carry carry;
@@ -62,22 +62,22 @@
   /// Does something with the logic under its lock.
   void with(const std::function<void(Effects&)>& action);
   /// How long the oldest unsynced write has waited.
-  Span diskWait() const;
-  std::function<void(Span)> diskWaits;
+  Duration diskWait() const;
+  std::function<void(Duration)> diskWaits;
   /// Called if the ring fails for good.
   std::function<void(const Fault&)> diskFailed;
 
  private:
   Node& node;
   asio::steady_timer timer;
-  Span every;
+  Duration every;
   std::recursive_mutex lock;
   std::mt19937_64 randomSource;
   std::thread diskThread;
   mutable std::mutex diskLock;
   std::condition_variable diskWake;
   std::vector<Effects::Save> saves;
-  Moment oldestSave{};
+  TimePoint oldestSave{};
   bool stopping{false};
   void tick();
   void finish(Effects& effects);
--- a/src/net/operator_drain.cpp
+++ b/src/net/operator_drain.cpp
@@ -4,15 +4,15 @@
 
 namespace tt {
 namespace {
-constexpr Span stepEvery = 300ms;
+constexpr Duration stepEvery = 300ms;
 /// How long the last answers have to leave the process.
-constexpr Span lastAnswers = 100ms;
+constexpr Duration lastAnswers = 100ms;
 }  // namespace
 
 OperatorDrain::OperatorDrain(asio::io_context& context, OpenAnswers& openAnswers, Hands drainHands)
     : answers(openAnswers), hands(std::move(drainHands)), timer(context) {}
 
-void OperatorDrain::start(Moment exitsBy) {
+void OperatorDrain::start(TimePoint exitsBy) {
   if (hasStarted()) return;
   phase = Phase::waiting;
   endsBy = exitsBy - lastAnswers;
@@ -20,7 +20,7 @@
 }
 
 void OperatorDrain::wait() {
-  timer.expires_after(std::min<Span>(stepEvery, std::max<Span>(endsBy - Clock::now(), 1ms)));
+  timer.expires_after(std::min<Duration>(stepEvery, std::max<Duration>(endsBy - Clock::now(), 1ms)));
   timer.async_wait([this](asio::error_code error) {
     if (!error) step();
   });
--- a/src/net/operator_drain.hpp
+++ b/src/net/operator_drain.hpp
@@ -17,7 +17,7 @@
     std::function<void()> ended;
   };
   OperatorDrain(asio::io_context& context, OpenAnswers& openAnswers, Hands drainHands);
-  void start(Moment exitsBy);
+  void start(TimePoint exitsBy);
   bool hasStarted() const { return phase != Phase::serving; }
   /// Whether calls that come now are to be refused at once.
   bool refuses() const { return phase == Phase::refusing; }
@@ -28,7 +28,7 @@
   Hands hands;
   asio::steady_timer timer;
   Phase phase{Phase::serving};
-  Moment endsBy{};
+  TimePoint endsBy{};
   void wait();
   void step();
   void refuseAll();
--- a/src/net/web.cpp
+++ b/src/net/web.cpp
@@ -235,9 +235,9 @@
     curl_easy_setopt(easy, CURLOPT_TCP_NODELAY, 1L);
     curl_easy_setopt(easy, CURLOPT_PROXY, "");
     curl_easy_setopt(easy, CURLOPT_HTTP_VERSION, static_cast<long>(CURL_HTTP_VERSION_1_1));
-    curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, static_cast<long>(inMs(row->call.connectWait)));
-    if (row->call.wholeWait > Span(0))
-      curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, static_cast<long>(inMs(row->call.wholeWait)));
+    curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, static_cast<long>(toMilliseconds(row->call.connectWait)));
+    if (row->call.wholeWait > Duration(0))
+      curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, static_cast<long>(toMilliseconds(row->call.wholeWait)));
     curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, &Inner::onBytes);
     curl_easy_setopt(easy, CURLOPT_WRITEDATA, row.get());
     curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, &Inner::onHeader);
--- a/src/net/web.hpp
+++ b/src/net/web.hpp
@@ -45,7 +45,7 @@
 /// One HTTP call as libcurl makes it.
 struct WebCall {
   std::string method{"GET"}, url, body, bearer;
-  Span connectWait{1s}, wholeWait{0};
+  Duration connectWait{1s}, wholeWait{0};
   /// A new connection, never sent a second time by the library.
   bool onceOnly{false};
 };
--- a/src/rollout/rollout_plan.cpp
+++ b/src/rollout/rollout_plan.cpp
@@ -19,7 +19,7 @@
 Waiting waitingOf(const std::vector<RolloutWorker>& workers) {
   Waiting waiting;
   for (const auto& worker : workers)
-    if (worker.step == RolloutStep::serving && worker.supersededAt != Moment::max()) waiting.push_back(&worker);
+    if (worker.step == RolloutStep::serving && worker.supersededAt != TimePoint::max()) waiting.push_back(&worker);
   std::sort(waiting.begin(), waiting.end(), [](const RolloutWorker* one, const RolloutWorker* other) {
     return std::tie(one->supersededAt, one->name) < std::tie(other->supersededAt, other->name);
   });
@@ -27,12 +27,12 @@
 }
 
 /// When the first of those that wait from `first` on is due.
-Moment nextDue(const Waiting& waiting, std::size_t first, std::size_t workers, const RolloutLimits& limits) {
-  Moment due = Moment::max();
+TimePoint nextDue(const Waiting& waiting, std::size_t first, std::size_t workers, const RolloutLimits& limits) {
+  TimePoint due = TimePoint::max();
   for (std::size_t at = first; at < waiting.size(); ++at) {
     auto waitingSoFar = static_cast<std::int64_t>(at - first + 1);
     auto started = static_cast<std::int64_t>(workers) - waitingSoFar;
-    Span share = limits.spread * started / static_cast<std::int64_t>(workers);
+    Duration share = limits.spread * started / static_cast<std::int64_t>(workers);
     due = std::min(due, endOfUse(waiting[at]->supersededAt, limits.settle + share));
   }
   return due;
@@ -45,13 +45,13 @@
 
 bool weightsSuspect(const std::vector<RolloutWorker>& workers) {
   bool anySucceeded = std::any_of(workers.begin(), workers.end(),
-                                  [](const RolloutWorker& worker) { return worker.supersededAt == Moment::max(); });
+                                  [](const RolloutWorker& worker) { return worker.supersededAt == TimePoint::max(); });
   return !anySucceeded && countIn(workers, RolloutStep::failed) >= failuresSuspect;
 }
 }  // namespace
 
 std::vector<std::string> workersToStart(const std::vector<RolloutWorker>& workers, const RolloutLimits& limits,
-                                        Moment now, bool provenElsewhere) {
+                                        TimePoint now, bool provenElsewhere) {
   std::vector<std::string> started;
   auto waiting = waitingOf(workers);
   int all = static_cast<int>(workers.size());
@@ -59,7 +59,7 @@
   int changing = countIn(workers, RolloutStep::changing);
   bool suspect = !provenElsewhere && weightsSuspect(workers);
   for (std::size_t at = 0; at < waiting.size(); ++at) {
-    Moment superseded = waiting[at]->supersededAt;
+    TimePoint superseded = waiting[at]->supersededAt;
     bool overdue = now >= endOfUse(superseded, suspect ? limits.suspectRest : limits.latest);
     bool due = !suspect && now >= nextDue(waiting, at, workers.size(), limits);
     if (!overdue && !due) break;
--- a/src/rollout/rollout_plan.hpp
+++ b/src/rollout/rollout_plan.hpp
@@ -10,20 +10,20 @@
 struct RolloutWorker {
   std::string name;
   /// When its weights were superseded, see VersionTimeline: Moment::max() if it has the newest.
-  Moment supersededAt{Moment::max()};
+  TimePoint supersededAt{TimePoint::max()};
   RolloutStep step{RolloutStep::serving};
 };
 
 /// The spans, counted from when a worker's weights were superseded, and the limit that a plan keeps to.
 struct RolloutLimits {
   /// How long the first start waits for further namings, which often follow at once.
-  Span settle{0};
+  Duration settle{0};
   /// Over how long the workers are started, one after the other; 0 starts all that there is room for.
-  Span spread{0};
+  Duration spread{0};
   /// After which a worker is overdue: started at once, with twice as many changing as otherwise.
-  Span latest{0};
+  Duration latest{0};
   /// After which, where the weights may be bad, the workers that wait are tried one at a time.
-  Span suspectRest{0};
+  Duration suspectRest{0};
   /// One in so many workers may change at the same time.
   int parts{3};
 };
@@ -37,6 +37,6 @@
 /// succeeded, neither here nor elsewhere, the weights may be bad: then the others keep the old ones, so that the
 /// operator can go back to these at once.
 std::vector<std::string> workersToStart(const std::vector<RolloutWorker>& workers, const RolloutLimits& limits,
-                                        Moment now, bool provenElsewhere = false);
+                                        TimePoint now, bool provenElsewhere = false);
 
 }  // namespace tt
--- a/src/rollout/version_timeline.cpp
+++ b/src/rollout/version_timeline.cpp
@@ -7,8 +7,8 @@
 constexpr std::int64_t unknownAge = -1;
 }  // namespace
 
-Moment endOfUse(Moment supersededAt, Span span) {
-  return supersededAt == Moment::min() || supersededAt == Moment::max() ? supersededAt : supersededAt + span;
+TimePoint endOfUse(TimePoint supersededAt, Duration span) {
+  return supersededAt == TimePoint::min() || supersededAt == TimePoint::max() ? supersededAt : supersededAt + span;
 }
 
 const VersionTimeline::Namings* VersionTimeline::namingsOf(const std::string& model) const {
@@ -16,7 +16,7 @@
   return found == namingsByModel.end() || found->second.empty() ? nullptr : &found->second;
 }
 
-void VersionTimeline::observe(const std::string& model, const std::string& weights, std::optional<Moment> notBefore,
+void VersionTimeline::observe(const std::string& model, const std::string& weights, std::optional<TimePoint> notBefore,
                               Count index) {
   auto& namings = namingsByModel[model];
   if (!namings.empty() && namings.back().weights == weights) return;
@@ -34,11 +34,11 @@
   for (; newest != told.rend(); ++newest) known.push_front(*newest);
 }
 
-void VersionTimeline::learn(const std::vector<VersionNaming>& told, Moment askedAt) {
+void VersionTimeline::learn(const std::vector<VersionNaming>& told, TimePoint askedAt) {
   std::map<std::string, std::vector<Naming>> toldByModel;
   for (const auto& naming : told) {
-    std::optional<Moment> notBefore;
-    if (naming.age >= 0) notBefore = askedAt - Span(naming.age);
+    std::optional<TimePoint> notBefore;
+    if (naming.age >= 0) notBefore = askedAt - Duration(naming.age);
     toldByModel[naming.model].push_back(Naming{naming.weights, notBefore, naming.index});
   }
   for (const auto& [model, namings] : toldByModel) {
@@ -47,7 +47,7 @@
   }
 }
 
-std::vector<VersionNaming> VersionTimeline::tell(Moment now, Span span, bool unknownToo) const {
+std::vector<VersionNaming> VersionTimeline::tell(TimePoint now, Duration span, bool unknownToo) const {
   std::vector<VersionNaming> rows;
   for (const auto& [model, namings] : namingsByModel) {
     std::size_t first = 0;
@@ -63,7 +63,7 @@
   return rows;
 }
 
-std::vector<VersionNaming> VersionTimeline::knownNewest(Moment now) const {
+std::vector<VersionNaming> VersionTimeline::knownNewest(TimePoint now) const {
   std::vector<VersionNaming> rows;
   for (const auto& [model, namings] : namingsByModel)
     if (!namings.empty() && namings.back().notBefore)
@@ -72,7 +72,7 @@
   return rows;
 }
 
-void VersionTimeline::forgetEnded(Moment now, Span span) {
+void VersionTimeline::forgetEnded(TimePoint now, Duration span) {
   for (auto& [model, namings] : namingsByModel)
     while (namings.size() > 1 && namings[1].notBefore && now - *namings[1].notBefore >= span) namings.pop_front();
 }
@@ -82,21 +82,21 @@
   return !namings || namings->back().weights == weights;
 }
 
-Moment VersionTimeline::supersededAt(const std::string& model, const std::string& weights) const {
-  if (isNewest(model, weights)) return Moment::max();
+TimePoint VersionTimeline::supersededAt(const std::string& model, const std::string& weights) const {
+  if (isNewest(model, weights)) return TimePoint::max();
   const auto& namings = *namingsOf(model);
   auto found =
       std::find_if(namings.rbegin(), namings.rend(), [&](const Naming& naming) { return naming.weights == weights; });
   const auto& successor = found == namings.rend() ? namings.front() : *std::prev(found);
-  return successor.notBefore.value_or(Moment::min());
+  return successor.notBefore.value_or(TimePoint::min());
 }
 
-Moment VersionTimeline::newestAt(const std::string& model) const {
+TimePoint VersionTimeline::newestAt(const std::string& model) const {
   const auto* namings = namingsOf(model);
-  return namings ? namings->back().notBefore.value_or(Moment::min()) : Moment::max();
+  return namings ? namings->back().notBefore.value_or(TimePoint::min()) : TimePoint::max();
 }
 
-void VersionTimeline::settleUnknown(Moment ownStart, Moment now, Span span) {
+void VersionTimeline::settleUnknown(TimePoint ownStart, TimePoint now, Duration span) {
   if (now - ownStart < span) return;
   for (auto& [model, namings] : namingsByModel)
     if (!namings.empty() && !namings.back().notBefore) namings.back().notBefore = ownStart;
--- a/src/rollout/version_timeline.hpp
+++ b/src/rollout/version_timeline.hpp
@@ -15,35 +15,35 @@
   /// Takes note of the weights that a model should have. `notBefore` is a moment at which they were not yet named: the
   /// last one up to which the owner's view of the configuration was complete; none if it never was. `index` is that of
   /// the view. Does nothing if they are the newest known already.
-  void observe(const std::string& model, const std::string& weights, std::optional<Moment> notBefore, Count index);
+  void observe(const std::string& model, const std::string& weights, std::optional<TimePoint> notBefore, Count index);
   /// Takes from another process the moments of namings that are unknown here, and the namings before those known here.
   /// `askedAt` is the moment before which the other was asked; ages in `told` are of the moment when it answered.
-  void learn(const std::vector<VersionNaming>& told, Moment askedAt);
+  void learn(const std::vector<VersionNaming>& told, TimePoint askedAt);
   /// What others may learn of the namings younger than `span`: those of each model, oldest first, and the one before
   /// them, so that who learns can tell what is older still. With `unknownToo`, also a newest one of unknown moment.
-  std::vector<VersionNaming> tell(Moment now, Span span, bool unknownToo) const;
+  std::vector<VersionNaming> tell(TimePoint now, Duration span, bool unknownToo) const;
   /// All that is known, whatever its age.
-  std::vector<VersionNaming> tellAll(Moment now) const { return tell(now, Span::max(), false); }
+  std::vector<VersionNaming> tellAll(TimePoint now) const { return tell(now, Duration::max(), false); }
   /// The newest naming of each model whose moment is known.
-  std::vector<VersionNaming> knownNewest(Moment now) const;
+  std::vector<VersionNaming> knownNewest(TimePoint now) const;
   /// Forgets the namings that no end can depend on any more, `span` being the longest use of an old version.
-  void forgetEnded(Moment now, Span span);
+  void forgetEnded(TimePoint now, Duration span);
 
   /// Whether these are the newest weights known of the model, or none was ever named.
   bool isNewest(const std::string& model, const std::string& weights) const;
   /// A moment not after the naming of the first version newer than these weights: Moment::min() if that is unknown or
   /// long ago, Moment::max() if they are the newest.
-  Moment supersededAt(const std::string& model, const std::string& weights) const;
+  TimePoint supersededAt(const std::string& model, const std::string& weights) const;
   /// A moment not after the naming of the newest version: Moment::min() if unknown, Moment::max() if none was named.
-  Moment newestAt(const std::string& model) const;
+  TimePoint newestAt(const std::string& model) const;
   /// Gives namings of unknown moment the moment of the owner's own start, once `span`, the longest use of an old
   /// version, has passed since: whether they were made before or after it, every use that they end is over.
-  void settleUnknown(Moment ownStart, Moment now, Span span);
+  void settleUnknown(TimePoint ownStart, TimePoint now, Duration span);
 
  private:
   struct Naming {
     std::string weights;
-    std::optional<Moment> notBefore;
+    std::optional<TimePoint> notBefore;
     Count index{0};
   };
   using Namings = std::deque<Naming>;
@@ -57,6 +57,6 @@
 };
 
 /// The moment at which a use ends that may go on for `span` after it was superseded.
-Moment endOfUse(Moment supersededAt, Span span);
+TimePoint endOfUse(TimePoint supersededAt, Duration span);
 
 }  // namespace tt
--- a/src/routing/drain_plan.hpp
+++ b/src/routing/drain_plan.hpp
@@ -7,19 +7,19 @@
 /// that it is not ready, so it serves on until then; from then on it takes only what is sure to be over before its end;
 /// and what is unfinished at its end gets a final answer before the process exits. Times are of the steady clock.
 struct DrainPlan {
-  Moment startedAt{};
+  TimePoint startedAt{};
   /// Until here every request is taken.
-  Moment refusesFrom{};
+  TimePoint refusesFrom{};
   /// Here whatever is unfinished gets its final answer.
-  Moment endsAt{};
+  TimePoint endsAt{};
   /// The process exits here at the latest, so that the last answers have time to leave.
-  Moment exitsBy{};
+  TimePoint exitsBy{};
 
   /// Whether a request may be taken that is given up at its own deadline; Moment::max() if it has none.
-  bool takes(Moment now, Moment deadline) const { return now < refusesFrom || deadline <= endsAt; }
+  bool takes(TimePoint now, TimePoint deadline) const { return now < refusesFrom || deadline <= endsAt; }
 };
 
 /// The plan for a process that is told to stop now and killed after the grace.
-DrainPlan planDrain(Moment now, Span grace);
+DrainPlan planDrain(TimePoint now, Duration grace);
 
 }  // namespace tt
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -6,11 +6,11 @@
 namespace tt {
 namespace {
 /// How long a worker is avoided after it broke off, or turned an order away.
-constexpr Span shunFor = 2s, deniedShunFor = 200ms;
-constexpr Span staleMost = 2500ms;
+constexpr Duration shunFor = 2s, deniedShunFor = 200ms;
+constexpr Duration staleMost = 2500ms;
 constexpr std::size_t savedMost = 20000;
 /// A worker ends an order at its deadline itself; its word is waited for a little longer.
-constexpr Span deadlineSlack = 300ms;
+constexpr Duration deadlineSlack = 300ms;
 }  // namespace
 
 const Edge::Actions& Edge::actions() {
@@ -29,9 +29,9 @@
   if (auto policy = Policy::read(settings.routePolicy)) routePolicy = policy.value();
 }
 
-bool Edge::fresh(Moment now) const { return now < freshUntil && view.index() >= needed; }
+bool Edge::fresh(TimePoint now) const { return now < freshUntil && view.index() >= needed; }
 
-bool Edge::ready(Moment now) const {
+bool Edge::ready(TimePoint now) const {
   if (!fresh(now) || view.revision() == 0) return false;
   bool anyEngine = false, engineAlive = false, plainAlive = false;
   for (const auto& [locality, news] : cells)
@@ -64,7 +64,7 @@
   orders.erase(orderId);
 }
 
-bool Edge::stillGood(const Order& order, Moment now) const {
+bool Edge::stillGood(const Order& order, TimePoint now) const {
   if (!settings.defences.stands(Defence::drawnAgain)) return true;
   const auto* worker = workerView(order.plan.worker);
   if (!worker || !worker->alive || worker->held || !staying.count(worker->name)) return false;
@@ -111,10 +111,10 @@
                    0,
                    order.lastPiece,
                    !order.ask.repeatable};
-  if (Moment end = endOfWeights(order.plan.model, order.plan.weights, timing.rolloutMost); end != Moment::max())
-    sent.leaveBy = inNs(end);
+  if (TimePoint end = endOfWeights(order.plan.model, order.plan.weights, timing.rolloutMost); end != TimePoint::max())
+    sent.leaveBy = toNanoseconds(end);
   if (order.route.byPath()) {
-    sent.deadlineMs = std::max<std::int64_t>(1, inMs(order.deadline - effects.now));
+    sent.deadlineMs = std::max<std::int64_t>(1, toMilliseconds(order.deadline - effects.now));
     if (order.plan.source) sent.sourceAddress = order.plan.source->address;
     order.sentAt = effects.now;
     if (!order.plan.sinkAddress.empty()) {
@@ -130,14 +130,14 @@
   effects.send(order.plan.address, std::move(sent));
 }
 
-std::optional<Code> Edge::endOfAll(Moment now) const {
+std::optional<Code> Edge::endOfAll(TimePoint now) const {
   if (cutOff(now)) return Code::staleEdge;
   if (drainPlan && now >= drainPlan->endsAt && settings.defences.stands(Defence::drainAnswers)) return Code::stopping;
   return std::nullopt;
 }
 
-bool Edge::cutOff(Moment now) const {
-  return !settings.openGoOn && freshUntil != Moment{} && now - freshUntil > staleMost &&
+bool Edge::cutOff(TimePoint now) const {
+  return !settings.openGoOn && freshUntil != TimePoint{} && now - freshUntil > staleMost &&
          settings.defences.stands(Defence::staleEndsStreams);
 }
 
@@ -152,30 +152,30 @@
 void Edge::noteVersions() {
   const auto* models = view.sectionAt("models");
   if (!models) return;
-  std::optional<Moment> complete;
-  if (freshUntil != Moment{}) complete = freshUntil - timing.freshFor;
+  std::optional<TimePoint> complete;
+  if (freshUntil != TimePoint{}) complete = freshUntil - timing.freshFor;
   for (const auto& [model, item] : *models) versions.observe(model, textOr(item, "weights"), complete, view.index());
 }
 
-Moment Edge::endOfWeights(const std::string& model, const std::string& weights, Span span) const {
-  if (model.empty() || weights.empty() || !settings.defences.stands(Defence::oldWeightsEnd)) return Moment::max();
+TimePoint Edge::endOfWeights(const std::string& model, const std::string& weights, Duration span) const {
+  if (model.empty() || weights.empty() || !settings.defences.stands(Defence::oldWeightsEnd)) return TimePoint::max();
   if (settings.defences.stands(Defence::endFromFirstNewer))
     return endOfUse(versions.supersededAt(model, weights), span);
-  return versions.isNewest(model, weights) ? Moment::max() : endOfUse(versions.newestAt(model), span);
+  return versions.isNewest(model, weights) ? TimePoint::max() : endOfUse(versions.newestAt(model), span);
 }
 
-bool Edge::mayBegin(const std::string& model, const std::string& weights, Moment now) const {
+bool Edge::mayBegin(const std::string& model, const std::string& weights, TimePoint now) const {
   return now < endOfWeights(model, weights, timing.rolloutMost);
 }
 
-bool Edge::beginsTooLate(const Order& order, Moment now) const {
+bool Edge::beginsTooLate(const Order& order, TimePoint now) const {
   return order.walk->in("sent") && settings.defences.stands(Defence::unbegunDropped) &&
          now >= endOfWeights(order.plan.model, order.plan.weights, timing.unbegunMost);
 }
 
 void Edge::setNews(Effects& effects) {
   effects.note("edge applied", settings.name, static_cast<std::int64_t>(view.index()));
-  feedAt = Moment{};
+  feedAt = TimePoint{};
   revokeOpen(effects);
   servePending(effects);
 }
@@ -186,7 +186,7 @@
     versions.forgetEnded(effects.now, timing.versionMost);
     std::vector<CellMark> rows;
     for (const auto& [locality, news] : cells) rows.push_back(CellMark{locality, news.term, news.sequence});
-    effects.send(settings.agentAddress, FeedAsk{inNs(effects.now), view.index(), rows, marksDigest});
+    effects.send(settings.agentAddress, FeedAsk{toNanoseconds(effects.now), view.index(), rows, marksDigest});
     for (auto* moments : {&admittedAt, &retriedAt, &doneAt})
       while (!moments->empty() && effects.now - moments->front() > settings.retrySpan) moments->pop_front();
   }
@@ -283,7 +283,7 @@
   servePending(effects);
 }
 
-void Edge::eject(const Order& order, Outcome outcome, Moment now) {
+void Edge::eject(const Order& order, Outcome outcome, TimePoint now) {
   auto& local = locals[order.plan.worker];
   if (outcome == Outcome::denied) {
     local.shunUntil = now + deniedShunFor;
@@ -296,7 +296,7 @@
   if (spans > 0) local.shunUntil = now + spans * shunFor;
 }
 
-void Edge::onWorkerLoad(const WorkerLoad& load, Moment now) {
+void Edge::onWorkerLoad(const WorkerLoad& load, TimePoint now) {
   const auto* order = orderSentAs(load.orderId);
   if (!order) return;
   auto& local = locals[order->plan.worker];
@@ -305,11 +305,11 @@
   local.loadAt = now;
 }
 
-void Edge::onFeed(const FeedReply& feed, Moment now) {
+void Edge::onFeed(const FeedReply& feed, TimePoint now) {
   agentHeard = now;
-  versions.learn(feed.namings, fromNs(feed.sentAt));
+  versions.learn(feed.namings, fromNanoseconds(feed.sentAt));
   if (!feed.known) return;
-  Moment until = fromNs(feed.sentAt) - Span(feed.age) + timing.freshFor;
+  TimePoint until = fromNanoseconds(feed.sentAt) - Duration(feed.age) + timing.freshFor;
   if (feed.age < 0 || until <= freshUntil) return;
   if (view.index() >= feed.needed) {
     freshUntil = until;
@@ -344,8 +344,8 @@
   servePending(effects);
 }
 
-void Edge::onMarks(const MarksMsg& marks, Moment now) {
-  Moment listedAt = now - Span(marks.age);
+void Edge::onMarks(const MarksMsg& marks, TimePoint now) {
+  TimePoint listedAt = now - Duration(marks.age);
   bool older = marksDigest && listedAt < marksAt && settings.defences.stands(Defence::listOrder);
   if (marks.age < 0 || marks.machines.empty() || older) return;
   marksAt = listedAt;
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -12,12 +12,12 @@
   std::string name, address, locality, agentAddress;
   bool fetching{true};
   std::size_t pendingMost{64};
-  Span pendingWait{1500ms};
-  Span firstByteWait{10s};
-  Span chunkWait{5s};
+  Duration pendingWait{1500ms};
+  Duration firstByteWait{10s};
+  Duration chunkWait{5s};
   double blockMs{4};
   double retryShare{0.1};
-  Span lookupWait{200ms};
+  Duration lookupWait{200ms};
   /// A source rides on the caller's own order; moves are no orders of their own.
   bool sourceRides{false};
   /// Orders under way go on when their key is revoked or this proxy is cut off; only new ones are denied.
@@ -30,7 +30,7 @@
   double shedMost{0};
   /// Repeat tries that one proxy may always have within the retry span.
   double retryLeast{1};
-  Span retrySpan{5s}, retryAtOnce{1s};
+  Duration retrySpan{5s}, retryAtOnce{1s};
   Defences defences;
 };
 
@@ -65,10 +65,10 @@
   explicit Edge(EdgeSettings edgeSettings);
   void take(Effects& effects, const std::string& from, const Message& message) override;
   void tick(Effects& effects) override;
-  std::string condition(Moment now) const;
-  bool fresh(Moment now) const;
+  std::string condition(TimePoint now) const;
+  bool fresh(TimePoint now) const;
   /// Whether orders can be taken: fresh, something declared, some worker known to live.
-  bool ready(Moment now) const;
+  bool ready(TimePoint now) const;
   const Configuration& configuration() const { return view; }
   std::size_t openOrders() const { return orders.size(); }
   /// Told to stop: takes only the orders that the plan allows, and ends what is left when the plan says so.
@@ -85,11 +85,11 @@
     std::set<std::string> tried;
     int tries{0}, movedBlocks{0};
     bool mayHaveRun{false}, counted{false}, retryAsked{false};
-    Moment takenAt{}, heardAt{}, lookupAt{}, deadline{};
+    TimePoint takenAt{}, heardAt{}, lookupAt{}, deadline{};
     std::string service, lastPiece;
     int priority{5}, urgency{5}, unsent{0};
     bool unreadCounted{false}, began{false};
-    Moment sentAt{};
+    TimePoint sentAt{};
     std::map<std::string, LookupReply> replies;
     Code lastCode{Code::noWorker};
     WorkerEnd end;
@@ -99,24 +99,24 @@
   struct Move {
     std::string target, sendId;
     std::set<std::string> orderIds;
-    Moment deadline{};
+    TimePoint deadline{};
   };
   struct WorkerLocal {
     int open{0};
     int sentSinceNews{0};
-    Moment shunUntil{};
+    TimePoint shunUntil{};
     /// Prompt tokens sent from here and not yet read there, and the load it last told of.
     int unread{0}, running{0}, waiting{0};
-    Moment loadAt{};
+    TimePoint loadAt{};
     /// For workers of plain services, where one that fails is left out for longer each time.
     OutlierRecord outliers;
   };
   EdgeSettings settings;
   Configuration view;
   std::map<std::string, CellNews> cells;
-  std::map<std::string, Moment> newsAt;
+  std::map<std::string, TimePoint> newsAt;
   Count marksDigest{0};
-  Moment marksAt{};
+  TimePoint marksAt{};
   /// Listed by the platform and not marked as leaving: only these are drawn.
   std::set<std::string> staying;
   std::map<std::string, std::unique_ptr<Order>> orders;
@@ -126,11 +126,11 @@
   std::map<std::string, std::string> moveBySend;
   std::map<std::string, WorkerLocal> locals;
   std::uint64_t needed{0}, idCount{0};
-  Moment freshUntil{}, feedAt{}, agentHeard{};
+  TimePoint freshUntil{}, feedAt{}, agentHeard{};
   /// When orders were admitted and tried again within the longer span that the budget looks at.
-  std::deque<Moment> admittedAt, retriedAt;
+  std::deque<TimePoint> admittedAt, retriedAt;
   /// Orders that ended well lately: the timing that a caller sent away may count on.
-  std::deque<Moment> doneAt;
+  std::deque<TimePoint> doneAt;
   std::map<std::string, int> openByTenant;
   /// The priorities that orders had so far.
   std::set<int> priorities;
@@ -140,12 +140,12 @@
   VersionTimeline versions;
   Policy routePolicy;
   /// Localities whose index has not answered of late: not asked again before this moment.
-  std::map<std::string, Moment> indexSilent;
+  std::map<std::string, TimePoint> indexSilent;
   /// Prompts' prefixes that were saved to a store from here, not to be saved again before its index can show them.
-  std::unordered_map<BlockHash, Moment, BlockHashKey> savedAt;
+  std::unordered_map<BlockHash, TimePoint, BlockHashKey> savedAt;
   /// How much later than their own reading first pieces come, lately, and the prompt tokens of an order in the mean.
   double delayMs{0}, meanUnread{0};
-  Moment delayAt{};
+  TimePoint delayAt{};
   bool wasFresh{false};
   std::optional<DrainPlan> drainPlan;
 
@@ -174,11 +174,11 @@
   void takeFromAgent(Effects& effects, const Message& message);
   void onWorkerChunk(Effects& effects, const WorkerChunk& chunk);
   void onWorkerEnd(Effects& effects, const WorkerEnd& end);
-  void onWorkerLoad(const WorkerLoad& load, Moment now);
-  void onFeed(const FeedReply& feed, Moment now);
+  void onWorkerLoad(const WorkerLoad& load, TimePoint now);
+  void onFeed(const FeedReply& feed, TimePoint now);
   void onNews(Effects& effects, const NewsMsg& news);
   void onCellNews(Effects& effects, const CellNews& news);
-  void onMarks(const MarksMsg& marks, Moment now);
+  void onMarks(const MarksMsg& marks, TimePoint now);
   void onLookupReply(Effects& effects, const LookupReply& reply);
   /// The order that was sent to a worker under this id; null if it is over or was sent again since.
   Order* orderSentAs(const std::string& sendId);
@@ -189,17 +189,17 @@
   void accept(Effects& effects, std::unique_ptr<Order> order);
   void happen(Effects& effects, const std::string& orderId, const std::string& event);
   bool drawWorker(Effects& effects, Order& order);
-  void drawSources(Order& order, Moment now);
+  void drawSources(Order& order, TimePoint now);
   bool drawByPrefix(Effects& effects, Order& order);
   /// Whether a service's workers keep no blocks and carry no weights.
   bool isPlain(const std::string& service) const;
   /// Whether the platform lists a worker as staying.
   bool mayBeDrawn(const WorkerView& worker) const;
   bool drawPlain(Effects& effects, Order& order);
-  PlainCandidate plainCandidate(const WorkerView& worker, Moment now) const;
+  PlainCandidate plainCandidate(const WorkerView& worker, TimePoint now) const;
   /// Leaves a worker out for a while for how an order ended there.
-  void eject(const Order& order, Outcome outcome, Moment now);
-  void drawRideSources(Order& order, Moment now);
+  void eject(const Order& order, Outcome outcome, TimePoint now);
+  void drawRideSources(Order& order, TimePoint now);
   bool settleRide(Effects& effects, Order& order);
   /// Tokens of a prompt's leading parts.
   static int tokensOf(const Plan& plan, std::size_t parts);
@@ -214,23 +214,23 @@
     const Plan::Candidate* candidate{nullptr};
     int tokens{0};
   };
-  Source sourceFor(const Order& order, const Plan::Candidate& target, int own, Moment now) const;
+  Source sourceFor(const Order& order, const Plan::Candidate& target, int own, TimePoint now) const;
   /// A prompt at one of the workers that were asked, with what that costs.
   struct Placement {
     const Plan::Candidate* target{nullptr};
     Source source;
     PlacementFacts facts;
   };
-  Placement placementAt(const Order& order, const Plan::Candidate& target, int heldAnywhere, Moment now) const;
+  Placement placementAt(const Order& order, const Plan::Candidate& target, int heldAnywhere, TimePoint now) const;
   /// Nothing where no worker is among the candidates.
-  std::optional<Placement> cheapestPlacement(const Order& order, Moment now) const;
+  std::optional<Placement> cheapestPlacement(const Order& order, TimePoint now) const;
   void placeAt(Effects& effects, Order& order, const Placement& placement);
-  double loadOf(const std::string& worker, Moment now) const;
+  double loadOf(const std::string& worker, TimePoint now) const;
   void countOpen(Order& order);
-  bool savesTo(const std::string& store, const BlockHash& prefix, Moment now);
-  void noteDelay(const Order& order, Moment now);
+  bool savesTo(const std::string& store, const BlockHash& prefix, TimePoint now);
+  void noteDelay(const Order& order, TimePoint now);
   bool sheds(Effects& effects, const Order& order);
-  static bool overdue(const Order& order, Moment now) { return order.route.byPath() && now >= order.deadline; }
+  static bool overdue(const Order& order, TimePoint now) { return order.route.byPath() && now >= order.deadline; }
   /// Whether an order is ended for its proxy's sake, not for its key's.
   static bool endsWithProxy(const Order& order) {
     return order.lastCode == Code::staleEdge || order.lastCode == Code::stopping;
@@ -238,7 +238,7 @@
   /// The prompt was read, or will not be read there any more.
   void readDone(Effects& effects, Order& order, bool read);
   int mostTriesOf(const Order& order) const;
-  Span pendingMostOf(const Order& order) const;
+  Duration pendingMostOf(const Order& order) const;
   void settleLookup(Effects& effects, Order& order);
   void settleMove(Effects& effects, const std::string& moveId, bool success);
   void servePending(Effects& effects);
@@ -247,23 +247,23 @@
   void revokeOpen(Effects& effects);
   void setNews(Effects& effects);
   const WorkerView* workerView(const std::string& name) const;
-  int busyOf(const WorkerView& worker, Moment now) const;
-  bool mayRetry(Moment now) const;
+  int busyOf(const WorkerView& worker, TimePoint now) const;
+  bool mayRetry(TimePoint now) const;
   /// When a use of weights ends that may go on for `span` after newer ones were named.
-  Moment endOfWeights(const std::string& model, const std::string& weights, Span span) const;
+  TimePoint endOfWeights(const std::string& model, const std::string& weights, Duration span) const;
   /// Whether an order may still be sent to a worker with these weights of this model.
-  bool mayBegin(const std::string& model, const std::string& weights, Moment now) const;
+  bool mayBegin(const std::string& model, const std::string& weights, TimePoint now) const;
   /// Whether an order waits at a worker whose weights' use is over, so that it must not begin there any more.
-  bool beginsTooLate(const Order& order, Moment now) const;
+  bool beginsTooLate(const Order& order, TimePoint now) const;
   void noteVersions();
   int comeBackMs(Effects& effects, Code code) const;
   bool makeRoom(Effects& effects, const std::string& tenant);
-  bool stillGood(const Order& order, Moment now) const;
-  bool cutOff(Moment now) const;
+  bool stillGood(const Order& order, TimePoint now) const;
+  bool cutOff(TimePoint now) const;
   /// Whether this process may end before an order is over that is given up at its deadline.
-  bool mayEndBefore(Moment deadline, Moment now) const;
+  bool mayEndBefore(TimePoint deadline, TimePoint now) const;
   /// Why all open orders have to end now, if they have to.
-  std::optional<Code> endOfAll(Moment now) const;
+  std::optional<Code> endOfAll(TimePoint now) const;
   void sendOrRedraw(Effects& effects, const std::string& orderId, const std::string& event);
   double linkSpeed(const std::string& source, const std::string& target) const;
 };
--- a/src/routing/edge_admission.cpp
+++ b/src/routing/edge_admission.cpp
@@ -81,12 +81,12 @@
       if (auto tenant = view.findTenant(order->tenant); tenant && tenant->priority) order->priority = *tenant->priority;
     order->urgency = order->priority;
     if (priorities.size() < mostPriorities) priorities.insert(order->priority);
-    if (!ask.model.empty() && pathRoute->aim > Span(0)) {
+    if (!ask.model.empty() && pathRoute->aim > Duration(0)) {
       double aimMs = std::chrono::duration<double, std::milli>(pathRoute->aim).count();
       tightestAimMs = tightestAimMs > 0 ? std::min(tightestAimMs, aimMs) : aimMs;
     }
-    Span wait = ask.deadlineMs > 0 ? Span(std::chrono::milliseconds(ask.deadlineMs)) : Span(120s);
-    if (pathRoute->timeout > Span(0)) wait = std::min(wait, pathRoute->timeout);
+    Duration wait = ask.deadlineMs > 0 ? Duration(std::chrono::milliseconds(ask.deadlineMs)) : Duration(120s);
+    if (pathRoute->timeout > Duration(0)) wait = std::min(wait, pathRoute->timeout);
     order->deadline = effects.now + wait;
     if (mayEndBefore(order->deadline, effects.now)) return deny(Code::stopping);
     double sum = 0;
@@ -103,7 +103,7 @@
       return deny(Code::pendingFull, "pending");
     return accept(effects, std::move(order));
   }
-  if (mayEndBefore(Moment::max(), effects.now)) return deny(Code::stopping);
+  if (mayEndBefore(TimePoint::max(), effects.now)) return deny(Code::stopping);
   auto route = view.findRoute(ask.route);
   if (!route || route->byPath()) return deny(Code::unknownRoute, "route");
   if (!view.knowsModel(ask.model)) return deny(Code::unknownModel, "model");
@@ -129,8 +129,8 @@
   servePending(effects);
 }
 
-Span Edge::pendingMostOf(const Order& order) const {
-  if (!order.route.byPath() || order.route.aim <= Span(0)) return settings.pendingWait;
+Duration Edge::pendingMostOf(const Order& order) const {
+  if (!order.route.byPath() || order.route.aim <= Duration(0)) return settings.pendingWait;
   return std::min(settings.pendingWait, order.route.aim / 5);
 }
 
@@ -182,7 +182,7 @@
   pending.insert(pending.end(), left.begin(), left.end());
 }
 
-bool Edge::mayEndBefore(Moment deadline, Moment now) const {
+bool Edge::mayEndBefore(TimePoint deadline, TimePoint now) const {
   return drainPlan && !drainPlan->takes(now, deadline) && settings.defences.stands(Defence::drainRefuses);
 }
 
--- a/src/routing/edge_outcomes.cpp
+++ b/src/routing/edge_outcomes.cpp
@@ -9,10 +9,10 @@
 constexpr int mostTries = 3;
 }  // namespace
 
-bool Edge::mayRetry(Moment now) const {
+bool Edge::mayRetry(TimePoint now) const {
   if (!settings.defences.stands(Defence::retryBudget)) return true;
-  auto fits = [&](Span span) {
-    auto within = [&](const std::deque<Moment>& moments) {
+  auto fits = [&](Duration span) {
+    auto within = [&](const std::deque<TimePoint>& moments) {
       return static_cast<double>(moments.end() - std::lower_bound(moments.begin(), moments.end(), now - span));
     };
     return within(retriedAt) + 1 <= std::max(settings.retryLeast, settings.retryShare * within(admittedAt));
@@ -69,7 +69,7 @@
 void Edge::passChunk(Effects& effects, Order& order) {
   if (!order.began && order.route.byPath() && !order.plan.model.empty()) noteDelay(order, effects.now);
   if (!order.began && order.plan.source)
-    effects.note("transfer inferred", order.plan.source->name, inMs(effects.now - order.heardAt));
+    effects.note("transfer inferred", order.plan.source->name, toMilliseconds(effects.now - order.heardAt));
   readDone(effects, order, true);
   order.began = true;
   effects.send("caller", CallerChunk{order.ask.orderId, order.chunk});
--- a/src/routing/edge_placement.cpp
+++ b/src/routing/edge_placement.cpp
@@ -6,17 +6,17 @@
 
 namespace tt {
 namespace {
-constexpr Span newsOld = 1500ms;
-constexpr Span loadOld = 1s;
+constexpr Duration newsOld = 1500ms;
+constexpr Duration loadOld = 1s;
 /// How long until what was sent to the store shows in its index, and how many such prefixes are remembered.
-constexpr Span savedSure = 3s;
+constexpr Duration savedSure = 3s;
 constexpr double delayShare = 0.1;
-constexpr Span delayOld = 1s;
+constexpr Duration delayOld = 1s;
 constexpr double waitingMs = 40;
 constexpr std::size_t ranksAsked = 3;
 }  // namespace
 
-int Edge::busyOf(const WorkerView& worker, Moment now) const {
+int Edge::busyOf(const WorkerView& worker, TimePoint now) const {
   auto local = locals.find(worker.name);
   auto heard = newsAt.find(worker.locality);
   if (heard == newsAt.end() || now - heard->second > newsOld) return local == locals.end() ? 0 : local->second.open;
@@ -24,7 +24,7 @@
   return std::max(local->second.open, worker.running + local->second.sentSinceNews);
 }
 
-double Edge::loadOf(const std::string& worker, Moment now) const {
+double Edge::loadOf(const std::string& worker, TimePoint now) const {
   auto found = locals.find(worker);
   if (found == locals.end()) return 0;
   const auto& local = found->second;
@@ -33,14 +33,14 @@
          std::max(local.open, told ? local.running : 0) * runningMs;
 }
 
-bool Edge::savesTo(const std::string& store, const BlockHash& prefix, Moment now) {
+bool Edge::savesTo(const std::string& store, const BlockHash& prefix, TimePoint now) {
   const auto* keeper = workerView(store);
   if (!keeper || static_cast<int>(prefix.high % 1000) >= keeper->savedShare) return false;
   auto row = savedAt.find(prefix);
   return row == savedAt.end() || now - row->second >= savedSure;
 }
 
-void Edge::noteDelay(const Order& order, Moment now) {
+void Edge::noteDelay(const Order& order, TimePoint now) {
   double readMs = order.plan.unread / settings.tokensPerMs;
   double late = std::max(0.0, std::chrono::duration<double, std::milli>(now - order.sentAt).count() - readMs);
   delayMs += (late - delayMs) * delayShare;
@@ -49,7 +49,7 @@
 }
 
 bool Edge::sheds(Effects& effects, const Order& order) {
-  if (settings.shedMost <= 0 || order.route.aim <= Span(0) || effects.now - delayAt > delayOld) return false;
+  if (settings.shedMost <= 0 || order.route.aim <= Duration(0) || effects.now - delayAt > delayOld) return false;
   double aimMs = std::chrono::duration<double, std::milli>(order.route.aim).count();
   double over = delayMs / aimMs - 1;
   if (over <= 0) return false;
@@ -144,7 +144,7 @@
   return false;
 }
 
-PlainCandidate Edge::plainCandidate(const WorkerView& worker, Moment now) const {
+PlainCandidate Edge::plainCandidate(const WorkerView& worker, TimePoint now) const {
   PlainCandidate candidate;
   candidate.slots = worker.slots;
   candidate.sameLocality = worker.locality == settings.locality;
--- a/src/routing/edge_report.cpp
+++ b/src/routing/edge_report.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 
 namespace tt {
-std::string Edge::condition(Moment now) const {
+std::string Edge::condition(TimePoint now) const {
   JsonObject whole;
   whole["proxy"] = Json(settings.name);
   whole["fresh"] = Json(fresh(now));
--- a/src/routing/edge_sources.cpp
+++ b/src/routing/edge_sources.cpp
@@ -7,7 +7,7 @@
 namespace tt {
 namespace {
 constexpr double unmeasuredSpeed = 1000;
-constexpr Span indexRest = 500ms;
+constexpr Duration indexRest = 500ms;
 constexpr int leastTokens = 64;
 constexpr int leastSaved = 256;
 constexpr std::size_t leastGain = 4;
@@ -38,7 +38,7 @@
   return unmeasuredSpeed;
 }
 
-void Edge::drawRideSources(Order& order, Moment now) {
+void Edge::drawRideSources(Order& order, TimePoint now) {
   auto& plan = order.plan;
   bool namesSource = false;
   for (const auto& mode : order.ask.modes)
@@ -94,7 +94,7 @@
                     targetService ? targetService->linkMbps : 0, source.locality == target.locality);
 }
 
-Edge::Source Edge::sourceFor(const Order& order, const Plan::Candidate& target, int own, Moment now) const {
+Edge::Source Edge::sourceFor(const Order& order, const Plan::Candidate& target, int own, TimePoint now) const {
   Source best;
   for (const auto& candidate : order.plan.candidates) {
     if (candidate.name == target.name) continue;
@@ -112,7 +112,7 @@
 }
 
 Edge::Placement Edge::placementAt(const Order& order, const Plan::Candidate& target, int heldAnywhere,
-                                  Moment now) const {
+                                  TimePoint now) const {
   Placement placement;
   placement.target = &target;
   auto& facts = placement.facts;
@@ -135,7 +135,7 @@
   return placement;
 }
 
-std::optional<Edge::Placement> Edge::cheapestPlacement(const Order& order, Moment now) const {
+std::optional<Edge::Placement> Edge::cheapestPlacement(const Order& order, TimePoint now) const {
   int heldAnywhere = 0;
   for (const auto& candidate : order.plan.candidates)
     heldAnywhere = std::max(heldAnywhere, soonKeptTokens(order, candidate));
@@ -193,7 +193,7 @@
   return plan.source.has_value();
 }
 
-void Edge::drawSources(Order& order, Moment now) {
+void Edge::drawSources(Order& order, TimePoint now) {
   if (order.route.byPath()) return drawRideSources(order, now);
   auto& plan = order.plan;
   plan.candidates.clear();
@@ -240,7 +240,7 @@
 
 void Edge::settleLookup(Effects& effects, Order& order) {
   auto& plan = order.plan;
-  effects.note("lookup settled", order.ask.orderId, inMs(effects.now - order.lookupAt));
+  effects.note("lookup settled", order.ask.orderId, toMilliseconds(effects.now - order.lookupAt));
   plan.source.reset();
   plan.wantedHits = plan.confirmedHits = 0;
   if (order.route.byPath()) {
@@ -285,7 +285,7 @@
   effects.note("move sent", move.sendId + " " + plan.source->name + " " + plan.worker,
                static_cast<std::int64_t>(plan.confirmedHits));
   effects.send(settings.agentAddress,
-               WatchMsg{move.sendId, plan.locality, plan.source->name, plan.worker, prefix, inMs(wait), {}});
+               WatchMsg{move.sendId, plan.locality, plan.source->name, plan.worker, prefix, toMilliseconds(wait), {}});
   effects.send(plan.address, WorkerOrder{move.sendId,
                                          plan.model,
                                          plan.weights,
--- a/src/sim/actor.hpp
+++ b/src/sim/actor.hpp
@@ -3,7 +3,7 @@
 
 namespace tt {
 
-inline const Moment dayStart = Moment(std::chrono::hours(100));
+inline const TimePoint dayStart = TimePoint(std::chrono::hours(100));
 inline int numberOf(const std::string& name) { return std::atoi(name.substr(name.rfind('-') + 1).c_str()); }
 inline bool starts(const std::string& text, const char* start) { return text.rfind(start, 0) == 0; }
 /// The caller's order that an order sent to a worker belongs to.
@@ -17,18 +17,18 @@
   std::unique_ptr<Ring> ring;
   std::vector<Effects::Save> saves, syncing;
   bool alive{false}, syncBusy{false}, freezeAtSending{false};
-  Span freezeSpan{};
-  Moment frozenUntil{}, oldestSave{}, startedAt{};
+  Duration freezeSpan{};
+  TimePoint frozenUntil{}, oldestSave{}, startedAt{};
   std::uint64_t life{0};
-  Span offset{};
+  Duration offset{};
   double drift{1};
-  Span tickEvery{20ms};
+  Duration tickEvery{20ms};
   std::vector<std::function<void()>> held;
   std::vector<std::pair<std::string, Message>> heldSends;
   KeeperFaults faults;
-  Moment local(Moment world) const {
+  TimePoint local(TimePoint world) const {
     auto since = std::chrono::duration<double, std::nano>(world - dayStart) * drift;
-    return dayStart + offset + std::chrono::duration_cast<Span>(since);
+    return dayStart + offset + std::chrono::duration_cast<Duration>(since);
   }
 };
 
--- a/src/sim/operators.hpp
+++ b/src/sim/operators.hpp
@@ -13,7 +13,7 @@
   /// Of a hundred answers, how many get lost on their way; those changes are sent again through another core.
   int lostPerCent{10};
   /// How long one rests between two changes, on average.
-  Span pause{200ms};
+  Duration pause{200ms};
   /// Whether all choose the number right after the newest that they know; else some leave gaps.
   bool sameNumber{false};
   /// Whether they also name weights, each higher than the ones before, and send old ones again late.
--- a/src/sim/scale/draw_trial.cpp
+++ b/src/sim/scale/draw_trial.cpp
@@ -68,7 +68,7 @@
   const FleetSize size;
   std::mt19937_64 randomSource;
   std::int64_t heapBytes{0};
-  Moment now{std::chrono::hours(1)};
+  TimePoint now{std::chrono::hours(1)};
   Edge edge;
   std::vector<std::pair<std::string, Message>> sends;
   Spent draws, replies, pieces, ends, idle;
@@ -122,7 +122,7 @@
     for (const auto& [zone, news] : newsByZone) tell(agentAddress, news);
   }
 
-  void tellFreshness() { tell(agentAddress, FeedReply{inNs(now), 0, configurationIndex, true}); }
+  void tellFreshness() { tell(agentAddress, FeedReply{toNanoseconds(now), 0, configurationIndex, true}); }
 
   void serve(std::uint64_t number) {
     time(draws, "caller", requestOf(size, number));
--- a/src/sim/scale/event_queue.cpp
+++ b/src/sim/scale/event_queue.cpp
@@ -15,7 +15,7 @@
   std::push_heap(heap.begin(), heap.end(), isLater);
 }
 
-std::optional<ScheduledEvent> EventQueue::popUntil(Moment until) {
+std::optional<ScheduledEvent> EventQueue::popUntil(TimePoint until) {
   if (heap.empty() || heap.front().at > until) return std::nullopt;
   std::pop_heap(heap.begin(), heap.end(), isLater);
   ScheduledEvent event = std::move(heap.back());
--- a/src/sim/scale/event_queue.hpp
+++ b/src/sim/scale/event_queue.hpp
@@ -7,7 +7,7 @@
 
 /// Something that will happen to one process: a tick, a finished sync, or the arrival of a frame or of a message.
 struct ScheduledEvent {
-  Moment at;
+  TimePoint at;
   EventKind kind{EventKind::tick};
   std::size_t to{0};
   std::string from, frame;
@@ -20,7 +20,7 @@
  public:
   void push(ScheduledEvent event);
   /// The next event, if it happens until then.
-  std::optional<ScheduledEvent> popUntil(Moment until);
+  std::optional<ScheduledEvent> popUntil(TimePoint until);
 
  private:
   std::vector<ScheduledEvent> heap;
--- a/src/sim/scale/fleet_trial.cpp
+++ b/src/sim/scale/fleet_trial.cpp
@@ -8,39 +8,39 @@
 namespace tt {
 namespace {
 
-constexpr Span formMost = 60s;
-constexpr Span settleSpan = 3s;
-constexpr Span requestWarmth = 3s;
-constexpr Span changePollEvery = 1ms;
+constexpr Duration formMost = 60s;
+constexpr Duration settleSpan = 3s;
+constexpr Duration requestWarmth = 3s;
+constexpr Duration changePollEvery = 1ms;
 constexpr double secondsPerHour = 3600;
 
 /// Something that happens at a steady rate; never, where the rate is 0.
 class Recurrence {
  public:
-  explicit Recurrence(double perSecond) : every(perSecond > 0 ? interval(perSecond) : Span::max()) {}
+  explicit Recurrence(double perSecond) : every(perSecond > 0 ? interval(perSecond) : Duration::max()) {}
   /// The first time is half an interval after the beginning.
-  void startHalfwayAfter(Moment begin) { startAt(begin + every / 2); }
-  void startAt(Moment first) {
-    if (every != Span::max()) next = first;
+  void startHalfwayAfter(TimePoint begin) { startAt(begin + every / 2); }
+  void startAt(TimePoint first) {
+    if (every != Duration::max()) next = first;
   }
-  Moment nextAt() const { return next; }
+  TimePoint nextAt() const { return next; }
   /// Whether the next time has come; if so, the one after it is waited for.
-  bool takeDue(Moment now) {
+  bool takeDue(TimePoint now) {
     if (now < next) return false;
     next += every;
     return true;
   }
 
  private:
-  const Span every;
-  Moment next{Moment::max()};
+  const Duration every;
+  TimePoint next{TimePoint::max()};
 
-  static Span interval(double perSecond) {
-    return std::chrono::duration_cast<Span>(std::chrono::duration<double>(1 / perSecond));
+  static Duration interval(double perSecond) {
+    return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / perSecond));
   }
 };
 
-double inMs(Span span) { return std::chrono::duration<double, std::milli>(span).count(); }
+double toMilliseconds(Duration span) { return std::chrono::duration<double, std::milli>(span).count(); }
 
 class FleetTrial {
  public:
@@ -68,7 +68,7 @@
   double seconds{0};
 
   Result<void> formCores() {
-    Moment startedAt = fleet.now();
+    TimePoint startedAt = fleet.now();
     fleet.startCores();
     while (fleet.countVoters() < static_cast<std::size_t>(size.cores) && fleet.now() - startedAt < formMost)
       fleet.runUntil(fleet.now() + 200ms);
@@ -78,7 +78,7 @@
   }
 
   Result<void> waitUntilFresh() {
-    Moment startedAt = fleet.now();
+    TimePoint startedAt = fleet.now();
     fleet.runUntil(fleet.now() + settleSpan);
     while (fleet.countFreshDaemons() < static_cast<std::size_t>(size.daemons) && fleet.now() - startedAt < formMost)
       fleet.runUntil(fleet.now() + 500ms);
@@ -93,8 +93,8 @@
 
   /// Requests warm the fleet up before it is measured; changes come only while it is.
   void runLoad() {
-    Moment begin = fleet.now() + (size.requestsPerSecond > 0 ? requestWarmth : Span(0));
-    Moment end = begin + size.measured;
+    TimePoint begin = fleet.now() + (size.requestsPerSecond > 0 ? requestWarmth : Duration(0));
+    TimePoint end = begin + size.measured;
     changes.startHalfwayAfter(begin);
     listChanges.startHalfwayAfter(begin);
     requests.startAt(fleet.now());
@@ -108,8 +108,8 @@
     fleet.stopMeasuring();
   }
 
-  Moment nextStop(Moment last) const {
-    Moment next = std::min({last, changes.nextAt(), requests.nextAt(), listChanges.nextAt()});
+  TimePoint nextStop(TimePoint last) const {
+    TimePoint next = std::min({last, changes.nextAt(), requests.nextAt(), listChanges.nextAt()});
     return fleet.changes().empty() ? next : std::min(next, fleet.now() + changePollEvery);
   }
 
@@ -134,9 +134,9 @@
     for (const auto& [changeId, change] : fleet.changes()) {
       if (change.code > 0 && change.code != static_cast<int>(Code::changeTaken))
         return fault(static_cast<Code>(change.code), changeId);
-      if (change.ackedAt != Moment{}) cost.ackMs.push_back(inMs(change.ackedAt - change.askedAt));
-      if (change.agentsAt != Moment{}) cost.agentsMs.push_back(inMs(change.agentsAt - change.askedAt));
-      if (change.proxiesAt != Moment{}) cost.proxiesMs.push_back(inMs(change.proxiesAt - change.askedAt));
+      if (change.ackedAt != TimePoint{}) cost.ackMs.push_back(toMilliseconds(change.ackedAt - change.askedAt));
+      if (change.agentsAt != TimePoint{}) cost.agentsMs.push_back(toMilliseconds(change.agentsAt - change.askedAt));
+      if (change.proxiesAt != TimePoint{}) cost.proxiesMs.push_back(toMilliseconds(change.proxiesAt - change.askedAt));
     }
     return cost;
   }
--- a/src/sim/scale/hollow_fleet.cpp
+++ b/src/sim/scale/hollow_fleet.cpp
@@ -8,10 +8,10 @@
 namespace tt {
 namespace {
 
-constexpr Span tickEvery = 20ms;
-constexpr Span syncSpan = 2ms;
-constexpr Span localLink = 50us;
-constexpr Span daemonsStartWithin = 2s;
+constexpr Duration tickEvery = 20ms;
+constexpr Duration syncSpan = 2ms;
+constexpr Duration localLink = 50us;
+constexpr Duration daemonsStartWithin = 2s;
 constexpr int seedCount = 3;
 constexpr int ringFiles = 4;
 constexpr std::size_t ringFileBytes = 4u << 20;
@@ -65,7 +65,7 @@
     HeapScope counted(&process.heapBytes);
     make(process);
   }
-  Span phase(static_cast<std::int64_t>(randomSource() % static_cast<std::uint64_t>(Span(tickEvery).count())));
+  Duration phase(static_cast<std::int64_t>(randomSource() % static_cast<std::uint64_t>(Duration(tickEvery).count())));
   events.push({clock + phase, EventKind::tick, at, {}, {}, {}});
   return at;
 }
@@ -102,7 +102,7 @@
   for (int number = 0; number < std::min(seedCount, size.cores); ++number) seeds.push_back(coreAddress(number));
   for (int number = 0; number < size.daemons; ++number) {
     startDaemon(number, seeds);
-    runUntil(clock + Span(daemonsStartWithin) / size.daemons);
+    runUntil(clock + Duration(daemonsStartWithin) / size.daemons);
   }
 }
 
@@ -125,7 +125,7 @@
   }));
 }
 
-void HollowFleet::runUntil(Moment until) {
+void HollowFleet::runUntil(TimePoint until) {
   while (auto event = events.popUntil(until)) {
     clock = std::max(clock, event->at);
     handle(std::move(*event));
@@ -240,7 +240,7 @@
 
 void HollowFleet::sendFrame(Process& process, Frame frame) {
   if (measuring) countFrame(process, frame);
-  Span link = frame.to == process.beside ? Span(localLink) : size.link;
+  Duration link = frame.to == process.beside ? Duration(localLink) : size.link;
   std::size_t to = processByAddress.at(frame.to);
   events.push({clock + link, EventKind::frame, to, process.address, std::move(frame.bytes), {}});
 }
@@ -281,7 +281,7 @@
   schedule(clock + linksToPlatform * size.link, at, platformAddress, std::move(reply));
 }
 
-void HollowFleet::schedule(Moment when, std::size_t to, const std::string& from, Message message) {
+void HollowFleet::schedule(TimePoint when, std::size_t to, const std::string& from, Message message) {
   events.push({when, EventKind::message, to, from, {}, std::make_shared<Message>(std::move(message))});
 }
 
@@ -322,7 +322,7 @@
 }
 
 void HollowFleet::noteAppliedChange(const std::string& changeId, Change& change) {
-  if (change.proxiesAt != Moment{} && change.agentsAt != Moment{}) return;
+  if (change.proxiesAt != TimePoint{} && change.agentsAt != TimePoint{}) return;
   if (change.index == 0)
     for (const auto& entry : core(leader()).agreement().entries())
       if (entry.changeId == changeId) change.index = entry.index;
@@ -332,8 +332,8 @@
     allAgents = allAgents && agent(number).configuration().index() >= change.index;
     allProxies = allProxies && proxy(number).configuration().index() >= change.index;
   }
-  if (allAgents && change.agentsAt == Moment{}) change.agentsAt = clock;
-  if (allProxies && change.proxiesAt == Moment{}) change.proxiesAt = clock;
+  if (allAgents && change.agentsAt == TimePoint{}) change.agentsAt = clock;
+  if (allProxies && change.proxiesAt == TimePoint{}) change.proxiesAt = clock;
 }
 
 void HollowFleet::sendRequest() {
--- a/src/sim/scale/hollow_fleet.hpp
+++ b/src/sim/scale/hollow_fleet.hpp
@@ -20,8 +20,8 @@
   void startCores();
   /// Starts the agents and proxies one after another.
   void startDaemons();
-  void runUntil(Moment until);
-  Moment now() const { return clock; }
+  void runUntil(TimePoint until);
+  TimePoint now() const { return clock; }
 
   /// Control processes that vote in the replicated log.
   std::size_t countVoters();
@@ -30,7 +30,7 @@
 
   /// An operator's change of the configuration, and when it had come how far; the moments not reached are zero.
   struct Change {
-    Moment askedAt, ackedAt{}, agentsAt{}, proxiesAt{};
+    TimePoint askedAt, ackedAt{}, agentsAt{}, proxiesAt{};
     std::uint64_t index{0};
     int code{-1};
   };
@@ -86,7 +86,7 @@
 
   const FleetSize size;
   std::mt19937_64 randomSource;
-  Moment clock;
+  TimePoint clock;
   const std::int64_t clockCost;
   EventQueue events;
   HollowWorkers workers;
@@ -122,7 +122,7 @@
   void sendDirect(std::size_t at, DirectMessage sent);
   void answerFromWorker(std::size_t at, int worker, const Message& message);
   void answerFromPlatform(std::size_t at, const MachinesAsk& asked);
-  void schedule(Moment when, std::size_t to, const std::string& from, Message message);
+  void schedule(TimePoint when, std::size_t to, const std::string& from, Message message);
 
   void noteAppliedChange(const std::string& changeId, Change& change);
   void collectCells(FleetCost& total);
--- a/src/sim/scale/hollow_workers.cpp
+++ b/src/sim/scale/hollow_workers.cpp
@@ -5,9 +5,9 @@
 namespace tt {
 namespace {
 
-constexpr Span pollWait = 400ms;
-constexpr Span firstPieceAfter = 300ms;
-constexpr Span answerSpan = 2s;
+constexpr Duration pollWait = 400ms;
+constexpr Duration firstPieceAfter = 300ms;
+constexpr Duration answerSpan = 2s;
 constexpr int runningRequests = 2;
 constexpr const char* incarnation = "1";
 
@@ -20,7 +20,7 @@
   return KeptEvent{static_cast<Count>(event), kind, {blockOf(worker, block)}};
 }
 
-HollowWorkers::HollowWorkers(const FleetSize& fleetSize, Moment since) : size(fleetSize), startedAt(since) {
+HollowWorkers::HollowWorkers(const FleetSize& fleetSize, TimePoint since) : size(fleetSize), startedAt(since) {
   for (int number = 0; number < size.workers; ++number) {
     rows.push_back(machineOf(size, number));
     numberByAddress[rows.back().address] = number;
@@ -38,14 +38,14 @@
   machine.leaving = !machine.leaving;
 }
 
-std::int64_t HollowWorkers::lastEvent(Moment now) const {
+std::int64_t HollowWorkers::lastEvent(TimePoint now) const {
   return static_cast<std::int64_t>(eventsPerSecond() * std::chrono::duration<double>(now - startedAt).count());
 }
 
-Span HollowWorkers::waitForEvent() const {
+Duration HollowWorkers::waitForEvent() const {
   if (eventsPerSecond() <= 0) return pollWait;
-  auto next = std::chrono::duration_cast<Span>(std::chrono::duration<double>(1 / eventsPerSecond()));
-  return std::min<Span>(pollWait, next);
+  auto next = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / eventsPerSecond()));
+  return std::min<Duration>(pollWait, next);
 }
 
 Report HollowWorkers::emptyReport(int number) const {
@@ -69,7 +69,7 @@
   return report;
 }
 
-Report HollowWorkers::wholeReport(int number, Moment now) const {
+Report HollowWorkers::wholeReport(int number, TimePoint now) const {
   std::int64_t last = lastEvent(now), kept = size.blocks / std::max(1, size.workers);
   Report report = emptyReport(number);
   report.whole = true;
@@ -79,7 +79,7 @@
   return report;
 }
 
-Report HollowWorkers::eventsReport(int number, std::int64_t after, Moment now) const {
+Report HollowWorkers::eventsReport(int number, std::int64_t after, TimePoint now) const {
   std::int64_t last = lastEvent(now), kept = size.blocks / std::max(1, size.workers);
   Report report = emptyReport(number);
   report.sequence = static_cast<Count>(last);
@@ -88,8 +88,8 @@
   return report;
 }
 
-HollowWorkers::TimedMessage HollowWorkers::answer(int number, const ReportAsk& asked, Moment now) const {
-  Moment arrival = now + 2 * size.link;
+HollowWorkers::TimedMessage HollowWorkers::answer(int number, const ReportAsk& asked, TimePoint now) const {
+  TimePoint arrival = now + 2 * size.link;
   auto after = static_cast<std::int64_t>(asked.after);
   if (asked.scope == static_cast<int>(Scope::condition)) return {arrival, conditionReport(number)};
   if (asked.whole) return {arrival, wholeReport(number, now)};
@@ -97,9 +97,9 @@
   return {arrival + waitForEvent(), asked};
 }
 
-std::vector<HollowWorkers::TimedMessage> HollowWorkers::answer(const WorkerOrder& order, Moment now) const {
+std::vector<HollowWorkers::TimedMessage> HollowWorkers::answer(const WorkerOrder& order, TimePoint now) const {
   std::vector<TimedMessage> messages;
-  Moment when = now + firstPieceAfter;
+  TimePoint when = now + firstPieceAfter;
   messages.push_back({when, WorkerLoad{order.orderId, 2, 0, 4}});
   for (int piece = 0; piece < answerPieces; ++piece) {
     messages.push_back({when, WorkerChunk{order.orderId, std::string(answerPieceBytes, 'x'), std::to_string(piece)}});
--- a/src/sim/scale/hollow_workers.hpp
+++ b/src/sim/scale/hollow_workers.hpp
@@ -7,7 +7,7 @@
 /// reports and requests out of arithmetic alone.
 class HollowWorkers {
  public:
-  HollowWorkers(const FleetSize& size, Moment since);
+  HollowWorkers(const FleetSize& size, TimePoint since);
 
   /// The worker at an address, by its number.
   std::optional<int> find(const std::string& address) const;
@@ -18,29 +18,29 @@
   void toggleLeaving(std::uint64_t random);
 
   struct TimedMessage {
-    Moment at;
+    TimePoint at;
     Message message;
   };
   /// A worker's answer to an ask for a report. One that waits for events has the ask itself as its answer, to be
   /// replaced by `eventsReport` as it arrives.
-  TimedMessage answer(int number, const ReportAsk& asked, Moment now) const;
+  TimedMessage answer(int number, const ReportAsk& asked, TimePoint now) const;
   /// What a worker stored and removed since an event.
-  Report eventsReport(int number, std::int64_t after, Moment now) const;
+  Report eventsReport(int number, std::int64_t after, TimePoint now) const;
   /// The pieces and the end of a request's answer.
-  std::vector<TimedMessage> answer(const WorkerOrder& order, Moment now) const;
+  std::vector<TimedMessage> answer(const WorkerOrder& order, TimePoint now) const;
 
  private:
   const FleetSize size;
-  const Moment startedAt;
+  const TimePoint startedAt;
   std::vector<Machine> rows;
   std::unordered_map<std::string, int> numberByAddress;
 
   double eventsPerSecond() const { return size.eventsPerSecond / size.workers; }
-  std::int64_t lastEvent(Moment now) const;
-  Span waitForEvent() const;
+  std::int64_t lastEvent(TimePoint now) const;
+  Duration waitForEvent() const;
   Report emptyReport(int number) const;
   Report conditionReport(int number) const;
-  Report wholeReport(int number, Moment now) const;
+  Report wholeReport(int number, TimePoint now) const;
 };
 
 /// What a worker stored or removed as its event of a number: it stores with every odd one and removes the oldest block
--- a/src/sim/scale/index_trial.cpp
+++ b/src/sim/scale/index_trial.cpp
@@ -14,7 +14,7 @@
 constexpr std::uint64_t partsPerLookup = 4;
 constexpr std::int64_t ticks = 50;
 constexpr std::int64_t hashedParts = 20000;
-constexpr Span tickEvery = 20ms;
+constexpr Duration tickEvery = 20ms;
 constexpr int electionTicks = 400;
 constexpr const char* readerAddress = "10.2.0.1:7001";
 
@@ -52,7 +52,7 @@
   Configuration configuration;
   std::vector<Machine> machines;
   std::int64_t heapBytes{0};
-  Moment now{std::chrono::hours(1)};
+  TimePoint now{std::chrono::hours(1)};
   std::unique_ptr<Cell> cell;
   std::vector<Figure> figures;
 
--- a/src/sim/scale/link_trial.cpp
+++ b/src/sim/scale/link_trial.cpp
@@ -11,7 +11,7 @@
 namespace tt {
 namespace {
 
-constexpr Span arriveWithin = 60s;
+constexpr Duration arriveWithin = 60s;
 constexpr int lostFramesCode = 3;
 constexpr int framesPerTurn = 20;
 constexpr std::size_t bytesUnderWay = 4u << 20, fewestUnderWay = 8, mostUnderWay = 200;
@@ -61,7 +61,7 @@
   void send(Hub& source, const std::string& address) {
     std::int64_t start = threadCpuNs();
     int sent = 0;
-    Moment by = Clock::now() + arriveWithin;
+    TimePoint by = Clock::now() + arriveWithin;
     while (taken < frames && Clock::now() < by) {
       for (int turn = 0; turn < framesPerTurn && sent < frames && sent - taken < underWay; ++turn, ++sent)
         source.send(address, message);
--- a/src/sim/scale/sweep.cpp
+++ b/src/sim/scale/sweep.cpp
@@ -126,8 +126,8 @@
   FleetSize size;
   size.zones = options.zones;
   size.regions = options.regions;
-  size.measured = std::chrono::duration_cast<Span>(std::chrono::duration<double>(options.seconds));
-  size.link = std::chrono::duration_cast<Span>(std::chrono::duration<double, std::milli>(options.linkMs));
+  size.measured = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(options.seconds));
+  size.link = std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(options.linkMs));
   return size;
 }
 
@@ -151,7 +151,7 @@
 }
 
 void Sweep::measureJob(const Job& job) {
-  Moment start = Clock::now();
+  TimePoint start = Clock::now();
   auto result = measureFleet(job.size, static_cast<std::uint64_t>(options.seed + job.repeat));
   double took = std::chrono::duration<double>(Clock::now() - start).count();
   std::string about = describe(job.size);
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -25,7 +25,9 @@
   std::sort(values.begin(), values.end());
   return values[std::min(values.size() - 1, static_cast<std::size_t>(share * static_cast<double>(values.size())))];
 }
-Span secondsOf(double seconds) { return std::chrono::duration_cast<Span>(std::chrono::duration<double>(seconds)); }
+Duration secondsOf(double seconds) {
+  return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
+}
 
 class Runner {
  public:
@@ -140,7 +142,7 @@
   std::vector<Control> controls;
   std::unique_ptr<World> world;
   std::string traceKind;
-  Moment start;
+  TimePoint start;
 
   void wrong(const Line& line, const std::string& reason) {
     troubles.push_back("line " + std::to_string(line.number) + ": " + reason);
@@ -518,7 +520,8 @@
     const auto& words = line.words;
     std::string what = words.size() > 1 ? words[1] : "";
     if (what == "served" && words.size() >= 8) {
-      Moment from = start + secondsOf(std::atof(words[5].c_str())), to = start + secondsOf(std::atof(words[7].c_str()));
+      TimePoint from = start + secondsOf(std::atof(words[5].c_str())),
+                to = start + secondsOf(std::atof(words[7].c_str()));
       double asked = 0, done = 0;
       for (const auto& [orderId, order] : world->orders()) {
         if (order.askedAt < from || order.askedAt >= to || order.gone ||
--- a/src/sim/sim.cpp
+++ b/src/sim/sim.cpp
@@ -32,7 +32,7 @@
 
 World::World(FleetShape fleetShape, std::uint64_t seed)
     : shape(std::move(fleetShape)), random(seed), clock(dayStart), operatorRandom(seed * 2654435761u + 17) {
-  auto add = [&](const std::string& name, Span tickEvery) {
+  auto add = [&](const std::string& name, Duration tickEvery) {
     auto actor = std::make_unique<Actor>();
     actor->name = name;
     actor->offset = std::chrono::seconds(random() % 100000);
@@ -83,7 +83,7 @@
 
 World::~World() = default;
 
-Moment World::localNow(const std::string& name) const { return actors.at(name)->local(clock); }
+TimePoint World::localNow(const std::string& name) const { return actors.at(name)->local(clock); }
 
 std::string World::firstConfiguration() const {
   std::string text =
@@ -101,7 +101,7 @@
   return text + "},\"keys\":{" + keys + "}}";
 }
 
-void World::later(Span span, std::function<void()> action) {
+void World::later(Duration span, std::function<void()> action) {
   dues.push(Due{clock + span, ++dueCount, std::move(action)});
 }
 
@@ -140,7 +140,7 @@
 
 void World::make(const std::string& name) {
   auto& actor = *actors.at(name);
-  Moment now = actor.local(clock);
+  TimePoint now = actor.local(clock);
   if (starts(name, "core-")) {
     auto opened = Ring::openOrEmpty(*actor.disk);
     if (!opened) {
@@ -219,12 +219,12 @@
   if (actor.alive) return;
   ++actor.life;
   actor.alive = true;
-  actor.frozenUntil = Moment{};
+  actor.frozenUntil = TimePoint{};
   actor.startedAt = clock;
   actor.saves.clear();
   actor.syncing.clear();
   actor.syncBusy = false;
-  actor.oldestSave = Moment{};
+  actor.oldestSave = TimePoint{};
   make(name);
   if (actor.alive) scheduleTick(name, actor.life);
 }
@@ -282,7 +282,7 @@
       }
 }
 
-void World::freeze(const std::string& name, Span span, bool atSending) {
+void World::freeze(const std::string& name, Duration span, bool atSending) {
   auto& actor = *actors.at(name);
   if (!actor.alive) return;
   if (atSending) {
@@ -316,7 +316,7 @@
   nameByAddress[actor.address] = name;
 }
 
-void World::leap(const std::string& name, Span span) { actors.at(name)->offset += span; }
+void World::leap(const std::string& name, Duration span) { actors.at(name)->offset += span; }
 
 SimDisk* World::disk(const std::string& name) { return actors.at(name)->disk.get(); }
 KeeperNode* World::keeper(const std::string& name) { return dynamic_cast<KeeperNode*>(actors.at(name)->node.get()); }
@@ -351,7 +351,7 @@
     }
     drive(due, [&](Effects& effects) {
       if (auto* coreNode = dynamic_cast<Core*>(due.node.get()))
-        coreNode->diskWaits(due.oldestSave == Moment{} ? Span(0) : clock - due.oldestSave);
+        coreNode->diskWaits(due.oldestSave == TimePoint{} ? Duration(0) : clock - due.oldestSave);
       due.node->tick(effects);
     });
     scheduleTick(name, life);
@@ -362,7 +362,7 @@
   Effects effects{actor.local(clock), random, actor.node->journal, {}, {}};
   action(effects);
   if (!effects.saves.empty()) {
-    if (actor.oldestSave == Moment{}) actor.oldestSave = clock;
+    if (actor.oldestSave == TimePoint{}) actor.oldestSave = clock;
     for (auto& save : effects.saves) actor.saves.push_back(std::move(save));
     startSync(actor);
   }
@@ -390,12 +390,13 @@
 }
 
 bool World::leftTooLate(const Actor& actor, const WorkerOrder& order) const {
-  return order.leaveBy != 0 && defences.stands(Defence::leaveByKept) && actor.local(clock) >= fromNs(order.leaveBy);
+  return order.leaveBy != 0 && defences.stands(Defence::leaveByKept) &&
+         actor.local(clock) >= fromNanoseconds(order.leaveBy);
 }
 
 void World::endUnsent(const Actor& actor, const WorkerOrder& order) {
   WorkerEnd end{order.orderId, static_cast<int>(Outcome::brokenUnsent), static_cast<int>(Code::workerBroke), 0, 0, 0};
-  later(Span(0), [this, name = actor.name, life = actor.life, end] { arrive("worker", name, life, end); });
+  later(Duration(0), [this, name = actor.name, life = actor.life, end] { arrive("worker", name, life, end); });
 }
 
 void World::startSync(Actor& actor) {
@@ -427,7 +428,7 @@
   auto done = std::move(due.syncing);
   due.syncing.clear();
   due.syncBusy = false;
-  due.oldestSave = due.saves.empty() ? Moment{} : clock;
+  due.oldestSave = due.saves.empty() ? TimePoint{} : clock;
   drive(due, [&](Effects& effects) {
     for (auto& save : done)
       if (save.then) save.then(effects);
@@ -513,11 +514,11 @@
       loss != losses.end() && static_cast<int>(random() % 100) < loss->second)
     return;
   if (auto* gone = std::get_if<WorkerDrop>(&message)) streams.erase(gone->orderId);
-  Span delay = beside ? Span(100us)
-                      : std::chrono::microseconds(from.locality == target.locality ? 300 + random() % 400
-                                                                                   : 1000 + random() % 2500);
+  Duration delay = beside ? Duration(100us)
+                          : std::chrono::microseconds(from.locality == target.locality ? 300 + random() % 400
+                                                                                       : 1000 + random() % 2500);
   auto& last = lastArrival[{from.name, toName}];
-  Moment at = std::max(clock + delay, last + 1us);
+  TimePoint at = std::max(clock + delay, last + 1us);
   last = at;
   std::string fromAddress = from.address;
   std::uint64_t life = target.life;
@@ -548,7 +549,7 @@
   drive(actor, [&](Effects& effects) { actor.node->take(effects, from, message); });
 }
 
-void World::runUntil(Moment until) {
+void World::runUntil(TimePoint until) {
   while (!dues.empty() && dues.top().at <= until) {
     Due due = dues.top();
     dues.pop();
@@ -567,7 +568,7 @@
 void World::sendLoad(const std::string& kind, double rate) {
   if (rate <= 0) return;
   std::exponential_distribution<double> gap(rate * std::max(loadScale, 0.001));
-  later(std::chrono::duration_cast<Span>(std::chrono::duration<double>(gap(random))), [this, kind, rate] {
+  later(std::chrono::duration_cast<Duration>(std::chrono::duration<double>(gap(random))), [this, kind, rate] {
     if (clock > dayStart + 4s && loadScale > 0.001) sendOrder(kind);
     sendLoad(kind, rate);
   });
@@ -783,7 +784,7 @@
 void World::watchReads() {
   for (const auto& [name, actor] : actors) {
     if (!actor->alive || clock < actor->frozenUntil) continue;
-    Moment now = actor->local(clock);
+    TimePoint now = actor->local(clock);
     if (auto* node = core(name); node && node->readsConfirmed(now))
       readShown(name, node->agreement().configuration().index());
     if (auto* node = edge(name); node && node->fresh(now)) readShown(name, node->configuration().index());
@@ -823,9 +824,9 @@
   retriedLately.emplace_back(clock, proxy);
   while (!admittedLately.empty() && clock - admittedLately.front().first > 10s) admittedLately.pop_front();
   while (!retriedLately.empty() && clock - retriedLately.front().first > 5s) retriedLately.pop_front();
-  for (Span span : {Span(1s), Span(5s)})
+  for (Duration span : {Duration(1s), Duration(5s)})
     for (bool alone : {false, true}) {
-      auto number = [&](const std::deque<std::pair<Moment, std::string>>& rows, Moment until) {
+      auto number = [&](const std::deque<std::pair<TimePoint, std::string>>& rows, TimePoint until) {
         double sum = 0;
         for (const auto& [at, who] : rows) sum += at <= until && until - at <= span && (!alone || who == proxy);
         return sum;
@@ -835,7 +836,8 @@
       if (orders >= (alone ? 20 : 40) && again > 0.2 * orders + 1)
         violate("too-many-retries", std::to_string(static_cast<int>(again)) + " retries of " +
                                         std::to_string(static_cast<int>(orders)) + " orders within " +
-                                        std::to_string(inMs(span)) + "ms at " + (alone ? proxy : "the fleet"));
+                                        std::to_string(toMilliseconds(span)) + "ms at " +
+                                        (alone ? proxy : "the fleet"));
     }
 }
 
@@ -928,7 +930,7 @@
     if (!actor->alive) continue;
     auto* node = dynamic_cast<Core*>(actor->node.get());
     if (!node) continue;
-    Moment now = actor->local(clock);
+    TimePoint now = actor->local(clock);
     if (duty == "accord") {
       holders += node->agreement().leads(now);
       continue;
@@ -944,7 +946,7 @@
     if (!actor->alive) continue;
     auto* node = dynamic_cast<Core*>(actor->node.get());
     if (!node) continue;
-    Moment now = actor->local(clock);
+    TimePoint now = actor->local(clock);
     if (duty == "accord" && node->agreement().leads(now)) return name;
     for (const auto& [locality, cell] : node->cellsByLocality())
       if ("cell/" + locality == duty && cell->election.holds(now)) return name;
--- a/src/sim/sim.hpp
+++ b/src/sim/sim.hpp
@@ -22,7 +22,7 @@
   std::size_t size() const override { return rows[0].size(); }
   std::vector<std::string> rows;
   std::size_t lastFile{0}, lastOffset{0}, lastSize{0};
-  Span syncSpan{2ms};
+  Duration syncSpan{2ms};
   bool stalled{false}, lying{false}, full{false};
 };
 
@@ -37,7 +37,7 @@
   int slots{8};
   double tokenMs{20};
   /// Over how long a cell starts its workers on other weights, one after the other.
-  Span rolloutSpan{0};
+  Duration rolloutSpan{0};
   /// How many of a cell's workers may be on their way to other weights at once: one in so many.
   int rolloutParts{3};
 };
@@ -45,7 +45,7 @@
 /// One line that must never come true, broken.
 struct Violation {
   std::string invariant, text;
-  Moment at;
+  TimePoint at;
 };
 
 /// A fleet on simulated time: the same logic as the real processes, with its network, disks and clocks made up.
@@ -53,18 +53,18 @@
  public:
   World(FleetShape fleetShape, std::uint64_t seed);
   ~World();
-  void runUntil(Moment until);
-  Moment now() const { return clock; }
+  void runUntil(TimePoint until);
+  TimePoint now() const { return clock; }
   /// What the machine's own steady clock shows.
-  Moment localNow(const std::string& name) const;
+  TimePoint localNow(const std::string& name) const;
   std::mt19937_64& randomSource() { return random; }
 
   /// What scenarios do. A name is core-1, agent-2, proxy-2, worker-3, app, store, platform.
   void kill(const std::string& name);
   /// Tells a proxy to stop, as the platform does, and kills it after the grace if it has not ended by then.
-  void leave(const std::string& name, Span grace);
+  void leave(const std::string& name, Duration grace);
   void start(const std::string& name);
-  void freeze(const std::string& name, Span span, bool atSending = false);
+  void freeze(const std::string& name, Duration span, bool atSending = false);
   void wipeDisk(const std::string& name);
   void moveAddress(const std::string& name);
   SimDisk* disk(const std::string& name);
@@ -107,7 +107,7 @@
     moveShare = moving;
   }
   /// A machine's steady clock leaps ahead, as after a pause of the whole machine.
-  void leap(const std::string& name, Span span);
+  void leap(const std::string& name, Duration span);
   std::set<std::string> names() const;
   std::string nameAt(const std::string& address) const;
   std::set<std::string> localityMembers(const std::string& locality) const;
@@ -115,7 +115,7 @@
   /// What came of it.
   std::vector<Violation> violations;
   struct OrderRow {
-    Moment askedAt, endedAt;
+    TimePoint askedAt, endedAt;
     std::string kind, verdict, key, worker, intent;
     bool repeatable{false}, ended{false}, firstSeen{false}, gone{false};
     int attempt{1};
@@ -130,7 +130,7 @@
     std::string changeId;
     int code{0};
     std::uint64_t index{0}, revision{0};
-    Moment askedAt, at, reachedAll;
+    TimePoint askedAt, at, reachedAll;
     bool acked{false}, reached{false};
   };
   const std::vector<AckRow>& acks() const { return ackRows; }
@@ -150,7 +150,7 @@
  private:
   struct Actor;
   struct Due {
-    Moment at;
+    TimePoint at;
     std::uint64_t sequence;
     std::function<void()> action;
     bool operator<(const Due& other) const { return at != other.at ? at > other.at : sequence > other.sequence; }
@@ -161,12 +161,12 @@
   };
   FleetShape shape;
   std::mt19937_64 random;
-  Moment clock;
+  TimePoint clock;
   std::uint64_t dueCount{0};
   std::priority_queue<Due> dues;
   std::map<std::string, std::unique_ptr<Actor>> actors;
   std::map<std::string, std::string> nameByAddress;
-  std::map<std::pair<std::string, std::string>, Moment> lastArrival;
+  std::map<std::pair<std::string, std::string>, TimePoint> lastArrival;
   std::set<std::pair<std::string, std::string>> cuts;
   std::map<std::pair<std::string, std::string>, int> losses;
   std::map<std::string, Stream> streams;
@@ -175,8 +175,8 @@
   std::vector<AckRow> ackRows;
   std::map<std::string, std::size_t> ackByAsk;
   std::set<std::string> lostAnswers;
-  std::map<std::string, Moment> lookupsOpen;
-  std::map<std::string, Moment> revokedAt, leavingAt;
+  std::map<std::string, TimePoint> lookupsOpen;
+  std::map<std::string, TimePoint> revokedAt, leavingAt;
   /// The plans of proxies that are leaving, on the world's clock.
   std::map<std::string, DrainPlan> drains;
   /// The newest state that any reader has shown, and each core's and proxy's entries as they applied them.
@@ -188,7 +188,7 @@
   std::map<std::uint64_t, Canon> canon;
   std::map<std::string, std::uint64_t> canonByChange;
   std::map<std::string, int> runsByIntent;
-  std::deque<std::pair<Moment, std::string>> admittedLately, retriedLately;
+  std::deque<std::pair<TimePoint, std::string>> admittedLately, retriedLately;
   Defences defences;
   Strings lastPlan;
   std::map<std::string, double> burstRates;
@@ -208,7 +208,7 @@
   std::map<std::string, int> addressMoves, crashes;
   bool crashesHere(const Message& message);
 
-  void later(Span span, std::function<void()> action);
+  void later(Duration span, std::function<void()> action);
   void make(const std::string& name);
   void scheduleTick(const std::string& name, std::uint64_t life);
   void drive(Actor& actor, const std::function<void(Effects&)>& action);
@@ -229,7 +229,7 @@
   struct OperatorCrew;
   std::string someCore();
   int rollOperators(int below);
-  Span operatorPause(Span mean);
+  Duration operatorPause(Duration mean);
   void nextOperation(OperatorClient& client);
   void beginChange(OperatorClient& client);
   void beginNaming(OperatorClient& client);
@@ -278,7 +278,7 @@
   std::map<std::string, std::size_t> operationByAttempt;
   std::uint64_t attemptCount{0}, readCount{0}, digestCount{0};
   struct OpenRead {
-    Moment began;
+    TimePoint began;
     std::function<void(std::uint64_t revision)> done;
   };
   std::map<std::string, OpenRead> readsOpen;
--- a/src/sim/sim_drain.cpp
+++ b/src/sim/sim_drain.cpp
@@ -3,10 +3,10 @@
 
 namespace tt {
 namespace {
-constexpr Span stepEvery = 50ms;
+constexpr Duration stepEvery = 50ms;
 }  // namespace
 
-void World::leave(const std::string& name, Span grace) {
+void World::leave(const std::string& name, Duration grace) {
   auto& actor = *actors.at(name);
   if (!actor.alive || drains.count(name)) return;
   drains[name] = planDrain(clock, grace);
--- a/src/sim/sim_operators.cpp
+++ b/src/sim/sim_operators.cpp
@@ -2,14 +2,14 @@
 
 namespace tt {
 namespace {
-constexpr Span answerWait = 1s;
-constexpr Span giveUpAfter = 40s;
-constexpr Span readEvery = 100ms;
+constexpr Duration answerWait = 1s;
+constexpr Duration giveUpAfter = 40s;
+constexpr Duration readEvery = 100ms;
 constexpr std::size_t bigConfiguration = 48 * 1024;
 constexpr std::uint64_t digestEvery = 24;
 constexpr const char* namedModel = "names-llm";
 
-std::int64_t sinceStart(Moment at) {
+std::int64_t sinceStart(TimePoint at) {
   return std::chrono::duration_cast<std::chrono::nanoseconds>(at - dayStart).count();
 }
 std::string withoutAttempt(const std::string& askId) { return askId.substr(0, askId.find('#')); }
@@ -36,7 +36,7 @@
   OperatorRequest request;
   std::string ownRoute;
   std::vector<std::string> routes;
-  Moment begunAt{};
+  TimePoint begunAt{};
 };
 
 void World::change(const std::string& body, bool whole, const std::string& changeId, std::int64_t ifRevision,
@@ -117,11 +117,11 @@
   if (auto applied = canonByChange.find(ack.changeId); ack.index == 0 && applied != canonByChange.end())
     ack.index = applied->second;
   if (auto action = ackActions.find(ack.changeId); action != ackActions.end()) {
-    later(Span(0), std::move(action->second));
+    later(Duration(0), std::move(action->second));
     ackActions.erase(action);
   }
   if (nextAckAction) {
-    later(Span(0), std::move(nextAckAction));
+    later(Duration(0), std::move(nextAckAction));
     nextAckAction = nullptr;
   }
   if (starts(ack.changeId, "revoke ") && !restored.count(ack.changeId.substr(7)))
@@ -132,8 +132,8 @@
 
 int World::rollOperators(int below) { return static_cast<int>(operatorRandom() % static_cast<std::uint64_t>(below)); }
 std::string World::someCore() { return "core-" + std::to_string(1 + rollOperators(shape.cores)); }
-Span World::operatorPause(Span mean) {
-  return mean / 2 + std::chrono::microseconds(rollOperators(static_cast<int>(inMs(mean)) * 1000 + 1));
+Duration World::operatorPause(Duration mean) {
+  return mean / 2 + std::chrono::microseconds(rollOperators(static_cast<int>(toMilliseconds(mean)) * 1000 + 1));
 }
 
 void World::runOperators(const OperatorPlan& plan) {
@@ -229,7 +229,7 @@
   client.lastCore = coreName;
   sendAttempt(client.request, client.name, coreName);
   if (rollOperators(10) == 0) sendAttempt(client.request, client.name, someCore());
-  later(answerWait + operatorPause(std::min<Span>(1600ms, 100ms * tries)),
+  later(answerWait + operatorPause(std::min<Duration>(1600ms, 100ms * tries)),
         [this, &client, tries, askId = client.request.askId] {
           if (client.open && client.tries == tries && client.request.askId == askId) sendTry(client);
         });
@@ -259,7 +259,7 @@
 void World::sendAgainLate(const OperatorClient& client) {
   OperatorRequest again = client.request;
   again.askId = "again-" + std::to_string(++askCount);
-  Span wait = rollOperators(2) ? Span(0) : std::chrono::milliseconds(rollOperators(8000));
+  Duration wait = rollOperators(2) ? Duration(0) : std::chrono::milliseconds(rollOperators(8000));
   for (int copies = 1 + rollOperators(8) / 7 * 7; copies > 0; --copies)
     later(wait, [this, again, name = client.name] { sendAttempt(again, name, someCore()); });
 }
--- a/src/sim/sim_weights.cpp
+++ b/src/sim/sim_weights.cpp
@@ -4,14 +4,14 @@
 namespace tt {
 namespace {
 /// The longest that an order may still begin on older weights once the first newer naming was acknowledged.
-constexpr Span versionMost = 20s;
+constexpr Duration versionMost = 20s;
 /// When new weights must be in use at the latest.
-constexpr Span weightsInUseMost = 25s;
+constexpr Duration weightsInUseMost = 25s;
 /// How long a worker that stood still or started anew has to come to the weights named.
-constexpr Span workerSettles = 10s;
+constexpr Duration workerSettles = 10s;
 constexpr const char* namingPrefix = "weights ";
 
-std::string secondsText(Span span) { return std::to_string(std::chrono::duration<double>(span).count()) + " s"; }
+std::string secondsText(Duration span) { return std::to_string(std::chrono::duration<double>(span).count()) + " s"; }
 }  // namespace
 
 void World::nameWeights(const std::string& weights) {
--- a/src/sim/standin.cpp
+++ b/src/sim/standin.cpp
@@ -6,8 +6,10 @@
 namespace {
 constexpr std::size_t eventsMost = 512;
 constexpr std::size_t recordsMost = 20000;
-constexpr Span pullWait = 2s;
-Span spanOf(double ms) { return std::chrono::duration_cast<Span>(std::chrono::duration<double, std::milli>(ms)); }
+constexpr Duration pullWait = 2s;
+Duration spanOf(double ms) {
+  return std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(ms));
+}
 std::string originOf(const std::string& weights, const std::string& tenant) { return weights + "/" + tenant; }
 }  // namespace
 
@@ -87,7 +89,7 @@
     effects.note("worker denied", ask.orderId, static_cast<int>(code));
     effects.send(from, WorkerEnd{ask.orderId, static_cast<int>(Outcome::denied), static_cast<int>(code), 0, 0, 0});
   };
-  if (drains || loadDue != Moment{}) return deny(Code::workerDraining);
+  if (drains || loadDue != TimePoint{}) return deny(Code::workerDraining);
   if (given.kind == "language" &&
       (ask.app || ask.model != given.model || (ask.weights != currentWeights && !faults.anyWeights)))
     return deny(Code::weightsMismatch);
@@ -174,7 +176,7 @@
   report.slots = given.slots;
   report.draining = drains;
   report.term = highestTerm;
-  Moment horizon = effects.now - std::chrono::milliseconds(faults.lagMs);
+  TimePoint horizon = effects.now - std::chrono::milliseconds(faults.lagMs);
   report.sequence = sequence;
   while (report.sequence > 0 && !events.empty() && report.sequence >= events.front().event.sequence &&
          events[report.sequence - events.front().event.sequence].at > horizon)
@@ -211,7 +213,7 @@
     drains = true;
   } else if (ask.action == "load") {
     drains = true;
-    if (loadDue == Moment{} || loadingWeights != ask.weights) {
+    if (loadDue == TimePoint{} || loadingWeights != ask.weights) {
       if (currentWeights != ask.weights) {
         Strings open;
         for (const auto& [orderId, run] : running) open.push_back(orderId);
@@ -221,15 +223,15 @@
       }
     }
   } else if (ask.action == "admit") {
-    if (loadDue == Moment{} && currentWeights == ask.weights) drains = false;
+    if (loadDue == TimePoint{} && currentWeights == ask.weights) drains = false;
   }
   effects.send(from, ControlReply{given.name, highestTerm, static_cast<int>(Code::done), ask.number});
 }
 
 void KeeperNode::tick(Effects& effects) {
-  if (loadDue != Moment{} && effects.now >= loadDue && !faults.loadFails) {
+  if (loadDue != TimePoint{} && effects.now >= loadDue && !faults.loadFails) {
     currentWeights = loadingWeights;
-    loadDue = Moment{};
+    loadDue = TimePoint{};
     forget(effects, true);
     effects.note("weights loaded", given.name + " " + currentWeights);
   }
--- a/src/sim/standin.hpp
+++ b/src/sim/standin.hpp
@@ -73,7 +73,7 @@
     std::string from;
     std::size_t record;
     enum class Phase { queued, pulling, waiting, computing, talking } phase{Phase::computing};
-    Moment due{};
+    TimePoint due{};
     Hashes pulled;
     Strings origins;
     int said{0};
@@ -83,12 +83,12 @@
   KeeperSettings given;
   std::string incarnation, currentWeights, loadingWeights, loadingModel;
   bool drains{false};
-  Moment loadDue{};
+  TimePoint loadDue{};
   std::unordered_map<BlockHash, Kept, BlockHashKey> kept;
   std::list<BlockHash> byUse;
   struct Told {
     KeptEvent event;
-    Moment at;
+    TimePoint at;
     bool lost{false};
   };
   std::deque<Told> events;
