--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -54,7 +54,7 @@
   Strings order = clusterView.watch();
   std::vector<std::pair<std::uint64_t, std::string>> ranked;
   for (const auto& address : clusterView.coreAddresses(view))
-    ranked.emplace_back(rendezvous(settings.address, address), address);
+    ranked.emplace_back(rendezvousHash(settings.address, address), address);
   std::sort(ranked.rbegin(), ranked.rend());
   for (const auto& [weight, address] : ranked) order.push_back(address);
   if (order.empty()) return;
@@ -71,7 +71,7 @@
       drawn = address;
       break;
     }
-  if (drawn.empty()) drawn = order[effects.roll(order.size())];
+  if (drawn.empty()) drawn = order[effects.randomBelow(order.size())];
   if (drawn != parent) {
     parent = drawn;
     parentSince = effects.now;
--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -30,7 +30,7 @@
  private:
   AgentSettings settings;
   Configuration view;
-  std::deque<Entry> recent;
+  std::deque<LogEntry> recent;
   std::map<std::string, CellNews> cells;
   ClusterView clusterView;
   std::string parent;
--- a/src/base/base.cpp
+++ b/src/base/base.cpp
@@ -49,10 +49,10 @@
   return table;
 }
 
-Fault fault(Code code, std::string subject, std::string text) {
+Error fault(Code code, std::string subject, std::string text) {
   if (text.empty()) text = codeText(code);
   if (subject.empty() && code == Code::unknownField) subject = "\"\"";
-  return Fault{code, std::move(subject), std::move(text)};
+  return Error{code, std::move(subject), std::move(text)};
 }
 
 std::string BlockHash::hex() const {
@@ -92,7 +92,7 @@
   return hash;
 }
 
-std::uint64_t rendezvous(std::string_view one, std::string_view other) {
+std::uint64_t rendezvousHash(std::string_view one, std::string_view other) {
   std::uint64_t mixed = 1469598103934665603ULL;
   auto fold = [&](std::string_view text) {
     for (unsigned char byte : text) mixed = (mixed ^ byte) * 1099511628211ULL;
@@ -107,7 +107,7 @@
   return mixed ^ (mixed >> 33);
 }
 
-std::string layPrompt(const std::vector<std::string>& parts) {
+std::string encodePromptParts(const std::vector<std::string>& parts) {
   std::string laid;
   for (const auto& part : parts) {
     for (char byte : part) {
@@ -124,7 +124,7 @@
 }
 
 std::vector<BlockHash> hashPrompt(const std::vector<std::string>& parts, std::string_view salt) {
-  std::string laid = layPrompt(parts);
+  std::string laid = encodePromptParts(parts);
   std::vector<BlockHash> hashes;
   BlockHash last = sha256Block(salt);
   for (std::size_t at = 0; at + blockBytes <= laid.size(); at += blockBytes) {
@@ -142,14 +142,14 @@
   return sha256Hex(seed);
 }
 
-BlockHash hashPart(std::string_view salt, std::string_view partId) {
+BlockHash hashPromptPart(std::string_view salt, std::string_view partId) {
   std::string seed(salt);
   seed += '\n';
   seed += partId;
   return sha256Block(seed);
 }
 
-std::vector<std::string> cutPrompt(const std::vector<std::string>& parts, std::size_t blocks) {
+std::vector<std::string> truncatePrompt(const std::vector<std::string>& parts, std::size_t blocks) {
   std::vector<std::string> cut;
   std::size_t room = blocks * blockBytes;
   for (const auto& part : parts) {
--- a/src/base/base.hpp
+++ b/src/base/base.hpp
@@ -41,15 +41,15 @@
 std::string codeTable();
 
 /// Why something was not done: a code, the field or thing it is about, and a short sentence.
-struct Fault {
+struct Error {
   Code code{Code::done};
   std::string subject;
   std::string text;
 };
 template <class T>
-using Result = boost::outcome_v2::unchecked<T, Fault>;
+using Result = boost::outcome_v2::unchecked<T, Error>;
 /// Makes a fault, using the code's own text where no other is given.
-Fault fault(Code code, std::string subject = {}, std::string text = {});
+Error fault(Code code, std::string subject = {}, std::string text = {});
 
 /// A block's chained hash: 128 bits of SHA-256.
 struct BlockHash {
@@ -60,7 +60,7 @@
   std::string hex() const;
   static std::optional<BlockHash> parse(std::string_view text);
 };
-struct BlockHashKey {
+struct BlockHashHasher {
   std::size_t operator()(const BlockHash& hash) const { return hash.low; }
 };
 
@@ -69,19 +69,19 @@
 /// The first 128 bits of SHA-256 of some bytes.
 BlockHash sha256Block(std::string_view bytes);
 /// A stable 64-bit mix of two names, for rendezvous hashing.
-std::uint64_t rendezvous(std::string_view one, std::string_view other);
+std::uint64_t rendezvousHash(std::string_view one, std::string_view other);
 
 constexpr std::size_t blockBytes = 128;
 /// Lays a prompt's parts out as one run of bytes in which part ends cannot be forged.
-std::string layPrompt(const std::vector<std::string>& parts);
+std::string encodePromptParts(const std::vector<std::string>& parts);
 /// The chained hashes of a prompt's whole blocks, seeded by model, weights and tenant domain.
 std::vector<BlockHash> hashPrompt(const std::vector<std::string>& parts, std::string_view salt);
 /// The seed and cache salt of a model, weight version and tenant domain.
 std::string cacheSalt(std::string_view model, std::string_view weights, std::string_view domain);
 /// The hash of one part of a prompt that is told by its id, seeded by a salt.
-BlockHash hashPart(std::string_view salt, std::string_view partId);
+BlockHash hashPromptPart(std::string_view salt, std::string_view partId);
 /// Cuts a prompt so that it covers just its first blocks.
-std::vector<std::string> cutPrompt(const std::vector<std::string>& parts, std::size_t blocks);
+std::vector<std::string> truncatePrompt(const std::vector<std::string>& parts, std::size_t blocks);
 
 /// Milliseconds of a span.
 inline std::int64_t toMilliseconds(Duration span) {
--- a/src/base/effects.cpp
+++ b/src/base/effects.cpp
@@ -12,12 +12,12 @@
   appended(copy);
 }
 
-Count digestOf(const std::vector<Machine>& machines) {
-  Count digest = 1;
+Uint64 digestOf(const std::vector<Machine>& machines) {
+  Uint64 digest = 1;
   for (const auto& machine : machines) {
     std::string row = machine.name + "\n" + machine.address + "\n" + machine.locality + "\n" + machine.kind +
                       (machine.leaving ? "\nleaving" : "");
-    digest = rendezvous(std::to_string(digest), row);
+    digest = rendezvousHash(std::to_string(digest), row);
   }
   return digest;
 }
@@ -50,7 +50,7 @@
 
 namespace {
 std::string packVote(const std::string& duty, const Vote& vote) {
-  Entry row;
+  LogEntry row;
   row.term = vote.term;
   row.changeId = duty;
   row.body = vote.votedFor;
@@ -60,12 +60,12 @@
 
 Record identityRecord(const std::string& id) { return {RecordKind::identity, id}; }
 Record voteRecord(const std::string& duty, const Vote& vote) { return {RecordKind::vote, packVote(duty, vote)}; }
-Record entryRecord(const Entry& entry) { return {RecordKind::entry, encodeEntry(entry)}; }
+Record entryRecord(const LogEntry& entry) { return {RecordKind::entry, encodeEntry(entry)}; }
 Record cutRecord(std::uint64_t firstGone) { return {RecordKind::cut, std::to_string(firstGone)}; }
 Record snapshotRecord(const Snapshot& snapshot) { return {RecordKind::snapshot, encodeSnapshot(snapshot)}; }
 Record installedRecord(const Snapshot& snapshot) { return {RecordKind::installed, encodeSnapshot(snapshot)}; }
 
-bool Recovered::fold(const Record& record) {
+bool RecoveredState::applyRecord(const Record& record) {
   switch (record.kind) {
     case RecordKind::identity:
       identity = record.bytes;
@@ -93,7 +93,7 @@
       auto made = decodeSnapshot(record.bytes);
       if (!made) return false;
       snapshot = std::move(made).value();
-      std::vector<Entry> kept;
+      std::vector<LogEntry> kept;
       for (auto& entry : entries)
         if (entry.index > snapshot->index) kept.push_back(std::move(entry));
       entries = std::move(kept);
@@ -112,7 +112,7 @@
   return false;
 }
 
-std::vector<Record> Recovered::records() const {
+std::vector<Record> RecoveredState::records() const {
   std::vector<Record> rows;
   rows.push_back(identityRecord(identity));
   for (const auto& [duty, vote] : votes) rows.push_back(voteRecord(duty, vote));
--- a/src/base/effects.hpp
+++ b/src/base/effects.hpp
@@ -49,18 +49,18 @@
   std::string votedFor;
 };
 /// What the ring's records add up to.
-struct Recovered {
+struct RecoveredState {
   std::string identity;
   std::map<std::string, Vote> votes;
   std::optional<Snapshot> snapshot;
-  std::vector<Entry> entries;
-  bool fold(const Record& record);
+  std::vector<LogEntry> entries;
+  bool applyRecord(const Record& record);
   std::vector<Record> records() const;
   bool empty() const { return identity.empty(); }
 };
 Record identityRecord(const std::string& id);
 Record voteRecord(const std::string& duty, const Vote& vote);
-Record entryRecord(const Entry& entry);
+Record entryRecord(const LogEntry& entry);
 Record cutRecord(std::uint64_t firstGone);
 Record snapshotRecord(const Snapshot& snapshot);
 /// A snapshot that takes the place of the whole log, entries behind it included: one record, so it is done or not.
@@ -82,7 +82,7 @@
   void save(Record record, std::function<void(Effects&)> then = {}) {
     saves.push_back({std::move(record), std::move(then)});
   }
-  std::uint64_t roll(std::uint64_t below) { return below ? randomSource() % below : 0; }
+  std::uint64_t randomBelow(std::uint64_t below) { return below ? randomSource() % below : 0; }
   void note(std::string kind, std::string subject = {}, std::int64_t number = 0) {
     journal.append(now, std::move(kind), std::move(subject), number);
   }
--- a/src/base/messages.hpp
+++ b/src/base/messages.hpp
@@ -8,7 +8,7 @@
 
 using Strings = std::vector<std::string>;
 using Hashes = std::vector<BlockHash>;
-using Count = std::uint64_t;
+using Uint64 = std::uint64_t;
 
 /* clang-format off */
 #define TT_FIELD(r, data, pair) BOOST_PP_TUPLE_ELEM(2, 0, pair) BOOST_PP_TUPLE_ELEM(2, 1, pair){};
@@ -27,67 +27,67 @@
 
 /// Things that messages carry.
 /// An entry's revision is the one it makes; 0 is the next one.
-TT_STRUCT(Entry, ((Count, index))((Count, term))((int, kind))((std::string, body))((std::string, changeId))((Count, revision)))
+TT_STRUCT(LogEntry, ((Uint64, index))((Uint64, term))((int, kind))((std::string, body))((std::string, changeId))((Uint64, revision)))
 TT_STRUCT(Member, ((std::string, id))((std::string, name))((std::string, address))((std::string, locality))((bool, votes)))
 TT_STRUCT(Machine, ((std::string, name))((std::string, address))((std::string, locality))((std::string, kind))((bool, leaving))
                    ((std::string, service))((std::string, model))((std::string, weights))((int, slots)))
 /// Weights that were named for a model, how long ago in ns (-1 where that is unknown), and an index of the log by which
 /// they were named.
-TT_STRUCT(VersionNaming, ((std::string, model))((std::string, weights))((std::int64_t, age))((Count, index)))
-TT_STRUCT(CellMark, ((std::string, locality))((Count, term))((Count, sequence)))
+TT_STRUCT(VersionNaming, ((std::string, model))((std::string, weights))((std::int64_t, age))((Uint64, index)))
+TT_STRUCT(CellMark, ((std::string, locality))((Uint64, term))((Uint64, sequence)))
 TT_STRUCT(WorkerView,
           ((std::string, name))((std::string, address))((std::string, locality))((std::string, kind))
           ((std::string, weights))((std::string, model))((int, running))((int, slots))((bool, held))((bool, alive))
-          ((bool, confirmed))((Count, kept))((Count, reportSequence))((std::string, summary))((std::string, service))((int, waiting))((int, memory))((int, savedShare)))
+          ((bool, confirmed))((Uint64, kept))((Uint64, reportSequence))((std::string, summary))((std::string, service))((int, waiting))((int, memory))((int, savedShare)))
 TT_STRUCT(LinkSpeed, ((std::string, source))((std::string, target))((double, blocksPerSecond)))
-TT_STRUCT(KeptEvent, ((Count, sequence))((int, kind))((Hashes, hashes)))
-TT_STRUCT(Reader, ((std::string, address))((Count, applied))((std::int64_t, age)))
+TT_STRUCT(KeptEvent, ((Uint64, sequence))((int, kind))((Hashes, hashes)))
+TT_STRUCT(Reader, ((std::string, address))((Uint64, applied))((std::int64_t, age)))
 /// A change that was refused, the entry that says so, and why.
-TT_STRUCT(Refusal, ((std::string, changeId))((Count, index))((int, code))((std::string, subject))((std::string, text))
-                   ((Count, revision)))
+TT_STRUCT(Refusal, ((std::string, changeId))((Uint64, index))((int, code))((std::string, subject))((std::string, text))
+                   ((Uint64, revision)))
 TT_STRUCT(Snapshot,
-          ((Count, index))((Count, term))((Count, revision))((std::string, configuration))((std::vector<Member>, members))
-          ((Strings, changeIds))((std::vector<Count>, changeRevisions))((std::vector<Refusal>, refusals))
-          ((Count, refusalsForgotten)))
+          ((Uint64, index))((Uint64, term))((Uint64, revision))((std::string, configuration))((std::vector<Member>, members))
+          ((Strings, changeIds))((std::vector<Uint64>, changeRevisions))((std::vector<Refusal>, refusals))
+          ((Uint64, refusalsForgotten)))
 
 /// Name, then fields. One table makes the structs, the variant and the wire form.
 #define TT_MESSAGES(X)                                                                                              \
   /* duties */                                                                                                      \
-  X(VoteRequest, ((std::string, duty))((Count, term))((std::string, candidate))((bool, probe))((Count, lastTerm))     \
-                   ((Count, lastIndex)))                                                                            \
-  X(VoteResponse, ((std::string, duty))((Count, term))((std::string, voter))((bool, probe))((bool, granted)))        \
-  X(Heartbeat, ((std::string, duty))((Count, term))((std::string, holder))((std::int64_t, sentAt)))                   \
-  X(HeartbeatResponse, ((std::string, duty))((Count, term))((std::string, voter))((std::int64_t, sentAt))((bool, granted))) \
+  X(VoteRequest, ((std::string, duty))((Uint64, term))((std::string, candidate))((bool, probe))((Uint64, lastTerm))     \
+                   ((Uint64, lastIndex)))                                                                            \
+  X(VoteResponse, ((std::string, duty))((Uint64, term))((std::string, voter))((bool, probe))((bool, granted)))        \
+  X(Heartbeat, ((std::string, duty))((Uint64, term))((std::string, holder))((std::int64_t, sentAt)))                   \
+  X(HeartbeatResponse, ((std::string, duty))((Uint64, term))((std::string, voter))((std::int64_t, sentAt))((bool, granted))) \
   /* the agreed log */                                                                                              \
-  X(AppendRequest, ((Count, term))((std::string, leader))((Count, prevIndex))((Count, prevTerm))((Count, commit))       \
-                   ((std::vector<Entry>, entries))((Count, round)))                                                                 \
-  X(AppendResponse, ((Count, term))((std::string, voter))((bool, matched))((Count, index))((Count, received))((Count, round))) \
-  X(InstallSnapshot, ((Count, term))((std::string, leader))((Count, index))((Count, snapshotTerm))                  \
-                         ((std::string, digest))((Count, total))((Count, offset))((std::string, bytes))((Count, attempt))) \
+  X(AppendRequest, ((Uint64, term))((std::string, leader))((Uint64, prevIndex))((Uint64, prevTerm))((Uint64, commit))       \
+                   ((std::vector<LogEntry>, entries))((Uint64, round)))                                                                 \
+  X(AppendResponse, ((Uint64, term))((std::string, voter))((bool, matched))((Uint64, index))((Uint64, received))((Uint64, round))) \
+  X(InstallSnapshot, ((Uint64, term))((std::string, leader))((Uint64, index))((Uint64, snapshotTerm))                  \
+                         ((std::string, digest))((Uint64, total))((Uint64, offset))((std::string, bytes))((Uint64, attempt))) \
   X(HelloRequest, ((Member, self))((bool, formed)))                                                                     \
   X(HelloResponse, ((Member, self))((bool, formed))((std::vector<Member>, members)))                                   \
   X(FormRequest, ((std::vector<Member>, members)))                                                                      \
   X(JoinRequest, ((Member, self)))                                                                                      \
   X(ChangeRequest, ((std::string, askId))((std::string, body))((bool, whole))((std::int64_t, ifRevision))               \
-                   ((std::string, changeId))((std::int64_t, sinceRevision))((int, manner))((std::int64_t, toRevision))((Count, seen)))                                        \
-  X(ChangeResponse, ((std::string, askId))((int, code))((std::string, subject))((std::string, text))((Count, revision))\
-                     ((Count, index))((Count, term)))                                                                              \
+                   ((std::string, changeId))((std::int64_t, sinceRevision))((int, manner))((std::int64_t, toRevision))((Uint64, seen)))                                        \
+  X(ChangeResponse, ((std::string, askId))((int, code))((std::string, subject))((std::string, text))((Uint64, revision))\
+                     ((Uint64, index))((Uint64, term)))                                                                              \
   /* news */                                                                                                        \
-  X(LogEndRequest, ((Count, askId))((std::string, agent))((std::string, locality))((Count, applied))                      \
-                 ((std::vector<CellMark>, cells))((bool, fresh))((bool, relays))((Count, marksDigest)))             \
-  X(LogEndResponse, ((Count, askId))((std::string, core))((Count, term))((bool, leads))((Count, lastIndex))              \
-                   ((Count, commit))((std::vector<Member>, members))((Strings, watch))((bool, marksKnown))          \
-                   ((std::int64_t, marksAge))((Count, marksDigest))((std::vector<Machine>, machines))               \
+  X(LogEndRequest, ((Uint64, askId))((std::string, agent))((std::string, locality))((Uint64, applied))                      \
+                 ((std::vector<CellMark>, cells))((bool, fresh))((bool, relays))((Uint64, marksDigest)))             \
+  X(LogEndResponse, ((Uint64, askId))((std::string, core))((Uint64, term))((bool, leads))((Uint64, lastIndex))              \
+                   ((Uint64, commit))((std::vector<Member>, members))((Strings, watch))((bool, marksKnown))          \
+                   ((std::int64_t, marksAge))((Uint64, marksDigest))((std::vector<Machine>, machines))               \
                    ((std::vector<VersionNaming>, namings)))              \
-  X(ReadersRequest, ((Count, roundId))((Count, index))((Count, term)))                                                  \
-  X(ReadersResponse, ((Count, roundId))((std::string, core))((bool, has))((std::vector<Reader>, readers)))             \
-  X(NewsAsk, ((std::string, agent))((Count, applied))((std::vector<CellMark>, cells)))                              \
-  X(NewsMsg, ((Count, commit))((std::vector<Entry>, entries))((std::vector<Snapshot>, snapshots)))                    \
-  X(CellNews, ((std::string, locality))((Count, term))((Count, sequence))((std::string, holder))                    \
-                  ((std::vector<WorkerView>, workers))((std::vector<LinkSpeed>, links))((bool, light))((Count, base))((Strings, gone)))        \
+  X(ReadersRequest, ((Uint64, roundId))((Uint64, index))((Uint64, term)))                                                  \
+  X(ReadersResponse, ((Uint64, roundId))((std::string, core))((bool, has))((std::vector<Reader>, readers)))             \
+  X(NewsAsk, ((std::string, agent))((Uint64, applied))((std::vector<CellMark>, cells)))                              \
+  X(NewsMsg, ((Uint64, commit))((std::vector<LogEntry>, entries))((std::vector<Snapshot>, snapshots)))                    \
+  X(CellNews, ((std::string, locality))((Uint64, term))((Uint64, sequence))((std::string, holder))                    \
+                  ((std::vector<WorkerView>, workers))((std::vector<LinkSpeed>, links))((bool, light))((Uint64, base))((Strings, gone)))        \
   X(MarksMsg, ((std::int64_t, age))((std::vector<Machine>, machines)))                                              \
-  X(FeedAsk, ((std::int64_t, sentAt))((Count, applied))((std::vector<CellMark>, cells))((Count, marksDigest)))      \
-  X(FeedReply, ((std::int64_t, sentAt))((std::int64_t, age))((Count, needed))((bool, known))                        \
+  X(FeedAsk, ((std::int64_t, sentAt))((Uint64, applied))((std::vector<CellMark>, cells))((Uint64, marksDigest)))      \
+  X(FeedReply, ((std::int64_t, sentAt))((std::int64_t, age))((Uint64, needed))((bool, known))                        \
                ((std::vector<VersionNaming>, namings)))                                                            \
   /* kept blocks */                                                                                                 \
   X(LookupMsg, ((std::string, lookupId))((std::string, locality))((std::string, keeper))((std::string, weights))    \
@@ -107,15 +107,15 @@
   X(WorkerLoad, ((std::string, orderId))((int, running))((int, waiting))((int, slots)))                                      \
   X(WorkerChunk, ((std::string, orderId))((std::string, text))((std::string, piece)))                                                    \
   X(WorkerEnd, ((std::string, orderId))((int, outcome))((int, code))((int, local))((int, fetched))((int, computed)))\
-  X(ReportAsk, ((Count, after))((std::string, incarnation))((bool, whole))((int, scope))((std::string, worker)))                                        \
+  X(ReportAsk, ((Uint64, after))((std::string, incarnation))((bool, whole))((int, scope))((std::string, worker)))                                        \
   X(Report, ((std::string, worker))((std::string, incarnation))((std::string, weights))((std::string, model))       \
-                ((int, running))((int, slots))((Count, sequence))((std::vector<KeptEvent>, events))((bool, whole))  \
-                ((Hashes, kept))((bool, draining))((Count, term))((int, scope))((bool, gaps))((bool, lost))((int, waiting))((int, memory))\
-                ((bool, countsOrders))((Count, orders)))                                                           \
-  X(ControlAsk, ((Count, term))((std::string, holder))((std::string, action))((std::string, model))                 \
+                ((int, running))((int, slots))((Uint64, sequence))((std::vector<KeptEvent>, events))((bool, whole))  \
+                ((Hashes, kept))((bool, draining))((Uint64, term))((int, scope))((bool, gaps))((bool, lost))((int, waiting))((int, memory))\
+                ((bool, countsOrders))((Uint64, orders)))                                                           \
+  X(ControlAsk, ((Uint64, term))((std::string, holder))((std::string, action))((std::string, model))                 \
                     ((std::string, weights))((std::string, incarnation))((std::string, worker))                     \
-                    ((Count, number))((bool, expects))((Count, expected)))                                          \
-  X(ControlReply, ((std::string, worker))((Count, term))((int, code))((Count, number)))                                              \
+                    ((Uint64, number))((bool, expects))((Uint64, expected)))                                          \
+  X(ControlReply, ((std::string, worker))((Uint64, term))((int, code))((Uint64, number)))                                              \
   X(PullAsk, ((std::string, pullId))((Hashes, hashes)))                                                             \
   X(PullReply, ((std::string, pullId))((Hashes, hashes))((Strings, origins)))                                       \
   X(StoreMsg, ((Hashes, hashes))((Strings, origins)))                                                               \
@@ -135,12 +135,12 @@
   X(OperatorRequest, ((std::string, askId))((std::string, body))((bool, whole))((std::int64_t, ifRevision))             \
                      ((std::string, changeId))((std::int64_t, sinceRevision))((int, manner))((std::int64_t, toRevision)))                                      \
   X(OperatorResponse, ((std::string, askId))((int, code))((std::string, subject))((std::string, text))                 \
-                       ((Count, revision))((Count, reached)))                                                       \
+                       ((Uint64, revision))((Uint64, reached)))                                                       \
   X(ReadRequest, ((std::string, askId)))                                                                            \
-  X(ReadResponse, ((std::string, askId))((bool, confirmed))((Count, revision))((Count, index))) \
+  X(ReadResponse, ((std::string, askId))((bool, confirmed))((Uint64, revision))((Uint64, index))) \
   /* a snapshot's pieces */                                                                                         \
-  X(InstallSnapshotResponse, ((Count, term))((std::string, voter))((std::string, digest))((Count, offset))          \
-                                 ((Count, attempt)))                                                               \
+  X(InstallSnapshotResponse, ((Uint64, term))((std::string, voter))((std::string, digest))((Uint64, offset))          \
+                                 ((Uint64, attempt)))                                                               \
   /* when weights were named, for who has forgotten it */                                                           \
   X(NamingsMsg, ((std::vector<VersionNaming>, namings)))                                                           \
   /* prompts placed at workers and not read yet, told to the cells of those workers */                            \
@@ -164,7 +164,7 @@
 /// what has changed since that sequence, and are not taken by who does not have just that.
 bool takeCellNews(CellNews& kept, const CellNews& news);
 /// Tells one list of machines from another.
-Count digestOf(const std::vector<Machine>& machines);
+Uint64 digestOf(const std::vector<Machine>& machines);
 /// A refusal as the body of the entry that agrees on it.
 std::string encodeRefusal(const Refusal& refusal);
 Result<Refusal> decodeRefusal(std::string_view bytes);
@@ -175,8 +175,8 @@
 /// A snapshot as bytes, for the ring.
 std::string encodeSnapshot(const Snapshot& snapshot);
 Result<Snapshot> decodeSnapshot(std::string_view bytes);
-std::string encodeEntry(const Entry& entry);
-Result<Entry> decodeEntry(std::string_view bytes);
+std::string encodeEntry(const LogEntry& entry);
+Result<LogEntry> decodeEntry(std::string_view bytes);
 
 /// How a worker's order ended.
 enum class Outcome : int {
--- a/src/base/wire.cpp
+++ b/src/base/wire.cpp
@@ -152,7 +152,7 @@
 Result<Snapshot> decodeSnapshot(std::string_view bytes) { return unpack<Snapshot>(bytes); }
 std::string encodeRefusal(const Refusal& refusal) { return pack(refusal, 0); }
 Result<Refusal> decodeRefusal(std::string_view bytes) { return unpack<Refusal>(bytes); }
-std::string encodeEntry(const Entry& entry) { return pack(entry, 0); }
-Result<Entry> decodeEntry(std::string_view bytes) { return unpack<Entry>(bytes); }
+std::string encodeEntry(const LogEntry& entry) { return pack(entry, 0); }
+Result<LogEntry> decodeEntry(std::string_view bytes) { return unpack<LogEntry>(bytes); }
 
 }  // namespace tt
--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -14,7 +14,7 @@
   return Strings(addresses.begin(), addresses.end());
 }
 
-void ClusterView::ask(Effects& effects, Count applied, const std::vector<CellMark>& cells, const Configuration& view) {
+void ClusterView::ask(Effects& effects, Uint64 applied, const std::vector<CellMark>& cells, const Configuration& view) {
   outOfTouch = !fresh(effects.now);
   if (!settings.defences.stands(Defence::freshnessWeighed)) weigh(effects.now, view);
   auto addresses = coreAddresses(view);
@@ -69,16 +69,16 @@
   if (machines.empty()) return false;
   if (marksKnown() && askedAt <= marksAskedAt && settings.defences.stands(Defence::listOrder)) return false;
   marksAskedAt = askedAt;
-  Count newDigest = digestOf(machines);
+  Uint64 newDigest = digestOf(machines);
   if (newDigest == digest) return false;
   digest = newDigest;
   machineRows = machines;
   return true;
 }
 
-std::string ClusterView::furthestCore(TimePoint now, Count beyond) const {
+std::string ClusterView::furthestCore(TimePoint now, Uint64 beyond) const {
   std::string best;
-  Count most = beyond;
+  Uint64 most = beyond;
   for (const auto& [address, core] : cores)
     if (core.heard && now - core.askedAt < 1s && core.reply.commit > most) {
       most = core.reply.commit;
@@ -87,14 +87,14 @@
   return best;
 }
 
-std::optional<Count> ClusterView::neededBy(const std::vector<const CoreRow*>& heard, std::size_t voters) const {
+std::optional<Uint64> ClusterView::neededBy(const std::vector<const CoreRow*>& heard, std::size_t voters) const {
   std::size_t quorum = voters / 2 + 1;
   if (heard.size() < voters - quorum + 1) return std::nullopt;
-  Count highest = 0;
+  Uint64 highest = 0;
   for (auto* core : heard) highest = std::max(highest, core->reply.term);
   for (auto* core : heard)
     if (core->reply.leads && core->reply.term == highest) return core->reply.commit;
-  std::vector<Count> ends;
+  std::vector<Uint64> ends;
   for (auto* core : heard) ends.push_back(core->reply.lastIndex);
   std::sort(ends.rbegin(), ends.rend());
   std::size_t silent = voters - heard.size();
@@ -116,7 +116,7 @@
 }
 
 TimePoint ClusterView::completeBy(const std::vector<const CoreRow*>& heard, std::size_t least, std::size_t voters,
-                                  Count applied) const {
+                                  Uint64 applied) const {
   for (std::size_t number = least; number <= heard.size(); ++number) {
     std::vector<const CoreRow*> newest(heard.begin(), heard.begin() + static_cast<std::ptrdiff_t>(number));
     auto needed = neededBy(newest, voters);
--- a/src/cluster/cluster_view.hpp
+++ b/src/cluster/cluster_view.hpp
@@ -21,7 +21,7 @@
  public:
   explicit ClusterView(ReaderSettings readerSettings);
   /// Asks every core known for its log's end.
-  void ask(Effects& effects, Count applied, const std::vector<CellMark>& cells, const Configuration& view);
+  void ask(Effects& effects, Uint64 applied, const std::vector<CellMark>& cells, const Configuration& view);
   void take(Effects& effects, const std::string& from, const LogEndResponse& reply, const Configuration& view);
   /// Looks again at how complete the view is, after it has moved on.
   void weigh(TimePoint now, const Configuration& view);
@@ -35,13 +35,13 @@
   bool fresh(TimePoint now) const { return completeUntil != TimePoint{} && now < completeUntil + timing.freshFor; }
   Strings coreAddresses(const Configuration& view) const;
   /// The core that has lately told of the highest commit beyond an index; empty if none has.
-  std::string furthestCore(TimePoint now, Count beyond) const;
-  Count knownCommit() const { return highestCommit; }
+  std::string furthestCore(TimePoint now, Uint64 beyond) const;
+  Uint64 knownCommit() const { return highestCommit; }
   const Strings& watch() const { return watchRows; }
   const std::vector<Machine>& machines() const { return machineRows; }
   bool marksKnown() const { return marksAskedAt != TimePoint{}; }
   TimePoint marksAt() const { return marksAskedAt; }
-  Count marksDigest() const { return digest; }
+  Uint64 marksDigest() const { return digest; }
   /// When weights were named. The view's own namings are noted at each weigh(); to be called besides after each entry,
   /// while the view is known to be complete up to just before it.
   void noteVersions(const Configuration& view);
@@ -51,11 +51,11 @@
   /// Settles namings of unknown moment once this process has run for longer than any old version may be used.
   void settleVersions(TimePoint ownStart, TimePoint now) { timeline.settleUnknown(ownStart, now, timing.versionMost); }
   /// Learns of a commit by another way than an answer of its own.
-  void seeCommit(Count commit) { highestCommit = std::max(highestCommit, commit); }
+  void seeCommit(Uint64 commit) { highestCommit = std::max(highestCommit, commit); }
 
  private:
   struct CoreRow {
-    std::map<Count, TimePoint> asks;
+    std::map<Uint64, TimePoint> asks;
     TimePoint askedAt{};
     LogEndResponse reply;
     bool heard{false};
@@ -64,22 +64,22 @@
   std::map<std::string, CoreRow> cores;
   Strings toldAddresses, watchRows;
   std::vector<Machine> machineRows;
-  Count digest{0}, askCount{0}, highestCommit{0}, toldCommit{0};
+  Uint64 digest{0}, askCount{0}, highestCommit{0}, toldCommit{0};
   TimePoint marksAskedAt{}, completeUntil{}, majorityUntil{};
   bool outOfTouch{true};
   VersionTimeline timeline;
   /// Up to which index the view's namings are noted.
-  Count notedIndex{0};
+  Uint64 notedIndex{0};
   /// What was heard of the voters, newest first.
   std::vector<const CoreRow*> heardOf(const std::vector<Member>& members) const;
   /// Takes the moments of namings from a core, and tells it those that it has forgotten.
   void learnFrom(Effects& effects, const std::string& from, const LogEndResponse& reply, TimePoint askedAt);
   static bool forgot(const LogEndResponse& reply, const VersionNaming& newest);
   /// Up to which index a reader must have applied, by the word of some of the voters; none if these are too few.
-  std::optional<Count> neededBy(const std::vector<const CoreRow*>& heard, std::size_t voters) const;
+  std::optional<Uint64> neededBy(const std::vector<const CoreRow*>& heard, std::size_t voters) const;
   /// When the oldest was asked of the newest words, at least so many, by which an index is complete.
   TimePoint completeBy(const std::vector<const CoreRow*>& heard, std::size_t least, std::size_t voters,
-                       Count applied) const;
+                       Uint64 applied) const;
 };
 
 }  // namespace tt
--- a/src/cluster/core.cpp
+++ b/src/cluster/core.cpp
@@ -15,22 +15,22 @@
 }  // namespace
 
 Strings drawWatch(const std::string& agent, const Strings& fellows, std::size_t most) {
-  std::uint64_t ownRank = rendezvous("rank", agent);
+  std::uint64_t ownRank = rendezvousHash("rank", agent);
   std::vector<std::pair<std::uint64_t, std::string>> lower;
   for (const auto& fellow : fellows)
-    if (std::uint64_t rank = rendezvous("rank", fellow); fellow != agent && rank < ownRank)
+    if (std::uint64_t rank = rendezvousHash("rank", fellow); fellow != agent && rank < ownRank)
       lower.emplace_back(rank, fellow);
   if (lower.size() < rootRanks) return {};
   std::sort(lower.begin(), lower.end());
   lower.resize(std::max(rootRanks, lower.size() * 3 / 4));
-  for (auto& [weight, fellow] : lower) weight = rendezvous(agent, fellow);
+  for (auto& [weight, fellow] : lower) weight = rendezvousHash(agent, fellow);
   std::sort(lower.rbegin(), lower.rend());
   Strings drawn;
   for (std::size_t at = 0; at < lower.size() && at < most; ++at) drawn.push_back(lower[at].second);
   return drawn;
 }
 
-Core::Core(CoreSettings coreSettings, const Recovered& recovered, std::mt19937_64& randomSource, TimePoint now)
+Core::Core(CoreSettings coreSettings, const RecoveredState& recovered, std::mt19937_64& randomSource, TimePoint now)
     : settings(std::move(coreSettings)), startedAt(now), membersMovedAt(now) {
   std::string id = recovered.identity;
   if (id.empty()) {
@@ -49,7 +49,7 @@
   for (const auto& locality : settings.localities) cellFor(locality);
   for (const auto& [duty, vote] : recovered.votes)
     if (duty.rfind("cell/", 0) == 0) cellFor(duty.substr(5)).election.restore(vote, now);
-  replicatedLog->entryApplied = [this](Effects& effects, const Entry& entry) {
+  replicatedLog->entryApplied = [this](Effects& effects, const LogEntry& entry) {
     effects.note("applied", self.id, static_cast<std::int64_t>(entry.index));
     clusterView->noteVersions(replicatedLog->configuration());
     if (entry.kind == static_cast<int>(EntryKind::members)) membersMovedAt = effects.now;
@@ -158,7 +158,7 @@
 }
 
 void Core::takeMarks(Effects& effects) {
-  Count services = digestOfServices();
+  Uint64 services = digestOfServices();
   if (cellDigest == clusterView->marksDigest() && services == servicesDigest) return;
   cellDigest = clusterView->marksDigest();
   servicesDigest = services;
@@ -168,13 +168,13 @@
   effects.note("machines", self.id, static_cast<std::int64_t>(machines.size()));
 }
 
-Count Core::digestOfServices() const {
+Uint64 Core::digestOfServices() const {
   const auto& configuration = replicatedLog->configuration();
-  Count digest = 1;
+  Uint64 digest = 1;
   for (const auto& store : configuration.stores())
-    digest = rendezvous(std::to_string(digest) + store.address, store.service + store.locality);
+    digest = rendezvousHash(std::to_string(digest) + store.address, store.service + store.locality);
   for (const auto& [name, service] : configuration.services())
-    if (service.kind == ServiceKind::engine) digest = rendezvous(std::to_string(digest), name);
+    if (service.kind == ServiceKind::engine) digest = rendezvousHash(std::to_string(digest), name);
   return digest;
 }
 
--- a/src/cluster/core.hpp
+++ b/src/cluster/core.hpp
@@ -21,8 +21,8 @@
 class Core : public Node {
  public:
   /// Marks the round in which a core that leaves asks who holds what it holds.
-  static constexpr Count copiesRound = ~Count{0};
-  Core(CoreSettings coreSettings, const Recovered& recovered, std::mt19937_64& randomSource, TimePoint now);
+  static constexpr Uint64 copiesRound = ~Uint64{0};
+  Core(CoreSettings coreSettings, const RecoveredState& recovered, std::mt19937_64& randomSource, TimePoint now);
   void take(Effects& effects, const std::string& from, const Message& message) override;
   void tick(Effects& effects) override;
   /// Gives up all duties, for a clean stop: the lead goes to a fellow that has the whole log, and this core counts for
@@ -58,7 +58,7 @@
     TimePoint at{}, agreedAt{};
     std::uint64_t revision{0}, index{0}, term{0};
     OperatorRequest ask;
-    Count seen{0};
+    Uint64 seen{0};
     bool agreed{false};
     TimePoint sentAt{};
   };
@@ -84,7 +84,7 @@
   };
   ReadersRound round;
   TimePoint missedAt{};
-  Count cellDigest{0}, servicesDigest{0};
+  Uint64 cellDigest{0}, servicesDigest{0};
   std::map<std::string, HelloResponse> hellos;
   std::map<std::string, Asked> asked;
   std::deque<PendingRead> pendingReads;
@@ -98,7 +98,7 @@
   Duration diskWait{};
   std::uint64_t askCount{0};
   /// From when on this core's log was agreed up to an index, as far back as a copy of a change may lie unread.
-  std::deque<std::pair<TimePoint, Count>> commitsSeen;
+  std::deque<std::pair<TimePoint, Uint64>> commitsSeen;
 
   Cell& cellFor(const std::string& locality);
   void seekFleet(Effects& effects);
@@ -116,7 +116,7 @@
   std::string freshAskName();
   void noteCommit(TimePoint now);
   /// The commit that this core knew of before any copy of a change that it reads now can have been sent.
-  Count seenBefore(TimePoint now);
+  Uint64 seenBefore(TimePoint now);
   /// Whether every reader that may still be fresh is known to have a change. Sound only if this core's members are
   /// those under which the change was agreed, and readers that know earlier members only have gone stale.
   bool readersHave(const Asked& row, TimePoint now) const;
@@ -135,7 +135,7 @@
   /// Gives what concerns a worker or a store to the cell that has it, if this core knows that cell.
   void giveToCell(Effects& effects, const std::string& from, const std::string& locality, const Message& message);
   /// Tells apart configurations whose stores or engine services differ.
-  Count digestOfServices() const;
+  Uint64 digestOfServices() const;
   std::vector<Machine> machinesWithStores() const;
   void spread(Effects& effects, const Message& message);
   void keepNews(Effects& effects, const CellNews& news, bool own);
--- a/src/cluster/core_membership.cpp
+++ b/src/cluster/core_membership.cpp
@@ -60,8 +60,8 @@
 void Core::askCopies(Effects& effects) {
   if (leaveAt == TimePoint{} || mayEnd() || effects.now - copiesAt < copiesEvery) return;
   copiesAt = effects.now;
-  Count end = replicatedLog->syncedEnd();
-  Count term = replicatedLog->election.logEnd().first;
+  Uint64 end = replicatedLog->syncedEnd();
+  Uint64 term = replicatedLog->election.logEnd().first;
   for (const auto& member : replicatedLog->members())
     if (member.votes && member.id != self.id) effects.send(member.address, ReadersRequest{copiesRound, end, term});
 }
--- a/src/cluster/core_operators.cpp
+++ b/src/cluster/core_operators.cpp
@@ -56,7 +56,7 @@
   (void)seenBefore(now);
 }
 
-Count Core::seenBefore(TimePoint now) {
+Uint64 Core::seenBefore(TimePoint now) {
   while (commitsSeen.size() > 1 && commitsSeen[1].first <= now - copyLife) commitsSeen.pop_front();
   return commitsSeen.front().second;
 }
--- a/src/config/configuration.cpp
+++ b/src/config/configuration.cpp
@@ -119,13 +119,13 @@
   }
 }
 
-void Configuration::apply(const Entry& entry) {
+void Configuration::apply(const LogEntry& entry) {
   if (entry.index <= appliedIndex) return;
   appliedIndex = entry.index;
   appliedTerm = entry.term;
   auto kind = static_cast<EntryKind>(entry.kind);
   if (kind == EntryKind::members) {
-    Entry unpacked = entry;
+    LogEntry unpacked = entry;
     auto snapshot = decodeSnapshot(unpacked.body);
     if (snapshot) memberRows = snapshot.value().members;
   } else if (kind == EntryKind::change) {
@@ -146,7 +146,7 @@
   changeOrder.pop_front();
 }
 
-void Configuration::rememberRefusal(const Entry& entry) {
+void Configuration::rememberRefusal(const LogEntry& entry) {
   auto refusal = decodeRefusal(entry.body);
   if (!refusal) return;
   refusals.push_back(std::move(refusal).value());
--- a/src/config/configuration.hpp
+++ b/src/config/configuration.hpp
@@ -59,7 +59,7 @@
   }
   Result<std::string> preparePatch(const std::string& text, Manner manner) const;
   /// Applies one agreed entry; entries come in order and are never undone.
-  void apply(const Entry& entry);
+  void apply(const LogEntry& entry);
   Snapshot snapshot() const;
   Result<void> adopt(const Snapshot& snapshot);
 
@@ -122,7 +122,7 @@
 
   void applyPatch(const JsonObject& patch);
   void rememberChange(const std::string& changeId);
-  void rememberRefusal(const Entry& entry);
+  void rememberRefusal(const LogEntry& entry);
   std::int64_t weightsNumber(const std::string& model) const;
   void setItem(const std::string& sectionName, const std::string& name, const Json* value);
   /// Keeps the typed rows in step with an item that is set, or removed where there is no value.
--- a/src/consensus/change_requests.cpp
+++ b/src/consensus/change_requests.cpp
@@ -70,7 +70,7 @@
   return patch;
 }
 
-void ReplicatedLog::refuse(Effects& effects, const std::string& from, const ChangeRequest& ask, const Fault& reason) {
+void ReplicatedLog::refuse(Effects& effects, const std::string& from, const ChangeRequest& ask, const Error& reason) {
   std::string text = reason.text.empty() ? codeText(reason.code) : reason.text;
   Refusal refusal{ask.changeId,
                   logEnd() + 1,
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -104,7 +104,7 @@
 void Election::tick(Effects& effects) {
   if (!started) {
     started = true;
-    standAt = effects.now + timing.promise + eagerness + std::chrono::milliseconds(effects.roll(300));
+    standAt = effects.now + timing.promise + eagerness + std::chrono::milliseconds(effects.randomBelow(300));
   }
   if (walk.in("holding")) {
     if (!voter() || !mayStand) {
@@ -170,7 +170,7 @@
 
 void Election::waitAgain(Effects& effects) {
   auto spread = 400 + 4 * static_cast<std::uint64_t>(toMilliseconds(slowness()));
-  standAt = effects.now + eagerness + std::chrono::milliseconds(100 + effects.roll(spread));
+  standAt = effects.now + eagerness + std::chrono::milliseconds(100 + effects.randomBelow(spread));
 }
 
 void Election::sendHolds(Effects& effects) {
@@ -212,7 +212,7 @@
   seeTerm(effects, ask.term);
   vote = Vote{ask.term, ask.candidate};
   standAt = std::max(standAt, effects.now + 2 * timing.voteWait + slowness() + eagerness +
-                                  std::chrono::milliseconds(effects.roll(300)));
+                                  std::chrono::milliseconds(effects.randomBelow(300)));
   if (!defences.stands(Defence::syncBeforeVote)) {
     effects.send(from, VoteResponse{dutyName, ask.term, selfId, false, true});
     effects.save(voteRecord(dutyName, vote));
@@ -228,7 +228,7 @@
 void Election::onRelease(Effects& effects, std::int64_t release) {
   promisedUntil = effects.now;
   knownHolder.clear();
-  standAt = effects.now + eagerness + std::chrono::milliseconds(effects.roll(100));
+  standAt = effects.now + eagerness + std::chrono::milliseconds(effects.randomBelow(100));
   if (release == releasedToOther) standAt += 2 * timing.voteWait + slowness();
   if (release == releasedToSuccessor && voter() && mayStand) walk.happen(*this, "named", effects);
 }
@@ -245,7 +245,7 @@
   }
   knownHolder = hold.holder;
   promisedUntil = effects.now + timing.promise;
-  standAt = promisedUntil + eagerness + std::chrono::milliseconds(effects.roll(300));
+  standAt = promisedUntil + eagerness + std::chrono::milliseconds(effects.randomBelow(300));
   walk.happen(*this, "held", effects);
   effects.send(from, HeartbeatResponse{dutyName, hold.term, selfId, hold.sentAt, true});
 }
--- a/src/consensus/replicated_log.cpp
+++ b/src/consensus/replicated_log.cpp
@@ -23,7 +23,7 @@
   election.changed = [this](Effects& effects, bool won) { whenLeads(effects, won); };
 }
 
-void ReplicatedLog::restore(const Recovered& recovered, TimePoint now) {
+void ReplicatedLog::restore(const RecoveredState& recovered, TimePoint now) {
   if (recovered.snapshot) {
     base = *recovered.snapshot;
     (void)applied.adopt(base);
@@ -39,7 +39,7 @@
 
 std::uint64_t ReplicatedLog::logEnd() const { return log.empty() ? base.index : log.back().index; }
 
-const Entry* ReplicatedLog::entryAt(std::uint64_t index) const {
+const LogEntry* ReplicatedLog::entryAt(std::uint64_t index) const {
   if (log.empty() || index < log.front().index || index > log.back().index) return nullptr;
   return &log[index - log.front().index];
 }
@@ -62,7 +62,7 @@
 
 bool ReplicatedLog::speaksForTerm() const { return election.won() && termAt(commitIndex) == election.term(); }
 
-void ReplicatedLog::store(Effects& effects, const Entry& entry) {
+void ReplicatedLog::store(Effects& effects, const LogEntry& entry) {
   log.push_back(entry);
   logBytes += entry.body.size();
   std::uint64_t index = entry.index, term = entry.term;
@@ -94,14 +94,14 @@
 
 void ReplicatedLog::append(Effects& effects, EntryKind kind, std::string body, std::string changeId,
                            std::uint64_t revision) {
-  Entry entry{logEnd() + 1, election.term(), static_cast<int>(kind), std::move(body), std::move(changeId), revision};
+  LogEntry entry{logEnd() + 1, election.term(), static_cast<int>(kind), std::move(body), std::move(changeId), revision};
   head.apply(entry);
   store(effects, entry);
 }
 
 void ReplicatedLog::form(Effects& effects, const std::vector<Member>& firstMembers) {
   if (formed()) return;
-  store(effects, Entry{1, 0, static_cast<int>(EntryKind::members), packMembers(firstMembers), {}});
+  store(effects, LogEntry{1, 0, static_cast<int>(EntryKind::members), packMembers(firstMembers), {}});
   effects.note("formed", selfRow.id, static_cast<std::int64_t>(firstMembers.size()));
 }
 
@@ -182,7 +182,7 @@
   while (commitIndex < index) {
     const auto* found = entryAt(commitIndex + 1);
     if (!found) break;
-    Entry entry = *found;
+    LogEntry entry = *found;
     ++commitIndex;
     applied.apply(entry);
     if (entry.kind == static_cast<int>(EntryKind::members)) readMembers(&effects);
--- a/src/consensus/replicated_log.hpp
+++ b/src/consensus/replicated_log.hpp
@@ -10,7 +10,7 @@
 class ReplicatedLog {
  public:
   ReplicatedLog(Member self, std::size_t recordRoom, Defences defencesGiven = {});
-  void restore(const Recovered& recovered, TimePoint now);
+  void restore(const RecoveredState& recovered, TimePoint now);
   void tick(Effects& effects);
   void take(Effects& effects, const std::string& from, const Message& message);
   /// Writes the first entry of a fleet: who its cores are.
@@ -37,7 +37,7 @@
   /// Whether this very entry, and with it all before it, is on this core's disk.
   bool hasSynced(std::uint64_t index, std::uint64_t term) const;
   const Configuration& configuration() const { return applied; }
-  const std::vector<Entry>& entries() const { return log; }
+  const std::vector<LogEntry>& entries() const { return log; }
   std::size_t pendingChanges() const { return waiters.size(); }
   /// Entries after an index, or a snapshot where the log no longer reaches back that far.
   NewsMsg newsAfter(std::uint64_t index, std::size_t most = 256) const;
@@ -45,7 +45,7 @@
   void leave(Effects& effects);
   Election election;
   /// Told of each entry as it is applied.
-  std::function<void(Effects&, const Entry&)> entryApplied;
+  std::function<void(Effects&, const LogEntry&)> entryApplied;
   std::function<void(Effects&)> membersChanged;
 
  private:
@@ -69,7 +69,7 @@
   Member selfRow;
   std::size_t room;
   Defences defences;
-  std::vector<Entry> log;
+  std::vector<LogEntry> log;
   Snapshot base;
   std::vector<Member> memberRows, outgoingRows;
   Configuration applied, head;
@@ -88,7 +88,7 @@
   bool leaving{false};
 
   std::uint64_t termAt(std::uint64_t index) const;
-  const Entry* entryAt(std::uint64_t index) const;
+  const LogEntry* entryAt(std::uint64_t index) const;
   void readMembers(Effects* effects);
   std::vector<Member> membersBefore(std::uint64_t index) const;
   /// The index of the newest entry of members in the log; 0 if there is none.
@@ -97,13 +97,13 @@
   std::vector<Member> replicas() const;
   std::uint64_t agreedAmong(const std::vector<Member>& voters) const;
   void append(Effects& effects, EntryKind kind, std::string body, std::string changeId, std::uint64_t revision = 0);
-  void store(Effects& effects, const Entry& entry);
+  void store(Effects& effects, const LogEntry& entry);
   /// Answers at once, with nothing agreed.
   void respond(Effects& effects, const std::string& from, const ChangeRequest& ask, Code code, std::string subject);
   /// Answers as soon as the log is agreed up to an index, by this leader in its own term.
   void respondOnceAgreed(Effects& effects, const std::string& from, ChangeResponse response, std::uint64_t index);
   /// Agrees on a refusal and answers with it, so that no copy of the change can be taken later.
-  void refuse(Effects& effects, const std::string& from, const ChangeRequest& ask, const Fault& reason);
+  void refuse(Effects& effects, const std::string& from, const ChangeRequest& ask, const Error& reason);
   /// Answers a change that was taken or refused before, or that may have been.
   bool respondFromMemory(Effects& effects, const std::string& from, const ChangeRequest& ask);
   /// The patch that a change makes of the state at the log's end, or why it makes none.
--- a/src/consensus/snapshot.cpp
+++ b/src/consensus/snapshot.cpp
@@ -50,7 +50,8 @@
     if (kept > room / 2) break;
     first = entry->index;
   }
-  log.erase(std::remove_if(log.begin(), log.end(), [&](const Entry& entry) { return entry.index < first; }), log.end());
+  log.erase(std::remove_if(log.begin(), log.end(), [&](const LogEntry& entry) { return entry.index < first; }),
+            log.end());
   logBytes = 0;
   for (const auto& entry : log) logBytes += entry.body.size();
 }
@@ -102,7 +103,7 @@
   }
   if (message.total > 4 * room)
     return effects.note("snapshot too large", selfRow.id, static_cast<std::int64_t>(message.total));
-  Count held = receiver.take(message, 4 * room);
+  Uint64 held = receiver.take(message, 4 * room);
   auto whole = receiver.finished();
   if (held == message.total && !whole) held = 0;
   effects.send(from, InstallSnapshotResponse{election.term(), selfRow.id, message.digest, held, message.attempt});
@@ -112,7 +113,7 @@
 void ReplicatedLog::installWhole(Effects& effects, const std::string& from, const Snapshot& snapshot) {
   bool agrees = termAt(snapshot.index) == snapshot.term && snapshot.index <= logEnd();
   base = snapshot;
-  std::vector<Entry> rest;
+  std::vector<LogEntry> rest;
   if (agrees)
     for (auto& entry : log)
       if (entry.index > base.index) rest.push_back(std::move(entry));
@@ -130,7 +131,7 @@
   });
   readMembers(&effects);
   effects.note("caught up by capture", selfRow.id, static_cast<std::int64_t>(index));
-  if (entryApplied) entryApplied(effects, Entry{base.index, base.term, static_cast<int>(EntryKind::whole), {}, {}});
+  if (entryApplied) entryApplied(effects, LogEntry{base.index, base.term, static_cast<int>(EntryKind::whole), {}, {}});
 }
 
 }  // namespace tt
--- a/src/consensus/snapshot_transfer.cpp
+++ b/src/consensus/snapshot_transfer.cpp
@@ -39,7 +39,7 @@
   if (whole()) sentAt = now;
 }
 
-Count SnapshotReceiver::take(const InstallSnapshot& piece, std::size_t mostBytes) {
+Uint64 SnapshotReceiver::take(const InstallSnapshot& piece, std::size_t mostBytes) {
   bool same = piece.index == index && piece.snapshotTerm == term && piece.digest == digest && piece.total == total;
   if (!same) {
     *this = SnapshotReceiver();
--- a/src/consensus/snapshot_transfer.hpp
+++ b/src/consensus/snapshot_transfer.hpp
@@ -5,7 +5,7 @@
 
 /// A snapshot as it is sent: its bytes, and the digest that tells it from any other.
 struct SnapshotImage {
-  Count index{0}, term{0};
+  Uint64 index{0}, term{0};
   std::string bytes, digest;
 };
 std::shared_ptr<const SnapshotImage> imageOf(const Snapshot& snapshot);
@@ -20,11 +20,11 @@
   /// The message that is due, if any; the leader fills in who it is.
   std::optional<InstallSnapshot> due(TimePoint now);
   void take(const InstallSnapshotResponse& response, TimePoint now);
-  Count acknowledged() const { return acknowledgedBytes; }
+  Uint64 acknowledged() const { return acknowledgedBytes; }
 
  private:
   std::shared_ptr<const SnapshotImage> image_;
-  Count acknowledgedBytes{0}, attempt{0};
+  Uint64 acknowledgedBytes{0}, attempt{0};
   bool waiting{false};
   TimePoint sentAt{};
   Duration pause{leastPause};
@@ -36,13 +36,13 @@
 class SnapshotReceiver {
  public:
   /// Takes a piece that follows on what is here. Returns how many bytes of this snapshot are here.
-  Count take(const InstallSnapshot& piece, std::size_t mostBytes);
+  Uint64 take(const InstallSnapshot& piece, std::size_t mostBytes);
   /// The snapshot, once it is whole and sound; one that is not sound is given up.
   std::optional<Snapshot> finished();
   std::size_t heldBytes() const { return bytes.size(); }
 
  private:
-  Count index{0}, term{0}, total{0};
+  Uint64 index{0}, term{0}, total{0};
   std::string digest, bytes;
 };
 
--- a/src/fuzz/clients.cpp
+++ b/src/fuzz/clients.cpp
@@ -127,7 +127,7 @@
   auto whole = wire.send(input, {});
   std::vector<std::size_t> cuts;
   for (std::size_t at = 0; input.size() > 1 && cuts.size() < 6 && at < input.size();) {
-    at += 1 + mutator.roll(input.size());
+    at += 1 + mutator.randomBelow(input.size());
     if (at < input.size()) cuts.push_back(at);
   }
   auto pieces = wire.send(input, cuts);
--- a/src/fuzz/configurations.cpp
+++ b/src/fuzz/configurations.cpp
@@ -66,12 +66,12 @@
   FuzzOutcome once(Mutator& mutator) {
     if (++rounds % 64 == 0) view = Configuration();
     constexpr Manner manners[] = {Manner::patch, Manner::patch, Manner::whole, Manner::sections, Manner::items};
-    auto manner = manners[mutator.roll(std::size(manners))];
+    auto manner = manners[mutator.randomBelow(std::size(manners))];
     std::string input = mutator.bentText(goodPatches), before = listed(view);
     auto patch = view.preparePatch(input, manner);
     if (listed(view) != before) return broken("a change that was only prepared shows", input);
     if (!patch) return rejectedWith(patch.error(), input);
-    Entry entry{view.index() + 1, 1, static_cast<int>(EntryKind::change), patch.value(), "id", view.revision() + 1};
+    LogEntry entry{view.index() + 1, 1, static_cast<int>(EntryKind::change), patch.value(), "id", view.revision() + 1};
     Configuration twin = view;
     view.apply(entry);
     twin.apply(entry);
@@ -82,7 +82,7 @@
       return broken("whole it reads otherwise than applied:\n" + listed(whole) + "\n" + listed(view), input);
     auto again = view.preparePatch(view.text(), Manner::whole);
     if (!again) return broken("what is in force would be refused: " + again.error().subject, input);
-    Entry repeated{view.index() + 1, 1, static_cast<int>(EntryKind::change), again.value(), {}, view.revision() + 1};
+    LogEntry repeated{view.index() + 1, 1, static_cast<int>(EntryKind::change), again.value(), {}, view.revision() + 1};
     Configuration over = view;
     over.apply(repeated);
     if (over.text() != view.text()) return broken("what is in force, sent again whole, changes it", input);
@@ -99,8 +99,8 @@
   auto spaced = Policy::read(input + "\n# no more\n\n");
   if (!spaced) return broken("a comment makes it invalid", input);
   for (bool store : {false, true}) {
-    FetchFacts facts{store, static_cast<double>(mutator.roll(9)), static_cast<double>(mutator.roll(20)),
-                     static_cast<double>(mutator.roll(10)) / 10};
+    FetchFacts facts{store, static_cast<double>(mutator.randomBelow(9)), static_cast<double>(mutator.randomBelow(20)),
+                     static_cast<double>(mutator.randomBelow(10)) / 10};
     if (read.value().fetches(facts) != spaced.value().fetches(facts)) return broken("a comment changes it", input);
   }
   return accepted();
@@ -137,7 +137,7 @@
 }
 
 FuzzOutcome tryScenario(Mutator& mutator) {
-  Strings good{randomScenario(1 + mutator.roll(64)),
+  Strings good{randomScenario(1 + mutator.randomBelow(64)),
                "title a title\nfleet edges 3 workers 5 tenants 4 spares 1 localities 2\nseed 4\nat 3 kill core-1\n"
                "at 4.5 cut core-1 core-2\nat 9 heal\nuntil 20\nexpect answered > 10\nwithout ackWaits\n"};
   std::string input = mutator.bentText(good);
--- a/src/fuzz/frames.cpp
+++ b/src/fuzz/frames.cpp
@@ -17,7 +17,7 @@
 
 std::string drawFrame(Mutator& mutator) {
   Filler filler(mutator);
-  return encodeMessage(drawMessage(filler, 1 + mutator.roll(std::variant_size_v<Message> - 1)));
+  return encodeMessage(drawMessage(filler, 1 + mutator.randomBelow(std::variant_size_v<Message> - 1)));
 }
 template <class T>
 T drawn(Mutator& mutator) {
@@ -52,10 +52,10 @@
   return tryBytes(mutator.bentBytes(good, drawFrame(mutator)), decodeMessage, encodeMessage);
 }
 FuzzOutcome tryEntry(Mutator& mutator) {
-  std::string good = encodeEntry(drawn<Entry>(mutator));
+  std::string good = encodeEntry(drawn<LogEntry>(mutator));
   if (auto read = decodeEntry(good); !read || encodeEntry(read.value()) != good)
     return broken("an entry does not come back as it was written", good);
-  return tryBytes(mutator.bentBytes(good, encodeEntry(drawn<Entry>(mutator))), decodeEntry, encodeEntry);
+  return tryBytes(mutator.bentBytes(good, encodeEntry(drawn<LogEntry>(mutator))), decodeEntry, encodeEntry);
 }
 FuzzOutcome trySnapshot(Mutator& mutator) {
   std::string good = encodeSnapshot(drawn<Snapshot>(mutator));
--- a/src/fuzz/fuzz.hpp
+++ b/src/fuzz/fuzz.hpp
@@ -11,9 +11,9 @@
 class Mutator {
  public:
   explicit Mutator(std::uint64_t seed) : randomSource(seed) {}
-  std::uint64_t roll(std::uint64_t below) { return below ? randomSource() % below : 0; }
-  bool chance(std::uint64_t inSo) { return roll(inSo) == 0; }
-  const std::string& pick(const Strings& rows) { return rows[roll(rows.size())]; }
+  std::uint64_t randomBelow(std::uint64_t below) { return below ? randomSource() % below : 0; }
+  bool chance(std::uint64_t inSo) { return randomBelow(inSo) == 0; }
+  const std::string& pick(const Strings& rows) { return rows[randomBelow(rows.size())]; }
   /// One of the good texts, bent a few times; one in sixteen is left as it is.
   std::string bentText(const Strings& good);
   /// Bytes bent without regard to words: for frames and records.
@@ -39,7 +39,7 @@
 void stow(Filler& filler, int& value);
 void stow(Filler& filler, double& value);
 void stow(Filler& filler, std::int64_t& value);
-void stow(Filler& filler, Count& value);
+void stow(Filler& filler, Uint64& value);
 void stow(Filler& filler, BlockHash& value);
 template <class T>
 void stow(Filler& filler, T& value) {
@@ -47,7 +47,7 @@
 }
 template <class T>
 void stow(Filler& filler, std::vector<T>& rows) {
-  rows.resize(filler.mutator.roll(4));
+  rows.resize(filler.mutator.randomBelow(4));
   for (auto& row : rows) stow(filler, row);
 }
 
@@ -60,7 +60,7 @@
 FuzzOutcome rejected();
 FuzzOutcome broken(std::string property, std::string input);
 /// What a refusal must look like: a code that is known and a subject.
-FuzzOutcome rejectedWith(const Fault& trouble, const std::string& input);
+FuzzOutcome rejectedWith(const Error& trouble, const std::string& input);
 
 /// A parser and the properties that it must keep. A target may keep state from round to round.
 struct FuzzTarget {
--- a/src/fuzz/mutation.cpp
+++ b/src/fuzz/mutation.cpp
@@ -87,15 +87,15 @@
 std::string Mutator::bendTextOnce(std::string text, const std::string& other) {
   auto tokens = tokensOf(text);
   if (tokens.empty()) return pick(oddWords);
-  auto [start, size] = tokens[roll(tokens.size())];
-  auto [laterStart, laterSize] = tokens[roll(tokens.size())];
+  auto [start, size] = tokens[randomBelow(tokens.size())];
+  auto [laterStart, laterSize] = tokens[randomBelow(tokens.size())];
   auto otherTokens = tokensOf(other);
-  switch (roll(13)) {
+  switch (randomBelow(13)) {
     case 0:
-      text[roll(text.size())] ^= static_cast<char>(1u << roll(8));
+      text[randomBelow(text.size())] ^= static_cast<char>(1u << randomBelow(8));
       return text;
     case 1:
-      return text.insert(roll(text.size() + 1), 1, static_cast<char>(roll(256)));
+      return text.insert(randomBelow(text.size() + 1), 1, static_cast<char>(randomBelow(256)));
     case 2:
       return text.erase(start, size);
     case 3:
@@ -110,18 +110,18 @@
     case 7:
       if (otherTokens.empty()) return text;
       {
-        auto [otherStart, otherSize] = otherTokens[roll(otherTokens.size())];
+        auto [otherStart, otherSize] = otherTokens[randomBelow(otherTokens.size())];
         return text.replace(start, size, other.substr(otherStart, otherSize));
       }
     case 8:
       if (otherTokens.empty()) return text;
-      return text.substr(0, start) + other.substr(otherTokens[roll(otherTokens.size())].first);
+      return text.substr(0, start) + other.substr(otherTokens[randomBelow(otherTokens.size())].first);
     case 9:
       return text.replace(start, size, boundaryNumber());
     case 10:
       return text.replace(start, size, pick(oddWords));
     case 11: {
-      std::size_t depth = std::size_t(1) << roll(9);
+      std::size_t depth = std::size_t(1) << randomBelow(9);
       bool lists = chance(2);
       std::string open, close;
       for (std::size_t level = 0; level < depth; ++level) {
@@ -131,7 +131,7 @@
       return text.substr(0, start) + open + text.substr(start, size) + close + text.substr(start + size);
     }
     default:
-      return text.substr(0, roll(text.size() + 1));
+      return text.substr(0, randomBelow(text.size() + 1));
   }
 }
 
@@ -143,13 +143,13 @@
   std::vector<Json*> nodes, donated;
   listNodes(read.value(), nodes);
   if (donor) listNodes(donor.value(), donated);
-  Json& node = *nodes[roll(nodes.size())];
+  Json& node = *nodes[randomBelow(nodes.size())];
   if (node.is<double>() && chance(2)) {
-    node = Json(treeNumbers[roll(std::size(treeNumbers))]);
+    node = Json(treeNumbers[randomBelow(std::size(treeNumbers))]);
   } else if (node.is<JsonObject>() && !node.get<JsonObject>().empty()) {
     auto& rows = node.get<JsonObject>();
-    auto row = std::next(rows.begin(), static_cast<std::ptrdiff_t>(roll(rows.size())));
-    auto twin = std::next(rows.begin(), static_cast<std::ptrdiff_t>(roll(rows.size())));
+    auto row = std::next(rows.begin(), static_cast<std::ptrdiff_t>(randomBelow(rows.size())));
+    auto twin = std::next(rows.begin(), static_cast<std::ptrdiff_t>(randomBelow(rows.size())));
     if (chance(3))
       rows.erase(row);
     else if (chance(2))
@@ -158,7 +158,7 @@
       rows[word()] = row->second;
   } else if (node.is<JsonArray>() && !node.get<JsonArray>().empty()) {
     auto& rows = node.get<JsonArray>();
-    std::size_t at = roll(rows.size());
+    std::size_t at = randomBelow(rows.size());
     if (chance(2))
       rows.erase(rows.begin() + static_cast<std::ptrdiff_t>(at));
     else
@@ -166,7 +166,7 @@
   } else if (node.is<std::string>() && chance(2)) {
     node = Json(word());
   } else if (!donated.empty() && chance(2)) {
-    node = Json(*donated[roll(donated.size())]);
+    node = Json(*donated[randomBelow(donated.size())]);
   } else {
     node = Json();
   }
@@ -176,7 +176,7 @@
 std::string Mutator::bentText(const Strings& good) {
   std::string text = pick(good);
   if (chance(16)) return text;
-  std::uint64_t times = 1 + (chance(2) ? roll(5) : 0);
+  std::uint64_t times = 1 + (chance(2) ? randomBelow(5) : 0);
   if (chance(2)) {
     for (; times > 0; --times)
       if (auto bent = bendTree(text, pick(good)); !bent.empty()) text = std::move(bent);
@@ -192,19 +192,19 @@
 std::string Mutator::bentBytes(std::string bytes, const std::string& other) {
   static const std::uint32_t sizes[] = {0, 1, 2, 255, 4096, 65535, 0x7fffffff, 0x80000000, 0xffffffff};
   if (chance(16)) return bytes;
-  std::uint64_t times = 1 + (chance(2) ? roll(4) : 0);
+  std::uint64_t times = 1 + (chance(2) ? randomBelow(4) : 0);
   for (std::uint64_t time = 0; time < times; ++time) {
     if (bytes.empty()) return other;
-    std::size_t at = roll(bytes.size()), span = roll(std::min<std::size_t>(bytes.size() - at, 64) + 1);
-    switch (roll(7)) {
+    std::size_t at = randomBelow(bytes.size()), span = randomBelow(std::min<std::size_t>(bytes.size() - at, 64) + 1);
+    switch (randomBelow(7)) {
       case 0:
-        bytes[at] ^= static_cast<char>(1u << roll(8));
+        bytes[at] ^= static_cast<char>(1u << randomBelow(8));
         break;
       case 1:
-        bytes[at] = static_cast<char>(roll(256));
+        bytes[at] = static_cast<char>(randomBelow(256));
         break;
       case 2:
-        bytes.insert(at, std::string(1 + roll(8), static_cast<char>(roll(256))));
+        bytes.insert(at, std::string(1 + randomBelow(8), static_cast<char>(randomBelow(256))));
         break;
       case 3:
         bytes.erase(at, span);
@@ -214,14 +214,14 @@
         break;
       case 5:
         if (bytes.size() >= at + 4) {
-          auto size = sizes[roll(std::size(sizes))];
+          auto size = sizes[randomBelow(std::size(sizes))];
           for (int place = 0; place < 4; ++place) bytes[at + place] = static_cast<char>(size >> (8 * place));
         }
         break;
       default:
         if (!other.empty()) {
-          std::size_t from = roll(other.size());
-          bytes.replace(at, span, other, from, roll(std::min<std::size_t>(other.size() - from, 64) + 1));
+          std::size_t from = randomBelow(other.size());
+          bytes.replace(at, span, other, from, randomBelow(std::min<std::size_t>(other.size() - from, 64) + 1));
         }
     }
   }
@@ -230,14 +230,16 @@
 
 void stow(Filler& filler, std::string& value) {
   value = filler.mutator.word();
-  if (filler.mutator.chance(8)) value += std::string(filler.mutator.roll(600), 'x');
+  if (filler.mutator.chance(8)) value += std::string(filler.mutator.randomBelow(600), 'x');
 }
 void stow(Filler& filler, bool& value) { value = filler.mutator.chance(2); }
-void stow(Filler& filler, int& value) { value = static_cast<int>(filler.mutator.roll(4)); }
-void stow(Filler& filler, double& value) { value = static_cast<double>(filler.mutator.roll(1000)) / 8; }
-void stow(Filler& filler, std::int64_t& value) { value = static_cast<std::int64_t>(filler.mutator.roll(1u << 30)); }
-void stow(Filler& filler, Count& value) {
-  value = filler.mutator.chance(4) ? filler.mutator.source()() : filler.mutator.roll(100);
+void stow(Filler& filler, int& value) { value = static_cast<int>(filler.mutator.randomBelow(4)); }
+void stow(Filler& filler, double& value) { value = static_cast<double>(filler.mutator.randomBelow(1000)) / 8; }
+void stow(Filler& filler, std::int64_t& value) {
+  value = static_cast<std::int64_t>(filler.mutator.randomBelow(1u << 30));
+}
+void stow(Filler& filler, Uint64& value) {
+  value = filler.mutator.chance(4) ? filler.mutator.source()() : filler.mutator.randomBelow(100);
 }
 void stow(Filler& filler, BlockHash& value) {
   value.high = filler.mutator.source()();
@@ -249,7 +251,7 @@
 FuzzOutcome broken(std::string property, std::string input) {
   return FuzzOutcome{false, std::move(property), std::move(input)};
 }
-FuzzOutcome rejectedWith(const Fault& trouble, const std::string& input) {
+FuzzOutcome rejectedWith(const Error& trouble, const std::string& input) {
   if (trouble.code == Code::done) return broken("a refusal has no code", input);
   if (trouble.subject.empty()) return broken("a refusal names no subject", input);
   if (std::string(codeName(trouble.code)).empty()) return broken("a refusal's code is not known", input);
--- a/src/fuzz/records.cpp
+++ b/src/fuzz/records.cpp
@@ -30,7 +30,7 @@
                                                      : snapshots;
     rows.insert(record.bytes);
   }
-  std::string strangerIn(const Recovered& found) const {
+  std::string strangerIn(const RecoveredState& found) const {
     if (!found.identity.empty() && !identities.count(found.identity)) return "an identity";
     for (const auto& [duty, vote] : found.votes)
       if (!votes.count(voteRecord(duty, vote).bytes)) return "a vote";
@@ -43,9 +43,9 @@
 
 std::vector<Record> drawBatch(Mutator& mutator, std::uint64_t& index, std::uint64_t term, bool isLong) {
   std::vector<Record> batch;
-  for (std::uint64_t count = 1 + mutator.roll(3); count > 0; --count) {
+  for (std::uint64_t count = 1 + mutator.randomBelow(3); count > 0; --count) {
     if (mutator.chance(8)) {
-      batch.push_back(voteRecord("duty-" + std::to_string(mutator.roll(3)), Vote{term, "core-x"}));
+      batch.push_back(voteRecord("duty-" + std::to_string(mutator.randomBelow(3)), Vote{term, "core-x"}));
     } else if (index > 3 && (mutator.chance(12) || isLong)) {
       Snapshot snapshot;
       snapshot.index = index - 2;
@@ -55,7 +55,9 @@
     } else if (mutator.chance(20) && index > 1) {
       batch.push_back(cutRecord(index--));
     } else {
-      Entry entry{++index, term, 1, std::string(mutator.roll(300), static_cast<char>('a' + mutator.roll(26))), {}, 0};
+      LogEntry entry{++index, term,
+                     1,       std::string(mutator.randomBelow(300), static_cast<char>('a' + mutator.randomBelow(26))),
+                     {},      0};
       batch.push_back(entryRecord(entry));
     }
   }
@@ -65,15 +67,15 @@
 /// Bends the files as disks do: bits, pages that were not written, ends that were, parts of one file in another.
 void bendFiles(Mutator& mutator, std::vector<std::string>& rows) {
   constexpr std::size_t page = 512;
-  for (std::uint64_t times = 1 + mutator.roll(3); times > 0; --times) {
-    auto& row = rows[mutator.roll(rows.size())];
-    auto& other = rows[mutator.roll(rows.size())];
+  for (std::uint64_t times = 1 + mutator.randomBelow(3); times > 0; --times) {
+    auto& row = rows[mutator.randomBelow(rows.size())];
+    auto& other = rows[mutator.randomBelow(rows.size())];
     std::size_t used = row.find_last_not_of('\0');
     used = used == std::string::npos ? 1 : used + 1;
-    std::size_t at = mutator.roll(used), size = std::min(row.size() - at, 1 + mutator.roll(200));
-    switch (mutator.roll(7)) {
+    std::size_t at = mutator.randomBelow(used), size = std::min(row.size() - at, 1 + mutator.randomBelow(200));
+    switch (mutator.randomBelow(7)) {
       case 0:
-        row[at] ^= static_cast<char>(1u << mutator.roll(8));
+        row[at] ^= static_cast<char>(1u << mutator.randomBelow(8));
         break;
       case 1:
         row.replace(at, size, size, '\0');
@@ -86,13 +88,13 @@
         row.replace(at, row.size() - at, row.size() - at, '\0');
         break;
       case 4:
-        row.replace(at, size, other.substr(mutator.roll(other.size() - size), size));
+        row.replace(at, size, other.substr(mutator.randomBelow(other.size() - size), size));
         break;
       case 5:
         std::swap(row, other);
         break;
       default:
-        row.replace(at, size, row.substr(mutator.roll(used), size).append(size, '\0').substr(0, size));
+        row.replace(at, size, row.substr(mutator.randomBelow(used), size).append(size, '\0').substr(0, size));
     }
   }
 }
@@ -100,13 +102,13 @@
 FuzzOutcome tryRing(Mutator& mutator) {
   MemoryRing files(4, 4096);
   Written written;
-  Recovered sum;
+  RecoveredState sum;
   std::uint64_t index = 0, term = 1;
   {
     auto ring = Ring::open(files);
     if (!ring) return broken("empty files cannot be opened", {});
     std::vector<Record> first{identityRecord("core-x")};
-    for (std::uint64_t batches = 1 + mutator.roll(40); batches > 0; --batches) {
+    for (std::uint64_t batches = 1 + mutator.randomBelow(40); batches > 0; --batches) {
       term += mutator.chance(10);
       std::size_t waiting = 0;
       for (const auto& entry : sum.entries) waiting += entry.body.size() + 64;
@@ -130,7 +132,7 @@
   if (!opened) return rejectedWith(opened.error(), input);
   auto stranger = written.strangerIn(opened.value()->held());
   if (!stranger.empty()) return broken(stranger + " is returned that was never written", input);
-  Entry more{index + 1, term, 1, "more", {}, 0};
+  LogEntry more{index + 1, term, 1, "more", {}, 0};
   written.note(entryRecord(more));
   written.note(identityRecord("core-x"));
   if (!opened.value()->append({identityRecord("core-x"), entryRecord(more)}))
--- a/src/index/cell.cpp
+++ b/src/index/cell.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t summaryMost = 8192;
 }  // namespace
 
-std::string Summary::make(const std::unordered_set<BlockHash, BlockHashKey>& kept) {
+std::string Summary::make(const std::unordered_set<BlockHash, BlockHashHasher>& kept) {
   if (kept.empty()) return {};
   std::size_t bytes = 16;
   while (bytes < kept.size() + kept.size() / 4 && bytes < summaryMost) bytes *= 2;
@@ -202,7 +202,7 @@
   }
   newsDue = newsDue || changed;
   if (report.whole) {
-    std::unordered_set<BlockHash, BlockHashKey> kept(report.kept.begin(), report.kept.end());
+    std::unordered_set<BlockHash, BlockHashHasher> kept(report.kept.begin(), report.kept.end());
     if (keeper.confirmed) {
       std::int64_t mended = 0;
       for (const auto& hash : kept) mended += !keeper.kept.count(hash);
--- a/src/index/cell.hpp
+++ b/src/index/cell.hpp
@@ -10,7 +10,7 @@
 /// A small sketch of a set of block hashes: may say yes wrongly, never no.
 class Summary {
  public:
-  static std::string make(const std::unordered_set<BlockHash, BlockHashKey>& kept);
+  static std::string make(const std::unordered_set<BlockHash, BlockHashHasher>& kept);
   static bool mayHold(const std::string& bits, const BlockHash& hash);
 };
 
@@ -21,12 +21,12 @@
   TimePoint heardAt{}, askedAt{}, sweptAt{}, conditionAt{}, conditionAskedAt{};
   bool known{false}, confirmed{false}, askPending{false};
   std::uint64_t applied{0};
-  std::unordered_set<BlockHash, BlockHashKey> kept;
+  std::unordered_set<BlockHash, BlockHashHasher> kept;
   std::string summary;
   bool summaryStale{true};
   /// A store's prefixes that gave way of late; of lookups lately, those it had and those that it had let go; and the
   /// share of prefixes, in thousandths, that it is to be given so that what it has is still there when it is wanted.
-  std::unordered_map<BlockHash, TimePoint, BlockHashKey> dropped;
+  std::unordered_map<BlockHash, TimePoint, BlockHashHasher> dropped;
   int found{0}, regretted{0}, savedShare{1000};
   TimePoint weighedAt{};
 };
@@ -85,7 +85,7 @@
     TimePoint since{}, sentAt{}, readyAt{};
     std::uint64_t markSequence{0};
     /// The number of the last command, which its answer brings back.
-    Count commandNumber{0};
+    Uint64 commandNumber{0};
     /// When the worker last said that it has taken the command.
     TimePoint takenAt{};
     bool failed{false};
@@ -116,7 +116,7 @@
   };
   std::map<std::pair<std::string, std::string>, Speed> speeds;
   std::uint64_t sequence{0};
-  Count lastCommand{0};
+  Uint64 lastCommand{0};
   /// What the last news said, so that the next need only say what has changed.
   std::map<std::string, WorkerView> said;
   TimePoint publishedAt{}, summariesAt{}, sweptAt{};
--- a/src/index/prefill_ledger.hpp
+++ b/src/index/prefill_ledger.hpp
@@ -40,7 +40,7 @@
     /// What was read since the last estimate, and for how long there was something to read meanwhile.
     double readTokens{0}, busyMs{0};
     TimePoint countedAt{};
-    std::unordered_map<BlockHash, TimePoint, BlockHashKey> pendingUntil;
+    std::unordered_map<BlockHash, TimePoint, BlockHashHasher> pendingUntil;
   };
   std::map<std::string, Row> rows;
   /// The mean of all workers, for those of which nothing was observed yet.
--- a/src/model/history.cpp
+++ b/src/model/history.cpp
@@ -21,7 +21,7 @@
   if (!brokenRule && !known.count(rule)) brokenRule = Broken{rule, text};
 }
 
-void History::agreed(const std::string& replica, const Entry& entry, std::uint64_t term) {
+void History::agreed(const std::string& replica, const LogEntry& entry, std::uint64_t term) {
   for (const auto& row : rows) {
     if (row.index == entry.index) {
       if (row.term != entry.term || row.kind != entry.kind || row.body != entry.body || row.changeId != entry.changeId)
--- a/src/model/history.hpp
+++ b/src/model/history.hpp
@@ -16,7 +16,7 @@
       : changeRows(static_cast<std::size_t>(changes)), known(std::move(knownRules)) {}
 
   /// A replica counts an entry as agreed, in the term that it knows.
-  void agreed(const std::string& replica, const Entry& entry, std::uint64_t term);
+  void agreed(const std::string& replica, const LogEntry& entry, std::uint64_t term);
   /// A replica took the place of a log up to an index by a snapshot.
   void agreedUpTo(const std::string& replica, std::uint64_t index, std::uint64_t entryTerm);
   /// A replica won the duty in a term.
--- a/src/model/model_world.cpp
+++ b/src/model/model_world.cpp
@@ -19,9 +19,9 @@
 
 std::string nameOf(int number) { return "replica~" + std::to_string(number + 1); }
 
-Recovered recoveredFrom(const Machine& machine) {
-  Recovered sum = machine.synced;
-  for (const auto& record : machine.written) (void)sum.fold(record);
+RecoveredState recoveredFrom(const Machine& machine) {
+  RecoveredState sum = machine.synced;
+  for (const auto& record : machine.written) (void)sum.applyRecord(record);
   return sum;
 }
 }  // namespace
@@ -66,7 +66,7 @@
   for (int number = 0; number < worldSetup.machines(); ++number) {
     if (number < worldSetup.voters)
       machines[static_cast<std::size_t>(number)].synced.entries.push_back(
-          Entry{1, 0, static_cast<int>(EntryKind::members), packMembers(first), {}, 0});
+          LogEntry{1, 0, static_cast<int>(EntryKind::members), packMembers(first), {}, 0});
     boot(number);
   }
 }
@@ -75,14 +75,14 @@
   auto& machine = machines[static_cast<std::size_t>(number)];
   changed(number);
   if (machine.synced.identity.empty()) machine.synced.identity = idOf(number);
-  Recovered recovered = recoveredFrom(machine);
+  RecoveredState recovered = recoveredFrom(machine);
   if (worldSetup.openSyncs) {
     machine.synced = recovered;
     machine.written.clear();
   }
   machine.log.emplace(Member{recovered.identity, nameOf(number), addressOf(number), {}, true}, worldSetup.room,
                       defences);
-  machine.log->entryApplied = [this, number](Effects&, const Entry& entry) {
+  machine.log->entryApplied = [this, number](Effects&, const LogEntry& entry) {
     const auto& log = *machines[static_cast<std::size_t>(number)].log;
     if (entry.kind == static_cast<int>(EntryKind::whole))
       return writeHistory().agreedUpTo(idOf(number), entry.index, entry.term);
@@ -98,14 +98,14 @@
   std::vector<Record> batch;
   for (const auto& save : machine.writing) batch.push_back(save.record);
   if (!machine.written.empty() && kept > 0 && powerGone) {
-    for (const auto& record : machine.written) (void)machine.synced.fold(record);
+    for (const auto& record : machine.written) (void)machine.synced.applyRecord(record);
     --kept;
   }
   if (powerGone) machine.written.clear();
   if (kept == 0) batch.clear();
   for (auto& record : batch) {
     if (powerGone)
-      (void)machine.synced.fold(record);
+      (void)machine.synced.applyRecord(record);
     else
       machine.written.push_back(std::move(record));
   }
@@ -162,7 +162,7 @@
   return false;
 }
 
-void ModelWorld::checkAgreed(const Entry& entry) {
+void ModelWorld::checkAgreed(const LogEntry& entry) {
   std::vector<Member> members;
   for (const auto& row : history->agreedRows()) {
     if (row.index >= entry.index) return;
@@ -172,7 +172,7 @@
   if (entry.kind == static_cast<int>(EntryKind::members)) checkMajority(entry, unpackMembers(entry.body));
 }
 
-void ModelWorld::checkMajority(const Entry& entry, const std::vector<Member>& members) {
+void ModelWorld::checkMajority(const LogEntry& entry, const std::vector<Member>& members) {
   History::AgreedRow row;
   row.index = entry.index;
   row.term = entry.term;
@@ -302,11 +302,11 @@
 bool ModelWorld::syncDisk(int number) {
   auto& machine = machines[static_cast<std::size_t>(number)];
   if (!machine.up() || machine.frozen || machine.writing.empty()) return false;
-  for (const auto& record : machine.written) (void)machine.synced.fold(record);
+  for (const auto& record : machine.written) (void)machine.synced.applyRecord(record);
   machine.written.clear();
   auto done = std::move(machine.writing);
   machine.writing.clear();
-  for (const auto& save : done) (void)machine.synced.fold(save.record);
+  for (const auto& save : done) (void)machine.synced.applyRecord(save.record);
   drive(number, [&](Effects& effects) {
     for (auto& save : done)
       if (save.then) save.then(effects);
@@ -457,7 +457,7 @@
     case ChoiceKind::wipe:
       if (!mayLoseDisk() || number >= worldSetup.voters) return false;
       halt(number, 0, true);
-      machine.synced = Recovered{};
+      machine.synced = RecoveredState{};
       ++machine.disk;
       machine.lost = true;
       return true;
@@ -601,7 +601,7 @@
   bytes.number(machine.up() + 2 * machine.frozen + 4 * machine.lost);
   auto addRecord = [&](const Record& record) {
     bytes.number(static_cast<std::uint64_t>(record.kind));
-    auto entry = record.kind == RecordKind::entry ? decodeEntry(record.bytes) : Result<Entry>(Fault{});
+    auto entry = record.kind == RecordKind::entry ? decodeEntry(record.bytes) : Result<LogEntry>(Error{});
     if (entry)
       bytes.entry(entry.value());
     else
--- a/src/model/model_world.hpp
+++ b/src/model/model_world.hpp
@@ -16,7 +16,7 @@
   std::vector<Effects::Save> waiting, writing;
   /// What a loss of power leaves for sure, and a batch that was written but never synced. A batch is kept whole or not
   /// at all, as the ring sees to.
-  Recovered synced;
+  RecoveredState synced;
   std::vector<Record> written;
   /// Whether its disk counts as lost, and how long it has been back with all well since.
   bool lost{false};
@@ -123,8 +123,8 @@
   void checkLogs(const ReplicatedLog& one, const ReplicatedLog& other);
   void checkComplete(const ReplicatedLog& log);
   void checkAcknowledged(int change);
-  void checkAgreed(const Entry& entry);
-  void checkMajority(const Entry& entry, const std::vector<Member>& members);
+  void checkAgreed(const LogEntry& entry);
+  void checkMajority(const LogEntry& entry, const std::vector<Member>& members);
   bool holdsEntry(const Machine& machine, const History::AgreedRow& row) const;
   void say(const std::string& text) const {
     if (tell) tell(text);
--- a/src/model/state_dump.cpp
+++ b/src/model/state_dump.cpp
@@ -24,7 +24,7 @@
   text += value;
 }
 
-void StateBytes::entry(const Entry& entry) {
+void StateBytes::entry(const LogEntry& entry) {
   number(entry.index);
   number(entry.term);
   number(static_cast<std::uint64_t>(entry.kind));
--- a/src/model/state_dump.hpp
+++ b/src/model/state_dump.hpp
@@ -11,7 +11,7 @@
 
   void number(std::uint64_t value);
   void word(const std::string& value);
-  void entry(const Entry& entry);
+  void entry(const LogEntry& entry);
 };
 
 /// Reads all that a replica's log and election hold, private or not, so that two states can be told apart.
--- a/src/net/contract.cpp
+++ b/src/net/contract.cpp
@@ -22,8 +22,8 @@
   return static_cast<int>(std::clamp(numberOr(object, name, fallback), least, most));
 }
 /// A count of an object; there is none below 0.
-Count countOr(const Json& object, const std::string& name) {
-  return static_cast<Count>(std::max<std::int64_t>(0, numberOr(object, name, 0)));
+Uint64 countOr(const Json& object, const std::string& name) {
+  return static_cast<Uint64>(std::max<std::int64_t>(0, numberOr(object, name, 0)));
 }
 Result<Hashes> readHashes(const JsonObject& object, const std::string& name) {
   if (!object.count(name)) return Hashes{};
@@ -237,8 +237,9 @@
   if (action.value() != "drain" && action.value() != "load" && action.value() != "admit")
     return fault(Code::badField, "action", "must be drain, load or admit");
   Json whole(body);
-  return ControlAsk{static_cast<Count>(term.value()), textOr(whole, "holder"),  action.value(),
-                    textOr(whole, "model"),           textOr(whole, "weights"), textOr(whole, "incarnation")};
+  return ControlAsk{
+      static_cast<Uint64>(term.value()), textOr(whole, "holder"),     action.value(), textOr(whole, "model"),
+      textOr(whole, "weights"),          textOr(whole, "incarnation")};
 }
 std::string writeControlReply(const ControlReply& reply) {
   JsonObject body;
--- a/src/net/host.hpp
+++ b/src/net/host.hpp
@@ -65,7 +65,7 @@
   Duration diskWait() const;
   std::function<void(Duration)> diskWaits;
   /// Called if the ring fails for good.
-  std::function<void(const Fault&)> diskFailed;
+  std::function<void(const Error&)> diskFailed;
 
  private:
   Node& node;
--- a/src/net/process.cpp
+++ b/src/net/process.cpp
@@ -142,18 +142,18 @@
   return std::nullopt;
 }
 
-int failStart(const Fault& fault) {
+int failStart(const Error& fault) {
   std::cerr << "error " << static_cast<int>(fault.code) << " " << codeName(fault.code) << ": " << fault.subject << ": "
             << fault.text << "\n";
   return 2;
 }
 
-int failDisk(const Fault& fault) {
+int failDisk(const Error& fault) {
   logWarning("Disk failed (" + fault.subject + ": " + fault.text + "), ending.");
   return 3;
 }
 
-void noteRingDamage(Journal& journal, const Fault& damage) {
+void noteRingDamage(Journal& journal, const Error& damage) {
   logWarning("Ring damaged (" + damage.subject + ": " + damage.text + "), starting empty under a new id.");
   journal.append(Clock::now(), "ring damaged", damage.subject);
 }
--- a/src/net/web.cpp
+++ b/src/net/web.cpp
@@ -419,7 +419,7 @@
   return rows.size();
 }
 
-std::string faultBody(const Fault& fault) {
+std::string faultBody(const Error& fault) {
   JsonObject body;
   body["code"] = jsonNumber(static_cast<int>(fault.code));
   body["name"] = Json(std::string(codeName(fault.code)));
--- a/src/net/web.hpp
+++ b/src/net/web.hpp
@@ -99,6 +99,6 @@
   std::map<std::string, std::shared_ptr<WebAnswer>> rows;
 };
 
-std::string faultBody(const Fault& fault);
+std::string faultBody(const Error& fault);
 
 }  // namespace tt
--- a/src/rollout/version_timeline.cpp
+++ b/src/rollout/version_timeline.cpp
@@ -17,7 +17,7 @@
 }
 
 void VersionTimeline::observe(const std::string& model, const std::string& weights, std::optional<TimePoint> notBefore,
-                              Count index) {
+                              Uint64 index) {
   auto& namings = namingsByModel[model];
   if (!namings.empty() && namings.back().weights == weights) return;
   namings.push_back(Naming{weights, notBefore, index});
--- a/src/rollout/version_timeline.hpp
+++ b/src/rollout/version_timeline.hpp
@@ -15,7 +15,7 @@
   /// Takes note of the weights that a model should have. `notBefore` is a moment at which they were not yet named: the
   /// last one up to which the owner's view of the configuration was complete; none if it never was. `index` is that of
   /// the view. Does nothing if they are the newest known already.
-  void observe(const std::string& model, const std::string& weights, std::optional<TimePoint> notBefore, Count index);
+  void observe(const std::string& model, const std::string& weights, std::optional<TimePoint> notBefore, Uint64 index);
   /// Takes from another process the moments of namings that are unknown here, and the namings before those known here.
   /// `askedAt` is the moment before which the other was asked; ages in `told` are of the moment when it answered.
   void learn(const std::vector<VersionNaming>& told, TimePoint askedAt);
@@ -44,7 +44,7 @@
   struct Naming {
     std::string weights;
     std::optional<TimePoint> notBefore;
-    Count index{0};
+    Uint64 index{0};
   };
   using Namings = std::deque<Naming>;
   /// Each model's namings, oldest first; the last is the newest.
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -318,7 +318,7 @@
 }
 
 void Edge::onNews(Effects& effects, const NewsMsg& news) {
-  Count before = view.index();
+  Uint64 before = view.index();
   for (const auto& snapshot : news.snapshots)
     if (snapshot.index > view.index() && view.adopt(snapshot)) noteVersions();
   for (const auto& entry : news.entries) {
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -115,7 +115,7 @@
   Configuration view;
   std::map<std::string, CellNews> cells;
   std::map<std::string, TimePoint> newsAt;
-  Count marksDigest{0};
+  Uint64 marksDigest{0};
   TimePoint marksAt{};
   /// Listed by the platform and not marked as leaving: only these are drawn.
   std::set<std::string> staying;
@@ -142,7 +142,7 @@
   /// Localities whose index has not answered of late: not asked again before this moment.
   std::map<std::string, TimePoint> indexSilent;
   /// Prompts' prefixes that were saved to a store from here, not to be saved again before its index can show them.
-  std::unordered_map<BlockHash, TimePoint, BlockHashKey> savedAt;
+  std::unordered_map<BlockHash, TimePoint, BlockHashHasher> savedAt;
   /// How much later than their own reading first pieces come, lately, and the prompt tokens of an order in the mean.
   double delayMs{0}, meanUnread{0};
   TimePoint delayAt{};
--- a/src/routing/edge_admission.cpp
+++ b/src/routing/edge_admission.cpp
@@ -26,7 +26,7 @@
   } else if (code == Code::retryBudget) {
     least = 1000;
   }
-  return least + static_cast<int>(effects.roll(static_cast<std::uint64_t>(std::max(least, 700))));
+  return least + static_cast<int>(effects.randomBelow(static_cast<std::uint64_t>(std::max(least, 700))));
 }
 
 bool Edge::makeRoom(Effects& effects, const std::string& tenant) {
@@ -91,7 +91,7 @@
     if (mayEndBefore(order->deadline, effects.now)) return deny(Code::stopping);
     double sum = 0;
     for (const auto& [service, weight] : pathRoute->split) sum += weight;
-    double drawn = static_cast<double>(effects.roll(1000000)) / 1000000 * sum;
+    double drawn = static_cast<double>(effects.randomBelow(1000000)) / 1000000 * sum;
     for (const auto& [service, weight] : pathRoute->split) {
       order->service = service;
       if (drawn < weight) break;
--- a/src/routing/edge_placement.cpp
+++ b/src/routing/edge_placement.cpp
@@ -54,7 +54,7 @@
   double over = delayMs / aimMs - 1;
   if (over <= 0) return false;
   double size = std::clamp(order.plan.unread / std::max(1.0, meanUnread), 0.2, 2.0);
-  return static_cast<double>(effects.roll(1000)) < 1000 * std::min(settings.shedMost, over * 0.5) * size;
+  return static_cast<double>(effects.randomBelow(1000)) < 1000 * std::min(settings.shedMost, over * 0.5) * size;
 }
 
 bool Edge::drawByPrefix(Effects& effects, Order& order) {
@@ -73,7 +73,7 @@
       if (worker.service != order.service || worker.kind == "store" || !worker.alive || !mayBeDrawn(worker)) continue;
       if (!order.ask.model.empty() && worker.model != order.ask.model) continue;
       if (!worker.model.empty() && worker.weights.empty()) continue;
-      ranked.push_back(Choice{&worker, rendezvous(key, worker.name)});
+      ranked.push_back(Choice{&worker, rendezvousHash(key, worker.name)});
     }
   std::sort(ranked.begin(), ranked.end(), [](const Choice& one, const Choice& other) { return one.rank > other.rank; });
   const WorkerView* best = nullptr;
@@ -108,7 +108,7 @@
   if (!order.ask.model.empty()) {
     plan.salt = cacheSalt(plan.model, settings.defences.stands(Defence::saltWeights) ? plan.weights : "any",
                           settings.defences.stands(Defence::saltTenant) ? domain : "shared");
-    for (const auto& part : order.ask.parts) plan.hashes.push_back(hashPart(plan.salt, part));
+    for (const auto& part : order.ask.parts) plan.hashes.push_back(hashPromptPart(plan.salt, part));
     plan.tokens = order.ask.partTokens;
     for (int tokens : plan.tokens) plan.unread += tokens;
     std::size_t others = 0;
@@ -232,7 +232,7 @@
       choice.cost = static_cast<double>(hashed.second.size() - choice.hits) * settings.blockMs;
     }
     double busyness = worker->slots > 0 ? static_cast<double>(busyOf(*worker, effects.now)) / worker->slots : 1;
-    choice.cost += busyness * busyness * 800 + busyness * 100 + static_cast<double>(effects.roll(20));
+    choice.cost += busyness * busyness * 800 + busyness * 100 + static_cast<double>(effects.randomBelow(20));
     if (worker->locality != settings.locality) choice.cost += 5;
     if (!best || choice.cost < best->cost) best = std::move(choice);
   }
--- a/src/routing/edge_sources.cpp
+++ b/src/routing/edge_sources.cpp
@@ -52,7 +52,7 @@
   std::uint64_t storeRank = 0;
   for (const auto& [locality, news] : cells)
     for (const auto& keeper : news.workers)
-      if (std::uint64_t rank = rendezvous(plan.hashes.back().hex(), keeper.name);
+      if (std::uint64_t rank = rendezvousHash(plan.hashes.back().hex(), keeper.name);
           keeper.kind == "store" && keeper.alive && (!store || rank > storeRank)) {
         store = &keeper;
         storeRank = rank;
@@ -290,7 +290,7 @@
                                          plan.model,
                                          plan.weights,
                                          plan.salt,
-                                         cutPrompt(order.ask.parts, blocks),
+                                         truncatePrompt(order.ask.parts, blocks),
                                          prefix,
                                          0,
                                          true,
--- a/src/sim/linearizability.cpp
+++ b/src/sim/linearizability.cpp
@@ -18,7 +18,9 @@
   return value ^ (value >> 31);
 }
 
-std::uint64_t itemDigest(const std::string& name, const std::string& value) { return mixed(rendezvous(name, value)); }
+std::uint64_t itemDigest(const std::string& name, const std::string& value) {
+  return mixed(rendezvousHash(name, value));
+}
 
 std::optional<std::string> itemAfter(const std::optional<std::string>& before, const ItemChange& change, bool whole) {
   if (!change.value || whole || !before) return change.value;
--- a/src/sim/random_scenario.cpp
+++ b/src/sim/random_scenario.cpp
@@ -21,24 +21,24 @@
 /// to begin meanwhile.
 std::string randomNamings(std::uint64_t seed, std::uint64_t workers, double until, int namingsMost) {
   std::mt19937_64 randomSource(seed * 15485863 + 29);
-  auto roll = [&](std::uint64_t below) { return randomSource() % below; };
-  auto hundredths = [&](std::uint64_t below) { return static_cast<double>(roll(below)) / 100; };
+  auto randomBelow = [&](std::uint64_t below) { return randomSource() % below; };
+  auto hundredths = [&](std::uint64_t below) { return static_cast<double>(randomBelow(below)) / 100; };
   std::ostringstream out;
   auto someFault = [&](const char* fault, std::uint64_t most) {
     double from = 6 + hundredths(static_cast<std::uint64_t>((until - 6) * 100));
-    std::string worker = roll(3) == 0 ? "workers" : "worker-" + std::to_string(1 + roll(workers));
-    out << "at " << from << " fault " << worker << " " << fault << " " << 100 + roll(most) << "\n";
+    std::string worker = randomBelow(3) == 0 ? "workers" : "worker-" + std::to_string(1 + randomBelow(workers));
+    out << "at " << from << " fault " << worker << " " << fault << " " << 100 + randomBelow(most) << "\n";
     out << "at " << std::min(until, from + 3 + hundredths(1500)) << " fault workers " << fault << " 0\n";
   };
-  if (roll(3) == 0) someFault("loadMs", 3000);
-  if (roll(3) == 0) someFault("queueMs", 4000);
-  int namings = roll(2) ? std::min(namingsMost, static_cast<int>(roll(namingsADay + 1))) : 0;
-  bool quick = roll(2);
+  if (randomBelow(3) == 0) someFault("loadMs", 3000);
+  if (randomBelow(3) == 0) someFault("queueMs", 4000);
+  int namings = randomBelow(2) ? std::min(namingsMost, static_cast<int>(randomBelow(namingsADay + 1))) : 0;
+  bool quick = randomBelow(2);
   double at = 6 + hundredths(1200);
   for (int number = 0; number < namings; ++number) {
     if (!quick) at = 6 + hundredths(static_cast<std::uint64_t>((until - 6) * 100));
     if (at >= until) break;
-    out << "at " << at << " name w" << 1 + roll(versionsKnown) << "\n";
+    out << "at " << at << " name w" << 1 + randomBelow(versionsKnown) << "\n";
     at += 0.2 + hundredths(600);
   }
   return out.str();
@@ -47,13 +47,13 @@
 /// Now and then proxies that are told to stop, one or all of them, with more or less time to end in.
 std::string randomDepartures(std::uint64_t seed, std::uint64_t edges, double until) {
   std::mt19937_64 randomSource(seed * 49979687 + 11);
-  auto roll = [&](std::uint64_t below) { return randomSource() % below; };
+  auto randomBelow = [&](std::uint64_t below) { return randomSource() % below; };
   std::ostringstream out;
-  if (roll(3) != 0) return {};
-  for (std::uint64_t departures = 1 + roll(3); departures > 0; --departures) {
-    double at = 6 + static_cast<double>(roll(static_cast<std::uint64_t>((until - 6) * 100))) / 100;
-    std::uint64_t grace = roll(2) ? 8 : 2 + roll(7);
-    std::string who = roll(4) == 0 ? "proxies" : "proxy-" + std::to_string(1 + roll(edges));
+  if (randomBelow(3) != 0) return {};
+  for (std::uint64_t departures = 1 + randomBelow(3); departures > 0; --departures) {
+    double at = 6 + static_cast<double>(randomBelow(static_cast<std::uint64_t>((until - 6) * 100))) / 100;
+    std::uint64_t grace = randomBelow(2) ? 8 : 2 + randomBelow(7);
+    std::string who = randomBelow(4) == 0 ? "proxies" : "proxy-" + std::to_string(1 + randomBelow(edges));
     out << "at " << at << " leave " << who << " " << grace << "\n";
     out << "at " << at + static_cast<double>(grace) + 0.5 << " start " << who << "\n";
   }
@@ -63,47 +63,48 @@
 /// Operators' clients for a scenario of random faults; now and then they make hundreds of changes.
 std::string randomOperators(std::uint64_t seed) {
   std::mt19937_64 randomSource(seed * 104729 + 7);
-  auto roll = [&](std::uint64_t below) { return randomSource() % below; };
-  bool many = roll(6) == 0;
+  auto randomBelow = [&](std::uint64_t below) { return randomSource() % below; };
+  bool many = randomBelow(6) == 0;
   std::ostringstream out;
-  out << "operators " << 1 + roll(8) << " " << (many ? 150 + roll(200) : 10 + roll(40)) << " lose " << roll(30)
-      << " pause " << (many ? 40 + roll(200) : 100 + roll(1200));
-  if (roll(3) == 0) out << " same-number";
-  if (roll(3) == 0) out << " weights";
+  out << "operators " << 1 + randomBelow(8) << " " << (many ? 150 + randomBelow(200) : 10 + randomBelow(40)) << " lose "
+      << randomBelow(30) << " pause " << (many ? 40 + randomBelow(200) : 100 + randomBelow(1200));
+  if (randomBelow(3) == 0) out << " same-number";
+  if (randomBelow(3) == 0) out << " weights";
   return out.str();
 }
 }  // namespace
 
 std::string randomScenario(std::uint64_t seed) {
   std::mt19937_64 randomSource(seed * 7919 + 13);
-  auto roll = [&](std::uint64_t below) { return randomSource() % below; };
+  auto randomBelow = [&](std::uint64_t below) { return randomSource() % below; };
   auto pick = [&](std::initializer_list<const char*> words) {
-    return std::string(*(words.begin() + roll(words.size())));
+    return std::string(*(words.begin() + randomBelow(words.size())));
   };
   std::ostringstream out;
   bool whole = seed % 8 == 0;
   std::uint64_t edges = whole ? 9 : 3, workers = whole ? 18 : 5, tenants = whole ? 8 : 4;
   out << "fleet edges " << edges << " workers " << workers << " tenants " << tenants
       << (whole ? " plan 5 swap 14 reminder 26" : " plan 2 swap 5 reminder 8")
-      << (roll(5) == 0 ? " tokenMs 200 slots 16" : "") << randomPace(seed) << "\nseed " << seed << "\n";
-  if (roll(2)) out << "at 4 habits " << roll(40) << " " << roll(25) << " " << roll(25) << "\n";
-  auto core = [&] { return "core-" + std::to_string(1 + roll(4)); };
-  auto edge = [&] { return std::to_string(1 + roll(edges)); };
-  auto worker = [&] { return "worker-" + std::to_string(1 + roll(workers)); };
+      << (randomBelow(5) == 0 ? " tokenMs 200 slots 16" : "") << randomPace(seed) << "\nseed " << seed << "\n";
+  if (randomBelow(2))
+    out << "at 4 habits " << randomBelow(40) << " " << randomBelow(25) << " " << randomBelow(25) << "\n";
+  auto core = [&] { return "core-" + std::to_string(1 + randomBelow(4)); };
+  auto edge = [&] { return std::to_string(1 + randomBelow(edges)); };
+  auto worker = [&] { return "worker-" + std::to_string(1 + randomBelow(workers)); };
   out << "at 5.5 " << randomOperators(seed) << "\n";
   std::set<std::uint64_t> revoked;
-  int faults = 3 + static_cast<int>(roll(6));
+  int faults = 3 + static_cast<int>(randomBelow(6));
   int weights = 2, namings = 0;
   double clock = 6;
   std::string downCore;
   for (int number = 0; number < faults; ++number) {
-    clock += static_cast<double>(roll(300)) / 100;
-    double end = clock + 0.3 + static_cast<double>(roll(500)) / 100;
+    clock += static_cast<double>(randomBelow(300)) / 100;
+    double end = clock + 0.3 + static_cast<double>(randomBelow(500)) / 100;
     auto at = [&](double when) -> std::ostringstream& {
       out << "at " << when << " ";
       return out;
     };
-    switch (roll(43)) {
+    switch (randomBelow(43)) {
       case 20: {
         std::string name = core();
         at(clock) << "kill " << name << "\n";
@@ -120,22 +121,22 @@
         break;
       }
       case 22:
-        at(clock) << "storm " << 50 + roll(300) << " s" << number << "x\n";
+        at(clock) << "storm " << 50 + randomBelow(300) << " s" << number << "x\n";
         break;
       case 23:
-        at(clock) << "load " << 2 + roll(8) << "\n";
+        at(clock) << "load " << 2 + randomBelow(8) << "\n";
         at(end) << "load 1\n";
         break;
       case 24:
-        at(clock) << "hangups " << 20 + roll(40) << "\n";
+        at(clock) << "hangups " << 20 + randomBelow(40) << "\n";
         break;
       case 25:
-        at(clock) << "lose cores agents " << 5 + roll(30) << "\n";
-        at(clock) << "lose agents cores " << 5 + roll(30) << "\n";
+        at(clock) << "lose cores agents " << 5 + randomBelow(30) << "\n";
+        at(clock) << "lose agents cores " << 5 + randomBelow(30) << "\n";
         at(end) << "heal\n";
         break;
       case 0: {
-        std::string name = roll(2) ? core() : pick({"@accord", "@cell/ghent-1", "@cell/bruges-1"});
+        std::string name = randomBelow(2) ? core() : pick({"@accord", "@cell/ghent-1", "@cell/bruges-1"});
         at(clock) << "kill " << name << "\n";
         at(end) << "start cores\n";
         break;
@@ -146,7 +147,7 @@
         break;
       }
       case 2:
-        at(clock) << "freeze " << (roll(2) ? core() : std::string("@accord")) << " " << end - clock << "\n";
+        at(clock) << "freeze " << (randomBelow(2) ? core() : std::string("@accord")) << " " << end - clock << "\n";
         break;
       case 3:
         at(clock) << "freeze-at-sending " << pick({"@cell/ghent-1", "@cell/ghent-2", "@cell/antwerp-1"}) << " "
@@ -194,10 +195,10 @@
         ++namings;
         break;
       case 14: {
-        std::uint64_t tenant = 1 + roll(tenants);
+        std::uint64_t tenant = 1 + randomBelow(tenants);
         if (!revoked.insert(tenant).second) break;
         at(clock) << "revoke tenant-" << tenant << "\n";
-        if (roll(3) == 0) at(clock + 10) << "restore tenant-" << tenant << "\n";
+        if (randomBelow(3) == 0) at(clock + 10) << "restore tenant-" << tenant << "\n";
         break;
       }
       case 26:
@@ -213,14 +214,14 @@
         break;
       }
       case 28:
-        at(clock) << "leap " << (roll(2) ? core() : pick({"agent-", "proxy-"}) + edge()) << " " << 1 + roll(100)
-                  << "\n";
+        at(clock) << "leap " << (randomBelow(2) ? core() : pick({"agent-", "proxy-"}) + edge()) << " "
+                  << 1 + randomBelow(100) << "\n";
         break;
       case 29: {
         std::string name = core(), id = "lost" + std::to_string(number);
         clock += 8;
         at(clock - 7) << "start cores\n";
-        at(clock) << "on-ack " << id << (roll(2) ? " kill cores\n" : " kill " + name + "\n");
+        at(clock) << "on-ack " << id << (randomBelow(2) ? " kill cores\n" : " kill " + name + "\n");
         at(clock) << "change-id " << id << " {\"routes\":{\"" << id << "\":{\"model\":\"rooster-llm\"}}}\n";
         at(clock + 2) << "wipe " << name << "\n";
         at(clock + 2.2) << "start cores\n";
@@ -231,9 +232,9 @@
         std::string name = core();
         clock += 8;
         at(clock - 7) << "start cores\n";
-        end = clock + 0.3 + static_cast<double>(roll(500)) / 100;
+        end = clock + 0.3 + static_cast<double>(randomBelow(500)) / 100;
         at(clock) << "kill " << name << "\n";
-        if (roll(2)) at(clock + 0.1) << "wipe " << name << "\n";
+        if (randomBelow(2)) at(clock + 0.1) << "wipe " << name << "\n";
         at(clock + 0.1) << "move " << name << "\n";
         at(end) << "start " << name << "\n";
         clock = end + 9;
@@ -246,14 +247,14 @@
         break;
       }
       case 32:
-        at(clock) << "crash-at " << pick({"start", "middle", "end"}) << " " << 1 + roll(4) << "\n";
+        at(clock) << "crash-at " << pick({"start", "middle", "end"}) << " " << 1 + randomBelow(4) << "\n";
         at(end) << "start workers\n";
         break;
       case 33:
         at(clock) << "freeze-at-sending proxy-" << edge() << " " << end - clock << "\n";
         break;
       case 34:
-        at(clock) << "slow-disk cores " << 20 + roll(200) << "\n";
+        at(clock) << "slow-disk cores " << 20 + randomBelow(200) << "\n";
         at(end) << "slow-disk cores 2\n";
         break;
       case 35:
@@ -262,7 +263,7 @@
         break;
       case 36: {
         std::string name = edge();
-        at(clock) << "cut-one " << (roll(2) ? "agent-" + name + " cores\n" : "cores agent-" + name + "\n");
+        at(clock) << "cut-one " << (randomBelow(2) ? "agent-" + name + " cores\n" : "cores agent-" + name + "\n");
         at(end) << "heal\n";
         break;
       }
@@ -275,7 +276,8 @@
         break;
       }
       case 38:
-        at(clock) << pick({"cut-off ", "cut-in ", "cut-out "}) << (roll(2) ? core() : std::string("@accord")) << "\n";
+        at(clock) << pick({"cut-off ", "cut-in ", "cut-out "}) << (randomBelow(2) ? core() : std::string("@accord"))
+                  << "\n";
         clock += 20;
         at(clock) << "heal\n";
         break;
@@ -287,12 +289,13 @@
         break;
       case 40:
         at(clock) << "change {\"routes\":{\"sent" << number << "\":{\"model\":\"rooster-llm\"}}}\n";
-        at(clock + 0.005 + static_cast<double>(roll(395)) / 1000) << "kill cores\n";
+        at(clock + 0.005 + static_cast<double>(randomBelow(395)) / 1000) << "kill cores\n";
         at(end + 0.5) << "start cores\n";
         clock = end + 0.5;
         break;
       case 41:
-        at(clock) << "freeze " << (roll(2) ? core() : std::string("@accord")) << " " << 1 + roll(19) << "\n";
+        at(clock) << "freeze " << (randomBelow(2) ? core() : std::string("@accord")) << " " << 1 + randomBelow(19)
+                  << "\n";
         break;
       case 42:
         at(clock) << "operators 8 16 lose 50 pause 30\n";
--- a/src/sim/scale/configuration_trial.cpp
+++ b/src/sim/scale/configuration_trial.cpp
@@ -10,8 +10,8 @@
 constexpr int models = 3;
 constexpr int itemChanges = 100;
 
-Entry changeEntry(Count index, const std::string& patch, const std::string& changeId) {
-  return Entry{index, 1, static_cast<int>(EntryKind::change), patch, changeId, index};
+LogEntry changeEntry(Uint64 index, const std::string& patch, const std::string& changeId) {
+  return LogEntry{index, 1, static_cast<int>(EntryKind::change), patch, changeId, index};
 }
 
 class ConfigurationTrial {
@@ -45,7 +45,7 @@
     std::int64_t start = threadCpuNs();
     auto patch = view->preparePatch(whole, Manner::sections);
     addMs("ms to prepare the whole", threadCpuNs() - start);
-    Entry entry = changeEntry(1, patch.value(), "first");
+    LogEntry entry = changeEntry(1, patch.value(), "first");
     start = threadCpuNs();
     {
       HeapScope counted(&heapBytes);
@@ -63,7 +63,7 @@
       std::int64_t start = threadCpuNs();
       auto patch = view->preparePatch(body, Manner::items);
       prepareNs += threadCpuNs() - start;
-      Entry change = changeEntry(static_cast<Count>(turn + 2), patch.value(), fmt::format("change-{}", turn));
+      LogEntry change = changeEntry(static_cast<Uint64>(turn + 2), patch.value(), fmt::format("change-{}", turn));
       entryBytes += static_cast<std::int64_t>(encodeEntry(change).size());
       start = threadCpuNs();
       view->apply(change);
--- a/src/sim/scale/draw_trial.cpp
+++ b/src/sim/scale/draw_trial.cpp
@@ -99,10 +99,10 @@
     Configuration configuration;
     std::string firstPatch =
         configuration.preparePatch(firstSections(size.tenants, size.models), Manner::sections).value();
-    Entry first{1, 1, change, firstPatch, "first", 1};
+    LogEntry first{1, 1, change, firstPatch, "first", 1};
     configuration.apply(first);
     std::string modelPatch = configuration.preparePatch(modelSections(size.models), Manner::items).value();
-    Entry models{configurationIndex, 1, change, modelPatch, "models", configurationIndex};
+    LogEntry models{configurationIndex, 1, change, modelPatch, "models", configurationIndex};
     tell(agentAddress, NewsMsg{configurationIndex, {first, models}, {}});
   }
 
--- a/src/sim/scale/hollow_workers.cpp
+++ b/src/sim/scale/hollow_workers.cpp
@@ -17,7 +17,7 @@
   bool stored = event % 2 == 1;
   auto block = static_cast<std::uint64_t>(stored ? keptBlocks + (event - 1) / 2 : event / 2 - 1);
   auto kind = static_cast<int>(stored ? KeptKind::stored : KeptKind::removed);
-  return KeptEvent{static_cast<Count>(event), kind, {blockOf(worker, block)}};
+  return KeptEvent{static_cast<Uint64>(event), kind, {blockOf(worker, block)}};
 }
 
 HollowWorkers::HollowWorkers(const FleetSize& fleetSize, TimePoint since) : size(fleetSize), startedAt(since) {
@@ -73,7 +73,7 @@
   std::int64_t last = lastEvent(now), kept = size.blocks / std::max(1, size.workers);
   Report report = emptyReport(number);
   report.whole = true;
-  report.sequence = static_cast<Count>(last);
+  report.sequence = static_cast<Uint64>(last);
   for (std::int64_t block = last / 2; block < kept + (last + 1) / 2; ++block)
     report.kept.push_back(blockOf(static_cast<std::uint64_t>(number), static_cast<std::uint64_t>(block)));
   return report;
@@ -82,7 +82,7 @@
 Report HollowWorkers::eventsReport(int number, std::int64_t after, TimePoint now) const {
   std::int64_t last = lastEvent(now), kept = size.blocks / std::max(1, size.workers);
   Report report = emptyReport(number);
-  report.sequence = static_cast<Count>(last);
+  report.sequence = static_cast<Uint64>(last);
   for (std::int64_t event = after + 1; event <= last; ++event)
     report.events.push_back(eventOf(static_cast<std::uint64_t>(number), event, kept));
   return report;
--- a/src/sim/scale/index_trial.cpp
+++ b/src/sim/scale/index_trial.cpp
@@ -118,7 +118,7 @@
       Report report = emptyReport(worker);
       for (std::int64_t number = 0; number < eventsPerReport; ++number)
         report.events.push_back(eventOf(worker, ++lastEvents[worker], blocksEach));
-      report.sequence = static_cast<Count>(lastEvents[worker]);
+      report.sequence = static_cast<Uint64>(lastEvents[worker]);
       spentNs += timeReport(report) - clockCostNs();
     }
     figures.push_back({"ns per event", perEach(spentNs, eventReports * eventsPerReport)});
@@ -165,7 +165,7 @@
 Figure measureHashing() {
   std::string salt = cacheSalt("model-1", "model-1/1", "shared");
   std::int64_t start = threadCpuNs();
-  for (std::int64_t turn = 0; turn < hashedParts; ++turn) (void)hashPart(salt, "part-" + std::to_string(turn));
+  for (std::int64_t turn = 0; turn < hashedParts; ++turn) (void)hashPromptPart(salt, "part-" + std::to_string(turn));
   return {"ns per part hashed", perEach(threadCpuNs() - start, hashedParts)};
 }
 
--- a/src/sim/scale/link_trial.cpp
+++ b/src/sim/scale/link_trial.cpp
@@ -23,7 +23,7 @@
       : frames(frameCount),
         underWay(static_cast<int>(
             std::clamp(bytesUnderWay / (frameBytes + messageHeadBytes), fewestUnderWay, mostUnderWay))),
-        message{1, {Entry{1, 1, 1, std::string(frameBytes, 'x'), "change", 1}}, {}} {}
+        message{1, {LogEntry{1, 1, 1, std::string(frameBytes, 'x'), "change", 1}}, {}} {}
 
   std::vector<Figure> run() {
     std::string address = freeAddress();
--- a/src/sim/sim.hpp
+++ b/src/sim/sim.hpp
@@ -182,7 +182,7 @@
   /// The newest state that any reader has shown, and each core's and proxy's entries as they applied them.
   std::uint64_t shownMost{0};
   struct Canon {
-    Entry entry;
+    LogEntry entry;
     std::string who;
   };
   std::map<std::uint64_t, Canon> canon;
@@ -256,7 +256,7 @@
   void watchRetries(const std::string& proxy);
   void checkConfigurations();
   void watch(const std::string& name, const Event& event);
-  void watchNaming(const Entry& entry);
+  void watchNaming(const LogEntry& entry);
   void weightsAcknowledged(const AckRow& ack);
   void checkWorkersWeights(std::uint64_t index, const std::string& named);
   void watchBegin(const std::string& worker, const Event& event);
--- a/src/sim/sim_weights.cpp
+++ b/src/sim/sim_weights.cpp
@@ -22,7 +22,7 @@
 }
 
 /// Learns which weights a log entry names, the first time any core applies it.
-void World::watchNaming(const Entry& entry) {
+void World::watchNaming(const LogEntry& entry) {
   if (static_cast<EntryKind>(entry.kind) != EntryKind::change) return;
   auto patch = readJson(entry.body);
   if (!patch || !patch.value().is<JsonObject>()) return;
--- a/src/sim/standin.cpp
+++ b/src/sim/standin.cpp
@@ -23,9 +23,9 @@
 
 void KeeperNode::tell(Effects& effects, KeptKind kind, const Hashes& hashes) {
   if (hashes.empty() && kind != KeptKind::cleared) return;
-  if (faults.forgetEvents && static_cast<int>(effects.roll(100)) < faults.forgetEvents) return;
+  if (faults.forgetEvents && static_cast<int>(effects.randomBelow(100)) < faults.forgetEvents) return;
   Told told{KeptEvent{++sequence, static_cast<int>(kind), hashes}, effects.now, false};
-  told.lost = faults.loseEvents && static_cast<int>(effects.roll(100)) < faults.loseEvents;
+  told.lost = faults.loseEvents && static_cast<int>(effects.randomBelow(100)) < faults.loseEvents;
   events.push_back(std::move(told));
   if (events.size() > eventsMost) events.pop_front();
 }
--- a/src/sim/standin.hpp
+++ b/src/sim/standin.hpp
@@ -84,7 +84,7 @@
   std::string incarnation, currentWeights, loadingWeights, loadingModel;
   bool drains{false};
   TimePoint loadDue{};
-  std::unordered_map<BlockHash, Kept, BlockHashKey> kept;
+  std::unordered_map<BlockHash, Kept, BlockHashHasher> kept;
   std::list<BlockHash> byUse;
   struct Told {
     KeptEvent event;
--- a/src/storage/ring.cpp
+++ b/src/storage/ring.cpp
@@ -20,7 +20,7 @@
 /// The smallest piece that a disk keeps or loses as one.
 constexpr std::size_t sectorBytes = 512;
 
-Fault diskFault(const std::string& what) { return fault(Code::diskFault, what, std::strerror(errno)); }
+Error diskFault(const std::string& what) { return fault(Code::diskFault, what, std::strerror(errno)); }
 
 }  // namespace
 
@@ -200,7 +200,7 @@
 
 Result<void> Ring::writeBatch(const std::vector<Record>& records) {
   for (const auto& record : records)
-    if (!mirror.fold(record)) return fault(Code::diskFault, "record");
+    if (!mirror.applyRecord(record)) return fault(Code::diskFault, "record");
   BatchMark mark;
   mark.generation = mark.syncedGeneration = currentGeneration;
   mark.sequence = nextSequence;
--- a/src/storage/ring.hpp
+++ b/src/storage/ring.hpp
@@ -62,7 +62,7 @@
   /// Opens a ring; one that is damaged is emptied for good, so that its owner joins anew. A disk that cannot be read or
   /// written at the moment empties nothing.
   static Result<Opened> openOrEmpty(RingFiles& files);
-  const Recovered& held() const { return mirror; }
+  const RecoveredState& held() const { return mirror; }
   /// Writes records and syncs them all at once. After a failure the ring takes nothing more: it is to be opened again.
   Result<void> append(const std::vector<Record>& records);
   bool tornEnd() const { return torn; }
@@ -75,7 +75,7 @@
  private:
   explicit Ring(RingFiles& ringFiles) : files(ringFiles), usedBytes(static_cast<std::size_t>(ringFiles.count()), 0) {}
   RingFiles& files;
-  Recovered mirror;
+  RecoveredState mirror;
   /// Up to where each file may hold bytes other than zero.
   std::vector<std::size_t> usedBytes;
   int currentFile{0};
@@ -91,7 +91,7 @@
 
 struct Ring::Opened {
   std::unique_ptr<Ring> ring;
-  std::optional<Fault> damage;
+  std::optional<Error> damage;
 };
 
 }  // namespace tt
--- a/src/storage/ring_recovery.cpp
+++ b/src/storage/ring_recovery.cpp
@@ -11,7 +11,7 @@
 struct FileScan {
   std::uint64_t generation{0}, nextSequence{1};
   BatchMark lastMark;
-  Recovered sum;
+  RecoveredState sum;
   std::size_t end{0};
   bool begins{false}, checkpoint{false}, unmarked{false}, unreadable{false}, bytesBeyond{false};
   std::vector<StoredBatch> beyond;
@@ -31,7 +31,7 @@
                  batch.unmarked == scan.unmarked;
   if (!follows) return false;
   for (const auto& record : batch.records)
-    if (!scan.sum.fold(record)) scan.unreadable = true;
+    if (!scan.sum.applyRecord(record)) scan.unreadable = true;
   scan.checkpoint = scan.checkpoint || (endsCheckpoint(batch) && (scan.unmarked || scan.end == 0));
   scan.lastMark = batch.mark;
   scan.nextSequence = batch.mark.sequence + 1;
@@ -98,7 +98,7 @@
   return written >= scans.size() && !following.begins && (!best.unmarked || following.beyond.empty());
 }
 
-std::optional<Fault> damageIn(const std::vector<FileScan>& scans, const FileScan* best) {
+std::optional<Error> damageIn(const std::vector<FileScan>& scans, const FileScan* best) {
   std::uint64_t generation = best ? best->generation : 0;
   std::uint64_t nextSequence = best ? best->nextSequence : 1;
   for (std::size_t file = 0; file < scans.size(); ++file) {
--- a/src/storage/ring_recovery.hpp
+++ b/src/storage/ring_recovery.hpp
@@ -7,7 +7,7 @@
 struct RingState {
   /// Whether there is any checkpoint.
   bool any{false};
-  Recovered held;
+  RecoveredState held;
   int file{0};
   std::uint64_t generation{0}, nextSequence{1};
   std::uint32_t turns{0};
--- a/src/tools/main_core.cpp
+++ b/src/tools/main_core.cpp
@@ -94,7 +94,7 @@
   };
   host.ring = ring.get();
   host.diskWaits = [&](Duration span) { core.diskWaits(span); };
-  host.diskFailed = [](const Fault& trouble) { std::_Exit(failDisk(trouble)); };
+  host.diskFailed = [](const Error& trouble) { std::_Exit(failDisk(trouble)); };
   host.carry = [&](const std::string& to, Message&& message) {
     if (auto* machinesAsk = std::get_if<MachinesAsk>(&message)) {
       WebCall made;
@@ -157,7 +157,7 @@
   if (opened.value().damage) noteRingDamage(core.journal, *opened.value().damage);
 
   WebServer server(context, given.operatorAddress, [&](WebAsk ask, std::shared_ptr<WebAnswer> answer) {
-    auto deny = [&](const Fault& trouble) { answer->finish(codeStatus(trouble.code), faultBody(trouble)); };
+    auto deny = [&](const Error& trouble) { answer->finish(codeStatus(trouble.code), faultBody(trouble)); };
     if (ask.path == "/v1/counters" && ask.method == "GET") {
       JsonObject rows;
       host.with([&](Effects&) {
--- a/src/tools/main_fuzz.cpp
+++ b/src/tools/main_fuzz.cpp
@@ -22,7 +22,7 @@
 
 /// Each round has a seed of its own, so that any one can be played alone.
 std::uint64_t seedOf(std::uint64_t seed, const std::string& name, std::uint64_t round) {
-  return rendezvous(name, std::to_string(seed) + "/" + std::to_string(round));
+  return rendezvousHash(name, std::to_string(seed) + "/" + std::to_string(round));
 }
 
 /// Plays one target; whether all its properties held.
--- a/src/tools/main_keeper.cpp
+++ b/src/tools/main_keeper.cpp
@@ -120,7 +120,7 @@
   };
 
   WebServer server(context, settings.address, [&](WebAsk ask, std::shared_ptr<WebAnswer> answer) {
-    auto deny = [&](const Fault& trouble) { answer->finish(codeStatus(trouble.code), faultBody(trouble)); };
+    auto deny = [&](const Error& trouble) { answer->finish(codeStatus(trouble.code), faultBody(trouble)); };
     auto pass = [&](const Message& message) {
       std::string name = answers.add(answer);
       host.take(name, message);
--- a/src/tools/main_link.cpp
+++ b/src/tools/main_link.cpp
@@ -212,7 +212,7 @@
     if (auto done = links.open(pair.substr(0, sign), pair.substr(sign + 1)); !done) return failStart(done.error());
   }
   WebServer server(context, webAddress, [&](WebAsk ask, std::shared_ptr<WebAnswer> answer) {
-    auto deny = [&](const Fault& trouble) { answer->finish(codeStatus(trouble.code), faultBody(trouble)); };
+    auto deny = [&](const Error& trouble) { answer->finish(codeStatus(trouble.code), faultBody(trouble)); };
     if (ask.path != "/v1/rules") return deny(fault(Code::unknownPath, ask.path));
     if (ask.method == "DELETE") {
       links.clear();
--- a/src/tools/main_loadgen.cpp
+++ b/src/tools/main_loadgen.cpp
@@ -70,7 +70,7 @@
 std::string words(const std::string& seed, std::size_t bytes) {
   std::string text;
   for (std::uint64_t at = 0; text.size() < bytes; ++at)
-    text += std::to_string(rendezvous(seed, std::to_string(at))) + " ";
+    text += std::to_string(rendezvousHash(seed, std::to_string(at))) + " ";
   text.resize(bytes);
   return text;
 }
--- a/src/tools/main_operators.cpp
+++ b/src/tools/main_operators.cpp
@@ -82,8 +82,8 @@
   WebCalls calls;
   int made{0};
 
-  std::uint64_t roll(std::uint64_t below) { return random() % below; }
-  const std::string& someCore() { return shared.cores[roll(shared.cores.size())]; }
+  std::uint64_t randomBelow(std::uint64_t below) { return random() % below; }
+  const std::string& someCore() { return shared.cores[randomBelow(shared.cores.size())]; }
 
   WebCall callTo(const std::string& core, const std::string& method, const std::string& query) {
     WebCall call;
@@ -113,25 +113,26 @@
   std::optional<std::uint64_t> readSomewhere() {
     for (int tries = 0; tries < mostTries; ++tries) {
       if (auto revision = readThrough(someCore())) return revision;
-      std::this_thread::sleep_for(std::chrono::milliseconds(100 + roll(200)));
+      std::this_thread::sleep_for(std::chrono::milliseconds(100 + randomBelow(200)));
     }
     return std::nullopt;
   }
 
   void makeChange(std::uint64_t base) {
     std::string number = std::to_string(++made);
-    std::string fields = R"({"model":"rooster-llm","kind":")" + std::string(roll(2) ? "app" : "language") + "\"}";
+    std::string fields =
+        R"({"model":"rooster-llm","kind":")" + std::string(randomBelow(2) ? "app" : "language") + "\"}";
     OperatorRequest change{};
     change.body = "{\"routes\":{\"" + name + "-" + number + "\":" + fields +
-                  (roll(3) ? std::string() : ",\"op-shared\":" + fields) + "}}";
+                  (randomBelow(3) ? std::string() : ",\"op-shared\":" + fields) + "}}";
     change.ifRevision = static_cast<std::int64_t>(base);
     change.changeId = shared.runName + "-" + name + "-" + number;
     auto outcome = OperationOutcome::unclear;
     for (int tries = 0; tries < mostTries && outcome == OperationOutcome::unclear; ++tries) {
-      if (tries) std::this_thread::sleep_for(std::chrono::milliseconds(50 + roll(300)));
+      if (tries) std::this_thread::sleep_for(std::chrono::milliseconds(50 + randomBelow(300)));
       outcome = attempt(change);
     }
-    if (outcome == OperationOutcome::taken && roll(3) == 0) (void)attempt(change);
+    if (outcome == OperationOutcome::taken && randomBelow(3) == 0) (void)attempt(change);
   }
 
   OperationOutcome attempt(const OperatorRequest& change) {
@@ -144,7 +145,8 @@
         callTo(core, "PATCH", "?changeId=" + change.changeId + "&ifRevision=" + std::to_string(change.ifRevision));
     call.body = change.body;
     call.onceOnly = true;
-    if (static_cast<int>(roll(100)) < shared.losePerCent) call.wholeWait = std::chrono::milliseconds(1 + roll(60));
+    if (static_cast<int>(randomBelow(100)) < shared.losePerCent)
+      call.wholeWait = std::chrono::milliseconds(1 + randomBelow(60));
     operation.began = steadyNow();
     auto result = callAndWait(calls, call);
     auto answer = readJson(result.body);
--- a/src/tools/main_platform.cpp
+++ b/src/tools/main_platform.cpp
@@ -30,7 +30,7 @@
   Host host(platform, context, 1s);
   host.carry = [](const std::string&, Message&&) {};
   WebServer server(context, address, [&](WebAsk ask, std::shared_ptr<WebAnswer> answer) {
-    auto deny = [&](const Fault& trouble) { answer->finish(codeStatus(trouble.code), faultBody(trouble)); };
+    auto deny = [&](const Error& trouble) { answer->finish(codeStatus(trouble.code), faultBody(trouble)); };
     if (ask.path != "/v1/machines") return deny(fault(Code::unknownPath, ask.path));
     if (ask.method == "GET") {
       MachinesReply reply;
--- a/src/tools/main_proxy.cpp
+++ b/src/tools/main_proxy.cpp
@@ -135,7 +135,7 @@
   };
 
   WebServer server(context, callerAddress, [&](WebAsk ask, std::shared_ptr<WebAnswer> answer) {
-    auto deny = [&](const Fault& trouble) {
+    auto deny = [&](const Error& trouble) {
       CallerVerdict verdict;
       verdict.verdict = "not run";
       verdict.code = static_cast<int>(trouble.code);
--- a/tests/catch_up.cpp
+++ b/tests/catch_up.cpp
@@ -42,7 +42,7 @@
   std::string away = fleet.leader() == "c" ? "b" : "c";
   fleet.stop(away);
   fleet.makeChanges(given.changes);
-  if (given.empty) fleet.machines[away].disk = Recovered();
+  if (given.empty) fleet.machines[away].disk = RecoveredState();
   for (auto& [id, machine] : fleet.machines) machine.syncSpan = given.syncSpan;
   std::string leader = fleet.leader();
   fleet.links[{leader, away}].bytesPerSecond = given.linkRate;
--- a/tests/cell_bench.hpp
+++ b/tests/cell_bench.hpp
@@ -22,12 +22,12 @@
   return settings;
 }
 
-inline BlockHash part(const std::string& id, const std::string& salt = "salt") { return hashPart(salt, id); }
+inline BlockHash part(const std::string& id, const std::string& salt = "salt") { return hashPromptPart(salt, id); }
 
 /// A worker played by hand: it loads weights when it is commanded, and tells what it keeps when it is asked.
 struct TestWorker {
   std::string name, weights{"moss/3"}, incarnation{"1"};
-  Count sequence{100}, fence{0}, orders{0};
+  Uint64 sequence{100}, fence{0}, orders{0};
   bool countsOrders{false};
   std::set<BlockHash> kept;
   std::vector<KeptEvent> events;
@@ -37,12 +37,12 @@
   TimePoint loadedAt{};
   std::vector<TimePoint> commandsAt;
 
-  void store(const std::string& id, Count skip = 1) {
+  void store(const std::string& id, Uint64 skip = 1) {
     sequence += skip;
     kept.insert(part(id));
     events.push_back(KeptEvent{sequence, static_cast<int>(KeptKind::stored), {part(id)}});
   }
-  void remove(const std::string& id, Count skip = 1) {
+  void remove(const std::string& id, Uint64 skip = 1) {
     sequence += skip;
     kept.erase(part(id));
     events.push_back(KeptEvent{sequence, static_cast<int>(KeptKind::removed), {part(id)}});
@@ -98,7 +98,8 @@
         R"({"weights":{")" + weights + R"(":{"model":"moss"}},"models":{"moss":{"weights":")" + weights + R"("}}})",
         Manner::patch);
     cr_assert(bool(patch));
-    configuration.apply(Entry{configuration.index() + 1, 1, static_cast<int>(EntryKind::change), patch.value(), {}, 0});
+    configuration.apply(
+        LogEntry{configuration.index() + 1, 1, static_cast<int>(EntryKind::change), patch.value(), {}, 0});
     versions.observe("moss", weights, now, configuration.index());
   }
   void list(int number) {
--- a/tests/cells.cpp
+++ b/tests/cells.cpp
@@ -233,7 +233,9 @@
   while (std::get<ControlAsk>(bench.commandsTo("w1").back().message).weights != "moss/5") bench.step();
   auto last = std::get<ControlAsk>(bench.commandsTo("w1").back().message);
   std::size_t sent = bench.commandsTo("w1").size();
-  auto late = [&](Count term, Count number) { return ControlReply{"w1", term, static_cast<int>(Code::done), number}; };
+  auto late = [&](Uint64 term, Uint64 number) {
+    return ControlReply{"w1", term, static_cast<int>(Code::done), number};
+  };
   bench.run(100ms);
   for (const auto& reply : {late(first.term, first.number), late(last.term - 1, last.number)})
     bench.with(bench.holder(), [&](Effects& effects, Cell& cell) { cell.take(effects, "w1:80", reply); });
@@ -291,7 +293,7 @@
   bench.runToHolder();
   bench.run(4s);
   std::string first = bench.holder();
-  Count firstTerm = bench.cores.at(first).cell->election.term();
+  Uint64 firstTerm = bench.cores.at(first).cell->election.term();
   bench.name("moss/4");
   auto looks = [&] {
     int holders = 0;
--- a/tests/core_bench.hpp
+++ b/tests/core_bench.hpp
@@ -17,7 +17,7 @@
   struct Machine {
     std::string name, address, nodeName;
     std::unique_ptr<Core> core;
-    Recovered disk;
+    RecoveredState disk;
     std::vector<Effects::Save> syncing;
     TimePoint syncedAt{};
     bool alive{false}, mayForm{false};
@@ -82,7 +82,7 @@
   }
   void wipe(const std::string& name) {
     if (machines.at(name).alive) stop(name);
-    machines.at(name).disk = Recovered();
+    machines.at(name).disk = RecoveredState();
   }
   Machine* at(const std::string& address) {
     for (auto& [name, machine] : machines)
@@ -113,7 +113,7 @@
     machine.syncedAt = now + 6ms;
     auto saves = std::move(machine.syncing);
     machine.syncing.clear();
-    for (const auto& save : saves) cr_assert(machine.disk.fold(save.record));
+    for (const auto& save : saves) cr_assert(machine.disk.applyRecord(save.record));
     with(machine, [&](Effects& effects, Core&) {
       for (auto& save : saves)
         if (save.then) save.then(effects);
--- a/tests/drain_plan.cpp
+++ b/tests/drain_plan.cpp
@@ -113,7 +113,7 @@
 Test(drain_plan, nobody_taken_late_is_given_up_for_the_processs_sake) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     std::mt19937_64 dice(seed);
-    auto roll = [&](std::uint64_t below) { return dice() % below; };
+    auto randomBelow = [&](std::uint64_t below) { return dice() % below; };
     LeavingProxy proxy;
     struct Placed {
       std::string orderId;
@@ -123,15 +123,15 @@
     std::vector<Placed> placed;
     while (proxy.now < proxy.plan.exitsBy) {
       proxy.run(20ms);
-      if (roll(3) == 0) {
-        bool streams = roll(2);
+      if (randomBelow(3) == 0) {
+        bool streams = randomBelow(2);
         auto ask = proxy.order(streams ? "/stream/x" : "/safe/x");
-        ask.deadlineMs = static_cast<std::int64_t>(100 + roll(8000));
+        ask.deadlineMs = static_cast<std::int64_t>(100 + randomBelow(8000));
         Duration timeout = streams ? 8s : 4s;
         TimePoint deadline = proxy.now + std::min<Duration>(timeout, std::chrono::milliseconds(ask.deadlineMs));
         placed.push_back(Placed{proxy.place(ask), proxy.now, deadline,
-                                proxy.now + std::chrono::milliseconds(20 + roll(6000)),
-                                roll(10) ? Outcome::done : Outcome::broken});
+                                proxy.now + std::chrono::milliseconds(20 + randomBelow(6000)),
+                                randomBelow(10) ? Outcome::done : Outcome::broken});
       }
       for (const auto& row : placed)
         if (proxy.now >= row.finishAt && proxy.verdictsOf(row.orderId).empty() && !proxy.sendsOf(row.orderId).empty())
--- a/tests/fleet_bench.hpp
+++ b/tests/fleet_bench.hpp
@@ -20,7 +20,7 @@
     std::unique_ptr<Node> node;
     Core* core{nullptr};
     Agent* agent{nullptr};
-    Recovered disk;
+    RecoveredState disk;
     std::vector<Effects::Save> syncing;
     TimePoint syncedAt{};
     std::uint64_t life{0};
@@ -135,7 +135,7 @@
     machine.syncedAt = now + 6ms;
     auto saves = std::move(machine.syncing);
     machine.syncing.clear();
-    for (const auto& save : saves) cr_assert(machine.disk.fold(save.record));
+    for (const auto& save : saves) cr_assert(machine.disk.applyRecord(save.record));
     with(machine, [&](Effects& effects) {
       for (auto& save : saves)
         if (save.then) save.then(effects);
--- a/tests/freshness.cpp
+++ b/tests/freshness.cpp
@@ -159,11 +159,11 @@
       for (int round = 0; round < 400; ++round) {
         const auto& one = names[bench.randomSource() % names.size()];
         const auto& other = names[bench.randomSource() % names.size()];
-        auto roll = bench.randomSource() % 12;
-        if (roll < 2 && one != other) bench.cutLinks.insert({one, other});
-        if (roll == 2) bench.cutSides({one}, bench.allBut(one));
-        if (roll == 3) bench.cutLinks.clear();
-        if (roll == 4) openChanges.push_back(bench.ask(one, "change-" + std::to_string(round)));
+        auto randomBelow = bench.randomSource() % 12;
+        if (randomBelow < 2 && one != other) bench.cutLinks.insert({one, other});
+        if (randomBelow == 2) bench.cutSides({one}, bench.allBut(one));
+        if (randomBelow == 3) bench.cutLinks.clear();
+        if (randomBelow == 4) openChanges.push_back(bench.ask(one, "change-" + std::to_string(round)));
         openReads[bench.read(other)] = bench.acknowledgedIndex;
         bench.run(std::chrono::milliseconds(25 + bench.randomSource() % 100));
         for (auto open = openReads.begin(); open != openReads.end();) {
@@ -202,7 +202,7 @@
     std::vector<Member> members;
     for (std::size_t at = 0; at < voters; ++at)
       members.push_back(Member{nameOf(at), nameOf(at), nameOf(at) + ":1", "north-a", true});
-    view.apply(Entry{5, 1, static_cast<int>(EntryKind::members), packMembers(members), {}, 0});
+    view.apply(LogEntry{5, 1, static_cast<int>(EntryKind::members), packMembers(members), {}, 0});
   }
   static std::string nameOf(std::size_t at) { return "core-" + std::to_string(at); }
   /// Whether the reader, which has applied up to 5, thinks that complete after these words.
@@ -271,7 +271,7 @@
   Agent agent(settings);
   std::mt19937_64 randomSource(1);
   TimePoint now{std::chrono::hours(3)};
-  std::optional<Count> told;
+  std::optional<Uint64> told;
   auto with = [&](const std::function<void(Effects&)>& action) {
     Effects effects{now, randomSource, agent.journal, {}, {}};
     action(effects);
@@ -284,10 +284,10 @@
   with([&](Effects& effects) { agent.tick(effects); });
   NewsMsg news;
   news.commit = 1;
-  news.entries.push_back(
-      Entry{1, 1, static_cast<int>(EntryKind::members), packMembers({Member{"a", "a", "core-1:1", "n", true}}), {}, 0});
+  news.entries.push_back(LogEntry{
+      1, 1, static_cast<int>(EntryKind::members), packMembers({Member{"a", "a", "core-1:1", "n", true}}), {}, 0});
   with([&](Effects& effects) { agent.take(effects, "core-1:1", news); });
-  auto feedFrom = [&](const std::string& proxy, Count applied) {
+  auto feedFrom = [&](const std::string& proxy, Uint64 applied) {
     with([&](Effects& effects) { agent.take(effects, proxy, FeedAsk{toNanoseconds(now), applied, {}, 0}); });
   };
   feedFrom("proxy-1", 1);
--- a/tests/fuzz_findings.cpp
+++ b/tests/fuzz_findings.cpp
@@ -21,7 +21,7 @@
         "limits":{"callers":{"headerMs":8e15,"idleMs":-5,"bodyBytes":-1,"headerBytes":1e18}}})",
       false);
   cr_assert(bool(patch), "%s: %s", patch.error().subject.c_str(), patch.error().text.c_str());
-  view.apply(Entry{1, 1, static_cast<int>(EntryKind::change), patch.value(), {}, 1});
+  view.apply(LogEntry{1, 1, static_cast<int>(EntryKind::change), patch.value(), {}, 1});
   auto route = view.findRoute("r");
   cr_assert(route->timeout > 1h && route->aim > 1h && route->gap > 1h);
   const auto& limits = view.callerLimits();
--- a/tests/gate_faults.cpp
+++ b/tests/gate_faults.cpp
@@ -126,7 +126,7 @@
 struct LoneCore {
   TimePoint now{std::chrono::hours(1)};
   std::mt19937_64 randomSource{1};
-  Recovered disk;
+  RecoveredState disk;
   std::unique_ptr<Core> core;
   std::vector<std::pair<std::string, Message>> out;
 
@@ -144,7 +144,7 @@
     action(effects);
     for (auto& sent : effects.sends) out.push_back(std::move(sent));
     for (auto& save : effects.saves) {
-      cr_assert(disk.fold(save.record));
+      cr_assert(disk.applyRecord(save.record));
       if (save.then) with(save.then);
     }
   }
--- a/tests/linearizability.cpp
+++ b/tests/linearizability.cpp
@@ -197,10 +197,10 @@
  public:
   explicit SmallHistory(std::uint64_t seed) : random(seed) {}
   History make() {
-    std::size_t changes = 1 + roll(3);
+    std::size_t changes = 1 + randomBelow(3);
     for (std::size_t number = 0; number < changes; ++number) pool.push_back(poolChange(number));
-    std::size_t count = 2 + roll(5);
-    history.readsInOrder = roll(2) == 0;
+    std::size_t count = 2 + randomBelow(5);
+    history.readsInOrder = randomBelow(2) == 0;
     for (std::size_t number = 0; number < count; ++number) addOne();
     return history;
   }
@@ -215,43 +215,43 @@
   std::vector<std::uint64_t> weights{0};
   std::int64_t clock{0};
 
-  std::uint64_t roll(std::uint64_t below) { return random() % below; }
+  std::uint64_t randomBelow(std::uint64_t below) { return random() % below; }
   Operation poolChange(std::size_t number) {
     auto made = change(std::string(1, static_cast<char>('a' + number)), 0, 0, std::nullopt, 0);
-    if (roll(4)) made.base = roll(3);
-    if (roll(3)) made.revision = 1 + roll(4);
-    made.whole = roll(4) == 0;
-    if (roll(3) == 0) made.items = {ItemChange{"routes.shared", "{\"" + made.changeId + "\":1}"}};
-    if (roll(6) == 0) made.items.push_back(ItemChange{"routes.a", std::nullopt});
-    if (roll(4) == 0) made.valid = roll(2) == 0;
+    if (randomBelow(4)) made.base = randomBelow(3);
+    if (randomBelow(3)) made.revision = 1 + randomBelow(4);
+    made.whole = randomBelow(4) == 0;
+    if (randomBelow(3) == 0) made.items = {ItemChange{"routes.shared", "{\"" + made.changeId + "\":1}"}};
+    if (randomBelow(6) == 0) made.items.push_back(ItemChange{"routes.a", std::nullopt});
+    if (randomBelow(4) == 0) made.valid = randomBelow(2) == 0;
     return made;
   }
   void addOne() {
-    std::int64_t point = clock += static_cast<std::int64_t>(roll(6));
+    std::int64_t point = clock += static_cast<std::int64_t>(randomBelow(6));
     Operation operation;
-    auto kind = roll(8);
+    auto kind = randomBelow(8);
     if (kind < 4)
-      operation = answeredChange(pool[roll(pool.size())]);
+      operation = answeredChange(pool[randomBelow(pool.size())]);
     else if (kind < 6)
       operation = answeredRead();
     else
       operation = answeredWeights();
-    operation.began = std::max<std::int64_t>(0, point - static_cast<std::int64_t>(roll(8)));
-    operation.ended = point + static_cast<std::int64_t>(roll(8));
+    operation.began = std::max<std::int64_t>(0, point - static_cast<std::int64_t>(randomBelow(8)));
+    operation.ended = point + static_cast<std::int64_t>(randomBelow(8));
     if (operation.outcome == OperationOutcome::unclear) operation.ended.reset();
     history.operations.push_back(operation);
   }
   Operation answeredChange(Operation made) {
     auto revision = states.back().first;
     bool stale = (made.base && *made.base != revision) || (made.revision && made.revision <= revision);
-    bool lies = roll(14) == 0;
+    bool lies = randomBelow(14) == 0;
     if (takenAs.count(made.changeId)) {
       made.outcome = lies ? OperationOutcome::refusedStale : OperationOutcome::taken;
       made.seenRevision = takenAs[made.changeId];
     } else if (!made.valid.value_or(true)) {
       made.outcome = lies ? OperationOutcome::taken : OperationOutcome::refusedInvalid;
     } else if (stale != lies || refusedIds.count(made.changeId)) {
-      made.outcome = roll(8) ? OperationOutcome::refusedStale : OperationOutcome::refusedInvalid;
+      made.outcome = randomBelow(8) ? OperationOutcome::refusedStale : OperationOutcome::refusedInvalid;
       refusedIds.insert(made.changeId);
     } else {
       made.outcome = OperationOutcome::taken;
@@ -259,33 +259,33 @@
       states.emplace_back(made.seenRevision, itemsAfter(states.back().second, made));
       takenAs[made.changeId] = made.seenRevision;
     }
-    if (roll(5) == 0) made.seenRevision = 0;
-    if (roll(4) == 0) made.outcome = OperationOutcome::unclear;
+    if (randomBelow(5) == 0) made.seenRevision = 0;
+    if (randomBelow(4) == 0) made.outcome = OperationOutcome::unclear;
     return made;
   }
   Operation answeredRead() {
     auto made = reads(0, 0, 0, {});
-    const auto& shown = states[roll(8) ? states.size() - 1 : roll(states.size())];
+    const auto& shown = states[randomBelow(8) ? states.size() - 1 : randomBelow(states.size())];
     made.seenRevision = shown.first;
-    made.seenDigest =
-        contentDigest(states[roll(14) ? std::size_t(&shown - states.data()) : roll(states.size())].second);
-    if (roll(4) == 0) made.seenDigest.reset();
-    made.through = roll(2) ? "core-1" : "core-2";
-    if (roll(8) == 0) made.outcome = OperationOutcome::unclear;
+    made.seenDigest = contentDigest(
+        states[randomBelow(14) ? std::size_t(&shown - states.data()) : randomBelow(states.size())].second);
+    if (randomBelow(4) == 0) made.seenDigest.reset();
+    made.through = randomBelow(2) ? "core-1" : "core-2";
+    if (randomBelow(8) == 0) made.outcome = OperationOutcome::unclear;
     return made;
   }
   Operation answeredWeights() {
-    if (roll(2)) {
-      auto read = readsWeights(0, 0, weights[roll(5) ? weights.size() - 1 : roll(weights.size())]);
-      read.through = roll(2) ? "core-1" : "core-2";
+    if (randomBelow(2)) {
+      auto read = readsWeights(0, 0, weights[randomBelow(5) ? weights.size() - 1 : randomBelow(weights.size())]);
+      read.through = randomBelow(2) ? "core-1" : "core-2";
       return read;
     }
-    auto made = names(0, 0, 1 + roll(3));
+    auto made = names(0, 0, 1 + randomBelow(3));
     bool old = made.revision < weights.back();
-    made.outcome = old && roll(3) == 0 ? OperationOutcome::refusedStale : OperationOutcome::taken;
-    if (roll(20) == 0) made.outcome = OperationOutcome::refusedInvalid;
+    made.outcome = old && randomBelow(3) == 0 ? OperationOutcome::refusedStale : OperationOutcome::taken;
+    if (randomBelow(20) == 0) made.outcome = OperationOutcome::refusedInvalid;
     if (made.outcome == OperationOutcome::taken) weights.push_back(std::max(weights.back(), made.revision));
-    if (roll(4) == 0) made.outcome = OperationOutcome::unclear;
+    if (randomBelow(4) == 0) made.outcome = OperationOutcome::unclear;
     return made;
   }
 };
--- a/tests/load.cpp
+++ b/tests/load.cpp
@@ -13,7 +13,7 @@
   return view;
 }
 
-CellNews newsOf(Count term, Count sequence, Count base, const std::vector<WorkerView>& workers,
+CellNews newsOf(Uint64 term, Uint64 sequence, Uint64 base, const std::vector<WorkerView>& workers,
                 const Strings& gone = {}) {
   CellNews news;
   news.locality = "north-a";
@@ -77,7 +77,7 @@
     bool store{false};
     std::set<BlockHash> kept;
     std::vector<KeptEvent> events;
-    Count sequence{0};
+    Uint64 sequence{0};
     int running{0}, waiting{0};
   };
   TimePoint now{std::chrono::hours(9)};
@@ -99,7 +99,7 @@
     auto patch = configuration.preparePatch(
         R"({"weights":{"moss/3":{"model":"moss"}},"models":{"moss":{"weights":"moss/3"}}})", Manner::patch);
     cr_assert(bool(patch));
-    configuration.apply(Entry{1, 1, static_cast<int>(EntryKind::change), patch.value(), {}, 0});
+    configuration.apply(LogEntry{1, 1, static_cast<int>(EntryKind::change), patch.value(), {}, 0});
     Member self{"core-1", "core-1", "core-1:1", "north-a", true};
     cell = std::make_unique<Cell>("north-a", self, true, Defences{}, settings);
     cell->election.restore(Vote{}, now);
@@ -133,8 +133,8 @@
   }
   void drop(const std::string& keeper, const std::string& id) {
     auto& row = keepers.at(keeper);
-    row.kept.erase(hashPart("salt", id));
-    row.events.push_back(KeptEvent{++row.sequence, static_cast<int>(KeptKind::removed), {hashPart("salt", id)}});
+    row.kept.erase(hashPromptPart("salt", id));
+    row.events.push_back(KeptEvent{++row.sequence, static_cast<int>(KeptKind::removed), {hashPromptPart("salt", id)}});
   }
   void with(const std::function<void(Effects&)>& action) {
     Effects effects{now, randomSource, journal, {}, {}};
@@ -193,9 +193,13 @@
   std::vector<int> lookup(const std::string& keeper, const std::string& id) {
     replies.clear();
     with([&](Effects& effects) {
-      cell->take(
-          effects, "agent",
-          LookupMsg{"l", "north-a", keeper, "moss/3", {hashPart("salt", "system"), hashPart("salt", id)}, "asker"});
+      cell->take(effects, "agent",
+                 LookupMsg{"l",
+                           "north-a",
+                           keeper,
+                           "moss/3",
+                           {hashPromptPart("salt", "system"), hashPromptPart("salt", id)},
+                           "asker"});
     });
     for (const auto& message : replies)
       if (auto* reply = std::get_if<LookupReply>(&message)) return reply->hits;
@@ -273,7 +277,7 @@
   bench.runToNews();
   bench.run(2s);
   std::size_t before = bench.news.size();
-  Count term = bench.news.back().term;
+  Uint64 term = bench.news.back().term;
   cr_expect_gt(bench.news.back().base, 0u);
   bench.with([&](Effects& effects) { bench.cell->election.resign(effects); });
   cr_expect_not(bench.cell->election.holds(bench.now));
@@ -290,8 +294,8 @@
 Test(load, a_store_that_lets_go_what_is_then_asked_for_is_given_less) {
   KeeperBench bench;
   auto& barn = bench.keepers["barn"];
-  for (int at = 0; at < 400; ++at) barn.kept.insert(hashPart("salt", "p" + std::to_string(at)));
-  barn.kept.insert(hashPart("salt", "system"));
+  for (int at = 0; at < 400; ++at) barn.kept.insert(hashPromptPart("salt", "p" + std::to_string(at)));
+  barn.kept.insert(hashPromptPart("salt", "system"));
   bench.list({"w1"}, {"barn"});
   bench.runToNews();
   bench.run(1s);
@@ -333,7 +337,7 @@
 Test(load, what_a_store_never_had_or_let_go_long_ago_does_not_count_against_it) {
   KeeperBench bench;
   auto& barn = bench.keepers["barn"];
-  barn.kept = {hashPart("salt", "system"), hashPart("salt", "old")};
+  barn.kept = {hashPromptPart("salt", "system"), hashPromptPart("salt", "old")};
   bench.list({"w1"}, {"barn"});
   bench.runToNews();
   bench.run(1s);
@@ -365,7 +369,7 @@
     return settings;
   }
   explicit LoneCore(const std::string& name)
-      : core(settingsOf(name), Recovered{}, randomSource, now), address(name + ":1") {}
+      : core(settingsOf(name), RecoveredState{}, randomSource, now), address(name + ":1") {}
   std::vector<std::pair<std::string, Message>> give(const std::string& from, const Message& message) {
     Effects effects{now, randomSource, core.journal, {}, {}};
     core.take(effects, from, message);
@@ -397,7 +401,7 @@
   cr_expect_eq(asks[0].cells[0].sequence, 2u);
   TimePoint askedAt = core.now;
   std::vector<TimePoint> asked;
-  for (Count sequence = 5; sequence < 30; ++sequence) {
+  for (Uint64 sequence = 5; sequence < 30; ++sequence) {
     core.now += 30ms;
     for (std::size_t at = core.asksAt(newsOf(1, sequence, sequence - 1, {})).size(); at > 0; --at)
       asked.push_back(core.now);
@@ -691,7 +695,7 @@
   for (int at = 1; at <= workers; ++at) names.push_back("w" + std::to_string(at));
   std::string key = "shared/moss/document " + std::to_string(number);
   std::sort(names.begin(), names.end(),
-            [&](const auto& one, const auto& other) { return rendezvous(key, one) > rendezvous(key, other); });
+            [&](const auto& one, const auto& other) { return rendezvousHash(key, one) > rendezvousHash(key, other); });
   return names;
 }
 }  // namespace
--- a/tests/log_fleet.hpp
+++ b/tests/log_fleet.hpp
@@ -14,7 +14,7 @@
   struct Machine {
     Member self;
     Journal journal;
-    Recovered disk;
+    RecoveredState disk;
     std::unique_ptr<ReplicatedLog> log;
     std::vector<Effects::Save> waiting, syncing;
     TimePoint syncedAt{};
@@ -42,8 +42,8 @@
   explicit LogFleet(std::uint64_t seed, std::size_t recordRoom = 1 << 20) : randomSource(seed), room(recordRoom) {
     std::vector<Member> members;
     for (const char* id : {"a", "b", "c"}) members.push_back({id, id, std::string(id) + ":1", "north", true});
-    Recovered held;
-    held.entries.push_back(Entry{1, 1, static_cast<int>(EntryKind::members), packMembers(members), {}, 0});
+    RecoveredState held;
+    held.entries.push_back(LogEntry{1, 1, static_cast<int>(EntryKind::members), packMembers(members), {}, 0});
     for (const auto& member : members) {
       held.identity = member.id;
       machines[member.id].self = member;
@@ -180,7 +180,7 @@
     if (!machine.syncing.empty() && now >= machine.syncedAt) {
       auto done = std::move(machine.syncing);
       machine.syncing.clear();
-      for (const auto& save : done) cr_assert(machine.disk.fold(save.record));
+      for (const auto& save : done) cr_assert(machine.disk.applyRecord(save.record));
       with(machine, [&](Effects& effects, ReplicatedLog&) {
         for (auto& save : done)
           if (save.then) save.then(effects);
--- a/tests/membership.cpp
+++ b/tests/membership.cpp
@@ -316,12 +316,12 @@
 
   HandDrivenLog(const std::string& id, const std::vector<std::vector<Member>>& membersInOrder)
       : self(member(id)), log(self, 1 << 20) {
-    Recovered disk;
+    RecoveredState disk;
     disk.identity = id;
     disk.votes["accord"] = Vote{1, {}};
-    Count index = 0;
+    Uint64 index = 0;
     for (const auto& members : membersInOrder)
-      disk.entries.push_back(Entry{++index, 1, static_cast<int>(EntryKind::members), packMembers(members), {}, 0});
+      disk.entries.push_back(LogEntry{++index, 1, static_cast<int>(EntryKind::members), packMembers(members), {}, 0});
     log.restore(disk, now);
   }
   static Member member(const std::string& id) { return Member{id, id, id + ":1", "north-a", true}; }
@@ -353,7 +353,7 @@
     }
     return log.election.won();
   }
-  void acknowledge(const std::string& id, Count index) {
+  void acknowledge(const std::string& id, Uint64 index) {
     take(id, AppendResponse{log.election.term(), id, true, index});
   }
   void renew(const std::string& id) {
@@ -489,7 +489,7 @@
   std::mt19937_64 randomSource{1};
   Journal journal;
   Configuration view;
-  view.apply(Entry{1, 1, static_cast<int>(EntryKind::members), packMembers(voters), {}, 0});
+  view.apply(LogEntry{1, 1, static_cast<int>(EntryKind::members), packMembers(voters), {}, 0});
   ClusterView reader(ReaderSettings{"reader", "reader:1", "north-a", {}, false, {}});
   Effects effects{now, randomSource, journal, {}, {}};
   reader.ask(effects, 1, {}, view);
--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -17,7 +17,7 @@
   struct Machine {
     std::string name, address;
     std::unique_ptr<Core> core;
-    Recovered disk;
+    RecoveredState disk;
     std::vector<Effects::Save> syncing;
   };
   TimePoint now{std::chrono::hours(3)};
@@ -123,7 +123,7 @@
       with(machine, now, [](Effects& effects, Core& core) { core.tick(effects); });
       auto saves = std::move(machine.syncing);
       machine.syncing.clear();
-      for (const auto& save : saves) cr_assert(machine.disk.fold(save.record));
+      for (const auto& save : saves) cr_assert(machine.disk.applyRecord(save.record));
       with(machine, now, [&](Effects& effects, Core&) {
         for (auto& save : saves)
           if (save.then) save.then(effects);
@@ -424,7 +424,7 @@
   Journal journal;
   TimePoint now{std::chrono::hours(3)};
   std::vector<ChangeResponse> answers;
-  Recovered disk;
+  RecoveredState disk;
   auto with = [&](const std::function<void(Effects&)>& action) {
     Effects effects{now, randomSource, journal, {}, {}};
     action(effects);
@@ -432,7 +432,7 @@
       auto saves = std::move(effects.saves);
       effects.saves.clear();
       for (auto& save : saves) {
-        cr_assert(disk.fold(save.record));
+        cr_assert(disk.applyRecord(save.record));
         if (save.then) save.then(effects);
       }
     }
@@ -567,7 +567,7 @@
   for (std::uint64_t index = 1; index <= 1100; ++index) {
     Refusal refusal{
         "change-" + std::to_string(index), 0, static_cast<int>(Code::staleRevision), "ifRevision", "why", 1};
-    view.apply(Entry{index, 1, static_cast<int>(EntryKind::refusal), encodeRefusal(refusal), {}, 0});
+    view.apply(LogEntry{index, 1, static_cast<int>(EntryKind::refusal), encodeRefusal(refusal), {}, 0});
   }
   Configuration other;
   cr_assert(bool(other.adopt(decodeSnapshot(encodeSnapshot(view.snapshot())).value())));
--- a/tests/order_faults.cpp
+++ b/tests/order_faults.cpp
@@ -15,7 +15,7 @@
   WorkerOrders orders{
       calls, [this](const std::string&, const Message& message) { replies.push_back(std::get<ControlReply>(message)); },
       [this](const ControlAsk&) { return leaseGood; }};
-  static ControlAsk order(Count number, const std::string& weights = "moss/4", Count term = 5) {
+  static ControlAsk order(Uint64 number, const std::string& weights = "moss/4", Uint64 term = 5) {
     ControlAsk made{term, "core-1", "load", "moss", weights, "1", "w1"};
     made.number = number;
     return made;
--- a/tests/parts.cpp
+++ b/tests/parts.cpp
@@ -32,7 +32,7 @@
   std::size_t size() const override { return rows[0].size(); }
   std::vector<std::string> rows;
 };
-Entry entryAt(std::uint64_t index) { return Entry{index, 1, 1, "body " + std::to_string(index), {}}; }
+LogEntry entryAt(std::uint64_t index) { return LogEntry{index, 1, 1, "body " + std::to_string(index), {}}; }
 }  // namespace
 
 Test(ring, keeps_what_was_synced_over_many_turns) {
@@ -155,15 +155,15 @@
   auto hashes = hashPrompt(parts, cacheSalt("m", "w1", "shared"));
   cr_assert_eq(hashes.size(), 7u);
   for (std::size_t blocks = 0; blocks <= hashes.size(); ++blocks) {
-    auto cut = hashPrompt(cutPrompt(parts, blocks), cacheSalt("m", "w1", "shared"));
+    auto cut = hashPrompt(truncatePrompt(parts, blocks), cacheSalt("m", "w1", "shared"));
     cr_assert_eq(cut.size(), blocks);
     for (std::size_t at = 0; at < blocks; ++at) cr_assert(cut[at] == hashes[at]);
   }
   cr_assert_not(hashPrompt(parts, cacheSalt("m", "w2", "shared"))[0] == hashes[0]);
   cr_assert_not(hashPrompt(parts, cacheSalt("m", "w1", "own:a"))[0] == hashes[0]);
   cr_assert_not(cacheSalt("a", "bc", "d") == cacheSalt("ab", "c", "d"));
-  cr_assert_not(layPrompt({"a", "b"}) == layPrompt({"a\x1e"
-                                                    "b"}));
+  cr_assert_not(encodePromptParts({"a", "b"}) == encodePromptParts({"a\x1e"
+                                                                    "b"}));
 }
 
 Test(configuration, changes_are_checked_whole_and_faults_name_the_field) {
@@ -171,7 +171,7 @@
   std::uint64_t index = 0;
   auto take = [&](const std::string& text, bool whole) {
     auto patch = view.preparePatch(text, whole);
-    if (patch) view.apply(Entry{++index, 1, 1, patch.value(), "c" + std::to_string(index)});
+    if (patch) view.apply(LogEntry{++index, 1, 1, patch.value(), "c" + std::to_string(index)});
     return patch;
   };
   cr_assert(bool(take(R"({"weights":{"w1":{"model":"m"}},"models":{"m":{"weights":"w1"}},"tenants":{"t":{}},)"
@@ -209,7 +209,7 @@
       ++denied;
       continue;
     }
-    view.apply(Entry{1, 1, 1, patch.value(), {}});
+    view.apply(LogEntry{1, 1, 1, patch.value(), {}});
     Configuration copy;
     cr_assert(bool(copy.adopt(view.snapshot())));
     cr_assert_eq(copy.text(), view.text());
@@ -299,7 +299,7 @@
     std::string at = fellow;
     int depth = 0;
     for (auto watch = drawWatch(at, fellows, 3); !watch.empty(); watch = drawWatch(at, fellows, 3)) {
-      cr_assert_lt(rendezvous("rank", watch[0]), rendezvous("rank", at));
+      cr_assert_lt(rendezvousHash("rank", watch[0]), rendezvousHash("rank", at));
       at = watch[0];
       ++depth;
     }
@@ -312,8 +312,8 @@
 Test(configuration, says_where_its_memory_of_change_ids_ends) {
   Configuration view;
   auto change = [&](std::uint64_t number) {
-    view.apply(Entry{number, 1, static_cast<int>(EntryKind::change), "{\"weights\":{\"w\":{\"model\":\"m\"}}}",
-                     "id-" + std::to_string(number)});
+    view.apply(LogEntry{number, 1, static_cast<int>(EntryKind::change), "{\"weights\":{\"w\":{\"model\":\"m\"}}}",
+                        "id-" + std::to_string(number)});
   };
   for (std::uint64_t number = 1; number <= 4095; ++number) change(number);
   cr_assert_eq(view.forgottenRevision(), 0u);
--- a/tests/path_routes.cpp
+++ b/tests/path_routes.cpp
@@ -180,7 +180,7 @@
   cr_expect_eq(declared.view.takenAs("first").value_or(0), 40u);
   cr_expect_eq(declared.view.takenAs("named").value_or(0), 40u);
   cr_expect_eq(declared.view.takenAs("third").value_or(0), 77u);
-  Entry entry{9, 2, static_cast<int>(EntryKind::change), "{}", "id", 123456789012345};
+  LogEntry entry{9, 2, static_cast<int>(EntryKind::change), "{}", "id", 123456789012345};
   auto read = decodeEntry(encodeEntry(entry));
   cr_assert(bool(read));
   cr_expect_eq(read.value().revision, entry.revision);
@@ -232,7 +232,7 @@
     std::string best;
     for (int at = 1; at <= 6; ++at) {
       std::string name = "w" + std::to_string(at), key = "shared/moss/document " + std::to_string(number);
-      if (best.empty() || rendezvous(key, name) > rendezvous(key, best)) best = name;
+      if (best.empty() || rendezvousHash(key, name) > rendezvousHash(key, best)) best = name;
     }
     auto first = one.placeAndEnd(one.order("/once/x", "key-a", promptOf(number), promptTokens));
     cr_expect_eq(first, best);
@@ -274,7 +274,7 @@
   auto lookups = bench.openLookups();
   cr_assert_eq(lookups.size(), 2u);
   std::string gone =
-      rendezvous("shared/moss/document 1", "w1") > rendezvous("shared/moss/document 1", "w2") ? "w1" : "w2";
+      rendezvousHash("shared/moss/document 1", "w1") > rendezvousHash("shared/moss/document 1", "w2") ? "w1" : "w2";
   std::string stays = gone == "w1" ? "w2" : "w1";
   bench.list({ProxyBench::machineOf(stays)});
   for (const auto& ask : lookups) bench.answer(ask, {});
@@ -468,7 +468,7 @@
     }
     auto made = bench.onlySend(orderId);
     for (std::size_t at = 0; at < hashes.size(); ++at)
-      cr_expect(hashes[at] == hashPart(made.cacheSalt, promptOf(1)[at]));
+      cr_expect(hashes[at] == hashPromptPart(made.cacheSalt, promptOf(1)[at]));
     bench.end(made.orderId, Outcome::done);
     return made.cacheSalt;
   };
--- a/tests/plain_cells.cpp
+++ b/tests/plain_cells.cpp
@@ -116,11 +116,11 @@
 
 Test(plain_cells, a_service_is_added_changed_and_removed_by_configuration) {
   Configuration view;
-  Count index = 0;
+  Uint64 index = 0;
   auto change = [&](const std::string& text) {
     auto patch = view.preparePatch(text, Manner::patch);
     cr_assert(bool(patch), "%s", patch ? "" : patch.error().text.c_str());
-    view.apply(Entry{++index, 1, static_cast<int>(EntryKind::change), patch.value(), {}, 0});
+    view.apply(LogEntry{++index, 1, static_cast<int>(EntryKind::change), patch.value(), {}, 0});
   };
   cr_expect_null(view.findService("mill"));
   change(
--- a/tests/prefill_ledger.cpp
+++ b/tests/prefill_ledger.cpp
@@ -14,7 +14,7 @@
   double tokensPerMs;
   TimePoint now{begin};
   int count{0};
-  Hashes hashesOf(int number) const { return {hashPart(worker, std::to_string(number))}; }
+  Hashes hashesOf(int number) const { return {hashPromptPart(worker, std::to_string(number))}; }
   void start(int tokens) {
     ++count;
     ledger.start(PrefillStarted{worker + std::to_string(count), "north-a", worker, hashesOf(count), tokens}, now);
@@ -117,7 +117,8 @@
 
 Test(prefill_ledger, blocks_are_pending_from_the_placement_until_events_can_tell) {
   PrefillLedger ledger;
-  auto one = hashPart("salt", "one"), two = hashPart("salt", "two"), three = hashPart("salt", "three");
+  auto one = hashPromptPart("salt", "one"), two = hashPromptPart("salt", "two"),
+       three = hashPromptPart("salt", "three");
   ledger.start(PrefillStarted{"a", "north-a", "w1", {one, two}, 4000}, begin);
   cr_expect_eq(ledger.pendingHits("w1", {one, two, three}, begin), 2);
   cr_expect_eq(ledger.pendingHits("w1", {three, one}, begin), 0, "only leading blocks count");
--- a/tests/proxy_bench.hpp
+++ b/tests/proxy_bench.hpp
@@ -196,7 +196,7 @@
 
  private:
   int lastAttempt{0};
-  Count newsCount{0};
+  Uint64 newsCount{0};
 
   void declare() {
     Configuration view;
@@ -209,7 +209,7 @@
     "resume":{"host":"h","prefix":"/resume/","service":"mill","repeat":"stream","resumable":true,"tries":3,"timeoutMs":4000}}})",
         Manner::patch);
     cr_assert(bool(patch));
-    view.apply(Entry{1, 1, static_cast<int>(EntryKind::change), patch.value(), {}, 1});
+    view.apply(LogEntry{1, 1, static_cast<int>(EntryKind::change), patch.value(), {}, 1});
     NewsMsg news;
     news.commit = 1;
     news.snapshots.push_back(view.snapshot());
--- a/tests/proxy_fixture.hpp
+++ b/tests/proxy_fixture.hpp
@@ -167,7 +167,7 @@
       auto prepared = view.preparePatch(patch, Manner::patch);
       cr_assert(bool(prepared));
       index = view.index() + 1;
-      view.apply(Entry{index, 1, static_cast<int>(EntryKind::change), prepared.value(), {}, 0});
+      view.apply(LogEntry{index, 1, static_cast<int>(EntryKind::change), prepared.value(), {}, 0});
     }
     cr_assert(soon([&] { return applied >= index; }, 10s));
   }
--- a/tests/ring.cpp
+++ b/tests/ring.cpp
@@ -56,7 +56,7 @@
   std::vector<std::string> cache, durable;
 };
 
-std::string textOf(const Recovered& held) {
+std::string textOf(const RecoveredState& held) {
   std::string text;
   for (const auto& record : held.records())
     text += std::to_string(static_cast<int>(record.kind)) + ":" + record.bytes + "\n";
@@ -67,7 +67,7 @@
 struct Writer {
   std::mt19937_64& randomSource;
   std::uint64_t term{1};
-  std::vector<Record> batch(const Recovered& held) {
+  std::vector<Record> batch(const RecoveredState& held) {
     std::vector<Record> records;
     if (held.identity.empty()) records.push_back(identityRecord("core-x"));
     std::uint64_t base = held.snapshot ? held.snapshot->index : 0;
@@ -87,7 +87,7 @@
         records.push_back(snapshotRecord(snapshot));
       } else if (end < base + 12) {
         std::string body = std::string(randomSource() % 300, 'e') + std::to_string(randomSource());
-        records.push_back(entryRecord(Entry{++end, term, 1, body, {}, 0}));
+        records.push_back(entryRecord(LogEntry{++end, term, 1, body, {}, 0}));
       }
     }
     if (records.empty()) records.push_back(voteRecord("accord", Vote{++term, "core-z"}));
@@ -104,8 +104,8 @@
   std::mt19937_64 randomSource(seed);
   PagedFiles files(randomSource, page, 4, 16384);
   Writer writer{randomSource};
-  Recovered known;
-  std::optional<Recovered> underWay;
+  RecoveredState known;
+  std::optional<RecoveredState> underWay;
   Lives lives;
   for (int life = 0; life < 12; ++life) {
     files.actionsLeft = randomSource() % 3 == 0 ? randomSource() % 4 : 1u << 30;
@@ -128,8 +128,8 @@
       files.actionsLeft = randomSource() % 40;
       while (true) {
         auto records = writer.batch(known);
-        Recovered next = known;
-        for (const auto& record : records) cr_assert(next.fold(record));
+        RecoveredState next = known;
+        for (const auto& record : records) cr_assert(next.applyRecord(record));
         if (!opened.value()->append(records)) {
           underWay = next;
           break;
@@ -182,7 +182,7 @@
   for (const auto& record : records) bytes += packUnmarked(generation, firstSequence++, record);
   return bytes;
 }
-Entry numbered(std::uint64_t index) { return Entry{index, 1, 1, "body " + std::to_string(index), {}, 0}; }
+LogEntry numbered(std::uint64_t index) { return LogEntry{index, 1, 1, "body " + std::to_string(index), {}, 0}; }
 
 struct RingBench {
   std::mt19937_64 randomSource{7};
@@ -223,8 +223,8 @@
   bench.files.cache[3].replace(0, bytes.size(), bytes);
   bench.reopen();
   cr_assert_eq(textOf(bench.ring->held()), [&] {
-    Recovered expected;
-    for (const auto& record : rows(9)) expected.fold(record);
+    RecoveredState expected;
+    for (const auto& record : rows(9)) expected.applyRecord(record);
     return textOf(expected);
   }());
   bench.fill(10, 120);
--- a/tests/routing_bench.hpp
+++ b/tests/routing_bench.hpp
@@ -15,11 +15,11 @@
   Result<std::string> prepare(const std::string& text, Manner manner = Manner::patch) const {
     return view.preparePatch(text, manner);
   }
-  Entry change(const std::string& text, Manner manner = Manner::patch, std::uint64_t revision = 0,
-               const std::string& changeId = {}) {
+  LogEntry change(const std::string& text, Manner manner = Manner::patch, std::uint64_t revision = 0,
+                  const std::string& changeId = {}) {
     auto patch = prepare(text, manner);
     cr_assert(bool(patch), "%s: %s", patch.error().subject.c_str(), patch.error().text.c_str());
-    Entry entry{view.index() + 1, 1, static_cast<int>(EntryKind::change), patch.value(), changeId, revision};
+    LogEntry entry{view.index() + 1, 1, static_cast<int>(EntryKind::change), patch.value(), changeId, revision};
     view.apply(entry);
     return entry;
   }
@@ -143,7 +143,7 @@
     }
   }
   void change(const std::string& text, Manner manner = Manner::patch) {
-    Entry entry = declared.change(text, manner);
+    LogEntry entry = declared.change(text, manner);
     NewsMsg news;
     news.commit = entry.index;
     news.entries.push_back(entry);
--- a/tests/snapshots.cpp
+++ b/tests/snapshots.cpp
@@ -13,22 +13,22 @@
 const std::vector<Member> three{
     {"a", "a", "a:1", "north", true}, {"b", "b", "b:1", "north", true}, {"c", "c", "c:1", "north", true}};
 
-Entry membersEntry() { return Entry{1, 1, static_cast<int>(EntryKind::members), packMembers(three), {}, 0}; }
+LogEntry membersEntry() { return LogEntry{1, 1, static_cast<int>(EntryKind::members), packMembers(three), {}, 0}; }
 std::string weightsBody(std::uint64_t number, std::size_t bytes = 4) {
   return R"({"weights":{"w)" + std::to_string(number) + R"(":{"model":")" + std::string(bytes, 'm') + R"("}}})";
 }
-Entry changeEntry(std::uint64_t index, std::uint64_t term, std::size_t bytes = 4) {
-  return Entry{
+LogEntry changeEntry(std::uint64_t index, std::uint64_t term, std::size_t bytes = 4) {
+  return LogEntry{
       index, term, static_cast<int>(EntryKind::change), weightsBody(index, bytes), "change " + std::to_string(index),
       0};
 }
-Snapshot snapshotOf(const std::vector<Entry>& entries) {
+Snapshot snapshotOf(const std::vector<LogEntry>& entries) {
   Configuration configuration;
   for (const auto& entry : entries) configuration.apply(entry);
   return configuration.snapshot();
 }
-std::vector<Entry> entriesUpTo(std::uint64_t last, std::uint64_t term) {
-  std::vector<Entry> entries{membersEntry()};
+std::vector<LogEntry> entriesUpTo(std::uint64_t last, std::uint64_t term) {
+  std::vector<LogEntry> entries{membersEntry()};
   for (std::uint64_t index = 2; index <= last; ++index) entries.push_back(changeEntry(index, term));
   return entries;
 }
@@ -38,14 +38,14 @@
   TimePoint now{std::chrono::hours(5)};
   std::mt19937_64 randomSource{3};
   Journal journal;
-  Recovered disk;
+  RecoveredState disk;
   std::unique_ptr<ReplicatedLog> log;
   std::vector<Effects::Save> waiting;
   std::vector<std::pair<std::string, Message>> sent;
   Member self;
   std::size_t room;
 
-  explicit Replica(const Recovered& held = {}, const Member& member = three[0], std::size_t recordRoom = 1 << 20)
+  explicit Replica(const RecoveredState& held = {}, const Member& member = three[0], std::size_t recordRoom = 1 << 20)
       : disk(held), self(member), room(recordRoom) {
     restart();
   }
@@ -70,7 +70,7 @@
   void sync() {
     auto saves = std::move(waiting);
     waiting.clear();
-    for (const auto& save : saves) cr_assert(disk.fold(save.record));
+    for (const auto& save : saves) cr_assert(disk.applyRecord(save.record));
     with([&](Effects& effects) {
       for (auto& save : saves)
         if (save.then) save.then(effects);
@@ -126,15 +126,15 @@
   std::uint64_t changes{0};
 };
 
-Recovered heldWith(std::vector<Entry> entries, std::optional<Snapshot> snapshot = std::nullopt) {
-  Recovered held;
+RecoveredState heldWith(std::vector<LogEntry> entries, std::optional<Snapshot> snapshot = std::nullopt) {
+  RecoveredState held;
   held.identity = "a";
   held.entries = std::move(entries);
   held.snapshot = std::move(snapshot);
   return held;
 }
 
-std::vector<Entry> withConflictingTail(std::uint64_t agreed, std::uint64_t last) {
+std::vector<LogEntry> withConflictingTail(std::uint64_t agreed, std::uint64_t last) {
   auto entries = entriesUpTo(agreed, 1);
   for (std::uint64_t index = agreed + 1; index <= last; ++index) entries.push_back(changeEntry(index, 2));
   return entries;
@@ -156,9 +156,9 @@
   Replica replica(heldWith(withConflictingTail(10, 15)));
   deliver(replica, 3, snapshotOf(entriesUpTo(20, 3)));
   cr_assert_not(replica.waiting.empty());
-  Recovered disk = replica.disk;
+  RecoveredState disk = replica.disk;
   for (std::size_t stop = 0; stop <= replica.waiting.size(); ++stop) {
-    if (stop > 0) cr_assert(disk.fold(replica.waiting[stop - 1].record));
+    if (stop > 0) cr_assert(disk.applyRecord(replica.waiting[stop - 1].record));
     bool whole = disk.snapshot && disk.snapshot->index == 20 && disk.entries.empty();
     bool old = !disk.snapshot && disk.entries.size() == 15;
     cr_expect(whole || old, "after %d of %d records the replica holds %d entries and no snapshot",
@@ -274,7 +274,7 @@
       InstallSnapshot piece = there.begin()->second;
       there.erase(there.begin());
       if (static_cast<int>(randomSource() % 1000) < forgetPerMille) receiver = SnapshotReceiver();
-      Count held = receiver.take(piece, 1 << 22);
+      Uint64 held = receiver.take(piece, 1 << 22);
       way.mostUnderWay = std::max<std::uint64_t>(way.mostUnderWay, piece.bytes.size());
       if (auto whole = receiver.finished()) {
         cr_assert_eq(whole->configuration, snapshot.configuration);
@@ -460,8 +460,8 @@
 };
 
 /// What a ring holds after thousands of changes with the longest ids, and a configuration near the most that is taken.
-Recovered heldAtTheBounds(std::size_t room) {
-  std::vector<Entry> entries{membersEntry()};
+RecoveredState heldAtTheBounds(std::size_t room) {
+  std::vector<LogEntry> entries{membersEntry()};
   for (std::uint64_t index = 2; index <= 4200; ++index) {
     auto entry = changeEntry(index, 1, index % 8 == 0 ? room / 640 : 4);
     entry.body = weightsBody(index % 512, index % 8 == 0 ? room / 640 : 4);
