--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -171,10 +171,10 @@
   if (auto cell = cells.find(locality); cell != cells.end()) effects.send(cell->second.holder, message);
 }
 
-void Agent::take(Effects& effects, const std::string& from, const Message& message) {
+void Agent::handle(Effects& effects, const std::string& from, const Message& message) {
   if (from == parent) parentHeard = effects.now;
   if (auto* reply = std::get_if<LogEndResponse>(&message)) {
-    clusterView.take(effects, from, *reply, view);
+    clusterView.handle(effects, from, *reply, view);
   } else if (auto* news = std::get_if<NewsMsg>(&message)) {
     onNews(effects, *news);
   } else if (auto* ask = std::get_if<NewsAsk>(&message)) {
--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -16,7 +16,7 @@
 class Agent : public Node {
  public:
   explicit Agent(AgentSettings agentSettings);
-  void take(Effects& effects, const std::string& from, const Message& message) override;
+  void handle(Effects& effects, const std::string& from, const Message& message) override;
   void tick(Effects& effects) override;
   const Configuration& configuration() const { return view; }
   /// The moment up to which this view is known to be complete.
--- a/src/base/chart.cpp
+++ b/src/base/chart.cpp
@@ -6,8 +6,8 @@
 
 namespace tt {
 
-Result<Chart> Chart::read(std::string_view text) {
-  Chart chart;
+Result<StateChart> StateChart::read(std::string_view text) {
+  StateChart chart;
   std::istringstream source{std::string(text)};
   std::string line;
   for (int lineNumber = 1; std::getline(source, line); ++lineNumber) {
@@ -29,11 +29,11 @@
   return chart;
 }
 
-const Chart& Chart::named(const std::string& name) {
-  static const std::map<std::string, Chart> charts = [] {
-    std::map<std::string, Chart> made;
+const StateChart& StateChart::named(const std::string& name) {
+  static const std::map<std::string, StateChart> charts = [] {
+    std::map<std::string, StateChart> made;
     for (const auto& [chartName, text] : chartTexts()) {
-      auto read = Chart::read(text);
+      auto read = StateChart::read(text);
       if (!read) {
         std::fprintf(stderr, "chart %s: %s: %s\n", chartName.c_str(), read.error().subject.c_str(),
                      read.error().text.c_str());
@@ -46,7 +46,7 @@
   return charts.at(name);
 }
 
-const Chart::Step* Chart::step(const std::string& state, const std::string& event) const {
+const StateChart::Step* StateChart::step(const std::string& state, const std::string& event) const {
   auto found = steps.find({state, event});
   return found == steps.end() ? nullptr : &found->second;
 }
--- a/src/base/chart.hpp
+++ b/src/base/chart.hpp
@@ -4,16 +4,16 @@
 namespace tt {
 
 /// A state chart read from its file. Code asks it what comes next and does the actions it names.
-class Chart {
+class StateChart {
  public:
   struct Step {
     std::string next;
     std::vector<std::string> actions;
   };
   /// Reads a chart; a fault names the line.
-  static Result<Chart> read(std::string_view text);
+  static Result<StateChart> read(std::string_view text);
   /// One of the charts built into the program from charts/, by file name without ending.
-  static const Chart& named(const std::string& name);
+  static const StateChart& named(const std::string& name);
   /// What an event leads to in a state; nothing where the chart has no such row.
   const Step* step(const std::string& state, const std::string& event) const;
   const std::set<std::string>& actions() const { return actionNames; }
@@ -25,14 +25,14 @@
 
 /// Walks a chart for one owner: an event moves the state and runs the named actions.
 template <class Owner, class... Args>
-class ChartWalk {
+class StateMachine {
  public:
   using Action = void (Owner::*)(Args...);
   using Actions = std::map<std::string, Action>;
-  ChartWalk(const std::string& chartName, const Actions& actions, std::string startState)
-      : chart(&Chart::named(chartName)), actionsByName(&actions), current(std::move(startState)) {}
+  StateMachine(const std::string& chartName, const Actions& actions, std::string startState)
+      : chart(&StateChart::named(chartName)), actionsByName(&actions), current(std::move(startState)) {}
   /// Whether the event meant anything in this state.
-  bool happen(Owner& owner, const std::string& event, Args... args) {
+  bool dispatch(Owner& owner, const std::string& event, Args... args) {
     const auto* step = chart->step(current, event);
     if (!step) return false;
     current = step->next;
@@ -46,7 +46,7 @@
   bool in(const char* state) const { return current == state; }
 
  private:
-  const Chart* chart;
+  const StateChart* chart;
   const Actions* actionsByName;
   std::string current;
 };
--- a/src/base/defences.hpp
+++ b/src/base/defences.hpp
@@ -53,8 +53,8 @@
 /// Which defences stand. All do, but in the sim's control runs; no program offers to take one out.
 class Defences {
  public:
-  bool stands(Defence defence) const { return !out.test(static_cast<std::size_t>(defence)); }
-  void takeOut(Defence defence) { out.set(static_cast<std::size_t>(defence)); }
+  bool isEnabled(Defence defence) const { return !out.test(static_cast<std::size_t>(defence)); }
+  void disable(Defence defence) { out.set(static_cast<std::size_t>(defence)); }
   static std::optional<Defence> named(std::string_view text) {
 #define TT_DEFENCE(name, about) \
   if (text == #name) return Defence::name;
--- a/src/base/effects.hpp
+++ b/src/base/effects.hpp
@@ -92,7 +92,7 @@
 class Node {
  public:
   virtual ~Node() = default;
-  virtual void take(Effects& effects, const std::string& from, const Message& message) = 0;
+  virtual void handle(Effects& effects, const std::string& from, const Message& message) = 0;
   virtual void tick(Effects& effects) = 0;
   Journal journal;
 };
--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -16,7 +16,7 @@
 
 void ClusterView::ask(Effects& effects, Uint64 applied, const std::vector<CellMark>& cells, const Configuration& view) {
   outOfTouch = !fresh(effects.now);
-  if (!settings.defences.stands(Defence::freshnessWeighed)) weigh(effects.now, view);
+  if (!settings.defences.isEnabled(Defence::freshnessWeighed)) weigh(effects.now, view);
   auto addresses = coreAddresses(view);
   for (auto row = cores.begin(); row != cores.end();)
     row = std::find(addresses.begin(), addresses.end(), row->first) == addresses.end() ? cores.erase(row)
@@ -30,8 +30,8 @@
   }
 }
 
-void ClusterView::take(Effects& effects, const std::string& from, const LogEndResponse& reply,
-                       const Configuration& view) {
+void ClusterView::handle(Effects& effects, const std::string& from, const LogEndResponse& reply,
+                         const Configuration& view) {
   auto found = cores.find(from);
   if (found == cores.end()) return;
   auto& core = found->second;
@@ -67,7 +67,7 @@
 
 bool ClusterView::offerMarks(const std::vector<Machine>& machines, TimePoint askedAt) {
   if (machines.empty()) return false;
-  if (marksKnown() && askedAt <= marksAskedAt && settings.defences.stands(Defence::listOrder)) return false;
+  if (marksKnown() && askedAt <= marksAskedAt && settings.defences.isEnabled(Defence::listOrder)) return false;
   marksAskedAt = askedAt;
   Uint64 newDigest = digestOf(machines);
   if (newDigest == digest) return false;
@@ -149,7 +149,7 @@
 void ClusterView::weigh(TimePoint now, const Configuration& view) {
   noteVersions(view);
   timeline.forgetEnded(now, timing.versionMost);
-  if (!settings.defences.stands(Defence::freshnessWeighed)) {
+  if (!settings.defences.isEnabled(Defence::freshnessWeighed)) {
     completeUntil = majorityUntil = view.members().empty() ? TimePoint{} : now;
     return;
   }
--- a/src/cluster/cluster_view.hpp
+++ b/src/cluster/cluster_view.hpp
@@ -22,7 +22,7 @@
   explicit ClusterView(ReaderSettings readerSettings);
   /// Asks every core known for its log's end.
   void ask(Effects& effects, Uint64 applied, const std::vector<CellMark>& cells, const Configuration& view);
-  void take(Effects& effects, const std::string& from, const LogEndResponse& reply, const Configuration& view);
+  void handle(Effects& effects, const std::string& from, const LogEndResponse& reply, const Configuration& view);
   /// Looks again at how complete the view is, after it has moved on.
   void weigh(TimePoint now, const Configuration& view);
   /// Takes a list of machines that was asked of the platform at this moment; an older or empty one is not taken.
--- a/src/cluster/core.cpp
+++ b/src/cluster/core.cpp
@@ -232,10 +232,10 @@
 }
 
 void Core::giveToCell(Effects& effects, const std::string& from, const std::string& locality, const Message& message) {
-  if (auto cell = cells.find(locality); cell != cells.end()) cell->second->take(effects, from, message);
+  if (auto cell = cells.find(locality); cell != cells.end()) cell->second->handle(effects, from, message);
 }
 
-void Core::take(Effects& effects, const std::string& from, const Message& message) {
+void Core::handle(Effects& effects, const std::string& from, const Message& message) {
   if (auto* ask = std::get_if<LogEndRequest>(&message)) {
     onEnds(effects, from, *ask);
   } else if (auto* news = std::get_if<NewsAsk>(&message)) {
@@ -253,7 +253,7 @@
   } else if (auto* join = std::get_if<JoinRequest>(&message)) {
     auto leader = replicatedLog->leaderAddress();
     if (replicatedLog->leads(effects.now))
-      replicatedLog->take(effects, from, message);
+      replicatedLog->handle(effects, from, message);
     else if (!leader.empty() && leader != self.address && from == join->self.address)
       effects.send(leader, message);
   } else if (auto* machines = std::get_if<MachinesReply>(&message)) {
@@ -266,7 +266,7 @@
   } else if (auto* named = std::get_if<NamingsMsg>(&message)) {
     clusterView->learnVersions(named->namings, effects.now);
   } else if (auto* ends = std::get_if<LogEndResponse>(&message)) {
-    clusterView->take(effects, from, *ends, replicatedLog->configuration());
+    clusterView->handle(effects, from, *ends, replicatedLog->configuration());
     takeMarks(effects);
     settleReads(effects);
   } else if (auto* readersAsk = std::get_if<ReadersRequest>(&message)) {
@@ -294,10 +294,10 @@
     giveToCell(effects, from, watch->locality, message);
   } else if (auto* report = std::get_if<Report>(&message)) {
     for (auto& [locality, cell] : cells)
-      if (cell->keepers().count(report->worker)) cell->take(effects, from, message);
+      if (cell->keepers().count(report->worker)) cell->handle(effects, from, message);
   } else if (auto* control = std::get_if<ControlReply>(&message)) {
     for (auto& [locality, cell] : cells)
-      if (cell->keepers().count(control->worker)) cell->take(effects, from, message);
+      if (cell->keepers().count(control->worker)) cell->handle(effects, from, message);
   } else {
     auto duty = std::visit(
         [](const auto& value) -> std::string {
@@ -310,9 +310,9 @@
         },
         message);
     if (duty == "accord")
-      replicatedLog->take(effects, from, message);
+      replicatedLog->handle(effects, from, message);
     else if (duty.rfind("cell/", 0) == 0 && (cells.size() < 256 || cells.count(duty.substr(5))))
-      cellFor(duty.substr(5)).take(effects, from, message);
+      cellFor(duty.substr(5)).handle(effects, from, message);
   }
 }
 
--- a/src/cluster/core.hpp
+++ b/src/cluster/core.hpp
@@ -23,7 +23,7 @@
   /// Marks the round in which a core that leaves asks who holds what it holds.
   static constexpr Uint64 copiesRound = ~Uint64{0};
   Core(CoreSettings coreSettings, const RecoveredState& recovered, std::mt19937_64& randomSource, TimePoint now);
-  void take(Effects& effects, const std::string& from, const Message& message) override;
+  void handle(Effects& effects, const std::string& from, const Message& message) override;
   void tick(Effects& effects) override;
   /// Gives up all duties, for a clean stop: the lead goes to a fellow that has the whole log, and this core counts for
   /// no further copy of a change.
--- a/src/cluster/core_operators.cpp
+++ b/src/cluster/core_operators.cpp
@@ -107,7 +107,7 @@
   for (auto found = asked.begin(); found != asked.end();) {
     auto& row = found->second;
     bool settled = row.agreed && (readersHave(row, effects.now) || effects.now - row.agreedAt >= timing.readersWait ||
-                                  !settings.defences.stands(Defence::ackWaits));
+                                  !settings.defences.isEnabled(Defence::ackWaits));
     bool late = !row.agreed && effects.now - row.at >= operatorWait;
     if (settled) {
       confirm(effects, row);
--- a/src/consensus/change_requests.cpp
+++ b/src/consensus/change_requests.cpp
@@ -35,7 +35,7 @@
 
 bool ReplicatedLog::respondFromMemory(Effects& effects, const std::string& from, const ChangeRequest& ask) {
   ChangeResponse taken{ask.askId, static_cast<int>(Code::changeTaken), {}, codeText(Code::changeTaken), 0, 0, 0};
-  if (auto revision = head.takenAs(ask.changeId); revision && defences.stands(Defence::changeIdOnce)) {
+  if (auto revision = head.takenAs(ask.changeId); revision && defences.isEnabled(Defence::changeIdOnce)) {
     taken.revision = *revision;
     respondOnceAgreed(effects, from, taken, indexOfChange(ask.changeId));
     return true;
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -27,8 +27,8 @@
   learnerGone = 2 * contact;
 }
 
-const ChartWalk<Election, Effects&>::Actions& Election::actions() {
-  static const ChartWalk<Election, Effects&>::Actions table{
+const StateMachine<Election, Effects&>::Actions& Election::actions() {
+  static const StateMachine<Election, Effects&>::Actions table{
       {"askProbe", &Election::askProbe}, {"voteSelf", &Election::voteSelf},   {"takeDuty", &Election::takeDuty},
       {"loseDuty", &Election::loseDuty}, {"adoptTerm", &Election::adoptTerm}, {"waitAgain", &Election::waitAgain}};
   return table;
@@ -96,7 +96,7 @@
 
 bool Election::holds(TimePoint now) const {
   if (!won() || voters.empty()) return false;
-  if (!defences.stands(Defence::leaseLimits)) return true;
+  if (!defences.isEnabled(Defence::leaseLimits)) return true;
   TimePoint start = leaseStart(now);
   return start != TimePoint{} && now < start + timing.lease;
 }
@@ -116,9 +116,9 @@
   }
   if (walk.in("idle")) {
     if (effects.now >= standAt && effects.now >= promisedUntil && voter() && mayStand)
-      walk.happen(*this, "vacant", effects);
+      walk.dispatch(*this, "vacant", effects);
   } else if (effects.now >= askedAt + timing.voteWait + (walk.in("asking") ? slowness() : Duration(0))) {
-    walk.happen(*this, "lapsed", effects);
+    walk.dispatch(*this, "lapsed", effects);
   }
 }
 
@@ -127,7 +127,7 @@
   grants = {selfId};
   auto end = logEnd ? logEnd() : std::make_pair<std::uint64_t, std::uint64_t>(0, 0);
   toOthers(effects, VoteRequest{dutyName, vote.term + 1, selfId, true, end.first, end.second});
-  if (elected()) walk.happen(*this, "granted", effects);
+  if (elected()) walk.dispatch(*this, "granted", effects);
 }
 
 void Election::voteSelf(Effects& effects) {
@@ -144,7 +144,7 @@
     grants.insert(selfId);
     auto end = logEnd ? logEnd() : std::make_pair<std::uint64_t, std::uint64_t>(0, 0);
     toOthers(later, VoteRequest{dutyName, vote.term, selfId, false, end.first, end.second});
-    if (elected()) walk.happen(*this, "granted", later);
+    if (elected()) walk.dispatch(*this, "granted", later);
   });
 }
 
@@ -185,18 +185,18 @@
     auto release = successor.empty() ? releasedToAll : id == successor ? releasedToSuccessor : releasedToOther;
     effects.send(address, Heartbeat{dutyName, vote.term, selfId, release});
   }
-  walk.happen(*this, "resigned", effects);
+  walk.dispatch(*this, "resigned", effects);
   standAt = effects.now + timing.promise;
 }
 
 void Election::seeTerm(Effects& effects, std::uint64_t term) {
   if (term <= vote.term) return;
   seenTerm = term;
-  walk.happen(*this, "higher", effects);
+  walk.dispatch(*this, "higher", effects);
 }
 
 void Election::onAsk(Effects& effects, const std::string& from, const VoteRequest& ask) {
-  bool bound = effects.now < promisedUntil && knownHolder != ask.candidate && defences.stands(Defence::promiseBinds);
+  bool bound = effects.now < promisedUntil && knownHolder != ask.candidate && defences.isEnabled(Defence::promiseBinds);
   bool granted = ask.term > vote.term ||
                  (!ask.probe && ask.term == vote.term && (vote.votedFor.empty() || vote.votedFor == ask.candidate));
   if (holds(effects.now) || bound) granted = false;
@@ -213,7 +213,7 @@
   vote = Vote{ask.term, ask.candidate};
   standAt = std::max(standAt, effects.now + 2 * timing.voteWait + slowness() + eagerness +
                                   std::chrono::milliseconds(effects.randomBelow(300)));
-  if (!defences.stands(Defence::syncBeforeVote)) {
+  if (!defences.isEnabled(Defence::syncBeforeVote)) {
     effects.send(from, VoteResponse{dutyName, ask.term, selfId, false, true});
     effects.save(voteRecord(dutyName, vote));
     return;
@@ -230,7 +230,7 @@
   knownHolder.clear();
   standAt = effects.now + eagerness + std::chrono::milliseconds(effects.randomBelow(100));
   if (release == releasedToOther) standAt += 2 * timing.voteWait + slowness();
-  if (release == releasedToSuccessor && voter() && mayStand) walk.happen(*this, "named", effects);
+  if (release == releasedToSuccessor && voter() && mayStand) walk.dispatch(*this, "named", effects);
 }
 
 void Election::onHold(Effects& effects, const std::string& from, const Heartbeat& hold) {
@@ -246,11 +246,11 @@
   knownHolder = hold.holder;
   promisedUntil = effects.now + timing.promise;
   standAt = promisedUntil + eagerness + std::chrono::milliseconds(effects.randomBelow(300));
-  walk.happen(*this, "held", effects);
+  walk.dispatch(*this, "held", effects);
   effects.send(from, HeartbeatResponse{dutyName, hold.term, selfId, hold.sentAt, true});
 }
 
-void Election::take(Effects& effects, const std::string& from, const Message& message) {
+void Election::handle(Effects& effects, const std::string& from, const Message& message) {
   if (auto* ask = std::get_if<VoteRequest>(&message)) {
     onAsk(effects, from, *ask);
   } else if (auto* reply = std::get_if<VoteResponse>(&message)) {
@@ -263,7 +263,7 @@
         (reply->probe && walk.in("probing")) || (!reply->probe && walk.in("asking") && reply->term == vote.term);
     if (!fits) return;
     grants.insert(reply->voter);
-    if (elected() && grants.count(selfId)) walk.happen(*this, "granted", effects);
+    if (elected() && grants.count(selfId)) walk.dispatch(*this, "granted", effects);
   } else if (auto* hold = std::get_if<Heartbeat>(&message)) {
     onHold(effects, from, *hold);
   } else if (auto* kept = std::get_if<HeartbeatResponse>(&message)) {
--- a/src/consensus/election.hpp
+++ b/src/consensus/election.hpp
@@ -63,7 +63,7 @@
   /// Whether this core may stand now.
   bool mayStand{true};
   void tick(Effects& effects);
-  void take(Effects& effects, const std::string& from, const Message& message);
+  void handle(Effects& effects, const std::string& from, const Message& message);
   /// Whether the lease is good at this moment: asked just before every command that leaves.
   bool holds(TimePoint now) const;
   /// Whether this core won the current term's election, lease good or not.
@@ -102,9 +102,9 @@
   std::set<std::string> grants;
   std::map<std::string, TimePoint> renewals;
   std::uint64_t seenTerm{0};
-  ChartWalk<Election, Effects&> walk;
+  StateMachine<Election, Effects&> walk;
 
-  static const ChartWalk<Election, Effects&>::Actions& actions();
+  static const StateMachine<Election, Effects&>::Actions& actions();
   void askProbe(Effects& effects);
   void voteSelf(Effects& effects);
   void takeDuty(Effects& effects);
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -48,7 +48,7 @@
   std::uint64_t newest = newestMembersIndex();
   memberRows = membersBefore(logEnd() + 1);
   outgoingRows.clear();
-  if (newest > commitIndex && defences.stands(Defence::jointMembers)) outgoingRows = membersBefore(newest);
+  if (newest > commitIndex && defences.isEnabled(Defence::jointMembers)) outgoingRows = membersBefore(newest);
   if (sameVoters(outgoingRows, memberRows)) outgoingRows.clear();
   election.setVoters(memberRows, outgoingRows);
   if (effects && membersChanged) membersChanged(*effects);
--- a/src/consensus/replicated_log.cpp
+++ b/src/consensus/replicated_log.cpp
@@ -66,10 +66,10 @@
   log.push_back(entry);
   logBytes += entry.body.size();
   std::uint64_t index = entry.index, term = entry.term;
-  if (!defences.stands(Defence::syncBeforeCount)) syncedIndex = index;
+  if (!defences.isEnabled(Defence::syncBeforeCount)) syncedIndex = index;
   effects.save(entryRecord(entry), [this, index, term](Effects& later) {
     if (termAt(index) != term || index < syncedIndex ||
-        (index == syncedIndex && defences.stands(Defence::syncBeforeCount)))
+        (index == syncedIndex && defences.isEnabled(Defence::syncBeforeCount)))
       return;
     syncedIndex = index;
     if (election.won())
@@ -163,7 +163,7 @@
     ends.push_back(member.id == selfRow.id ? syncedIndex : follower == followers.end() ? 0 : follower->second.matched);
   }
   std::size_t quorum = ends.size() / 2 + 1;
-  if (!defences.stands(Defence::commitByThree)) quorum = std::min<std::size_t>(quorum, 2);
+  if (!defences.isEnabled(Defence::commitByThree)) quorum = std::min<std::size_t>(quorum, 2);
   if (ends.size() < quorum) return 0;
   std::sort(ends.rbegin(), ends.rend());
   return ends[quorum - 1];
@@ -312,7 +312,7 @@
   election.resign(effects, successor);
 }
 
-void ReplicatedLog::take(Effects& effects, const std::string& from, const Message& message) {
+void ReplicatedLog::handle(Effects& effects, const std::string& from, const Message& message) {
   countOwnPause(effects.now);
   if (auto* kept = std::get_if<HeartbeatResponse>(&message); kept && kept->granted && kept->term == election.term())
     heardFrom[kept->voter] = effects.now;
@@ -327,7 +327,7 @@
   else if (auto* join = std::get_if<JoinRequest>(&message))
     onJoin(effects, *join);
   else
-    election.take(effects, from, message);
+    election.handle(effects, from, message);
 }
 
 }  // namespace tt
--- a/src/consensus/replicated_log.hpp
+++ b/src/consensus/replicated_log.hpp
@@ -12,7 +12,7 @@
   ReplicatedLog(Member self, std::size_t recordRoom, Defences defencesGiven = {});
   void restore(const RecoveredState& recovered, TimePoint now);
   void tick(Effects& effects);
-  void take(Effects& effects, const std::string& from, const Message& message);
+  void handle(Effects& effects, const std::string& from, const Message& message);
   /// Writes the first entry of a fleet: who its cores are.
   void form(Effects& effects, const std::vector<Member>& firstMembers);
   /// Takes a change if this core leads; the answer goes to whoever asked once it is agreed.
--- a/src/consensus/snapshot.cpp
+++ b/src/consensus/snapshot.cpp
@@ -88,7 +88,7 @@
   heardFrom[response.voter] = effects.now;
   auto found = followers.find(response.voter);
   if (found == followers.end() || !found->second.transfer) return;
-  found->second.transfer->take(response, effects.now);
+  found->second.transfer->handle(response, effects.now);
   for (const auto& member : memberRows)
     if (member.id == response.voter) sendTo(effects, member, false);
 }
@@ -103,7 +103,7 @@
   }
   if (message.total > 4 * room)
     return effects.note("snapshot too large", selfRow.id, static_cast<std::int64_t>(message.total));
-  Uint64 held = receiver.take(message, 4 * room);
+  Uint64 held = receiver.handle(message, 4 * room);
   auto whole = receiver.finished();
   if (held == message.total && !whole) held = 0;
   effects.send(from, InstallSnapshotResponse{election.term(), selfRow.id, message.digest, held, message.attempt});
--- a/src/consensus/snapshot_transfer.cpp
+++ b/src/consensus/snapshot_transfer.cpp
@@ -29,7 +29,7 @@
   return message;
 }
 
-void SnapshotSender::take(const InstallSnapshotResponse& response, TimePoint now) {
+void SnapshotSender::handle(const InstallSnapshotResponse& response, TimePoint now) {
   if (response.digest != image_->digest || response.offset > image_->bytes.size()) return;
   bool further = response.offset > acknowledgedBytes;
   if (!further && response.attempt != attempt) return;
@@ -39,7 +39,7 @@
   if (whole()) sentAt = now;
 }
 
-Uint64 SnapshotReceiver::take(const InstallSnapshot& piece, std::size_t mostBytes) {
+Uint64 SnapshotReceiver::handle(const InstallSnapshot& piece, std::size_t mostBytes) {
   bool same = piece.index == index && piece.snapshotTerm == term && piece.digest == digest && piece.total == total;
   if (!same) {
     *this = SnapshotReceiver();
--- a/src/consensus/snapshot_transfer.hpp
+++ b/src/consensus/snapshot_transfer.hpp
@@ -19,7 +19,7 @@
   const SnapshotImage& image() const { return *image_; }
   /// The message that is due, if any; the leader fills in who it is.
   std::optional<InstallSnapshot> due(TimePoint now);
-  void take(const InstallSnapshotResponse& response, TimePoint now);
+  void handle(const InstallSnapshotResponse& response, TimePoint now);
   Uint64 acknowledged() const { return acknowledgedBytes; }
 
  private:
@@ -36,7 +36,7 @@
 class SnapshotReceiver {
  public:
   /// Takes a piece that follows on what is here. Returns how many bytes of this snapshot are here.
-  Uint64 take(const InstallSnapshot& piece, std::size_t mostBytes);
+  Uint64 handle(const InstallSnapshot& piece, std::size_t mostBytes);
   /// The snapshot, once it is whole and sound; one that is not sound is given up.
   std::optional<Snapshot> finished();
   std::size_t heldBytes() const { return bytes.size(); }
--- a/src/fuzz/configurations.cpp
+++ b/src/fuzz/configurations.cpp
@@ -129,9 +129,9 @@
     return rows;
   }();
   std::string input = mutator.bentText(good);
-  auto read = Chart::read(input);
+  auto read = StateChart::read(input);
   if (!read) return rejectedWith(read.error(), input);
-  auto again = Chart::read("\n# more\n" + input);
+  auto again = StateChart::read("\n# more\n" + input);
   if (!again || again.value().actions() != read.value().actions()) return broken("a comment changes it", input);
   return accepted();
 }
--- a/src/index/cell.cpp
+++ b/src/index/cell.cpp
@@ -324,17 +324,17 @@
     auto& watch = row->second;
     auto found = rows.find(watch.ask.target);
     if (found == rows.end()) {
-      watch.walk->happen(*this, "denied", effects, watch);
+      watch.walk->dispatch(*this, "denied", effects, watch);
     } else {
       const auto& kept = found->second.kept;
       bool all = found->second.confirmed && std::all_of(watch.ask.hashes.begin(), watch.ask.hashes.end(),
                                                         [&](const BlockHash& hash) { return kept.count(hash) > 0; });
       if (all)
-        watch.walk->happen(*this, "done", effects, watch);
+        watch.walk->dispatch(*this, "done", effects, watch);
       else if (effects.now >= watch.deadline)
-        watch.walk->happen(*this, "overdue", effects, watch);
+        watch.walk->dispatch(*this, "overdue", effects, watch);
       else
-        watch.walk->happen(*this, "accepted", effects, watch);
+        watch.walk->dispatch(*this, "accepted", effects, watch);
     }
     row = watch.walk->in("finished") || watch.walk->in("failed") ? watches.erase(row) : std::next(row);
   }
@@ -411,7 +411,7 @@
   publishNews(effects);
 }
 
-void Cell::take(Effects& effects, const std::string& from, const Message& message) {
+void Cell::handle(Effects& effects, const std::string& from, const Message& message) {
   if (auto* report = std::get_if<Report>(&message)) {
     if (election.holds(effects.now)) {
       onReport(effects, *report);
@@ -429,7 +429,7 @@
     made.ask = *watch;
     made.startedAt = effects.now;
     made.deadline = effects.now + std::chrono::milliseconds(std::clamp<std::int64_t>(watch->deadlineMs, 1, 10000));
-    made.walk = std::make_unique<ChartWalk<Cell, Effects&, Watch&>>("transfer", watchActions(), "asked");
+    made.walk = std::make_unique<StateMachine<Cell, Effects&, Watch&>>("transfer", watchActions(), "asked");
     if (watches.size() < 4096) watches[watch->moveId] = std::move(made);
   } else if (auto* reply = std::get_if<ControlReply>(&message)) {
     if (reply->code == static_cast<int>(Code::termOld)) election.seeTerm(effects, reply->term);
@@ -440,7 +440,7 @@
     if (!answersLast) return effects.note("command answered late", reply->worker);
     rollout->second.takenAt = effects.now;
   } else {
-    election.take(effects, from, message);
+    election.handle(effects, from, message);
   }
 }
 
--- a/src/index/cell.hpp
+++ b/src/index/cell.hpp
@@ -62,7 +62,7 @@
   Election election;
   void setMachines(const std::vector<Machine>& machines);
   void tick(Effects& effects, const Configuration& configuration);
-  void take(Effects& effects, const std::string& from, const Message& message);
+  void handle(Effects& effects, const std::string& from, const Message& message);
   /// What an agent is known to have applied of this cell's news.
   void agentHas(const std::string& agent, const CellMark& mark, TimePoint now);
   /// Where fresh news go: the other cores and the agents that follow this core.
@@ -79,7 +79,7 @@
   std::int64_t unconfirmedCount() const;
 
  private:
-  using RolloutWalk = ChartWalk<Cell, Effects&, const std::string&>;
+  using RolloutWalk = StateMachine<Cell, Effects&, const std::string&>;
   struct Rollout {
     std::string weights, model;
     TimePoint since{}, sentAt{}, readyAt{};
@@ -94,7 +94,7 @@
   struct Watch {
     WatchMsg ask;
     TimePoint startedAt{}, deadline{};
-    std::unique_ptr<ChartWalk<Cell, Effects&, Watch&>> walk;
+    std::unique_ptr<StateMachine<Cell, Effects&, Watch&>> walk;
   };
   struct AgentMark {
     CellMark mark;
@@ -123,7 +123,7 @@
   std::string sweptLast;
   bool newsDue{true};
   using RolloutActions = RolloutWalk::Actions;
-  using WatchActions = ChartWalk<Cell, Effects&, Watch&>::Actions;
+  using WatchActions = StateMachine<Cell, Effects&, Watch&>::Actions;
   static const RolloutActions& rolloutActions();
   static const WatchActions& watchActions();
   void hold(Effects& effects, const std::string& worker);
--- a/src/index/cell_rollouts.cpp
+++ b/src/index/cell_rollouts.cpp
@@ -82,7 +82,7 @@
 
 void Cell::advance(Effects& effects, const std::string& worker, Rollout& rollout, const char* event) {
   std::string before = rollout.walk->state();
-  if (!rollout.walk->happen(*this, event, effects, worker) || rollout.walk->state() == before) return;
+  if (!rollout.walk->dispatch(*this, event, effects, worker) || rollout.walk->state() == before) return;
   rollout.since = effects.now;
   effects.note("rollout", worker + " " + rollout.walk->state());
 }
@@ -94,7 +94,7 @@
 TimePoint Cell::supersededAt(const Report& report, const std::string& wanted) const {
   if (report.weights == wanted) return TimePoint::max();
   if (!versions) return TimePoint::min();
-  if (!defences.stands(Defence::endFromFirstNewer)) return versions->newestAt(report.model);
+  if (!defences.isEnabled(Defence::endFromFirstNewer)) return versions->newestAt(report.model);
   TimePoint moment = versions->supersededAt(report.model, report.weights);
   return moment == TimePoint::max() ? TimePoint::min() : moment;
 }
@@ -103,7 +103,7 @@
   if (settings.loadsWhole && !right && rows.at(worker).last.draining) return RolloutStep::changing;
   auto found = rollouts.find(worker);
   if (found == rollouts.end() || !found->second.walk) return RolloutStep::serving;
-  if (found->second.failed && defences.stands(Defence::failedNotCounted)) return RolloutStep::failed;
+  if (found->second.failed && defences.isEnabled(Defence::failedNotCounted)) return RolloutStep::failed;
   return found->second.walk->in("serving") ? RolloutStep::serving : RolloutStep::changing;
 }
 
@@ -192,48 +192,48 @@
   bool unanswered = rollout.takenAt < rollout.sentAt && effects.now - rollout.sentAt >= commandAgain;
   bool idled = rollout.takenAt >= rollout.sentAt && keeper.conditionAt > rollout.takenAt + idleSure && !report.draining;
   bool again = (settings.loadsWhole ? unanswered || idled : effects.now - rollout.sentAt >= commandAgain) &&
-               defences.stands(Defence::commandAgain);
+               defences.isEnabled(Defence::commandAgain);
   Duration since = effects.now - rollout.since;
-  auto happen = [&](const char* event) { advance(effects, worker, rollout, event); };
+  auto dispatch = [&](const char* event) { advance(effects, worker, rollout, event); };
   if (rollout.weights != target) {
     rollout.failed = false;
     rollout.weights = target;
     rollout.model = report.model;
-    happen("wanted");
+    dispatch("wanted");
     since = effects.now - rollout.since;
   }
   if (rollout.walk->in("marking")) {
     bool marked = sequence >= rollout.markSequence && agentsHave(rollout.markSequence, effects.now);
     if (marked || since >= settings.markWait)
-      happen(right && (report.draining || settings.loadsWhole) ? "settled" : "cleared");
+      dispatch(right && (report.draining || settings.loadsWhole) ? "settled" : "cleared");
   } else if (rollout.walk->in("draining")) {
     if (right && report.draining)
-      happen("settled");
+      dispatch("settled");
     else if (report.draining && report.running == 0)
-      happen("emptied");
+      dispatch("emptied");
     else if (since >= drainWait)
-      happen("overdue");
+      dispatch("overdue");
     else if (again)
-      happen("again");
+      dispatch("again");
   } else if (rollout.walk->in("loading")) {
     if (right)
-      happen("loaded");
+      dispatch("loaded");
     else if (since >= loadWait)
-      happen("overdue");
+      dispatch("overdue");
     else if (again)
-      happen("again");
+      dispatch("again");
   } else if (rollout.walk->in("admitting")) {
     if (right && !report.draining)
-      happen("admitted");
+      dispatch("admitted");
     else if (!right)
-      happen("wanted");
+      dispatch("wanted");
     else if (again)
-      happen("again");
+      dispatch("again");
   } else if (rollout.walk->in("broken")) {
     if (right)
-      happen("loaded");
+      dispatch("loaded");
     else if (since >= retryWait)
-      happen("retry");
+      dispatch("retry");
   }
 }
 
--- a/src/model/model_world.cpp
+++ b/src/model/model_world.cpp
@@ -294,7 +294,7 @@
         effects.send(leader, message);
       return;
     }
-    log.take(effects, addressOf(packet.from), message);
+    log.handle(effects, addressOf(packet.from), message);
   });
   return true;
 }
--- a/src/model/setup.cpp
+++ b/src/model/setup.cpp
@@ -77,7 +77,7 @@
   for (const auto& name : without) {
     auto defence = Defences::named(name);
     if (!defence) return fault(Code::badField, name, "is no defence");
-    standing.takeOut(*defence);
+    standing.disable(*defence);
   }
   return standing;
 }
--- a/src/net/host.cpp
+++ b/src/net/host.cpp
@@ -259,8 +259,8 @@
   });
 }
 
-void Host::take(const std::string& from, const Message& message) {
-  with([&](Effects& effects) { node.take(effects, from, message); });
+void Host::handle(const std::string& from, const Message& message) {
+  with([&](Effects& effects) { node.handle(effects, from, message); });
 }
 
 void Host::with(const std::function<void(Effects&)>& action) {
--- a/src/net/host.hpp
+++ b/src/net/host.hpp
@@ -58,7 +58,7 @@
   Ring* ring{nullptr};
   void start();
   void stop();
-  void take(const std::string& from, const Message& message);
+  void handle(const std::string& from, const Message& message);
   /// Does something with the logic under its lock.
   void with(const std::function<void(Effects&)>& action);
   /// How long the oldest unsynced write has waited.
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -52,12 +52,12 @@
   return nullptr;
 }
 
-void Edge::happen(Effects& effects, const std::string& orderId, const std::string& event) {
+void Edge::dispatch(Effects& effects, const std::string& orderId, const std::string& event) {
   auto found = orders.find(orderId);
   if (found == orders.end()) return;
   auto& order = *found->second;
-  order.walk->happen(*this, event, effects, order);
-  if (order.walk->in("again")) order.walk->happen(*this, order.retryAsked ? "retry" : "giveUp", effects, order);
+  order.walk->dispatch(*this, event, effects, order);
+  if (order.walk->in("again")) order.walk->dispatch(*this, order.retryAsked ? "retry" : "giveUp", effects, order);
   if (!order.walk->in("ended")) return;
   freeWorker(effects, order);
   orderBySend.erase(order.sendId);
@@ -65,7 +65,7 @@
 }
 
 bool Edge::stillGood(const Order& order, TimePoint now) const {
-  if (!settings.defences.stands(Defence::drawnAgain)) return true;
+  if (!settings.defences.isEnabled(Defence::drawnAgain)) return true;
   const auto* worker = workerView(order.plan.worker);
   if (!worker || !worker->alive || worker->held || !staying.count(worker->name)) return false;
   if (order.route.app) return true;
@@ -77,11 +77,11 @@
   if (found == orders.end()) return;
   if (!fresh(effects.now)) {
     denyOrUnknown(effects, *found->second, Code::staleEdge);
-    return happen(effects, orderId, "callerGone");
+    return dispatch(effects, orderId, "callerGone");
   }
   bool good = stillGood(*found->second, effects.now);
   if (!good) effects.note("drawn again", orderId + " " + found->second->plan.worker);
-  happen(effects, orderId, good ? event : "outdated");
+  dispatch(effects, orderId, good ? event : "outdated");
   if (!good) servePending(effects);
 }
 
@@ -132,21 +132,22 @@
 
 std::optional<Code> Edge::endOfAll(TimePoint now) const {
   if (cutOff(now)) return Code::staleEdge;
-  if (drainPlan && now >= drainPlan->endsAt && settings.defences.stands(Defence::drainAnswers)) return Code::stopping;
+  if (drainPlan && now >= drainPlan->endsAt && settings.defences.isEnabled(Defence::drainAnswers))
+    return Code::stopping;
   return std::nullopt;
 }
 
 bool Edge::cutOff(TimePoint now) const {
   return !settings.openGoOn && freshUntil != TimePoint{} && now - freshUntil > staleMost &&
-         settings.defences.stands(Defence::staleEndsStreams);
+         settings.defences.isEnabled(Defence::staleEndsStreams);
 }
 
 void Edge::revokeOpen(Effects& effects) {
-  if (!settings.defences.stands(Defence::revokeEndsStreams) || settings.openGoOn) return;
+  if (!settings.defences.isEnabled(Defence::revokeEndsStreams) || settings.openGoOn) return;
   std::vector<std::string> revoked;
   for (const auto& [orderId, order] : orders)
     if (!view.findKey(order->keyHash)) revoked.push_back(orderId);
-  for (const auto& orderId : revoked) happen(effects, orderId, "revoked");
+  for (const auto& orderId : revoked) dispatch(effects, orderId, "revoked");
 }
 
 void Edge::noteVersions() {
@@ -158,8 +159,8 @@
 }
 
 TimePoint Edge::endOfWeights(const std::string& model, const std::string& weights, Duration span) const {
-  if (model.empty() || weights.empty() || !settings.defences.stands(Defence::oldWeightsEnd)) return TimePoint::max();
-  if (settings.defences.stands(Defence::endFromFirstNewer))
+  if (model.empty() || weights.empty() || !settings.defences.isEnabled(Defence::oldWeightsEnd)) return TimePoint::max();
+  if (settings.defences.isEnabled(Defence::endFromFirstNewer))
     return endOfUse(versions.supersededAt(model, weights), span);
   return versions.isNewest(model, weights) ? TimePoint::max() : endOfUse(versions.newestAt(model), span);
 }
@@ -169,7 +170,7 @@
 }
 
 bool Edge::beginsTooLate(const Order& order, TimePoint now) const {
-  return order.walk->in("sent") && settings.defences.stands(Defence::unbegunDropped) &&
+  return order.walk->in("sent") && settings.defences.isEnabled(Defence::unbegunDropped) &&
          now >= endOfWeights(order.plan.model, order.plan.weights, timing.unbegunMost);
 }
 
@@ -204,21 +205,21 @@
     if (endReason) {
       if (*endReason == Code::stopping) effects.note("given up on leaving", orderId + " " + order.walk->state());
       order.lastCode = *endReason;
-      happen(effects, orderId, "revoked");
+      dispatch(effects, orderId, "revoked");
       continue;
     }
     if (order.walk->in("lookup") && effects.now - order.lookupAt >= settings.lookupWait &&
-        settings.defences.stands(Defence::lookupExpires))
+        settings.defences.isEnabled(Defence::lookupExpires))
       settleLookup(effects, order);
     else if (beginsTooLate(order, effects.now)) {
       effects.note("unbegun dropped", orderId + " " + order.plan.worker);
-      happen(effects, orderId, "silent");
+      dispatch(effects, orderId, "silent");
     } else if (order.route.byPath() && !order.walk->in("pending")) {
-      if (effects.now >= order.deadline + deadlineSlack) happen(effects, orderId, "silent");
+      if (effects.now >= order.deadline + deadlineSlack) dispatch(effects, orderId, "silent");
     } else if (order.walk->in("sent") && effects.now - order.heardAt >= settings.firstByteWait)
-      happen(effects, orderId, "silent");
+      dispatch(effects, orderId, "silent");
     else if (order.walk->in("streaming") && effects.now - order.heardAt >= settings.chunkWait)
-      happen(effects, orderId, "silent");
+      dispatch(effects, orderId, "silent");
   }
   std::vector<std::string> overdue;
   for (const auto& [moveId, move] : moves)
@@ -240,13 +241,14 @@
   bool late = cutOff(effects.now);
   if (late) order->lastCode = Code::staleEdge;
   std::string orderId = order->ask.orderId;
-  happen(effects, orderId, late ? "revoked" : "chunk");
+  dispatch(effects, orderId, late ? "revoked" : "chunk");
 }
 
 const char* Edge::eventOf(const Order& order, Outcome outcome) const {
   bool goesOn = order.walk->in("streaming") && order.route.resumable;
   bool brokeOff = outcome == Outcome::broken || outcome == Outcome::denied || outcome == Outcome::brokenUnsent;
-  if (outcome == Outcome::broken && order.walk->in("streaming") && !settings.defences.stands(Defence::retryBeforeBytes))
+  if (outcome == Outcome::broken && order.walk->in("streaming") &&
+      !settings.defences.isEnabled(Defence::retryBeforeBytes))
     return "brokenAnew";
   if (goesOn && brokeOff) return "cut";
   switch (outcome) {
@@ -279,7 +281,7 @@
   if (outcome == Outcome::denied)
     effects.note(std::string("turned away ") + codeName(static_cast<Code>(end.code)), end.orderId);
   std::string orderId = order->ask.orderId;
-  happen(effects, orderId, eventOf(*order, outcome));
+  dispatch(effects, orderId, eventOf(*order, outcome));
   servePending(effects);
 }
 
@@ -346,7 +348,7 @@
 
 void Edge::onMarks(const MarksMsg& marks, TimePoint now) {
   TimePoint listedAt = now - Duration(marks.age);
-  bool older = marksDigest && listedAt < marksAt && settings.defences.stands(Defence::listOrder);
+  bool older = marksDigest && listedAt < marksAt && settings.defences.isEnabled(Defence::listOrder);
   if (marks.age < 0 || marks.machines.empty() || older) return;
   marksAt = listedAt;
   marksDigest = digestOf(marks.machines);
@@ -367,12 +369,12 @@
   if (order.replies.size() == order.plan.candidates.size()) settleLookup(effects, order);
 }
 
-void Edge::take(Effects& effects, const std::string& from, const Message& message) {
+void Edge::handle(Effects& effects, const std::string& from, const Message& message) {
   if (auto* ask = std::get_if<CallerOrder>(&message)) {
     admit(effects, *ask);
   } else if (auto* gone = std::get_if<CallerGone>(&message)) {
     effects.note("caller gone", gone->orderId);
-    happen(effects, gone->orderId, "callerGone");
+    dispatch(effects, gone->orderId, "callerGone");
   } else if (auto* chunk = std::get_if<WorkerChunk>(&message)) {
     onWorkerChunk(effects, *chunk);
   } else if (auto* end = std::get_if<WorkerEnd>(&message)) {
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -63,7 +63,7 @@
 class Edge : public Node {
  public:
   explicit Edge(EdgeSettings edgeSettings);
-  void take(Effects& effects, const std::string& from, const Message& message) override;
+  void handle(Effects& effects, const std::string& from, const Message& message) override;
   void tick(Effects& effects) override;
   std::string condition(TimePoint now) const;
   bool fresh(TimePoint now) const;
@@ -94,7 +94,7 @@
     Code lastCode{Code::noWorker};
     WorkerEnd end;
     std::string chunk;
-    std::unique_ptr<ChartWalk<Edge, Effects&, Order&>> walk;
+    std::unique_ptr<StateMachine<Edge, Effects&, Order&>> walk;
   };
   struct Move {
     std::string target, sendId;
@@ -149,7 +149,7 @@
   bool wasFresh{false};
   std::optional<DrainPlan> drainPlan;
 
-  using Actions = ChartWalk<Edge, Effects&, Order&>::Actions;
+  using Actions = StateMachine<Edge, Effects&, Order&>::Actions;
   static const Actions& actions();
   void sendOrder(Effects& effects, Order& order);
   void sendLookup(Effects& effects, Order& order);
@@ -187,7 +187,7 @@
 
   void admit(Effects& effects, const CallerOrder& ask);
   void accept(Effects& effects, std::unique_ptr<Order> order);
-  void happen(Effects& effects, const std::string& orderId, const std::string& event);
+  void dispatch(Effects& effects, const std::string& orderId, const std::string& event);
   bool drawWorker(Effects& effects, Order& order);
   void drawSources(Order& order, TimePoint now);
   bool drawByPrefix(Effects& effects, Order& order);
--- a/src/routing/edge_admission.cpp
+++ b/src/routing/edge_admission.cpp
@@ -44,7 +44,7 @@
     pending.erase(std::next(row).base());
     found->second->lastCode = Code::pendingFull;
     effects.note("place given up", orderId + " " + tenant);
-    happen(effects, orderId, "late");
+    dispatch(effects, orderId, "late");
     return true;
   }
   return false;
@@ -121,7 +121,7 @@
 
 void Edge::accept(Effects& effects, std::unique_ptr<Order> order) {
   std::string orderId = order->ask.orderId;
-  order->walk = std::make_unique<ChartWalk<Edge, Effects&, Order&>>("order", actions(), "pending");
+  order->walk = std::make_unique<StateMachine<Edge, Effects&, Order&>>("order", actions(), "pending");
   admittedAt.push_back(effects.now);
   effects.note("admitted", orderId);
   orders[orderId] = std::move(order);
@@ -157,7 +157,7 @@
     auto& order = *found->second;
     if (effects.now - order.takenAt >= pendingMostOf(order) || overdue(order, effects.now) || !fresh(effects.now)) {
       if (!fresh(effects.now)) order.lastCode = Code::staleEdge;
-      happen(effects, orderId, "late");
+      dispatch(effects, orderId, "late");
       continue;
     }
     if (order.tries > 0 && !mayRetry(effects.now)) {
@@ -167,7 +167,7 @@
     }
     if (!drawWorker(effects, order)) {
       if (order.lastCode == Code::noWorker && effects.now - order.takenAt > 500ms)
-        happen(effects, orderId, "late");
+        dispatch(effects, orderId, "late");
       else
         left.push_back(orderId);
       continue;
@@ -177,13 +177,13 @@
       effects.note("retry", orderId, order.tries);
     }
     drawSources(order, effects.now);
-    happen(effects, orderId, order.plan.candidates.empty() ? "drawn" : "wantMove");
+    dispatch(effects, orderId, order.plan.candidates.empty() ? "drawn" : "wantMove");
   }
   pending.insert(pending.end(), left.begin(), left.end());
 }
 
 bool Edge::mayEndBefore(TimePoint deadline, TimePoint now) const {
-  return drainPlan && !drainPlan->takes(now, deadline) && settings.defences.stands(Defence::drainRefuses);
+  return drainPlan && !drainPlan->takes(now, deadline) && settings.defences.isEnabled(Defence::drainRefuses);
 }
 
 }  // namespace tt
--- a/src/routing/edge_outcomes.cpp
+++ b/src/routing/edge_outcomes.cpp
@@ -10,7 +10,7 @@
 }  // namespace
 
 bool Edge::mayRetry(TimePoint now) const {
-  if (!settings.defences.stands(Defence::retryBudget)) return true;
+  if (!settings.defences.isEnabled(Defence::retryBudget)) return true;
   auto fits = [&](Duration span) {
     auto within = [&](const std::deque<TimePoint>& moments) {
       return static_cast<double>(moments.end() - std::lower_bound(moments.begin(), moments.end(), now - span));
@@ -86,7 +86,7 @@
 }
 
 void Edge::endBroken(Effects& effects, Order& order) {
-  bool says = settings.defences.stands(Defence::brokenSaysSo);
+  bool says = settings.defences.isEnabled(Defence::brokenSaysSo);
   verdict(effects, order, says ? "failed" : "done", says ? Code::workerBroke : Code::done, order.plan.worker);
 }
 
@@ -134,8 +134,8 @@
   freeWorker(effects, order);
   if (static_cast<Outcome>(order.end.outcome) != Outcome::forgotten) order.tried.insert(order.plan.worker);
   orderBySend.erase(order.sendId);
-  order.mayHaveRun = settings.defences.stands(Defence::unknownOnceSent);
-  bool mayRepeat = order.ask.repeatable || !settings.defences.stands(Defence::retryOnlyRepeatable);
+  order.mayHaveRun = settings.defences.isEnabled(Defence::unknownOnceSent);
+  bool mayRepeat = order.ask.repeatable || !settings.defences.isEnabled(Defence::retryOnlyRepeatable);
   order.retryAsked = mayRepeat && order.tries < mostTriesOf(order) && !overdue(order, effects.now);
   if (!order.retryAsked) denyOrUnknown(effects, order, Code::workerBroke, order.plan.worker);
 }
--- a/src/routing/edge_placement.cpp
+++ b/src/routing/edge_placement.cpp
@@ -106,8 +106,8 @@
   plan.model = best->model;
   plan.weights = best->weights;
   if (!order.ask.model.empty()) {
-    plan.salt = cacheSalt(plan.model, settings.defences.stands(Defence::saltWeights) ? plan.weights : "any",
-                          settings.defences.stands(Defence::saltTenant) ? domain : "shared");
+    plan.salt = cacheSalt(plan.model, settings.defences.isEnabled(Defence::saltWeights) ? plan.weights : "any",
+                          settings.defences.isEnabled(Defence::saltTenant) ? domain : "shared");
     for (const auto& part : order.ask.parts) plan.hashes.push_back(hashPromptPart(plan.salt, part));
     plan.tokens = order.ask.partTokens;
     for (int tokens : plan.tokens) plan.unread += tokens;
@@ -134,7 +134,7 @@
 }
 
 bool Edge::mayBeDrawn(const WorkerView& worker) const {
-  return staying.count(worker.name) || !settings.defences.stands(Defence::marksAtDraw);
+  return staying.count(worker.name) || !settings.defences.isEnabled(Defence::marksAtDraw);
 }
 
 bool Edge::isPlain(const std::string& service) const {
@@ -222,8 +222,8 @@
       auto& hashed = byWeights[worker->weights];
       if (hashed.first.empty()) {
         hashed.first =
-            cacheSalt(order.ask.model, settings.defences.stands(Defence::saltWeights) ? worker->weights : "any",
-                      settings.defences.stands(Defence::saltTenant) ? domain : "shared");
+            cacheSalt(order.ask.model, settings.defences.isEnabled(Defence::saltWeights) ? worker->weights : "any",
+                      settings.defences.isEnabled(Defence::saltTenant) ? domain : "shared");
         hashed.second = hashPrompt(order.ask.parts, hashed.first);
       }
       if (worker->confirmed)
--- a/src/routing/edge_sources.cpp
+++ b/src/routing/edge_sources.cpp
@@ -248,13 +248,13 @@
     bool shed = order.lastCode == Code::pendingFull && order.tries == 0;
     for (auto row = orderByLookup.begin(); row != orderByLookup.end();)
       row = row->second == order.ask.orderId ? orderByLookup.erase(row) : std::next(row);
-    if (shed) return happen(effects, order.ask.orderId, "shed");
+    if (shed) return dispatch(effects, order.ask.orderId, "shed");
     return sendOrRedraw(effects, order.ask.orderId, rides ? "rides" : "misses");
   }
   for (const auto& candidate : plan.candidates) {
     auto reply = order.replies.find(candidate.name);
     std::size_t confirmed = reply == order.replies.end() ? 0 : prefixHits(reply->second.hits);
-    std::size_t hits = settings.defences.stands(Defence::hitsConfirmed) ? confirmed : candidate.guessedHits;
+    std::size_t hits = settings.defences.isEnabled(Defence::hitsConfirmed) ? confirmed : candidate.guessedHits;
     FetchFacts facts{candidate.store, static_cast<double>(hits), candidate.speed, candidate.busyness};
     if (hits < plan.localHits + leastGain || hits <= plan.wantedHits || !order.policy.fetches(facts)) continue;
     plan.source = candidate;
@@ -268,7 +268,7 @@
 
 void Edge::sendMove(Effects& effects, Order& order) {
   auto& plan = order.plan;
-  std::size_t blocks = settings.defences.stands(Defence::moveCut) ? plan.wantedHits : plan.hashes.size();
+  std::size_t blocks = settings.defences.isEnabled(Defence::moveCut) ? plan.wantedHits : plan.hashes.size();
   Hashes prefix(plan.hashes.begin(), plan.hashes.begin() + static_cast<std::ptrdiff_t>(blocks));
   std::string moveId = plan.worker + "/" + prefix.back().hex();
   order.moveId = moveId;
--- a/src/sim/scale/draw_trial.cpp
+++ b/src/sim/scale/draw_trial.cpp
@@ -86,11 +86,11 @@
   }
 
   void tell(const std::string& from, const Message& message) {
-    act([&](Effects& effects) { edge.take(effects, from, message); });
+    act([&](Effects& effects) { edge.handle(effects, from, message); });
   }
 
   void time(Spent& spent, const std::string& from, const Message& message) {
-    spent.ns += act([&](Effects& effects) { edge.take(effects, from, message); }) - clockCostNs();
+    spent.ns += act([&](Effects& effects) { edge.handle(effects, from, message); }) - clockCostNs();
     ++spent.count;
   }
 
--- a/src/sim/scale/hollow_fleet.cpp
+++ b/src/sim/scale/hollow_fleet.cpp
@@ -157,7 +157,7 @@
   Cause cause{"takes " + messageNameOf(event.frame), wireBytes(event.frame), event.from == process.beside};
   runStep(event.to, cause, [&](Effects& effects) {
     auto message = decodeMessage(event.frame);
-    if (message) process.node->take(effects, event.from, message.value());
+    if (message) process.node->handle(effects, event.from, message.value());
   });
 }
 
@@ -169,7 +169,7 @@
   if (auto* report = std::get_if<Report>(&message); report && measuring)
     eventsTaken += static_cast<std::int64_t>(report->events.size());
   runStep(event.to, {"takes " + messageNameAt(message.index()), 0, false},
-          [&](Effects& effects) { process.node->take(effects, event.from, message); });
+          [&](Effects& effects) { process.node->handle(effects, event.from, message); });
 }
 
 void HollowFleet::finishSync(std::size_t at) {
--- a/src/sim/scale/index_trial.cpp
+++ b/src/sim/scale/index_trial.cpp
@@ -92,7 +92,7 @@
 
   std::int64_t timeReport(const Report& report) {
     std::int64_t start = threadCpuNs();
-    act([&](Effects& effects) { cell->take(effects, report.worker, report); });
+    act([&](Effects& effects) { cell->handle(effects, report.worker, report); });
     return threadCpuNs() - start;
   }
 
@@ -143,7 +143,7 @@
       std::int64_t start = threadCpuNs();
       act([&](Effects& effects) {
         auto message = decodeMessage(frame);
-        cell->take(effects, readerAddress, message.value());
+        cell->handle(effects, readerAddress, message.value());
         for (const auto& [to, reply] : effects.sends) (void)encodeMessage(reply);
       });
       spentNs += threadCpuNs() - start - clockCostNs();
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -89,7 +89,7 @@
   };
   const std::vector<std::string>& found() const { return troubles; }
   const std::vector<Control>& controlRuns() const { return controls; }
-  void takeOut(Defence defence) { without.push_back(defence); }
+  void disable(Defence defence) { without.push_back(defence); }
   std::uint64_t seedInUse() const { return ownSeed; }
 
   /// Which lines broke, whatever else the run came to.
@@ -111,7 +111,7 @@
     world = std::make_unique<World>(shape, ownSeed);
     world->trace = traceKind;
     start = world->now();
-    for (auto defence : without) world->takeOut(defence);
+    for (auto defence : without) world->disable(defence);
     for (const auto& line : steps) {
       world->runUntil(start + secondsOf(line.at));
       step(line);
@@ -644,7 +644,7 @@
     bool caught = false;
     for (std::uint64_t more = 0; more < controlSeeds && !caught; ++more) {
       Runner bare(text, runner.seedInUse() + more, {});
-      bare.takeOut(control.defence);
+      bare.disable(control.defence);
       caught = bare.brokenLines().count(control.line) > 0;
     }
     if (!caught)
--- a/src/sim/sim.cpp
+++ b/src/sim/sim.cpp
@@ -390,7 +390,7 @@
 }
 
 bool World::leftTooLate(const Actor& actor, const WorkerOrder& order) const {
-  return order.leaveBy != 0 && defences.stands(Defence::leaveByKept) &&
+  return order.leaveBy != 0 && defences.isEnabled(Defence::leaveByKept) &&
          actor.local(clock) >= fromNanoseconds(order.leaveBy);
 }
 
@@ -546,7 +546,7 @@
     });
     return;
   }
-  drive(actor, [&](Effects& effects) { actor.node->take(effects, from, message); });
+  drive(actor, [&](Effects& effects) { actor.node->handle(effects, from, message); });
 }
 
 void World::runUntil(TimePoint until) {
--- a/src/sim/sim.hpp
+++ b/src/sim/sim.hpp
@@ -99,7 +99,7 @@
   void burst(const std::string& tenant, double rate) { burstRates[tenant] = rate; }
   void callerHangUps(int perCent) { hangUpShare = perCent; }
   /// Takes a defence out of the logic of every process started from here on.
-  void takeOut(Defence defence) { defences.takeOut(defence); }
+  void disable(Defence defence) { defences.disable(defence); }
   /// How callers behave who are told that their order did not run: per cent that come back as told, at once, elsewhere.
   void callerHabits(int obeying, int ignoring, int moving) {
     obeyShare = obeying;
--- a/src/sim/standin.cpp
+++ b/src/sim/standin.cpp
@@ -197,12 +197,12 @@
 }
 
 void KeeperNode::onControl(Effects& effects, const std::string& from, const ControlAsk& ask) {
-  if (ask.incarnation != incarnation && given.defences.stands(Defence::incarnationFence)) {
+  if (ask.incarnation != incarnation && given.defences.isEnabled(Defence::incarnationFence)) {
     effects.note("command denied", given.name + " " + ask.holder + " incarnation", static_cast<std::int64_t>(ask.term));
     effects.send(from, ControlReply{given.name, highestTerm, static_cast<int>(Code::incarnationOld), ask.number});
     return;
   }
-  if (ask.term < highestTerm && given.defences.stands(Defence::termFence)) {
+  if (ask.term < highestTerm && given.defences.isEnabled(Defence::termFence)) {
     effects.note("command denied", given.name + " " + ask.holder + " term", static_cast<std::int64_t>(ask.term));
     effects.send(from, ControlReply{given.name, highestTerm, static_cast<int>(Code::termOld), ask.number});
     return;
@@ -276,7 +276,7 @@
   }
 }
 
-void KeeperNode::take(Effects& effects, const std::string& from, const Message& message) {
+void KeeperNode::handle(Effects& effects, const std::string& from, const Message& message) {
   if (auto* order = std::get_if<WorkerOrder>(&message)) {
     onOrder(effects, from, *order);
   } else if (auto* gone = std::get_if<WorkerDrop>(&message)) {
@@ -312,7 +312,7 @@
   }
 }
 
-void PlatformNode::take(Effects& effects, const std::string& from, const Message& message) {
+void PlatformNode::handle(Effects& effects, const std::string& from, const Message& message) {
   auto* ask = std::get_if<MachinesAsk>(&message);
   if (!ask) return;
   MachinesReply reply{ask->askedAt, {}};
--- a/src/sim/standin.hpp
+++ b/src/sim/standin.hpp
@@ -46,7 +46,7 @@
 class KeeperNode : public Node {
  public:
   KeeperNode(KeeperSettings keeperSettings, std::string incarnationMark);
-  void take(Effects& effects, const std::string& from, const Message& message) override;
+  void handle(Effects& effects, const std::string& from, const Message& message) override;
   void tick(Effects& effects) override;
   KeeperFaults faults;
   const std::deque<RunRecord>& runs() const { return records; }
@@ -113,7 +113,7 @@
 /// Stands in for the platform: lists machines and marks those that leave.
 class PlatformNode : public Node {
  public:
-  void take(Effects& effects, const std::string& from, const Message& message) override;
+  void handle(Effects& effects, const std::string& from, const Message& message) override;
   void tick(Effects&) override {}
   void set(const Machine& machine);
   void mark(const std::string& name, bool leaving);
--- a/src/tools/main_agent.cpp
+++ b/src/tools/main_agent.cpp
@@ -27,7 +27,7 @@
   Agent agent(settings);
   Host host(agent, context, 20ms);
   Hub hub(
-      context, settings.address, [&](const std::string& from, Message message) { host.take(from, message); },
+      context, settings.address, [&](const std::string& from, Message message) { host.handle(from, message); },
       listenAddress);
   host.carry = [&](const std::string& to, Message&& message) { hub.send(to, message); };
   agent.journal.appended.connect([](const Event& event) {
--- a/src/tools/main_core.cpp
+++ b/src/tools/main_core.cpp
@@ -83,7 +83,7 @@
   OpenAnswers answers;
   Host host(core, context, 20ms);
   Hub hub(
-      context, given.settings.address, [&](const std::string& from, Message message) { host.take(from, message); },
+      context, given.settings.address, [&](const std::string& from, Message message) { host.handle(from, message); },
       given.listenAddress);
 
   auto call = [&](const std::string& to, WebCall made, std::function<void(const std::string&)> onBody) {
@@ -103,7 +103,7 @@
         auto reply = readMachines(body);
         if (!reply) return logWarning("Malformed list from the platform (" + reply.error().subject + ").");
         reply.value().askedAt = askedAt;
-        host.take(to, reply.value());
+        host.handle(to, reply.value());
       });
     } else if (auto* ask = std::get_if<ReportAsk>(&message)) {
       WebCall made;
@@ -111,7 +111,7 @@
                  "&incarnation=" + ask->incarnation + (ask->whole ? "&whole=1" : "");
       call(to, made, [&, to](const std::string& body) {
         if (auto report = readReport(body))
-          host.take(to, report.value());
+          host.handle(to, report.value());
         else
           logWarning("Malformed report from " + to + " (" + report.error().subject + ").");
       });
@@ -124,7 +124,7 @@
         auto reply = readControlReply(body);
         if (!reply) return;
         reply.value().number = number;
-        host.take(to, reply.value());
+        host.handle(to, reply.value());
       });
     } else if (auto* reply = std::get_if<OperatorResponse>(&message)) {
       if (auto answer = answers.remove(to))
@@ -140,7 +140,7 @@
       auto trouble = fault(Code::readUnconfirmed, "blueprint");
       answer->finish(codeStatus(trouble.code), faultBody(trouble), 500);
     } else if (to == given.settings.address) {
-      asio::post(context, [&, message = std::move(message)] { host.take(given.settings.address, message); });
+      asio::post(context, [&, message = std::move(message)] { host.handle(given.settings.address, message); });
     } else {
       hub.send(to, message);
     }
@@ -181,7 +181,7 @@
         return answer->finish(200, text);
       }
       ReadRequest read{answers.add(answer)};
-      return host.take(read.askId, read);
+      return host.handle(read.askId, read);
     }
     if (ask.method != "PUT" && ask.method != "PATCH") return deny(fault(Code::unknownPath, ask.method));
     if (ask.body.size() > given.settings.recordRoom) return deny(fault(Code::tooLarge, "body"));
@@ -199,7 +199,7 @@
     }
     std::string name = answers.add(answer);
     change.askId = name;
-    host.take(name, change);
+    host.handle(name, change);
   });
 
   if (auto done = hub.listen(); !done) return failStart(done.error());
--- a/src/tools/main_keeper.cpp
+++ b/src/tools/main_keeper.cpp
@@ -82,7 +82,7 @@
       if (answer && !answer->line(writeWorkerChunk(*chunk)))
         asio::post(context, [&, to, orderId = chunk->orderId] {
           answers.remove(to);
-          host.take(to, WorkerDrop{orderId});
+          host.handle(to, WorkerDrop{orderId});
         });
     } else if (auto* end = std::get_if<WorkerEnd>(&message)) {
       auto answer = answers.remove(to);
@@ -107,7 +107,7 @@
       calls.start(std::move(call), [&, pullId = pull->pullId](const WebResult& result) {
         if (!result.reached || result.status != 200) return;
         if (auto blocks = readBlocks(result.body))
-          host.take("source", PullReply{pullId, blocks.value().hashes, blocks.value().origins});
+          host.handle("source", PullReply{pullId, blocks.value().hashes, blocks.value().origins});
       });
     } else if (auto* stored = std::get_if<StoreMsg>(&message)) {
       WebCall call;
@@ -123,7 +123,7 @@
     auto deny = [&](const Error& trouble) { answer->finish(codeStatus(trouble.code), faultBody(trouble)); };
     auto pass = [&](const Message& message) {
       std::string name = answers.add(answer);
-      host.take(name, message);
+      host.handle(name, message);
     };
     std::string way = ask.method + " " + ask.path;
     if (way == "POST /v1/orders") {
@@ -151,7 +151,7 @@
     if (way == "POST /v1/blocks") {
       auto blocks = readBlocks(ask.body);
       if (!blocks) return deny(blocks.error());
-      host.take("peer", blocks.value());
+      host.handle("peer", blocks.value());
       return answer->finish(200, "{}");
     }
     if (way == "GET /v1/runs") {
--- a/src/tools/main_proxy.cpp
+++ b/src/tools/main_proxy.cpp
@@ -61,7 +61,7 @@
   OpenAnswers answers;
   WorkerCalls workerCalls;
   Host host(edge, context, 10ms);
-  Hub hub(context, settings.address, [&](const std::string& from, Message message) { host.take(from, message); });
+  Hub hub(context, settings.address, [&](const std::string& from, Message message) { host.handle(from, message); });
 
   edge.journal.appended.connect([](const Event& event) {
     if (event.kind == "fresh" || event.kind == "stale") logInfo(event.kind + ": " + event.subject + ".");
@@ -80,7 +80,7 @@
         if (left <= Duration(0)) {
           WorkerEnd unsent{sendId, static_cast<int>(Outcome::brokenUnsent), static_cast<int>(Code::workerBroke), 0, 0,
                            0};
-          return asio::post(context, [&host, unsent] { host.take("worker", unsent); });
+          return asio::post(context, [&host, unsent] { host.handle("worker", unsent); });
         }
         call.connectWait = std::min(call.connectWait, left);
       }
@@ -91,16 +91,16 @@
             [&, sendId, ended](const WebResult& result) {
               workerCalls.remove(sendId);
               if (*ended) return;
-              host.take("worker", endOfCall(sendId, result));
+              host.handle("worker", endOfCall(sendId, result));
             },
             [&, sendId, ended](const std::string& line) {
               if (*ended) return;
               auto read = readWorkerLine(sendId, line);
               if (auto* chunk = std::get_if<WorkerChunk>(&read)) {
-                host.take("worker", *chunk);
+                host.handle("worker", *chunk);
               } else if (auto* end = std::get_if<WorkerEnd>(&read)) {
                 *ended = true;
-                host.take("worker", *end);
+                host.handle("worker", *end);
               }
             });
       };
@@ -113,7 +113,7 @@
         asio::post(context, [&, orderId = chunk->orderId] {
           auto gone = answers.remove(orderId);
           if (!gone) return;
-          host.take("caller", CallerGone{orderId});
+          host.handle("caller", CallerGone{orderId});
           CallerVerdict verdict;
           verdict.orderId = orderId;
           verdict.verdict = "failed";
@@ -150,7 +150,7 @@
       order.value().orderId =
           settings.name + "/" + std::to_string(toNanoseconds(Clock::now())) + "/" + answers.freshName().substr(5);
       answers.addAs(order.value().orderId, answer);
-      return host.take("caller", order.value());
+      return host.handle("caller", order.value());
     }
     if (ask.method == "GET" && ask.path == "/v1/counters") {
       JsonObject rows;
--- a/tests/call_table.cpp
+++ b/tests/call_table.cpp
@@ -406,7 +406,7 @@
         machine.leaving = number != 3;
         machines.push_back(machine);
       }
-      bench.host->take("agent:1", MarksMsg{0, machines});
+      bench.host->handle("agent:1", MarksMsg{0, machines});
     } else {
       cr_expect_eq(headerIn(request, "X-Target-Instance"), "w3");
     }
--- a/tests/cell_bench.hpp
+++ b/tests/cell_bench.hpp
@@ -196,7 +196,7 @@
       due.erase(due.begin());
       if (auto core = cores.find(row.to); core != cores.end()) {
         if (core->second.alive)
-          with(row.to, [&](Effects& effects, Cell& cell) { cell.take(effects, row.from, row.message); });
+          with(row.to, [&](Effects& effects, Cell& cell) { cell.handle(effects, row.from, row.message); });
       } else if (auto worker = workers.find(row.to.substr(0, row.to.find(':'))); worker != workers.end()) {
         hear(worker->second, row.from, row.message);
       }
@@ -238,7 +238,7 @@
     LookupMsg ask{"l", "north-a", worker, weights, {}, "asker"};
     for (const auto& id : ids) ask.hashes.push_back(part(id));
     std::size_t before = sent.size();
-    with(to.empty() ? holder() : to, [&](Effects& effects, Cell& cell) { cell.take(effects, "agent", ask); });
+    with(to.empty() ? holder() : to, [&](Effects& effects, Cell& cell) { cell.handle(effects, "agent", ask); });
     for (std::size_t at = before; at < sent.size(); ++at)
       if (auto* reply = std::get_if<LookupReply>(&sent[at].message)) return reply->hits;
     return {-1};
--- a/tests/cells.cpp
+++ b/tests/cells.cpp
@@ -84,7 +84,7 @@
   overtaken.gaps = true;
   overtaken.sequence = 105;
   overtaken.events = {KeptEvent{105, static_cast<int>(KeptKind::stored), {part("b")}}};
-  bench.with(bench.holder(), [&](Effects& effects, Cell& cell) { cell.take(effects, "w1:80", overtaken); });
+  bench.with(bench.holder(), [&](Effects& effects, Cell& cell) { cell.handle(effects, "w1:80", overtaken); });
   cr_expect(bench.lookup("w1", {"a", "b"}) == (std::vector<int>{1, 0}), "b was removed after that report was made");
 }
 
@@ -238,14 +238,14 @@
   };
   bench.run(100ms);
   for (const auto& reply : {late(first.term, first.number), late(last.term - 1, last.number)})
-    bench.with(bench.holder(), [&](Effects& effects, Cell& cell) { cell.take(effects, "w1:80", reply); });
+    bench.with(bench.holder(), [&](Effects& effects, Cell& cell) { cell.handle(effects, "w1:80", reply); });
   bench.run(600ms);
   cr_assert_gt(bench.commandsTo("w1").size(), sent, "the last command is still unanswered and is sent again");
   last = std::get<ControlAsk>(bench.commandsTo("w1").back().message);
   cr_expect_eq(last.weights, "moss/5");
   sent = bench.commandsTo("w1").size();
   bench.with(bench.holder(),
-             [&](Effects& effects, Cell& cell) { cell.take(effects, "w1:80", late(last.term, last.number)); });
+             [&](Effects& effects, Cell& cell) { cell.handle(effects, "w1:80", late(last.term, last.number)); });
   bench.run(400ms);
   cr_expect_eq(bench.commandsTo("w1").size(), sent, "its own answer is taken");
 }
--- a/tests/core_bench.hpp
+++ b/tests/core_bench.hpp
@@ -130,7 +130,7 @@
       auto& machine = *receiver;
       if (!machine.alive || machine.life != life || (sender && cut(sender->name, machine.name))) continue;
       with(machine, [&, from = mail.from, message = std::move(mail.message)](Effects& effects, Core& core) {
-        core.take(effects, from, message);
+        core.handle(effects, from, message);
       });
     }
     for (auto& [name, machine] : machines) {
@@ -196,7 +196,7 @@
     change.body = R"({"weights":{")" + changeName + R"(":{"model":"moss"}}})";
     change.ifRevision = -1;
     change.changeId = changeName;
-    with(machines.at(name), [&](Effects& effects, Core& core) { core.take(effects, "operator", change); });
+    with(machines.at(name), [&](Effects& effects, Core& core) { core.handle(effects, "operator", change); });
     return askId;
   }
   bool acknowledged(const std::string& askId) const {
--- a/tests/fleet_bench.hpp
+++ b/tests/fleet_bench.hpp
@@ -145,7 +145,7 @@
     auto& machine = *at(mail.to);
     const auto* sender = at(mail.from);
     if (!machine.alive() || machine.life != life || (sender && cutLinks.count({sender->name, machine.name}))) return;
-    with(machine, [&](Effects& effects) { machine.node->take(effects, mail.from, mail.message); });
+    with(machine, [&](Effects& effects) { machine.node->handle(effects, mail.from, mail.message); });
   }
   void watchReaders() {
     for (auto& [name, machine] : machines)
@@ -211,13 +211,13 @@
     change.body = body;
     change.ifRevision = -1;
     change.changeId = changeName;
-    with(machines.at(name), [&](Effects& effects) { machines.at(name).node->take(effects, "operator", change); });
+    with(machines.at(name), [&](Effects& effects) { machines.at(name).node->handle(effects, "operator", change); });
     return askId;
   }
   std::string read(const std::string& name) {
     std::string askId = "read-" + std::to_string(++askCount);
     with(machines.at(name),
-         [&](Effects& effects) { machines.at(name).node->take(effects, askId, ReadRequest{askId}); });
+         [&](Effects& effects) { machines.at(name).node->handle(effects, askId, ReadRequest{askId}); });
     return askId;
   }
   ReadResponse readThrough(const std::string& name) {
--- a/tests/freshness.cpp
+++ b/tests/freshness.cpp
@@ -132,7 +132,7 @@
       stale.changeId = "stale";
       bench.run(1s);
       bench.with(bench.machines.at(old),
-                 [&](Effects& effects) { bench.machines.at(old).node->take(effects, "operator", stale); });
+                 [&](Effects& effects) { bench.machines.at(old).node->handle(effects, "operator", stale); });
       bench.run(hears ? Duration(5s) : Duration(12s));
       cr_expect_not(bench.readThrough(old).confirmed);
       for (const auto* askId : {&lone, &stale.askId}) {
@@ -217,7 +217,7 @@
         word.askId = std::get<LogEndRequest>(message).askId;
         word.core = nameOf(at);
         Effects taking{now, randomSource, journal, {}, {}};
-        reader.take(taking, to, word, view);
+        reader.handle(taking, to, word, view);
       }
     return reader.stamp() != TimePoint{};
   }
@@ -286,9 +286,9 @@
   news.commit = 1;
   news.entries.push_back(LogEntry{
       1, 1, static_cast<int>(EntryKind::members), packMembers({Member{"a", "a", "core-1:1", "n", true}}), {}, 0});
-  with([&](Effects& effects) { agent.take(effects, "core-1:1", news); });
+  with([&](Effects& effects) { agent.handle(effects, "core-1:1", news); });
   auto feedFrom = [&](const std::string& proxy, Uint64 applied) {
-    with([&](Effects& effects) { agent.take(effects, proxy, FeedAsk{toNanoseconds(now), applied, {}, 0}); });
+    with([&](Effects& effects) { agent.handle(effects, proxy, FeedAsk{toNanoseconds(now), applied, {}, 0}); });
   };
   feedFrom("proxy-1", 1);
   passTime(300ms);
@@ -302,7 +302,7 @@
 Test(freshness, logic_is_given_a_moment_read_after_it_may_run) {
   struct Clocked : Node {
     std::vector<TimePoint> moments;
-    void take(Effects& effects, const std::string&, const Message&) override { moments.push_back(effects.now); }
+    void handle(Effects& effects, const std::string&, const Message&) override { moments.push_back(effects.now); }
     void tick(Effects&) override {}
   };
   Clocked node;
@@ -315,7 +315,7 @@
   host.with([&](Effects&) {
     late = std::thread([&] {
       comes = true;
-      host.take("peer", FeedReply{});
+      host.handle("peer", FeedReply{});
     });
     while (!comes) std::this_thread::yield();
     for (int round = 0; round < 1000; ++round) std::this_thread::yield();
--- a/tests/gate_faults.cpp
+++ b/tests/gate_faults.cpp
@@ -148,8 +148,8 @@
       if (save.then) with(save.then);
     }
   }
-  void take(const std::string& from, const Message& message) {
-    with([&](Effects& effects) { core->take(effects, from, message); });
+  void handle(const std::string& from, const Message& message) {
+    with([&](Effects& effects) { core->handle(effects, from, message); });
   }
   /// Runs until it leads; its words to itself are delivered.
   void lead() {
@@ -159,7 +159,7 @@
       auto mail = std::move(out);
       out.clear();
       for (auto& [to, message] : mail)
-        if (to == "core-1:1") take(to, message);
+        if (to == "core-1:1") handle(to, message);
     }
     cr_assert(core->agreement().leads(now));
     out.clear();
@@ -173,7 +173,7 @@
     request.changeId = changeId;
     request.ifRevision = -1;
     request.toRevision = -1;
-    take("operator", request);
+    handle("operator", request);
     for (const auto& [to, message] : out)
       if (auto* change = std::get_if<ChangeRequest>(&message)) return change->askId;
     return {};
@@ -491,8 +491,8 @@
   cr_assert_neq(later, "");
   cr_assert_neq(earlier, later);
   machine.out.clear();
-  machine.take("core-1:1", ChangeResponse{earlier, static_cast<int>(Code::staleRevision), {}, {}, 0, 0, 0});
+  machine.handle("core-1:1", ChangeResponse{earlier, static_cast<int>(Code::staleRevision), {}, {}, 0, 0, 0});
   cr_assert_eq(machine.told(), 0u, "the refusal was for an operator of the life before");
-  machine.take("core-1:1", ChangeResponse{later, static_cast<int>(Code::staleRevision), {}, {}, 0, 0, 0});
+  machine.handle("core-1:1", ChangeResponse{later, static_cast<int>(Code::staleRevision), {}, {}, 0, 0, 0});
   cr_assert_eq(machine.told(), 1u);
 }
--- a/tests/leave_by.cpp
+++ b/tests/leave_by.cpp
@@ -11,7 +11,7 @@
   Exchanges exchanges{calls, "proxy-1",
                       [this](const std::string&, const Message& message) { told.push_back(message); }};
   Gate gate{io, "127.0.0.1:0", [this](GateRequest request, std::shared_ptr<GateAnswer> answer) {
-              exchanges.take(std::move(request), std::move(answer));
+              exchanges.handle(std::move(request), std::move(answer));
             }};
   RawServer worker{io, [](const RawServer::Held& held, const std::string&) { held->say(okay("well")); }};
   asio::ip::tcp::socket caller{io};
--- a/tests/load.cpp
+++ b/tests/load.cpp
@@ -177,7 +177,7 @@
       for (const auto& event : keeper.events)
         if (!ask.whole && event.sequence > ask.after) report.events.push_back(event);
     }
-    with([&](Effects& effects) { cell->take(effects, ask.worker + ":80", report); });
+    with([&](Effects& effects) { cell->handle(effects, ask.worker + ":80", report); });
   }
   void run(Duration span) {
     for (TimePoint until = now + span; now < until;) {
@@ -193,13 +193,13 @@
   std::vector<int> lookup(const std::string& keeper, const std::string& id) {
     replies.clear();
     with([&](Effects& effects) {
-      cell->take(effects, "agent",
-                 LookupMsg{"l",
-                           "north-a",
-                           keeper,
-                           "moss/3",
-                           {hashPromptPart("salt", "system"), hashPromptPart("salt", id)},
-                           "asker"});
+      cell->handle(effects, "agent",
+                   LookupMsg{"l",
+                             "north-a",
+                             keeper,
+                             "moss/3",
+                             {hashPromptPart("salt", "system"), hashPromptPart("salt", id)},
+                             "asker"});
     });
     for (const auto& message : replies)
       if (auto* reply = std::get_if<LookupReply>(&message)) return reply->hits;
@@ -372,7 +372,7 @@
       : core(settingsOf(name), RecoveredState{}, randomSource, now), address(name + ":1") {}
   std::vector<std::pair<std::string, Message>> give(const std::string& from, const Message& message) {
     Effects effects{now, randomSource, core.journal, {}, {}};
-    core.take(effects, from, message);
+    core.handle(effects, from, message);
     return std::move(effects.sends);
   }
   std::vector<NewsAsk> asksAt(const CellNews& news) {
--- a/tests/log_fleet.hpp
+++ b/tests/log_fleet.hpp
@@ -173,7 +173,7 @@
       way.queued -= bytes;
       auto& machine = machines.at(id);
       if (!machine.log || machine.life != life || !way.up) return;
-      with(machine, [&](Effects& effects, ReplicatedLog& log) { log.take(effects, sender.address, message); });
+      with(machine, [&](Effects& effects, ReplicatedLog& log) { log.handle(effects, sender.address, message); });
     });
   }
   void runDisk(Machine& machine) {
--- a/tests/membership.cpp
+++ b/tests/membership.cpp
@@ -340,8 +340,8 @@
   void tick(Duration span) {
     for (TimePoint until = now + span; now < until; now += 10ms) with([&](Effects& effects) { log.tick(effects); });
   }
-  void take(const std::string& from, const Message& message) {
-    with([&](Effects& effects) { log.take(effects, from + ":1", message); });
+  void handle(const std::string& from, const Message& message) {
+    with([&](Effects& effects) { log.handle(effects, from + ":1", message); });
   }
   /// Stands, with these granting each ballot, and says whether it wins.
   bool stands(const Strings& granting) {
@@ -349,15 +349,15 @@
       tick(10ms);
       bool probing = log.election.state() == "probing", asking = log.election.state() == "asking";
       for (const auto& id : granting)
-        if (probing || asking) take(id, VoteResponse{"accord", log.election.term(), id, probing, true});
+        if (probing || asking) handle(id, VoteResponse{"accord", log.election.term(), id, probing, true});
     }
     return log.election.won();
   }
   void acknowledge(const std::string& id, Uint64 index) {
-    take(id, AppendResponse{log.election.term(), id, true, index});
+    handle(id, AppendResponse{log.election.term(), id, true, index});
   }
   void renew(const std::string& id) {
-    take(id, HeartbeatResponse{"accord", log.election.term(), id, toNanoseconds(now), true});
+    handle(id, HeartbeatResponse{"accord", log.election.term(), id, toNanoseconds(now), true});
   }
 };
 const std::vector<Member> before = HandDrivenLog::voters({"a", "b", "c", "d", "f"});
@@ -439,7 +439,7 @@
   rows.back().votes = false;
   HandDrivenLog log("e", {rows});
   log.tick(2s);
-  log.take("a", VoteRequest{"accord", 5, "a", false, 1, 2});
+  log.handle("a", VoteRequest{"accord", 5, "a", false, 1, 2});
   bool granted = false;
   for (const auto& [to, message] : log.sent)
     if (auto* reply = std::get_if<VoteResponse>(&message)) granted = granted || (to == "a:1" && reply->granted);
@@ -506,7 +506,7 @@
       reply.commit = 1;
       reply.members = voters;
       Effects later{now, randomSource, journal, {}, {}};
-      reader.take(later, to, reply, view);
+      reader.handle(later, to, reply, view);
     }
   return reader.fresh(now);
 }
--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -103,7 +103,7 @@
     give(name, from, message, now);
   }
   void give(const std::string& name, const std::string& from, const Message& message, TimePoint seenNow) {
-    with(machines.at(name), seenNow, [&](Effects& effects, Core& core) { core.take(effects, from, message); });
+    with(machines.at(name), seenNow, [&](Effects& effects, Core& core) { core.handle(effects, from, message); });
   }
   void step() {
     now += 5ms;
@@ -282,7 +282,7 @@
   change.changeId = next.changeId;
   auto& asleep = fleet.machines.at(old);
   Effects effects{beforeItStood, fleet.randomSource, asleep.core->journal, {}, {}};
-  asleep.core->take(effects, "core-9:1", change);
+  asleep.core->handle(effects, "core-9:1", change);
   for (const auto& [to, message] : effects.sends)
     if (auto* reply = std::get_if<ChangeResponse>(&message))
       cr_expect_not(isRefusal(static_cast<Code>(reply->code)), "a deposed leader refused: %s", reply->text.c_str());
--- a/tests/plain_cells.cpp
+++ b/tests/plain_cells.cpp
@@ -73,7 +73,7 @@
   auto ask = [&] {
     bench.sent.clear();
     bench.with(holder, [&](Effects& effects, Cell& cell) {
-      cell.take(effects, "asker", LookupMsg{"l", "north-a", "w1", "moss/3", hashes, "asker"});
+      cell.handle(effects, "asker", LookupMsg{"l", "north-a", "w1", "moss/3", hashes, "asker"});
     });
     for (const auto& row : bench.sent)
       if (auto* reply = std::get_if<LookupReply>(&row.message)) return *reply;
@@ -81,15 +81,15 @@
   };
   cr_expect_eq(ask().waitingTokens, 0);
   bench.with(holder, [&](Effects& effects, Cell& cell) {
-    cell.take(effects, "asker", PrefillStarted{"o.1", "north-a", "w1", hashes, 5000});
-    cell.take(effects, "asker", PrefillStarted{"o.2", "north-a", "unlisted", hashes, 5000});
+    cell.handle(effects, "asker", PrefillStarted{"o.1", "north-a", "w1", hashes, 5000});
+    cell.handle(effects, "asker", PrefillStarted{"o.2", "north-a", "unlisted", hashes, 5000});
   });
   auto reply = ask();
   cr_expect_eq(reply.waitingTokens, 5000);
   cr_expect_eq(reply.pendingHits, 2);
   cr_expect(reply.hits == (std::vector<int>{0, 0}), "what is being read is not confirmed");
   bench.with(holder, [&](Effects& effects, Cell& cell) {
-    cell.take(effects, "asker", PrefillEnded{"o.1", "north-a", "w1", hashes, false});
+    cell.handle(effects, "asker", PrefillEnded{"o.1", "north-a", "w1", hashes, false});
   });
   cr_expect_eq(ask().waitingTokens, 0);
   cr_expect_eq(ask().pendingHits, 0);
--- a/tests/proxy_bench.hpp
+++ b/tests/proxy_bench.hpp
@@ -81,16 +81,16 @@
     host = std::make_unique<Host>(*edge, io, 20ms);
     calls = std::make_unique<HttpCalls>(io);
     exchanges = std::make_unique<Exchanges>(
-        *calls, "proxy-1", [this](const std::string& from, const Message& message) { host->take(from, message); },
+        *calls, "proxy-1", [this](const std::string& from, const Message& message) { host->handle(from, message); },
         [this] { return edge->fresh(Clock::now()); });
     gate = std::make_unique<Gate>(io, "127.0.0.1:0", [this](GateRequest request, std::shared_ptr<GateAnswer> answer) {
-      exchanges->take(std::move(request), std::move(answer));
+      exchanges->handle(std::move(request), std::move(answer));
     });
     host->carry = [this](const std::string& to, Message&& message) {
       if (exchanges->carry(to, message)) return;
       if (auto* ask = std::get_if<FeedAsk>(&message); ask && feeds)
         asio::post(io, [this, sentAt = ask->sentAt] {
-          host->take("agent:1", FeedReply{sentAt, 0, edge->configuration().index(), true});
+          host->handle("agent:1", FeedReply{sentAt, 0, edge->configuration().index(), true});
         });
     };
     for (std::size_t number = 0; number < workers; ++number)
@@ -179,8 +179,8 @@
       machine.service = "mill";
       machines.push_back(machine);
     }
-    host->take("agent:1", news);
-    host->take("agent:1", MarksMsg{0, machines});
+    host->handle("agent:1", news);
+    host->handle("agent:1", MarksMsg{0, machines});
   }
 
   asio::io_context io;
@@ -213,7 +213,7 @@
     NewsMsg news;
     news.commit = 1;
     news.snapshots.push_back(view.snapshot());
-    host->take("agent:1", news);
+    host->handle("agent:1", news);
   }
   void read(const std::shared_ptr<Client>& client) {
     client->socket.async_read_some(asio::buffer(client->piece),
--- a/tests/routing_bench.hpp
+++ b/tests/routing_bench.hpp
@@ -115,7 +115,7 @@
   }
   void give(const std::string& from, const Message& message) {
     Effects effects{now, randomSource, edge->journal, {}, {}};
-    edge->take(effects, from, message);
+    edge->handle(effects, from, message);
     keep(effects);
   }
   void tick() {
--- a/tests/snapshots.cpp
+++ b/tests/snapshots.cpp
@@ -60,8 +60,8 @@
     for (auto& message : effects.sends) sent.push_back(std::move(message));
     for (auto& save : effects.saves) waiting.push_back(std::move(save));
   }
-  void take(const std::string& from, const Message& message) {
-    with([&](Effects& effects) { log->take(effects, from, message); });
+  void handle(const std::string& from, const Message& message) {
+    with([&](Effects& effects) { log->handle(effects, from, message); });
   }
   void tick(Duration span) {
     now += span;
@@ -98,10 +98,10 @@
       for (const char* other : {"b", "c"}) {
         std::string address = std::string(other) + ":1";
         if (log->election.state() == "probing")
-          take(address, VoteResponse{"accord", log->election.term(), other, true, true});
+          handle(address, VoteResponse{"accord", log->election.term(), other, true, true});
         sync();
         if (log->election.state() == "asking")
-          take(address, VoteResponse{"accord", log->election.term(), other, false, true});
+          handle(address, VoteResponse{"accord", log->election.term(), other, false, true});
       }
     }
     cr_assert(log->election.won());
@@ -109,8 +109,8 @@
   }
   void renew() {
     for (const char* other : {"b", "c"})
-      take(std::string(other) + ":1",
-           HeartbeatResponse{"accord", log->election.term(), other, toNanoseconds(now), true});
+      handle(std::string(other) + ":1",
+             HeartbeatResponse{"accord", log->election.term(), other, toNanoseconds(now), true});
   }
   void change(std::size_t bytes = 4) {
     ChangeRequest request;
@@ -121,7 +121,7 @@
     with([&](Effects& effects) { log->takeChange(effects, "operator", request); });
   }
   void acknowledge(const std::string& other, std::uint64_t index) {
-    take(other + ":1", AppendResponse{log->election.term(), other, true, index});
+    handle(other + ":1", AppendResponse{log->election.term(), other, true, index});
   }
   std::uint64_t changes{0};
 };
@@ -145,8 +145,8 @@
   while (auto piece = sender.due(replica.now)) {
     piece->term = term;
     piece->leader = "b";
-    replica.take("b:1", *piece);
-    sender.take(replica.sentOf<InstallSnapshotResponse>().back(), replica.now);
+    replica.handle("b:1", *piece);
+    sender.handle(replica.sentOf<InstallSnapshotResponse>().back(), replica.now);
   }
 }
 
@@ -189,7 +189,7 @@
   Replica replica(heldWith(withConflictingTail(10, 15)));
   deliver(replica, 3, snapshotOf(entriesUpTo(20, 3)));
   replica.now += 10s;
-  replica.take("c:1", VoteRequest{"accord", 9, "c", false, 1, 1});
+  replica.handle("c:1", VoteRequest{"accord", 9, "c", false, 1, 1});
   cr_expect_not(replica.votedFor("c"), "ten entries that were counted on this disk are unknown to the candidate");
 }
 
@@ -225,7 +225,7 @@
 Test(snapshot_trim, a_leader_that_trimmed_past_its_own_disk_votes_for_no_older_log) {
   Replica replica = leaderWithSlowDisk();
   replica.now += 10s;
-  replica.take("c:1", VoteRequest{"accord", 9, "c", false, 1, 1});
+  replica.handle("c:1", VoteRequest{"accord", 9, "c", false, 1, 1});
   cr_expect_not(replica.votedFor("c"));
 }
 
@@ -274,7 +274,7 @@
       InstallSnapshot piece = there.begin()->second;
       there.erase(there.begin());
       if (static_cast<int>(randomSource() % 1000) < forgetPerMille) receiver = SnapshotReceiver();
-      Uint64 held = receiver.take(piece, 1 << 22);
+      Uint64 held = receiver.handle(piece, 1 << 22);
       way.mostUnderWay = std::max<std::uint64_t>(way.mostUnderWay, piece.bytes.size());
       if (auto whole = receiver.finished()) {
         cr_assert_eq(whole->configuration, snapshot.configuration);
@@ -288,7 +288,7 @@
       if (!drawn(lossPerCent)) back.emplace(arrival(), response);
     }
     while (!back.empty() && back.begin()->first <= now) {
-      sender.take(back.begin()->second, now);
+      sender.handle(back.begin()->second, now);
       back.erase(back.begin());
     }
   }
@@ -318,9 +318,9 @@
     InstallSnapshotResponse response;
     response.digest = piece->digest;
     response.attempt = piece->attempt;
-    response.offset = receiver.take(*piece, 1 << 22);
+    response.offset = receiver.handle(*piece, 1 << 22);
     whole = receiver.finished();
-    sender.take(response, now += 30ms);
+    sender.handle(response, now += 30ms);
   }
   cr_assert(whole.has_value());
   cr_expect_eq(payload, sender.image().bytes.size());
@@ -350,8 +350,8 @@
     InstallSnapshotResponse response;
     response.digest = piece->digest;
     response.attempt = piece->attempt;
-    response.offset = receiver.take(*piece, 1 << 22);
-    sender.take(response, now);
+    response.offset = receiver.handle(*piece, 1 << 22);
+    sender.handle(response, now);
   };
   SnapshotSender first(image);
   for (int pieces = 0; pieces < 4; ++pieces) pass(first);
@@ -369,14 +369,14 @@
   SnapshotReceiver receiver;
   TimePoint now{std::chrono::hours(1)};
   auto piece = sender.due(now);
-  cr_expect_eq(receiver.take(*piece, 100000), 0u);
+  cr_expect_eq(receiver.handle(*piece, 100000), 0u);
   cr_expect_eq(receiver.heldBytes(), 0u);
   piece->bytes[77] ^= 1;
-  cr_expect_eq(receiver.take(*piece, 1 << 22), SnapshotSender::pieceBytes);
+  cr_expect_eq(receiver.handle(*piece, 1 << 22), SnapshotSender::pieceBytes);
   InstallSnapshot rest = *piece;
   rest.offset = SnapshotSender::pieceBytes;
   rest.bytes = image->bytes.substr(SnapshotSender::pieceBytes);
-  receiver.take(rest, 1 << 22);
+  receiver.handle(rest, 1 << 22);
   cr_expect_not(receiver.finished().has_value(), "its digest does not fit");
   cr_expect_eq(receiver.heldBytes(), 0u);
 }
@@ -396,8 +396,9 @@
     for (const auto& request : leader.sentOf<AppendRequest>()) {
       cr_assert(request.entries.empty(), "a slow disk is sent what it has");
       for (const char* other : {"b", "c"})
-        leader.take(std::string(other) + ":1", AppendResponse{leader.log->election.term(), other, true,
-                                                              request.prevIndex, leader.log->logEnd(), request.round});
+        leader.handle(std::string(other) + ":1",
+                      AppendResponse{leader.log->election.term(), other, true, request.prevIndex, leader.log->logEnd(),
+                                     request.round});
     }
     leader.sent.clear();
   }
@@ -414,8 +415,8 @@
   auto questions = leader.sentOf<AppendRequest>();
   cr_assert_not(questions.empty());
   leader.sent.clear();
-  leader.take("b:1", AppendResponse{leader.log->election.term(), "b", true, questions[0].prevIndex,
-                                    questions[0].prevIndex, questions[0].round});
+  leader.handle("b:1", AppendResponse{leader.log->election.term(), "b", true, questions[0].prevIndex,
+                                      questions[0].prevIndex, questions[0].round});
   auto again = leader.sentOf<AppendRequest>();
   cr_assert_eq(again.size(), 1u);
   cr_expect_eq(again[0].entries.size(), 1u);
@@ -424,7 +425,7 @@
 Test(append_window, a_repeated_entry_is_written_once) {
   Replica follower(heldWith({membersEntry()}));
   AppendRequest request{3, "b", 1, 1, 1, {changeEntry(2, 3), changeEntry(3, 3)}, 1};
-  for (int copy = 0; copy < 20; ++copy) follower.take("b:1", request);
+  for (int copy = 0; copy < 20; ++copy) follower.handle("b:1", request);
   std::size_t entries = 0;
   for (const auto& save : follower.waiting) entries += save.record.kind == RecordKind::entry;
   cr_expect_eq(entries, 2u);
@@ -432,10 +433,10 @@
 
 Test(append_window, entries_synced_together_are_acknowledged_once) {
   Replica follower(heldWith({membersEntry()}));
-  follower.take("b:1", Heartbeat{"accord", 3, "b", 1});
+  follower.handle("b:1", Heartbeat{"accord", 3, "b", 1});
   AppendRequest request{3, "b", 1, 1, 1, {}, 1};
   for (std::uint64_t index = 2; index <= 100; ++index) request.entries.push_back(changeEntry(index, 3));
-  follower.take("b:1", request);
+  follower.handle("b:1", request);
   follower.sent.clear();
   follower.sync();
   auto responses = follower.sentOf<AppendResponse>();
--- a/tests/version_namings.cpp
+++ b/tests/version_namings.cpp
@@ -33,7 +33,7 @@
   template <class Reply>
   std::vector<VersionNaming> askedOf(const std::string& name, const Message& ask) {
     outside.clear();
-    with(machines.at(name), [&](Effects& effects) { machines.at(name).node->take(effects, "reader:1", ask); });
+    with(machines.at(name), [&](Effects& effects) { machines.at(name).node->handle(effects, "reader:1", ask); });
     for (const auto& [to, message] : outside)
       if (auto* reply = std::get_if<Reply>(&message)) return reply->namings;
     cr_assert_fail("%s does not answer", name.c_str());
