--- a/src/base/json.cpp
+++ b/src/base/json.cpp
@@ -10,7 +10,7 @@
 }
 }  // namespace
 
-Result<Json> readJson(std::string_view text) {
+Result<Json> parseJson(std::string_view text) {
   Json value;
   std::string trouble;
   const char* start = text.data();
@@ -29,8 +29,8 @@
   return value;
 }
 
-Result<JsonObject> readObject(std::string_view text, const std::set<std::string>& knownFields) {
-  auto value = readJson(text);
+Result<JsonObject> parseObject(std::string_view text, const std::set<std::string>& knownFields) {
+  auto value = parseJson(text);
   if (!value) return value.error();
   if (!value.value().is<JsonObject>()) return fault(Code::badField, "body", "must be an object");
   auto object = value.value().get<JsonObject>();
@@ -54,60 +54,60 @@
   }
 }
 
-Result<std::string> textField(const JsonObject& object, const std::string& name, const std::string& path) {
+Result<std::string> stringField(const JsonObject& object, const std::string& name, const std::string& path) {
   auto* value = member(object, name);
-  if (!value) return fault(Code::missingField, pathOf(path, name));
-  if (!value->is<std::string>()) return fault(Code::badField, pathOf(path, name), "must be a text");
+  if (!value) return fault(Code::missingField, fieldPath(path, name));
+  if (!value->is<std::string>()) return fault(Code::badField, fieldPath(path, name), "must be a text");
   return value->get<std::string>();
 }
 
-Result<std::int64_t> numberField(const JsonObject& object, const std::string& name, std::int64_t fallback,
-                                 std::int64_t least, std::int64_t most, const std::string& path) {
+Result<std::int64_t> integerField(const JsonObject& object, const std::string& name, std::int64_t fallback,
+                                  std::int64_t least, std::int64_t most, const std::string& path) {
   auto* value = member(object, name);
   if (!value) return fallback;
   if (!value->is<double>() || std::floor(value->get<double>()) != value->get<double>())
-    return fault(Code::badField, pathOf(path, name), "must be a whole number");
+    return fault(Code::badField, fieldPath(path, name), "must be a whole number");
   double number = value->get<double>();
   if (number < static_cast<double>(least) || number > static_cast<double>(most))
-    return fault(Code::badField, pathOf(path, name),
+    return fault(Code::badField, fieldPath(path, name),
                  "must be from " + std::to_string(least) + " to " + std::to_string(most));
   return static_cast<std::int64_t>(number);
 }
 
-Result<bool> flagField(const JsonObject& object, const std::string& name, bool fallback, const std::string& path) {
+Result<bool> boolField(const JsonObject& object, const std::string& name, bool fallback, const std::string& path) {
   auto* value = member(object, name);
   if (!value) return fallback;
-  if (!value->is<bool>()) return fault(Code::badField, pathOf(path, name), "must be true or false");
+  if (!value->is<bool>()) return fault(Code::badField, fieldPath(path, name), "must be true or false");
   return value->get<bool>();
 }
 
-Result<std::vector<std::string>> textsField(const JsonObject& object, const std::string& name,
-                                            const std::string& path) {
+Result<std::vector<std::string>> stringListField(const JsonObject& object, const std::string& name,
+                                                 const std::string& path) {
   auto* value = member(object, name);
-  if (!value) return fault(Code::missingField, pathOf(path, name));
-  if (!value->is<JsonArray>()) return fault(Code::badField, pathOf(path, name), "must be a list of texts");
+  if (!value) return fault(Code::missingField, fieldPath(path, name));
+  if (!value->is<JsonArray>()) return fault(Code::badField, fieldPath(path, name), "must be a list of texts");
   std::vector<std::string> texts;
   for (const auto& item : value->get<JsonArray>()) {
     if (!item.is<std::string>())
-      return fault(Code::badField, pathOf(path, name) + "[" + std::to_string(texts.size()) + "]", "must be a text");
+      return fault(Code::badField, fieldPath(path, name) + "[" + std::to_string(texts.size()) + "]", "must be a text");
     texts.push_back(item.get<std::string>());
   }
   return texts;
 }
 
-std::string textOr(const Json& object, const std::string& name, const std::string& fallback) {
+std::string stringOr(const Json& object, const std::string& name, const std::string& fallback) {
   if (!object.is<JsonObject>()) return fallback;
   auto* value = member(object.get<JsonObject>(), name);
   return value && value->is<std::string>() ? value->get<std::string>() : fallback;
 }
-std::int64_t numberOr(const Json& object, const std::string& name, std::int64_t fallback) {
+std::int64_t integerOr(const Json& object, const std::string& name, std::int64_t fallback) {
   if (!object.is<JsonObject>()) return fallback;
   auto* value = member(object.get<JsonObject>(), name);
   if (!value || !value->is<double>()) return fallback;
   double number = value->get<double>();
   return std::abs(number) < 9e15 ? static_cast<std::int64_t>(number) : fallback;
 }
-bool flagOr(const Json& object, const std::string& name, bool fallback) {
+bool boolOr(const Json& object, const std::string& name, bool fallback) {
   if (!object.is<JsonObject>()) return fallback;
   auto* value = member(object.get<JsonObject>(), name);
   return value && value->is<bool>() ? value->get<bool>() : fallback;
--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -131,7 +131,7 @@
   const auto* models = view.sectionAt("models");
   if (!models) return;
   auto complete = completeUntil == TimePoint{} ? std::nullopt : std::optional<TimePoint>(completeUntil);
-  for (const auto& [model, item] : *models) timeline.observe(model, textOr(item, "weights"), complete, view.index());
+  for (const auto& [model, item] : *models) timeline.observe(model, stringOr(item, "weights"), complete, view.index());
 }
 
 void ClusterView::learnFrom(Effects& effects, const std::string& from, const LogEndResponse& reply, TimePoint askedAt) {
--- a/src/cluster/core_operators.cpp
+++ b/src/cluster/core_operators.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 std::string touchedBy(const std::string& body) {
-  auto read = readJson(body);
+  auto read = parseJson(body);
   std::string text;
   if (!read || !read.value().is<JsonObject>()) return text;
   for (const auto& [section, items] : read.value().get<JsonObject>()) {
--- a/src/config/configuration.cpp
+++ b/src/config/configuration.cpp
@@ -12,7 +12,7 @@
 }  // namespace
 
 Result<std::string> Configuration::preparePatch(const std::string& text, Manner manner) const {
-  auto read = readJson(text);
+  auto read = parseJson(text);
   if (!read) return read.error();
   if (!read.value().is<JsonObject>()) return fault(Code::badField, "body", "must be an object");
   JsonObject patch = read.value().get<JsonObject>();
@@ -34,7 +34,7 @@
   if (old != items.end()) {
     weight -= std::min(weight, name.size() + old->second.serialize().size());
     if (sectionName == "keys")
-      if (auto known = keyIdByHash.find(textOr(old->second, "hash"));
+      if (auto known = keyIdByHash.find(stringOr(old->second, "hash"));
           known != keyIdByHash.end() && known->second == name)
         keyIdByHash.erase(known);
     if (sectionName == "policies") policies.erase(name);
@@ -45,7 +45,7 @@
   }
   items[name] = *value;
   weight += name.size() + value->serialize().size();
-  if (sectionName == "keys") keyIdByHash[textOr(*value, "hash")] = name;
+  if (sectionName == "keys") keyIdByHash[stringOr(*value, "hash")] = name;
   if (sectionName == "policies" && value->is<std::string>())
     if (auto policy = Policy::read(value->get<std::string>())) policies[name] = policy.value();
 }
@@ -96,8 +96,8 @@
   serviceRows.erase(name);
   if (!value || !value->is<JsonObject>()) return;
   serviceRows[name] = readService(*value);
-  if (textOr(*value, "storeAddress").empty()) return;
-  storeRows.push_back(StoreView{name, textOr(*value, "storeAddress"), textOr(*value, "locality")});
+  if (stringOr(*value, "storeAddress").empty()) return;
+  storeRows.push_back(StoreView{name, stringOr(*value, "storeAddress"), stringOr(*value, "locality")});
 }
 
 void Configuration::applyPatch(const JsonObject& patch) {
@@ -130,7 +130,7 @@
     if (snapshot) memberRows = snapshot.value().members;
   } else if (kind == EntryKind::change) {
     currentRevision = entry.revision ? entry.revision : currentRevision + 1;
-    auto patch = readJson(entry.body);
+    auto patch = parseJson(entry.body);
     if (patch && patch.value().is<JsonObject>()) applyPatch(patch.value().get<JsonObject>());
     if (!entry.changeId.empty()) rememberChange(entry.changeId);
   } else if (kind == EntryKind::refusal) {
@@ -173,7 +173,7 @@
 }
 
 Result<void> Configuration::adopt(const Snapshot& snapshot) {
-  auto read = readJson(snapshot.configuration);
+  auto read = parseJson(snapshot.configuration);
   if (!read) return read.error();
   if (!read.value().is<JsonObject>()) return fault(Code::badField, "capture");
   *this = Configuration();
@@ -213,17 +213,17 @@
   auto found = sections.find("weights");
   if (!weights || found == sections.end()) return 0;
   auto row = found->second.find(*weights);
-  return row == found->second.end() ? 0 : numberOr(row->second, "number", 0);
+  return row == found->second.end() ? 0 : integerOr(row->second, "number", 0);
 }
 
 bool Configuration::hasWeights(const std::string& change) const {
-  auto read = readJson(change);
+  auto read = parseJson(change);
   if (!read || !read.value().is<JsonObject>()) return false;
   const auto& named = read.value().get("weights");
   if (!named.is<JsonObject>() || named.get<JsonObject>().empty()) return false;
   for (const auto& [name, row] : named.get<JsonObject>()) {
-    std::int64_t number = numberOr(row, "number", 0);
-    if (number == 0 || number > weightsNumber(textOr(row, "model"))) return false;
+    std::int64_t number = integerOr(row, "number", 0);
+    if (number == 0 || number > weightsNumber(stringOr(row, "model"))) return false;
   }
   return true;
 }
@@ -253,7 +253,7 @@
   auto found = tenants->find(name);
   if (found == tenants->end()) return std::nullopt;
   TenantView tenant;
-  if (auto priority = numberOr(found->second, "priority", -1); priority >= 0)
+  if (auto priority = integerOr(found->second, "priority", -1); priority >= 0)
     tenant.priority = static_cast<int>(priority);
   return tenant;
 }
@@ -274,7 +274,7 @@
   if (auto own = tenantByHash.find(secretHash); own != tenantByHash.end()) return KeyView{own->second, own->second};
   auto found = keyIdByHash.find(secretHash);
   if (found == keyIdByHash.end()) return std::nullopt;
-  return KeyView{found->second, textOr(sections.at("keys").at(found->second), "tenant")};
+  return KeyView{found->second, stringOr(sections.at("keys").at(found->second), "tenant")};
 }
 
 std::optional<RouteView> Configuration::findRoute(const std::string& name) const {
@@ -286,7 +286,7 @@
 std::optional<std::string> Configuration::weightsOf(const std::string& model) const {
   auto found = sections.find("models");
   if (found == sections.end() || !found->second.count(model)) return std::nullopt;
-  return textOr(found->second.at(model), "weights");
+  return stringOr(found->second.at(model), "weights");
 }
 
 bool Configuration::knowsModel(const std::string& model) const { return weightsOf(model).has_value(); }
@@ -294,7 +294,7 @@
 std::string Configuration::domainOf(const std::string& tenant) const {
   auto found = sections.find("tenants");
   if (found == sections.end() || !found->second.count(tenant)) return "own:" + tenant;
-  return flagOr(found->second.at(tenant), "isolated", false) ? "own:" + tenant : "shared";
+  return boolOr(found->second.at(tenant), "isolated", false) ? "own:" + tenant : "shared";
 }
 
 Policy Configuration::policyOf(const std::string& name) const {
--- a/src/config/item_edits.cpp
+++ b/src/config/item_edits.cpp
@@ -17,7 +17,7 @@
 /// The place after all items that are there.
 double nextPlace(const JsonObject& items) {
   double place = 0;
-  for (const auto& [name, item] : items) place = std::max(place, static_cast<double>(numberOr(item, "at", -1)) + 1);
+  for (const auto& [name, item] : items) place = std::max(place, static_cast<double>(integerOr(item, "at", -1)) + 1);
   return place;
 }
 
@@ -28,7 +28,7 @@
     auto& fields = item.get<JsonObject>();
     const auto* old = objectAt(known, name);
     if (!old) {
-      fresh.emplace_back(numberOr(item, "at", std::numeric_limits<std::int64_t>::max()), name);
+      fresh.emplace_back(integerOr(item, "at", std::numeric_limits<std::int64_t>::max()), name);
       continue;
     }
     fields.erase("at");
@@ -45,16 +45,16 @@
   auto rows = fields.find(rowsName);
   if (rows == fields.end() || !rows->second.is<JsonArray>())
     return fault(Code::badField, path + "." + rowsName, "must be a list");
-  return textField(fields, "by", path);
+  return stringField(fields, "by", path);
 }
 
 void upsertRows(Json& list, const std::string& field, const JsonArray& rows) {
   if (!list.is<JsonArray>()) list = Json(JsonArray());
   auto& target = list.get<JsonArray>();
   for (const auto& row : rows) {
-    auto key = textOr(row, field);
+    auto key = stringOr(row, field);
     auto same = std::find_if(target.begin(), target.end(),
-                             [&](const Json& old) { return !key.empty() && textOr(old, field) == key; });
+                             [&](const Json& old) { return !key.empty() && stringOr(old, field) == key; });
     if (same == target.end())
       target.push_back(row);
     else
@@ -68,7 +68,7 @@
   for (const auto& key : keys)
     target.erase(std::remove_if(target.begin(), target.end(),
                                 [&](const Json& row) {
-                                  return key.is<std::string>() && textOr(row, field) == key.get<std::string>();
+                                  return key.is<std::string>() && stringOr(row, field) == key.get<std::string>();
                                 }),
                  target.end());
 }
--- a/src/config/item_readers.cpp
+++ b/src/config/item_readers.cpp
@@ -9,11 +9,11 @@
 /// A span in milliseconds; no clock reaches further than the most.
 Duration spanOr(const Json& item, const std::string& name, std::int64_t fallbackMs) {
   constexpr std::int64_t mostMs = 1000000000000;
-  return std::chrono::milliseconds(std::clamp(numberOr(item, name, fallbackMs), -mostMs, mostMs));
+  return std::chrono::milliseconds(std::clamp(integerOr(item, name, fallbackMs), -mostMs, mostMs));
 }
 
 std::size_t bytesOr(const Json& item, const std::string& name, std::int64_t fallback) {
-  return static_cast<std::size_t>(std::max<std::int64_t>(0, numberOr(item, name, fallback)));
+  return static_cast<std::size_t>(std::max<std::int64_t>(0, integerOr(item, name, fallback)));
 }
 
 /// A figure that may have a fraction; 0 where there is none, or none that can be meant.
@@ -26,7 +26,7 @@
 
 int intOr(const Json& item, const std::string& name, int fallback) {
   constexpr std::int64_t least = std::numeric_limits<int>::min(), most = std::numeric_limits<int>::max();
-  return static_cast<int>(std::clamp(numberOr(item, name, fallback), least, most));
+  return static_cast<int>(std::clamp(integerOr(item, name, fallback), least, most));
 }
 
 /// The elements of a list field; none if the item has no such list.
@@ -38,7 +38,7 @@
 }
 
 Repeat readRepeat(const Json& item) {
-  std::string repeat = textOr(item, "repeat");
+  std::string repeat = stringOr(item, "repeat");
   if (repeat == "safe") return Repeat::safe;
   if (repeat == "stream") return Repeat::stream;
   return Repeat::once;
@@ -46,9 +46,9 @@
 
 std::vector<std::pair<std::string, double>> readSplit(const Json& item) {
   std::vector<std::pair<std::string, double>> split;
-  if (auto service = textOr(item, "service"); !service.empty()) split.emplace_back(service, 1);
+  if (auto service = stringOr(item, "service"); !service.empty()) split.emplace_back(service, 1);
   for (const auto& row : listOf(item, "split"))
-    split.emplace_back(textOr(row, "service"), static_cast<double>(numberOr(row, "weight", 0)));
+    split.emplace_back(stringOr(row, "service"), static_cast<double>(integerOr(row, "weight", 0)));
   return split;
 }
 
@@ -60,7 +60,7 @@
 
 ServiceView readService(const Json& item) {
   ServiceView service;
-  if (!textOr(item, "storeAddress").empty()) {
+  if (!stringOr(item, "storeAddress").empty()) {
     service.kind = ServiceKind::store;
   } else if (item.contains("engine") && item.get("engine").is<JsonObject>()) {
     service.kind = ServiceKind::engine;
@@ -74,11 +74,11 @@
 RouteView readRoute(const std::string& name, const Json& item) {
   RouteView route;
   route.name = name;
-  route.model = textOr(item, "model");
-  route.app = textOr(item, "kind") == "app";
-  route.policy = textOr(item, "policy");
-  route.host = textOr(item, "host");
-  route.prefix = normalizedPrefix(textOr(item, "prefix"));
+  route.model = stringOr(item, "model");
+  route.app = stringOr(item, "kind") == "app";
+  route.policy = stringOr(item, "policy");
+  route.host = stringOr(item, "host");
+  route.prefix = normalizedPrefix(stringOr(item, "prefix"));
   for (const auto& tenant : listOf(item, "tenants")) route.tenants.insert(tenant.to_str());
   route.split = readSplit(item);
   route.repeat = readRepeat(item);
@@ -87,8 +87,8 @@
   route.gap = spanOr(item, "gapMs", 0);
   route.tries = intOr(item, "tries", 0);
   route.priority = intOr(item, "priority", 5);
-  route.open = flagOr(item, "open", false);
-  route.resumable = flagOr(item, "resumable", false);
+  route.open = boolOr(item, "open", false);
+  route.resumable = boolOr(item, "resumable", false);
   return route;
 }
 
--- a/src/config/manifests.cpp
+++ b/src/config/manifests.cpp
@@ -6,23 +6,23 @@
 Result<void> onlyFields(const JsonObject& object, const std::set<std::string>& known, const std::string& path) {
   for (const auto& [name, value] : object)
     if (!known.count(name))
-      return fault(Code::unknownField, pathOf(path, name), "this field of a manifest is not supported");
+      return fault(Code::unknownField, fieldPath(path, name), "this field of a manifest is not supported");
   return boost::outcome_v2::success();
 }
 
 Result<const JsonObject*> objectAt(const JsonObject& object, const std::string& name, const std::string& path) {
   auto found = object.find(name);
-  if (found == object.end()) return fault(Code::missingField, pathOf(path, name));
-  if (!found->second.is<JsonObject>()) return fault(Code::badField, pathOf(path, name), "must be an object");
+  if (found == object.end()) return fault(Code::missingField, fieldPath(path, name));
+  if (!found->second.is<JsonObject>()) return fault(Code::badField, fieldPath(path, name), "must be an object");
   return &found->second.get<JsonObject>();
 }
 
 Result<const JsonObject*> soleObject(const JsonObject& object, const std::string& name, const std::string& path) {
   auto found = object.find(name);
-  if (found == object.end()) return fault(Code::missingField, pathOf(path, name));
+  if (found == object.end()) return fault(Code::missingField, fieldPath(path, name));
   if (!found->second.is<JsonArray>() || found->second.get<JsonArray>().size() != 1 ||
       !found->second.get<JsonArray>().front().is<JsonObject>())
-    return fault(Code::badField, pathOf(path, name), "must be a list of one object");
+    return fault(Code::badField, fieldPath(path, name), "must be a list of one object");
   return &found->second.get<JsonArray>().front().get<JsonObject>();
 }
 
@@ -30,58 +30,58 @@
   if (!manifest.is<JsonObject>()) return fault(Code::badField, path.empty() ? "body" : path, "must be an object");
   const auto& whole = manifest.get<JsonObject>();
   if (auto known = onlyFields(whole, {"apiVersion", "kind", "metadata", "spec"}, path); !known) return known.error();
-  if (textOr(manifest, "apiVersion") != "gateway.networking.k8s.io/v1")
-    return fault(Code::badField, pathOf(path, "apiVersion"), "must be gateway.networking.k8s.io/v1");
-  if (textOr(manifest, "kind") != "HTTPRoute")
-    return fault(Code::badField, pathOf(path, "kind"), "only HTTPRoute is supported");
+  if (stringOr(manifest, "apiVersion") != "gateway.networking.k8s.io/v1")
+    return fault(Code::badField, fieldPath(path, "apiVersion"), "must be gateway.networking.k8s.io/v1");
+  if (stringOr(manifest, "kind") != "HTTPRoute")
+    return fault(Code::badField, fieldPath(path, "kind"), "only HTTPRoute is supported");
   auto metadata = objectAt(whole, "metadata", path);
   if (!metadata) return metadata.error();
-  if (auto known = onlyFields(*metadata.value(), {"name", "annotations"}, pathOf(path, "metadata")); !known)
+  if (auto known = onlyFields(*metadata.value(), {"name", "annotations"}, fieldPath(path, "metadata")); !known)
     return known.error();
-  auto name = textField(*metadata.value(), "name", pathOf(path, "metadata"));
+  auto name = stringField(*metadata.value(), "name", fieldPath(path, "metadata"));
   if (!name) return name.error();
   JsonObject route;
   if (metadata.value()->count("annotations")) {
-    std::string notesPath = pathOf(path, "metadata.annotations");
-    auto notes = objectAt(*metadata.value(), "annotations", pathOf(path, "metadata"));
+    std::string notesPath = fieldPath(path, "metadata.annotations");
+    auto notes = objectAt(*metadata.value(), "annotations", fieldPath(path, "metadata"));
     if (!notes) return notes.error();
     if (auto known = onlyFields(*notes.value(), {"trouttally/policy", "trouttally/kind"}, notesPath); !known)
       return known.error();
     for (const char* word : {"policy", "kind"}) {
       std::string full = std::string("trouttally/") + word;
       if (!notes.value()->count(full)) continue;
-      auto text = textField(*notes.value(), full, notesPath);
+      auto text = stringField(*notes.value(), full, notesPath);
       if (!text) return text.error();
       route[word] = Json(text.value());
     }
   }
   auto spec = objectAt(whole, "spec", path);
   if (!spec) return spec.error();
-  std::string specPath = pathOf(path, "spec");
+  std::string specPath = fieldPath(path, "spec");
   if (auto known = onlyFields(*spec.value(), {"rules"}, specPath); !known) return known.error();
   auto rule = soleObject(*spec.value(), "rules", specPath);
   if (!rule) return rule.error();
-  std::string rulePath = pathOf(specPath, "rules[0]");
+  std::string rulePath = fieldPath(specPath, "rules[0]");
   if (auto known = onlyFields(*rule.value(), {"backendRefs"}, rulePath); !known) return known.error();
   auto backend = soleObject(*rule.value(), "backendRefs", rulePath);
   if (!backend) return backend.error();
-  std::string backendPath = pathOf(rulePath, "backendRefs[0]");
+  std::string backendPath = fieldPath(rulePath, "backendRefs[0]");
   if (auto known = onlyFields(*backend.value(), {"name"}, backendPath); !known) return known.error();
-  auto model = textField(*backend.value(), "name", backendPath);
+  auto model = stringField(*backend.value(), "name", backendPath);
   if (!model) return model.error();
   route["model"] = Json(model.value());
   if (!routes.emplace(name.value(), Json(route)).second)
-    return fault(Code::badField, pathOf(path, "metadata.name"), "stands twice: " + name.value());
+    return fault(Code::badField, fieldPath(path, "metadata.name"), "stands twice: " + name.value());
   return boost::outcome_v2::success();
 }
 
 }  // namespace
 
 Result<std::string> patchFromManifests(const std::string& text) {
-  auto read = readJson(text);
+  auto read = parseJson(text);
   if (!read) return read.error();
   JsonObject routes;
-  if (textOr(read.value(), "kind") == "List") {
+  if (stringOr(read.value(), "kind") == "List") {
     const auto& whole = read.value().get<JsonObject>();
     if (auto known = onlyFields(whole, {"apiVersion", "kind", "items"}, {}); !known) return known.error();
     auto items = whole.find("items");
--- a/src/config/patch_checks.cpp
+++ b/src/config/patch_checks.cpp
@@ -71,8 +71,8 @@
 
 void PatchChecks::collectRoutePrefixes() {
   for (const auto* row : untouchedItems("routes"))
-    if (auto prefix = textOr(row->second, "prefix"); !prefix.empty())
-      routeByPrefix[{textOr(row->second, "host"), normalizedPrefix(prefix)}] = row->first;
+    if (auto prefix = stringOr(row->second, "prefix"); !prefix.empty())
+      routeByPrefix[{stringOr(row->second, "host"), normalizedPrefix(prefix)}] = row->first;
 }
 
 const Json* PatchChecks::findItem(const std::string& sectionName, const std::string& name) const {
@@ -127,28 +127,28 @@
 }
 
 Result<void> PatchChecks::checkModel(const CheckedItem& checked) const {
-  auto weights = textField(checked.fields, "weights", checked.path);
+  auto weights = stringField(checked.fields, "weights", checked.path);
   if (!weights) return weights.error();
   auto* version = findItem("weights", weights.value());
   if (!version) return fault(Code::blueprintBad, checked.path + ".weights", "no such weights: " + weights.value());
-  if (textOr(*version, "model") != checked.name)
+  if (stringOr(*version, "model") != checked.name)
     return fault(Code::blueprintBad, checked.path + ".weights", "these weights belong to another model");
   return boost::outcome_v2::success();
 }
 
 Result<void> PatchChecks::checkWeights(const CheckedItem& checked) const {
-  auto model = textField(checked.fields, "model", checked.path);
+  auto model = stringField(checked.fields, "model", checked.path);
   if (!model) return model.error();
-  auto number = numberField(checked.fields, "number", 0, 0, highestWeightsNumber, checked.path);
+  auto number = integerField(checked.fields, "number", 0, 0, highestWeightsNumber, checked.path);
   if (!number) return number.error();
   return boost::outcome_v2::success();
 }
 
 Result<void> PatchChecks::checkTenant(const CheckedItem& checked) {
-  auto isolated = flagField(checked.fields, "isolated", false, checked.path);
+  auto isolated = boolField(checked.fields, "isolated", false, checked.path);
   if (!isolated) return isolated.error();
   if (!checked.fields.count("secrets")) return boost::outcome_v2::success();
-  auto secrets = textsField(checked.fields, "secrets", checked.path);
+  auto secrets = stringListField(checked.fields, "secrets", checked.path);
   if (!secrets) return secrets.error();
   for (const auto& secret : secrets.value()) {
     if (secret.empty()) return fault(Code::badField, checked.path + ".secrets", "a key is empty");
@@ -160,16 +160,16 @@
 }
 
 Result<void> PatchChecks::checkKey(const CheckedItem& checked) {
-  auto tenant = textField(checked.fields, "tenant", checked.path);
+  auto tenant = stringField(checked.fields, "tenant", checked.path);
   if (!tenant) return tenant.error();
   if (!findItem("tenants", tenant.value()))
     return fault(Code::blueprintBad, checked.path + ".tenant", "no such tenant: " + tenant.value());
-  auto hash = textField(checked.fields, "hash", checked.path);
+  auto hash = stringField(checked.fields, "hash", checked.path);
   if (!hash) return fault(hash.error().code, checked.path + ".secret", hash.error().text);
   if (!isHash(hash.value())) return fault(Code::badField, checked.path + ".hash", "must be 64 hexadecimal digits");
   if (auto known = keyIdByHash.find(hash.value()); known != keyIdByHash.end() && known->second != checked.name) {
     const Json* other = findItem("keys", known->second);
-    if (other && textOr(*other, "hash") == hash.value())
+    if (other && stringOr(*other, "hash") == hash.value())
       return fault(Code::blueprintBad, checked.path + ".secret", "another key has this secret");
   }
   if (!keyByHash.emplace(hash.value(), checked.name).second)
@@ -178,15 +178,15 @@
 }
 
 Result<void> PatchChecks::checkService(const CheckedItem& checked) const {
-  if (checked.fields.count("storeAddress") && textOr(checked.item, "storeAddress").empty())
+  if (checked.fields.count("storeAddress") && stringOr(checked.item, "storeAddress").empty())
     return fault(Code::badField, checked.path + ".storeAddress", "must be ip:port");
   return boost::outcome_v2::success();
 }
 
 Result<void> PatchChecks::checkPathRoute(const CheckedItem& checked) {
-  auto host = textField(checked.fields, "host", checked.path);
+  auto host = stringField(checked.fields, "host", checked.path);
   if (!host) return host.error();
-  auto prefix = textField(checked.fields, "prefix", checked.path);
+  auto prefix = stringField(checked.fields, "prefix", checked.path);
   if (!prefix) return prefix.error();
   auto route = readRoute(checked.name, checked.item);
   auto owner = routeByPrefix.emplace(std::make_pair(route.host, route.prefix), checked.name).first->second;
@@ -211,7 +211,7 @@
 }
 
 Result<void> PatchChecks::checkModelRoute(const CheckedItem& checked) const {
-  auto model = textField(checked.fields, "model", checked.path);
+  auto model = stringField(checked.fields, "model", checked.path);
   if (!model) return model.error();
   if (!findItem("models", model.value()))
     return fault(Code::blueprintBad, checked.path + ".model", "no such model: " + model.value());
@@ -222,7 +222,7 @@
 
 Result<void> PatchChecks::checkKind(const CheckedItem& checked) const {
   if (!checked.fields.count("kind")) return boost::outcome_v2::success();
-  auto kind = textField(checked.fields, "kind", checked.path);
+  auto kind = stringField(checked.fields, "kind", checked.path);
   if (!kind) return kind.error();
   if (kind.value() != "language" && kind.value() != "app")
     return fault(Code::badField, checked.path + ".kind", "must be language or app");
@@ -231,7 +231,7 @@
 
 Result<void> PatchChecks::checkTenantReferences(const CheckedItem& checked) const {
   if (!checked.fields.count("tenants")) return boost::outcome_v2::success();
-  auto tenants = textsField(checked.fields, "tenants", checked.path);
+  auto tenants = stringListField(checked.fields, "tenants", checked.path);
   if (!tenants) return tenants.error();
   for (const auto& tenant : tenants.value())
     if (!findItem("tenants", tenant))
@@ -241,7 +241,7 @@
 
 Result<void> PatchChecks::checkPolicyReference(const CheckedItem& checked) const {
   if (!checked.fields.count("policy")) return boost::outcome_v2::success();
-  auto policy = textField(checked.fields, "policy", checked.path);
+  auto policy = stringField(checked.fields, "policy", checked.path);
   if (!policy) return policy.error();
   if (!findItem("policies", policy.value()))
     return fault(Code::blueprintBad, checked.path + ".policy", "no such policy: " + policy.value());
--- a/src/config/patch_shape.cpp
+++ b/src/config/patch_shape.cpp
@@ -53,7 +53,7 @@
 Result<void> hashSecret(JsonObject& fields, const std::string& path) {
   if (!fields.count("secret")) return boost::outcome_v2::success();
   if (fields.count("hash")) return fault(Code::badField, path + ".hash", "not beside a secret");
-  auto secret = textField(fields, "secret", path);
+  auto secret = stringField(fields, "secret", path);
   if (!secret) return secret.error();
   if (secret.value().size() < shortestSecret)
     return fault(Code::badField, path + ".secret", "must have 8 letters or more");
--- a/src/fuzz/configurations.cpp
+++ b/src/fuzz/configurations.cpp
@@ -45,7 +45,7 @@
         text += "|" + secret.get<std::string>() + ">" + (key ? key->tenant : "");
       }
   for (const auto& [name, item] : view.section("keys")) {
-    auto key = view.findKey(textOr(item, "hash"));
+    auto key = view.findKey(stringOr(item, "hash"));
     text += "|" + name + ">" + (key ? key->id + "," + key->tenant : "");
   }
   std::set<std::string> stores;
@@ -113,7 +113,7 @@
   std::string input = mutator.bentText(good);
   auto made = patchFromManifests(input);
   if (!made) return rejectedWith(made.error(), input);
-  auto patch = readJson(made.value());
+  auto patch = parseJson(made.value());
   if (!patch || !patch.value().is<JsonObject>()) return broken("the patch is no object", input);
   for (const auto& [section, items] : patch.value().get<JsonObject>())
     if (section != "routes" || !items.is<JsonObject>()) return broken("the patch holds more than routes", input);
--- a/src/fuzz/mutation.cpp
+++ b/src/fuzz/mutation.cpp
@@ -137,8 +137,8 @@
 
 /// Bends a value of a JSON text, so that the text stays one; empty if it is none.
 std::string Mutator::bendTree(const std::string& text, const std::string& other) {
-  auto read = readJson(text);
-  auto donor = readJson(other);
+  auto read = parseJson(text);
+  auto donor = parseJson(other);
   if (!read) return {};
   std::vector<Json*> nodes, donated;
   listNodes(read.value(), nodes);
--- a/src/net/contract.cpp
+++ b/src/net/contract.cpp
@@ -19,15 +19,15 @@
 /// A whole number of an object as an int; what does not fit is taken as far as it goes.
 int intOr(const Json& object, const std::string& name, int fallback) {
   constexpr std::int64_t least = std::numeric_limits<int>::min(), most = std::numeric_limits<int>::max();
-  return static_cast<int>(std::clamp(numberOr(object, name, fallback), least, most));
+  return static_cast<int>(std::clamp(integerOr(object, name, fallback), least, most));
 }
 /// A count of an object; there is none below 0.
 Uint64 countOr(const Json& object, const std::string& name) {
-  return static_cast<Uint64>(std::max<std::int64_t>(0, numberOr(object, name, 0)));
+  return static_cast<Uint64>(std::max<std::int64_t>(0, integerOr(object, name, 0)));
 }
 Result<Hashes> readHashes(const JsonObject& object, const std::string& name) {
   if (!object.count(name)) return Hashes{};
-  auto texts = textsField(object, name);
+  auto texts = stringListField(object, name);
   if (!texts) return texts.error();
   Hashes hashes;
   for (const auto& text : texts.value()) {
@@ -38,7 +38,7 @@
   return hashes;
 }
 Result<JsonObject> readAnyObject(const std::string& text) {
-  auto value = readJson(text);
+  auto value = parseJson(text);
   if (!value) return value.error();
   if (!value.value().is<JsonObject>()) return fault(Code::badField, "body", "must be an object");
   return value.value().get<JsonObject>();
@@ -59,7 +59,7 @@
   if (order.moves) body["move"] = Json(true);
   JsonObject params;
   if (!order.params.empty())
-    if (auto given = readJson(order.params); given && given.value().is<JsonObject>())
+    if (auto given = parseJson(order.params); given && given.value().is<JsonObject>())
       params = given.value().get<JsonObject>();
   if (!order.sourceAddress.empty()) {
     auto colon = order.sourceAddress.rfind(':');
@@ -74,36 +74,36 @@
 }
 
 Result<WorkerOrder> readWorkerOrder(const std::string& text) {
-  auto read = readObject(text, {"order_id", "model", "weights", "cache_salt", "parts", "block_hashes", "max_tokens",
-                                "tenant", "app", "move", "kv_transfer_params"});
+  auto read = parseObject(text, {"order_id", "model", "weights", "cache_salt", "parts", "block_hashes", "max_tokens",
+                                 "tenant", "app", "move", "kv_transfer_params"});
   if (!read) return read.error();
   const auto& body = read.value();
   WorkerOrder order;
-  auto id = textField(body, "order_id");
+  auto id = stringField(body, "order_id");
   if (!id) return id.error();
   order.orderId = id.value();
   Json whole(body);
-  order.model = textOr(whole, "model");
-  order.weights = textOr(whole, "weights");
-  order.cacheSalt = textOr(whole, "cache_salt");
-  order.tenant = textOr(whole, "tenant");
-  auto parts = textsField(body, "parts");
+  order.model = stringOr(whole, "model");
+  order.weights = stringOr(whole, "weights");
+  order.cacheSalt = stringOr(whole, "cache_salt");
+  order.tenant = stringOr(whole, "tenant");
+  auto parts = stringListField(body, "parts");
   if (!parts) return parts.error();
   order.parts = parts.value();
   auto hashes = readHashes(body, "block_hashes");
   if (!hashes) return hashes.error();
   order.hashes = hashes.value();
-  auto tokens = numberField(body, "max_tokens", 16, 0, 100000);
+  auto tokens = integerField(body, "max_tokens", 16, 0, 100000);
   if (!tokens) return tokens.error();
   order.maxTokens = static_cast<int>(tokens.value());
-  order.app = flagOr(whole, "app", false);
-  order.moves = flagOr(whole, "move", false);
+  order.app = boolOr(whole, "app", false);
+  order.moves = boolOr(whole, "move", false);
   if (auto params = body.find("kv_transfer_params"); params != body.end() && params->second.is<JsonObject>()) {
     const auto& rows = params->second.get<JsonObject>();
     if (auto source = rows.find("remote_kv_source"); source != rows.end()) {
-      order.transferId = textOr(source->second, "kv_request_id");
+      order.transferId = stringOr(source->second, "kv_request_id");
       order.sourceAddress =
-          textOr(source->second, "remote_host") + ":" + std::to_string(numberOr(source->second, "remote_port", 0));
+          stringOr(source->second, "remote_host") + ":" + std::to_string(integerOr(source->second, "remote_port", 0));
     }
   }
   return order;
@@ -128,13 +128,13 @@
 
 std::variant<std::monostate, WorkerChunk, WorkerEnd> readWorkerLine(const std::string& orderId,
                                                                     const std::string& line) {
-  auto read = readJson(line);
+  auto read = parseJson(line);
   if (!read || !read.value().is<JsonObject>()) return std::monostate{};
   const auto& body = read.value();
-  std::string end = textOr(body, "end");
+  std::string end = stringOr(body, "end");
   if (end.empty()) {
     if (!body.get<JsonObject>().count("token")) return std::monostate{};
-    return WorkerChunk{orderId, textOr(body, "token")};
+    return WorkerChunk{orderId, stringOr(body, "token")};
   }
   Outcome outcome = end == "done"     ? Outcome::done
                     : end == "denied" ? Outcome::denied
@@ -183,18 +183,18 @@
   const auto& body = read.value();
   Json whole(body);
   Report report;
-  auto worker = textField(body, "worker");
+  auto worker = stringField(body, "worker");
   if (!worker) return worker.error();
   report.worker = worker.value();
-  report.incarnation = textOr(whole, "incarnation");
-  report.weights = textOr(whole, "weights");
-  report.model = textOr(whole, "model");
+  report.incarnation = stringOr(whole, "incarnation");
+  report.weights = stringOr(whole, "weights");
+  report.model = stringOr(whole, "model");
   report.running = intOr(whole, "running", 0);
   report.slots = intOr(whole, "slots", 0);
   report.sequence = countOr(whole, "sequence");
   report.term = countOr(whole, "term");
-  report.draining = flagOr(whole, "draining", false);
-  report.whole = flagOr(whole, "whole", false);
+  report.draining = boolOr(whole, "draining", false);
+  report.whole = boolOr(whole, "whole", false);
   auto kept = readHashes(body, "kept");
   if (!kept) return kept.error();
   report.kept = kept.value();
@@ -203,7 +203,7 @@
       if (!row.is<JsonObject>()) return fault(Code::badField, "events");
       KeptEvent event;
       event.sequence = countOr(row, "sequence");
-      std::string kind = textOr(row, "kind");
+      std::string kind = stringOr(row, "kind");
       if (kind != "stored" && kind != "removed" && kind != "cleared") return fault(Code::badField, "events.kind");
       event.kind = static_cast<int>(kind == "stored"    ? KeptKind::stored
                                     : kind == "removed" ? KeptKind::removed
@@ -227,19 +227,18 @@
   return Json(body).serialize();
 }
 Result<ControlAsk> readControl(const std::string& text) {
-  auto read = readObject(text, {"term", "holder", "action", "model", "weights", "incarnation"});
+  auto read = parseObject(text, {"term", "holder", "action", "model", "weights", "incarnation"});
   if (!read) return read.error();
   const auto& body = read.value();
-  auto term = numberField(body, "term", 0, 0, 1LL << 52);
+  auto term = integerField(body, "term", 0, 0, 1LL << 52);
   if (!term) return term.error();
-  auto action = textField(body, "action");
+  auto action = stringField(body, "action");
   if (!action) return action.error();
   if (action.value() != "drain" && action.value() != "load" && action.value() != "admit")
     return fault(Code::badField, "action", "must be drain, load or admit");
   Json whole(body);
-  return ControlAsk{
-      static_cast<Uint64>(term.value()), textOr(whole, "holder"),     action.value(), textOr(whole, "model"),
-      textOr(whole, "weights"),          textOr(whole, "incarnation")};
+  return ControlAsk{static_cast<Uint64>(term.value()), stringOr(whole, "holder"),  action.value(),
+                    stringOr(whole, "model"),          stringOr(whole, "weights"), stringOr(whole, "incarnation")};
 }
 std::string writeControlReply(const ControlReply& reply) {
   JsonObject body;
@@ -252,7 +251,7 @@
   auto read = readAnyObject(text);
   if (!read) return read.error();
   Json whole(read.value());
-  return ControlReply{textOr(whole, "worker"), countOr(whole, "term"), intOr(whole, "code", 0)};
+  return ControlReply{stringOr(whole, "worker"), countOr(whole, "term"), intOr(whole, "code", 0)};
 }
 
 std::string writeBlocks(const Hashes& hashes, const Strings& origins) {
@@ -262,13 +261,13 @@
   return Json(body).serialize();
 }
 Result<StoreMsg> readBlocks(const std::string& text) {
-  auto read = readObject(text, {"hashes", "origins"});
+  auto read = parseObject(text, {"hashes", "origins"});
   if (!read) return read.error();
   auto hashes = readHashes(read.value(), "hashes");
   if (!hashes) return hashes.error();
   StoreMsg message{hashes.value(), {}};
   if (read.value().count("origins")) {
-    auto origins = textsField(read.value(), "origins");
+    auto origins = stringListField(read.value(), "origins");
     if (!origins) return origins.error();
     message.origins = origins.value();
   }
@@ -297,13 +296,13 @@
                                                                                         {"address", &machine.address},
                                                                                         {"locality", &machine.locality},
                                                                                         {"kind", &machine.kind}}) {
-    auto text = textField(value.get<JsonObject>(), name, "machines");
+    auto text = stringField(value.get<JsonObject>(), name, "machines");
     if (!text) return text.error();
     *field = text.value();
   }
   if (machine.kind != "language" && machine.kind != "app" && machine.kind != "store")
     return fault(Code::badField, "machines.kind", "must be language, app or store");
-  machine.leaving = flagOr(value, "leaving", false);
+  machine.leaving = boolOr(value, "leaving", false);
   return machine;
 }
 Result<MachinesReply> readMachines(const std::string& text) {
@@ -323,28 +322,28 @@
 Result<CallerOrder> readCallerOrder(const std::string& text) {
   if (text.size() > callerBodyMost)
     return fault(Code::tooLarge, "body", "a body has " + std::to_string(callerBodyMost) + " bytes at most");
-  auto read = readObject(text, {"route", "model", "parts", "repeatable", "maxTokens", "tenant", "kv_transfer_params"});
+  auto read = parseObject(text, {"route", "model", "parts", "repeatable", "maxTokens", "tenant", "kv_transfer_params"});
   if (!read) return read.error();
   const auto& body = read.value();
   CallerOrder order;
-  auto route = textField(body, "route");
+  auto route = stringField(body, "route");
   if (!route) return route.error();
   order.route = route.value();
-  auto model = textField(body, "model");
+  auto model = stringField(body, "model");
   if (!model) return model.error();
   order.model = model.value();
-  auto parts = textsField(body, "parts");
+  auto parts = stringListField(body, "parts");
   if (!parts) return parts.error();
   if (parts.value().empty()) return fault(Code::badField, "parts", "must not be empty");
   order.parts = parts.value();
-  auto repeatable = flagField(body, "repeatable", false);
+  auto repeatable = boolField(body, "repeatable", false);
   if (!repeatable) return repeatable.error();
   order.repeatable = repeatable.value();
-  auto tokens = numberField(body, "maxTokens", 16, 1, 4096);
+  auto tokens = integerField(body, "maxTokens", 16, 1, 4096);
   if (!tokens) return tokens.error();
   order.maxTokens = static_cast<int>(tokens.value());
   if (body.count("tenant")) {
-    auto tenant = textField(body, "tenant");
+    auto tenant = stringField(body, "tenant");
     if (!tenant) return tenant.error();
     order.tenant = tenant.value();
   }
@@ -353,7 +352,7 @@
     for (const auto& [name, value] : params->second.get<JsonObject>()) {
       order.modes.push_back(name);
       if (!value.is<JsonObject>()) return fault(Code::badField, "kv_transfer_params." + name, "must be an object");
-      auto id = textField(value.get<JsonObject>(), "kv_request_id", "kv_transfer_params." + name);
+      auto id = stringField(value.get<JsonObject>(), "kv_request_id", "kv_transfer_params." + name);
       if (!id) return id.error();
     }
     order.params = params->second.serialize();
--- a/src/net/process.cpp
+++ b/src/net/process.cpp
@@ -95,7 +95,7 @@
   if (!source) return fault(Code::badProps, "props", "cannot read " + file);
   std::stringstream bytes;
   bytes << source.rdbuf();
-  auto read = readJson(bytes.str());
+  auto read = parseJson(bytes.str());
   if (!read) return fault(Code::badProps, "props", file + ": " + read.error().text);
   if (!read.value().is<JsonObject>()) return fault(Code::badProps, "props", file + ": must be an object");
   for (const auto& [key, value] : read.value().get<JsonObject>()) {
@@ -126,7 +126,7 @@
       for (std::string item; std::getline(list, item, ',');) items.push_back(Json(item));
       value = Json(items);
     } else if (row->number || row->flag) {
-      auto read = readJson(row->given);
+      auto read = parseJson(row->given);
       if (!read) return failStart(fault(Code::badProps, row->key, "'" + row->given + "' cannot be read"));
       value = read.value();
     }
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -155,7 +155,7 @@
   if (!models) return;
   std::optional<TimePoint> complete;
   if (freshUntil != TimePoint{}) complete = freshUntil - timing.freshFor;
-  for (const auto& [model, item] : *models) versions.observe(model, textOr(item, "weights"), complete, view.index());
+  for (const auto& [model, item] : *models) versions.observe(model, stringOr(item, "weights"), complete, view.index());
 }
 
 TimePoint Edge::endOfWeights(const std::string& model, const std::string& weights, Duration span) const {
--- a/src/sim/history_lines.cpp
+++ b/src/sim/history_lines.cpp
@@ -29,11 +29,11 @@
   for (const auto& row : list.get<JsonArray>()) {
     if (!row.is<JsonObject>()) return fault(Code::badField, "items", "must hold objects");
     const auto& fields = row.get<JsonObject>();
-    auto name = textField(fields, "name", "items");
+    auto name = stringField(fields, "name", "items");
     if (!name) return name.error();
     ItemChange item{name.value(), std::nullopt};
     if (fields.count("value")) {
-      auto value = textField(fields, "value", "items");
+      auto value = stringField(fields, "value", "items");
       if (!value) return value.error();
       item.value = value.value();
     }
@@ -43,7 +43,7 @@
 }
 
 Result<std::int64_t> momentField(const JsonObject& fields, const std::string& name) {
-  auto text = textField(fields, name);
+  auto text = stringField(fields, name);
   if (!text) return text.error();
   if (text.value().empty() || text.value().find_first_not_of("0123456789") != std::string::npos ||
       text.value().size() > 18)
@@ -52,7 +52,7 @@
 }
 
 Result<void> readInitial(History& history, const JsonObject& fields) {
-  auto revision = numberField(fields, "revision", 0, 0, mostRevision);
+  auto revision = integerField(fields, "revision", 0, 0, mostRevision);
   if (!revision) return revision.error();
   history.initialRevision = static_cast<std::uint64_t>(revision.value());
   auto found = fields.find("items");
@@ -66,7 +66,8 @@
 
 Result<Operation> readOperation(const JsonObject& fields) {
   Operation operation;
-  auto kind = textField(fields, "kind"), outcome = textField(fields, "outcome"), client = textField(fields, "client");
+  auto kind = stringField(fields, "kind"), outcome = stringField(fields, "outcome"),
+       client = stringField(fields, "client");
   if (!kind) return kind.error();
   if (!outcome) return outcome.error();
   if (!client) return client.error();
@@ -77,9 +78,9 @@
   operation.kind = *knownKind;
   operation.outcome = *knownOutcome;
   operation.client = client.value();
-  operation.through = textOr(Json(fields), "through");
-  operation.changeId = textOr(Json(fields), "changeId");
-  operation.model = textOr(Json(fields), "model");
+  operation.through = stringOr(Json(fields), "through");
+  operation.changeId = stringOr(Json(fields), "changeId");
+  operation.model = stringOr(Json(fields), "model");
   auto began = momentField(fields, "began");
   if (!began) return began.error();
   operation.began = began.value();
@@ -90,27 +91,27 @@
   }
   if (operation.outcome != OperationOutcome::unclear && !operation.ended) return fault(Code::missingField, "ended");
   for (auto [name, target] : {std::pair{"revision", &operation.revision}, {"seen", &operation.seenRevision}}) {
-    auto number = numberField(fields, name, 0, 0, mostRevision);
+    auto number = integerField(fields, name, 0, 0, mostRevision);
     if (!number) return number.error();
     *target = static_cast<std::uint64_t>(number.value());
   }
   if (fields.count("base")) {
-    auto base = numberField(fields, "base", 0, 0, mostRevision);
+    auto base = integerField(fields, "base", 0, 0, mostRevision);
     if (!base) return base.error();
     operation.base = static_cast<std::uint64_t>(base.value());
   }
   for (auto [name, target] : {std::pair{"whole", &operation.whole}}) {
-    auto flag = flagField(fields, name, false);
+    auto flag = boolField(fields, name, false);
     if (!flag) return flag.error();
     *target = flag.value();
   }
   if (fields.count("valid")) {
-    auto valid = flagField(fields, "valid", true);
+    auto valid = boolField(fields, "valid", true);
     if (!valid) return valid.error();
     operation.valid = valid.value();
   }
   if (fields.count("digest")) {
-    auto digest = textField(fields, "digest");
+    auto digest = stringField(fields, "digest");
     if (!digest) return digest.error();
     operation.seenDigest = std::strtoull(digest.value().c_str(), nullptr, 10);
   }
@@ -161,10 +162,10 @@
   History history;
   for (std::size_t at = 0; at < lines.size(); ++at) {
     std::string place = "line " + std::to_string(at + 1);
-    auto read = readJson(lines[at]);
+    auto read = parseJson(lines[at]);
     if (!read || !read.value().is<JsonObject>()) return fault(Code::badJson, place, "is no JSON object");
     const auto& fields = read.value().get<JsonObject>();
-    if (textOr(read.value(), "kind") == "initial") {
+    if (stringOr(read.value(), "kind") == "initial") {
       if (auto done = readInitial(history, fields); !done)
         return fault(done.error().code, place + " " + done.error().subject, done.error().text);
       continue;
--- a/src/sim/linearizability.cpp
+++ b/src/sim/linearizability.cpp
@@ -24,7 +24,7 @@
 
 std::optional<std::string> itemAfter(const std::optional<std::string>& before, const ItemChange& change, bool whole) {
   if (!change.value || whole || !before) return change.value;
-  auto target = readJson(*before), patch = readJson(*change.value);
+  auto target = parseJson(*before), patch = parseJson(*change.value);
   if (!target || !patch) return change.value;
   mergePatch(target.value(), patch.value());
   return target.value().serialize();
--- a/src/sim/operators.cpp
+++ b/src/sim/operators.cpp
@@ -8,7 +8,7 @@
 
 std::string watchedItem(const std::string& section, const Json& item) {
   if (section != "keys" || !item.is<JsonObject>()) return item.serialize();
-  return Json(JsonObject{{"tenant", Json(textOr(item, "tenant"))}}).serialize();
+  return Json(JsonObject{{"tenant", Json(stringOr(item, "tenant"))}}).serialize();
 }
 }  // namespace
 
@@ -74,7 +74,7 @@
   if (request.ifRevision >= 0) operation.base = static_cast<std::uint64_t>(request.ifRevision);
   if (request.toRevision > 0) operation.revision = static_cast<std::uint64_t>(request.toRevision);
   operation.whole = request.whole;
-  auto body = readJson(request.body);
+  auto body = parseJson(request.body);
   if (!body || !body.value().is<JsonObject>()) return operation;
   for (const char* section : watchedSections) {
     const auto& sections = body.value().get<JsonObject>();
--- a/src/sim/sim_weights.cpp
+++ b/src/sim/sim_weights.cpp
@@ -24,12 +24,12 @@
 /// Learns which weights a log entry names, the first time any core applies it.
 void World::watchNaming(const LogEntry& entry) {
   if (static_cast<EntryKind>(entry.kind) != EntryKind::change) return;
-  auto patch = readJson(entry.body);
+  auto patch = parseJson(entry.body);
   if (!patch || !patch.value().is<JsonObject>()) return;
   const auto& models = patch.value().get("models");
   if (!models.is<JsonObject>()) return;
   for (const auto& [model, item] : models.get<JsonObject>()) {
-    std::string weights = textOr(item, "weights");
+    std::string weights = stringOr(item, "weights");
     if (!weights.empty()) versions.agreed(model, entry.index, weights);
   }
 }
--- a/src/tools/audit.cpp
+++ b/src/tools/audit.cpp
@@ -30,19 +30,19 @@
   return words;
 }
 std::int64_t momentOf(const Json& row, const char* name) {
-  return std::strtoll(textOr(row, name).c_str(), nullptr, 10);
+  return std::strtoll(stringOr(row, name).c_str(), nullptr, 10);
 }
 
 /// Takes an event about a naming of weights into the records; says whether it holds all that is needed.
 bool readNaming(const Json& event, NamingRecords& namings) {
-  std::string changeId = textOr(event, "change"), weights = textOr(event, "name"), model = textOr(event, "model");
+  std::string changeId = stringOr(event, "change"), weights = stringOr(event, "name"), model = stringOr(event, "model");
   TimePoint at = fromNanoseconds(momentOf(event, "at"));
   if (changeId.empty() || weights.empty()) return false;
-  if (textOr(event, "event") == "naming") {
+  if (stringOr(event, "event") == "naming") {
     namings.sent(changeId, model, weights, at);
     return true;
   }
-  auto revision = numberOr(event, "revision", 0);
+  auto revision = integerOr(event, "revision", 0);
   if (revision > 0) namings.acknowledged(changeId, model, weights, static_cast<std::uint64_t>(revision), at);
   return revision > 0;
 }
@@ -81,26 +81,26 @@
   auto breach = [&](const char* line, const std::string& text) { result.breaches[line].push_back(text); };
   std::vector<CallerRow> callers;
   for (const auto& line : records.callers) {
-    auto read = readJson(line);
+    auto read = parseJson(line);
     if (!read || !read.value().is<JsonObject>()) {
       ++result.unreadable;
       continue;
     }
     const auto& row = read.value();
-    callers.push_back({textOr(row, "intent"), textOr(row, "mark"), textOr(row, "kind"), textOr(row, "key"),
-                       textOr(row, "verdict"), textOr(row, "text"), flagOr(row, "repeatable", false),
-                       numberOr(row, "tokens", 0), momentOf(row, "sentAt"), momentOf(row, "lastAt")});
+    callers.push_back({stringOr(row, "intent"), stringOr(row, "mark"), stringOr(row, "kind"), stringOr(row, "key"),
+                       stringOr(row, "verdict"), stringOr(row, "text"), boolOr(row, "repeatable", false),
+                       integerOr(row, "tokens", 0), momentOf(row, "sentAt"), momentOf(row, "lastAt")});
   }
   std::vector<WorkerRow> workers;
   for (const auto& line : records.workers) {
-    auto read = readJson(line);
+    auto read = parseJson(line);
     if (!read || !read.value().is<JsonObject>()) {
       ++result.unreadable;
       continue;
     }
     const auto& row = read.value();
-    workers.push_back({textOr(row, "worker"), textOr(row, "model"), textOr(row, "event"), textOr(row, "subject"),
-                       momentOf(row, "at"), numberOr(row, "number", 0)});
+    workers.push_back({stringOr(row, "worker"), stringOr(row, "model"), stringOr(row, "event"),
+                       stringOr(row, "subject"), momentOf(row, "at"), integerOr(row, "number", 0)});
   }
   std::stable_sort(workers.begin(), workers.end(),
                    [](const WorkerRow& one, const WorkerRow& other) { return one.at < other.at; });
@@ -108,12 +108,12 @@
   NamingRecords namings;
   std::map<std::string, std::vector<std::pair<std::int64_t, std::int64_t>>> leaving;
   for (const auto& line : records.events) {
-    auto read = readJson(line);
+    auto read = parseJson(line);
     if (!read || !read.value().is<JsonObject>()) {
       ++result.unreadable;
       continue;
     }
-    std::string event = textOr(read.value(), "event"), name = textOr(read.value(), "name");
+    std::string event = stringOr(read.value(), "event"), name = stringOr(read.value(), "name");
     std::int64_t at = momentOf(read.value(), "at");
     if (event == "revoked") revokedAt[name] = at;
     if ((event == "naming" || event == "named") && !readNaming(read.value(), namings)) ++result.unreadable;
--- a/src/tools/main_audit.cpp
+++ b/src/tools/main_audit.cpp
@@ -135,12 +135,12 @@
     std::ifstream source(configuration);
     std::stringstream bytes;
     bytes << source.rdbuf();
-    auto read = readJson(bytes.str());
+    auto read = parseJson(bytes.str());
     if (!read || !read.value().is<JsonObject>()) return failStart(fault(Code::badProps, "blueprint", "cannot be read"));
     auto tenants = read.value().get<JsonObject>().find("tenants");
     if (tenants != read.value().get<JsonObject>().end() && tenants->second.is<JsonObject>())
       for (const auto& [tenant, row] : tenants->second.get<JsonObject>())
-        if (flagOr(row, "isolated", false)) records.isolated.insert(tenant);
+        if (boolOr(row, "isolated", false)) records.isolated.insert(tenant);
   }
   auto result = auditRecords(records);
   std::cout << "audit: " << result.orders << " orders, " << result.runs << " runs, " << result.retries
--- a/src/tools/main_ctl.cpp
+++ b/src/tools/main_ctl.cpp
@@ -36,7 +36,7 @@
       for (auto& [name, item] : after)
         if (item.is<JsonObject>() && item.get<JsonObject>().count("secret")) {
           auto row = item.get<JsonObject>();
-          row["hash"] = Json(sha256Hex(textOr(item, "secret")));
+          row["hash"] = Json(sha256Hex(stringOr(item, "secret")));
           row.erase("secret");
           item = Json(row);
         }
@@ -143,23 +143,23 @@
       for (const auto& address : addresses) {
         call.url = "http://" + address + "/v1/condition";
         auto result = callAndWait(calls, call);
-        auto read = readJson(result.body);
+        auto read = parseJson(result.body);
         if (result.status != 200 || !read || !read.value().is<JsonObject>()) {
           lines.push_back("core     " + address + " no answer " + result.trouble);
           continue;
         }
         ++answered;
-        std::int64_t commit = numberOr(read.value(), "commit", 0);
+        std::int64_t commit = integerOr(read.value(), "commit", 0);
         newest = std::max(newest, commit);
-        commits.emplace_back(textOr(read.value(), "core"), commit);
-        if (!flagOr(read.value(), "confirmed", false))
-          lines.push_back("core     " + textOr(read.value(), "core") + " cannot tell whether it is up to date");
+        commits.emplace_back(stringOr(read.value(), "core"), commit);
+        if (!boolOr(read.value(), "confirmed", false))
+          lines.push_back("core     " + stringOr(read.value(), "core") + " cannot tell whether it is up to date");
         const auto& whole = read.value().get<JsonObject>();
         if (auto rows = whole.find("agents"); rows != whole.end() && rows->second.is<JsonObject>())
           for (const auto& [name, row] : rows->second.get<JsonObject>()) {
             auto& agent = agents[name];
-            agent.first = std::max(agent.first, numberOr(row, "applied", 0));
-            agent.second = agent.second || flagOr(row, "fresh", false);
+            agent.first = std::max(agent.first, integerOr(row, "applied", 0));
+            agent.second = agent.second || boolOr(row, "fresh", false);
           }
       }
       for (const auto& [core, commit] : commits)
@@ -189,29 +189,29 @@
         std::cout << "core     " << address << " no answer " << result.trouble << "\n";
         continue;
       }
-      auto read = readJson(result.body);
+      auto read = parseJson(result.body);
       if (!read) continue;
       any = true;
       ++answeredCount;
       const auto& whole = read.value();
-      std::cout << "core     " << textOr(whole, "core") << " " << textOr(whole, "locality") << " revision "
-                << numberOr(whole, "revision", 0) << " commit " << numberOr(whole, "commit", 0) << " pending "
-                << numberOr(whole, "pendingChanges", 0) << (flagOr(whole, "diskStalled", false) ? " DISK STALLED" : "")
+      std::cout << "core     " << stringOr(whole, "core") << " " << stringOr(whole, "locality") << " revision "
+                << integerOr(whole, "revision", 0) << " commit " << integerOr(whole, "commit", 0) << " pending "
+                << integerOr(whole, "pendingChanges", 0) << (boolOr(whole, "diskStalled", false) ? " DISK STALLED" : "")
                 << "\n";
       const auto& rows = whole.get<JsonObject>();
       for (const auto& [duty, row] : rows.at("duties").get<JsonObject>())
-        if (flagOr(row, "here", false))
-          duties[duty] = textOr(whole, "core") + " term " + std::to_string(numberOr(row, "term", 0));
+        if (boolOr(row, "here", false))
+          duties[duty] = stringOr(whole, "core") + " term " + std::to_string(integerOr(row, "term", 0));
       for (const auto& [name, row] : rows.at("workers").get<JsonObject>())
-        std::cout << "worker   " << name << " " << textOr(row, "kind") << " " << textOr(row, "locality") << " weights "
-                  << textOr(row, "weights") << " running " << numberOr(row, "running", 0) << " kept "
-                  << numberOr(row, "kept", 0) << " report " << numberOr(row, "reportAgeMs", 0) << "ms "
-                  << (flagOr(row, "indexConfirmed", false) ? "confirmed" : "unconfirmed") << " "
-                  << textOr(row, "rollout") << (flagOr(row, "leaving", false) ? " leaving" : "") << "\n";
+        std::cout << "worker   " << name << " " << stringOr(row, "kind") << " " << stringOr(row, "locality")
+                  << " weights " << stringOr(row, "weights") << " running " << integerOr(row, "running", 0) << " kept "
+                  << integerOr(row, "kept", 0) << " report " << integerOr(row, "reportAgeMs", 0) << "ms "
+                  << (boolOr(row, "indexConfirmed", false) ? "confirmed" : "unconfirmed") << " "
+                  << stringOr(row, "rollout") << (boolOr(row, "leaving", false) ? " leaving" : "") << "\n";
       if (address == addresses.front())
         for (const auto& [name, row] : rows.at("agents").get<JsonObject>())
-          std::cout << "agent    " << name << " applied " << numberOr(row, "applied", 0) << " "
-                    << (flagOr(row, "fresh", false) ? "fresh" : "STALE") << " heard " << numberOr(row, "heardMs", 0)
+          std::cout << "agent    " << name << " applied " << integerOr(row, "applied", 0) << " "
+                    << (boolOr(row, "fresh", false) ? "fresh" : "STALE") << " heard " << integerOr(row, "heardMs", 0)
                     << "ms ago\n";
     }
     for (const auto& [duty, holder] : duties) std::cout << "duty     " << duty << " " << holder << "\n";
@@ -233,8 +233,8 @@
   if (diff->parsed() && result.status == 200) {
     auto wanted = readFileOrInput(file);
     if (!wanted) return failStart(wanted.error());
-    auto after = readJson(wanted.value());
-    auto before = readJson(result.body);
+    auto after = parseJson(wanted.value());
+    auto before = parseJson(result.body);
     if (!after || !after.value().is<JsonObject>())
       return failStart(fault(Code::badJson, file, after ? "must be an object" : after.error().text));
     if (!before || !before.value().is<JsonObject>() || !before.value().get<JsonObject>().count("blueprint"))
--- a/src/tools/main_keeper.cpp
+++ b/src/tools/main_keeper.cpp
@@ -180,21 +180,21 @@
       return answer->finish(200, Json(body).serialize());
     }
     if (way == "POST /v1/faults") {
-      auto read = readObject(ask.body, {"lagMs", "loseEvents", "forgetEvents", "stalled", "loadFails", "silentReports",
-                                        "linkMs", "forget", "crash"});
+      auto read = parseObject(ask.body, {"lagMs", "loseEvents", "forgetEvents", "stalled", "loadFails", "silentReports",
+                                         "linkMs", "forget", "crash"});
       if (!read) return deny(read.error());
       Json body(read.value());
-      if (flagOr(body, "crash", false)) std::_Exit(9);
+      if (boolOr(body, "crash", false)) std::_Exit(9);
       host.with([&](Effects& effects) {
-        keeper.faults.lagMs = static_cast<int>(numberOr(body, "lagMs", keeper.faults.lagMs));
-        keeper.faults.loseEvents = static_cast<int>(numberOr(body, "loseEvents", keeper.faults.loseEvents));
-        keeper.faults.forgetEvents = static_cast<int>(numberOr(body, "forgetEvents", keeper.faults.forgetEvents));
-        keeper.faults.stalled = flagOr(body, "stalled", keeper.faults.stalled);
-        keeper.faults.loadFails = flagOr(body, "loadFails", keeper.faults.loadFails);
-        keeper.faults.silentReports = flagOr(body, "silentReports", keeper.faults.silentReports);
+        keeper.faults.lagMs = static_cast<int>(integerOr(body, "lagMs", keeper.faults.lagMs));
+        keeper.faults.loseEvents = static_cast<int>(integerOr(body, "loseEvents", keeper.faults.loseEvents));
+        keeper.faults.forgetEvents = static_cast<int>(integerOr(body, "forgetEvents", keeper.faults.forgetEvents));
+        keeper.faults.stalled = boolOr(body, "stalled", keeper.faults.stalled);
+        keeper.faults.loadFails = boolOr(body, "loadFails", keeper.faults.loadFails);
+        keeper.faults.silentReports = boolOr(body, "silentReports", keeper.faults.silentReports);
         keeper.faults.linkMs =
-            static_cast<double>(numberOr(body, "linkMs", static_cast<std::int64_t>(keeper.faults.linkMs)));
-        if (flagOr(body, "forget", false)) keeper.forget(effects, true);
+            static_cast<double>(integerOr(body, "linkMs", static_cast<std::int64_t>(keeper.faults.linkMs)));
+        if (boolOr(body, "forget", false)) keeper.forget(effects, true);
       });
       return answer->finish(200, "{}");
     }
--- a/src/tools/main_link.cpp
+++ b/src/tools/main_link.cpp
@@ -218,11 +218,11 @@
       links.clear();
       return answer->finish(200, "{}");
     }
-    auto read = readObject(ask.body, {"from", "to", "mode", "delayMs"});
+    auto read = parseObject(ask.body, {"from", "to", "mode", "delayMs"});
     if (!read) return deny(read.error());
     Json body(read.value());
-    Rule rule{textOr(body, "from", "*"), textOr(body, "to", "*"), textOr(body, "mode"),
-              std::chrono::milliseconds(numberOr(body, "delayMs", 0))};
+    Rule rule{stringOr(body, "from", "*"), stringOr(body, "to", "*"), stringOr(body, "mode"),
+              std::chrono::milliseconds(integerOr(body, "delayMs", 0))};
     if (rule.mode != "open" && rule.mode != "cut" && rule.mode != "hold" && rule.mode != "slow")
       return deny(fault(Code::badField, "mode", "must be open, cut, hold or slow"));
     links.set(std::move(rule));
--- a/src/tools/main_loadgen.cpp
+++ b/src/tools/main_loadgen.cpp
@@ -39,27 +39,27 @@
 };
 
 Result<std::vector<Kind>> readKinds(const std::string& text) {
-  auto read = readObject(text, {"kinds"});
+  auto read = parseObject(text, {"kinds"});
   if (!read) return read.error();
   auto rows = read.value().find("kinds");
   if (rows == read.value().end() || !rows->second.is<JsonArray>()) return fault(Code::missingField, "kinds");
   std::vector<Kind> kinds;
   for (const auto& row : rows->second.get<JsonArray>()) {
     Kind kind;
-    kind.name = textOr(row, "name");
-    kind.route = textOr(row, "route");
-    kind.model = textOr(row, "model");
+    kind.name = stringOr(row, "name");
+    kind.route = stringOr(row, "route");
+    kind.model = stringOr(row, "model");
     if (kind.name.empty() || kind.route.empty() || kind.model.empty())
       return fault(Code::missingField, "kinds", "name, route and model");
     if (auto rate = row.get<JsonObject>().find("rate");
         rate != row.get<JsonObject>().end() && rate->second.is<double>())
       kind.rate = rate->second.get<double>();
-    kind.sharedBytes = static_cast<std::size_t>(numberOr(row, "sharedBytes", 0));
-    kind.ownBytes = static_cast<std::size_t>(numberOr(row, "ownBytes", 200));
-    kind.prefixes = static_cast<int>(std::max<std::int64_t>(1, numberOr(row, "prefixes", 1)));
-    kind.tokens = static_cast<int>(numberOr(row, "tokens", 16));
-    kind.repeatable = flagOr(row, "repeatable", false);
-    auto keys = textsField(row.get<JsonObject>(), "keys");
+    kind.sharedBytes = static_cast<std::size_t>(integerOr(row, "sharedBytes", 0));
+    kind.ownBytes = static_cast<std::size_t>(integerOr(row, "ownBytes", 200));
+    kind.prefixes = static_cast<int>(std::max<std::int64_t>(1, integerOr(row, "prefixes", 1)));
+    kind.tokens = static_cast<int>(integerOr(row, "tokens", 16));
+    kind.repeatable = boolOr(row, "repeatable", false);
+    auto keys = stringListField(row.get<JsonObject>(), "keys");
     if (!keys) return keys.error();
     kind.keys = keys.value();
     kinds.push_back(kind);
@@ -218,11 +218,11 @@
     auto count_ = [&, shot, seen](const Json& verdict) {
       seen->last = true;
       auto& tally = tallies[shot.kind];
-      seen->verdict = textOr(verdict, "verdict");
-      seen->retryAfterMs = static_cast<int>(numberOr(verdict, "retryAfterMs", 0));
-      ++tally.verdicts[seen->verdict + " " + std::to_string(numberOr(verdict, "code", 0)) + " " +
-                       textOr(verdict, "name")];
-      tally.tries += std::max<std::int64_t>(0, numberOr(verdict, "tries", 0) - 1);
+      seen->verdict = stringOr(verdict, "verdict");
+      seen->retryAfterMs = static_cast<int>(integerOr(verdict, "retryAfterMs", 0));
+      ++tally.verdicts[seen->verdict + " " + std::to_string(integerOr(verdict, "code", 0)) + " " +
+                       stringOr(verdict, "name")];
+      tally.tries += std::max<std::int64_t>(0, integerOr(verdict, "tries", 0) - 1);
       int second = static_cast<int>(toMilliseconds(shot.due - start) / 1000);
       if (seen->verdict == "done") {
         ++tally.done;
@@ -231,8 +231,8 @@
         const auto& fields = verdict.get<JsonObject>();
         if (auto blocks = fields.find("blocks"); blocks != fields.end()) {
           auto& shares = blocksAt[second];
-          std::int64_t local = numberOr(blocks->second, "local", 0), fetched = numberOr(blocks->second, "fetched", 0),
-                       computed = numberOr(blocks->second, "computed", 0);
+          std::int64_t local = integerOr(blocks->second, "local", 0), fetched = integerOr(blocks->second, "fetched", 0),
+                       computed = integerOr(blocks->second, "computed", 0);
           tally.local += local;
           tally.fetched += fetched;
           tally.computed += computed;
@@ -252,8 +252,8 @@
           std::lock_guard<std::mutex> guard(lock);
           if (seen->gone) return;
           if (!seen->last) {
-            auto verdict = readJson(result.body);
-            if (verdict && verdict.value().is<JsonObject>() && !textOr(verdict.value(), "verdict").empty()) {
+            auto verdict = parseJson(result.body);
+            if (verdict && verdict.value().is<JsonObject>() && !stringOr(verdict.value(), "verdict").empty()) {
               count_(verdict.value());
             } else {
               ++(seen->first ? tallies[shot.kind].torn : tallies[shot.kind].unfinished);
@@ -269,12 +269,12 @@
           wake.notify_one();
         },
         [&, shot, seen, count_](const std::string& line) {
-          auto read = readJson(line);
+          auto read = parseJson(line);
           if (!read || !read.value().is<JsonObject>()) return;
           std::lock_guard<std::mutex> guard(lock);
           if (seen->gone) return;
-          if (!textOr(read.value(), "verdict").empty()) return count_(read.value());
-          seen->text += textOr(read.value(), "text");
+          if (!stringOr(read.value(), "verdict").empty()) return count_(read.value());
+          seen->text += stringOr(read.value(), "text");
           seen->lastAt = Clock::now();
           if (seen->first) return;
           seen->first = true;
--- a/src/tools/main_operators.cpp
+++ b/src/tools/main_operators.cpp
@@ -49,12 +49,12 @@
 
 Result<ReadBack> readBackOf(const WebResult& result) {
   if (!result.reached || result.status != 200) return fault(Code::httpFault, "read", result.trouble);
-  auto body = readJson(result.body);
+  auto body = parseJson(result.body);
   if (!body || !body.value().is<JsonObject>()) return fault(Code::badJson, "read");
   const auto& fields = body.value().get<JsonObject>();
   auto configuration = fields.find("blueprint");
   if (configuration == fields.end() || !configuration->second.is<JsonObject>()) return fault(Code::badField, "read");
-  return ReadBack{static_cast<std::uint64_t>(numberOr(body.value(), "revision", 0)),
+  return ReadBack{static_cast<std::uint64_t>(integerOr(body.value(), "revision", 0)),
                   watchedItems(configuration->second.get<JsonObject>())};
 }
 
@@ -149,12 +149,12 @@
       call.wholeWait = std::chrono::milliseconds(1 + randomBelow(60));
     operation.began = steadyNow();
     auto result = callAndWait(calls, call);
-    auto answer = readJson(result.body);
+    auto answer = parseJson(result.body);
     if (result.reached && answer && answer.value().is<JsonObject>())
-      operation.outcome = outcomeOf(static_cast<Code>(numberOr(answer.value(), "code", 0)));
+      operation.outcome = outcomeOf(static_cast<Code>(integerOr(answer.value(), "code", 0)));
     if (operation.outcome != OperationOutcome::unclear) operation.ended = steadyNow();
     if (operation.outcome == OperationOutcome::taken)
-      operation.seenRevision = static_cast<std::uint64_t>(numberOr(answer.value(), "revision", 0));
+      operation.seenRevision = static_cast<std::uint64_t>(integerOr(answer.value(), "revision", 0));
     shared.write(operation);
     return operation.outcome;
   }
--- a/src/tools/main_platform.cpp
+++ b/src/tools/main_platform.cpp
@@ -39,16 +39,17 @@
       });
       return answer->finish(200, writeMachines(reply));
     }
-    auto read = readJson(ask.body);
+    auto read = parseJson(ask.body);
     if (!read) return deny(read.error());
     if (ask.method == "POST") {
       auto machine = readMachine(read.value());
       if (!machine) return deny(machine.error());
       host.with([&](Effects&) { platform.set(machine.value()); });
     } else if (ask.method == "PATCH") {
-      host.with([&](Effects&) { platform.mark(textOr(read.value(), "name"), flagOr(read.value(), "leaving", true)); });
+      host.with(
+          [&](Effects&) { platform.mark(stringOr(read.value(), "name"), boolOr(read.value(), "leaving", true)); });
     } else if (ask.method == "DELETE") {
-      host.with([&](Effects&) { platform.remove(textOr(read.value(), "name")); });
+      host.with([&](Effects&) { platform.remove(stringOr(read.value(), "name")); });
     } else {
       return deny(fault(Code::unknownPath, ask.method));
     }
--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -210,11 +210,11 @@
   JsonObject sections;
   for (const char* name : {"routes", "services", "tenants", "limits", "extra"})
     sections[name] = Json(view.section(name));
-  return readJson(writeConfig(view.revision(), sections)).value().get<JsonObject>();
+  return parseJson(writeConfig(view.revision(), sections)).value().get<JsonObject>();
 }
 std::string namesIn(const JsonObject& config, const std::string& list) {
   std::string names;
-  for (const auto& row : config.at(list).get<JsonArray>()) names += textOr(row, "Name") + " ";
+  for (const auto& row : config.at(list).get<JsonArray>()) names += stringOr(row, "Name") + " ";
   return names;
 }
 std::string routeText(const std::string& name) {
--- a/tests/path_routes.cpp
+++ b/tests/path_routes.cpp
@@ -140,7 +140,7 @@
   std::string given =
       R"({"services":{"mill":{"extra":{"deep":{"two":2},"list":[3]}}},"routes":{"a":{"host":"h","prefix":"/a/","service":"mill"}}})";
   declared.change(given, Manner::sections);
-  auto wanted = readJson(given).value().get<JsonObject>();
+  auto wanted = parseJson(given).value().get<JsonObject>();
   for (const char* section : {"services", "routes"})
     cr_expect_eq(Json(declared.view.section(section)).serialize(), wanted[section].serialize(), "%s", section);
   cr_expect_eq(declared.routeOf("h", "/b/x"), "none");
--- a/tests/platform.cpp
+++ b/tests/platform.cpp
@@ -32,7 +32,7 @@
  "Later":[{"Name":"l-1","X":1},{"Name":"l-2","X":2}],"Mark":9007199254740991})";
 
 Json parsed(const std::string& text) {
-  auto read = readJson(text);
+  auto read = parseJson(text);
   cr_assert(bool(read), "%s", text.c_str());
   return read.value();
 }
@@ -136,17 +136,17 @@
   cr_assert(again == parsed(wholeConfig), "%s", again.serialize().c_str());
   for (const char* section : {"routes", "services", "tenants", "limits", "extra"}) cr_assert(sections.count(section));
   auto route = sections["routes"].get("r-zeta");
-  cr_assert_eq(textOr(route, "repeat"), "stream");
-  cr_assert_eq(numberOr(route, "tries", 0), 3);
-  cr_assert_eq(numberOr(route, "at", -1), 0);
-  cr_assert_eq(numberOr(route.get("split").get(1), "weight", 0), 30);
-  cr_assert_not(flagOr(route, "open", true));
+  cr_assert_eq(stringOr(route, "repeat"), "stream");
+  cr_assert_eq(integerOr(route, "tries", 0), 3);
+  cr_assert_eq(integerOr(route, "at", -1), 0);
+  cr_assert_eq(integerOr(route.get("split").get(1), "weight", 0), 30);
+  cr_assert_not(boolOr(route, "open", true));
   cr_assert_not(sections["routes"].get("r-mid").contains("timeoutMs"));
-  cr_assert_eq(textOr(sections["routes"].get("r-alpha"), "service"), "weir");
-  cr_assert_eq(textOr(sections["services"].get("mill").get("engine").get("models").get(0), "name"), "moss7");
-  cr_assert_eq(textOr(sections["services"].get("barn"), "storeAddress"), "172.20.0.9:8680");
-  cr_assert_eq(numberOr(sections["limits"].get("callers"), "headerMs", 0), 2500);
-  cr_assert(flagOr(sections["tenants"].get("olm"), "isolated", false));
+  cr_assert_eq(stringOr(sections["routes"].get("r-alpha"), "service"), "weir");
+  cr_assert_eq(stringOr(sections["services"].get("mill").get("engine").get("models").get(0), "name"), "moss7");
+  cr_assert_eq(stringOr(sections["services"].get("barn"), "storeAddress"), "172.20.0.9:8680");
+  cr_assert_eq(integerOr(sections["limits"].get("callers"), "headerMs", 0), 2500);
+  cr_assert(boolOr(sections["tenants"].get("olm"), "isolated", false));
 }
 
 Test(operator_wire, keeps_what_is_absent_absent) {
@@ -171,12 +171,12 @@
   cr_assert(patch["routes"].get("r-alpha").is<picojson::null>());
   cr_assert(patch["services"].get("barn").is<picojson::null>());
   cr_assert_not(patch["services"].contains("mill"));
-  cr_assert_eq(numberOr(patch["routes"].get("r-zeta"), "at", -1), 0);
-  cr_assert_eq(numberOr(patch["routes"].get("r-new"), "at", -1), 3);
+  cr_assert_eq(integerOr(patch["routes"].get("r-zeta"), "at", -1), 0);
+  cr_assert_eq(integerOr(patch["routes"].get("r-new"), "at", -1), 3);
   replaceItems(sections, sectionsOf(change.value()));
   auto config = parsed(writeConfig(15, sections));
   std::string order;
-  for (const auto& route : config.get("Routes").get<JsonArray>()) order += textOr(route, "Name") + " ";
+  for (const auto& route : config.get("Routes").get<JsonArray>()) order += stringOr(route, "Name") + " ";
   cr_assert_eq(order, "r-zeta r-mid r-new r-newer ");
   cr_assert(config.get("Routes").get(0) == parsed(R"({"Name":"r-zeta","Backend":"mill","TimeoutMs":10})"));
   cr_assert(config.get("Limits") == parsed(R"({"IdleTimeoutMs":7})"));
