--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -15,12 +15,12 @@
 
 Agent::Agent(AgentSettings agentSettings)
     : settings(std::move(agentSettings)),
-      clusterView(ReaderSettings{settings.name, settings.address, settings.locality, settings.seeds, true,
-                                 settings.defences}) {}
+      clusterView(
+          ReaderSettings{settings.name, settings.address, settings.zone, settings.seeds, true, settings.defences}) {}
 
 std::vector<CellVersion> Agent::cellMarks() const {
   std::vector<CellVersion> rows;
-  for (const auto& [locality, news] : cells) rows.push_back(CellVersion{locality, news.term, news.sequence});
+  for (const auto& [zone, news] : cells) rows.push_back(CellVersion{zone, news.term, news.sequence});
   return rows;
 }
 
@@ -38,9 +38,9 @@
   for (const auto& [address, at] : proxies) {
     if (effects.now - at > 1s) continue;
     for (auto& row : rows) {
-      CellVersion known{row.locality, 0, 0};
+      CellVersion known{row.zone, 0, 0};
       for (const auto& mark : proxyMarks[address])
-        if (mark.locality == row.locality) known = mark;
+        if (mark.zone == row.zone) known = mark;
       if (std::make_pair(known.term, known.sequence) < std::make_pair(row.term, row.sequence)) row = known;
     }
   }
@@ -123,11 +123,10 @@
       if (entry.index > applied && news.entries.size() < 256) news.entries.push_back(entry);
   }
   effects.send(from, news);
-  for (const auto& [locality, kept] : cells) {
+  for (const auto& [zone, kept] : cells) {
     bool newer = true;
     for (const auto& mark : known)
-      if (mark.locality == locality &&
-          std::make_pair(mark.term, mark.sequence) >= std::make_pair(kept.term, kept.sequence))
+      if (mark.zone == zone && std::make_pair(mark.term, mark.sequence) >= std::make_pair(kept.term, kept.sequence))
         newer = false;
     if (newer) effects.send(from, kept);
   }
@@ -167,8 +166,8 @@
     row = effects.now - row->second > followerKept ? followers.erase(row) : std::next(row);
 }
 
-void Agent::passToCell(Effects& effects, const std::string& locality, const Message& message) {
-  if (auto cell = cells.find(locality); cell != cells.end()) effects.send(cell->second.holder, message);
+void Agent::passToCell(Effects& effects, const std::string& zone, const Message& message) {
+  if (auto cell = cells.find(zone); cell != cells.end()) effects.send(cell->second.holder, message);
 }
 
 void Agent::handle(Effects& effects, const std::string& from, const Message& message) {
@@ -181,7 +180,7 @@
     followers[from] = effects.now;
     onNewsAsk(effects, from, ask->applied, ask->cells);
   } else if (auto* cellNews = std::get_if<CellNews>(&message)) {
-    auto& kept = cells[cellNews->locality];
+    auto& kept = cells[cellNews->zone];
     if (!applyCellNews(kept, *cellNews)) return;
     spread(effects, message);
   } else if (auto* feed = std::get_if<FeedAsk>(&message)) {
@@ -191,7 +190,7 @@
     bool known = clusterView.stamp() != TimePoint{};
     bool lags = feed->applied < view.index() || feed->applied == 0 || feed->cells.size() < cells.size();
     for (const auto& mark : feed->cells)
-      if (auto kept = cells.find(mark.locality); kept != cells.end())
+      if (auto kept = cells.find(mark.zone); kept != cells.end())
         lags =
             lags || std::make_pair(mark.term, mark.sequence) < std::make_pair(kept->second.term, kept->second.sequence);
     if (lags) onNewsAsk(effects, from, feed->applied, feed->cells);
@@ -202,15 +201,15 @@
   } else if (auto* lookup = std::get_if<LookupMsg>(&message)) {
     LookupMsg passed = *lookup;
     passed.replyTo = settings.address;
-    passToCell(effects, passed.locality, passed);
+    passToCell(effects, passed.zone, passed);
   } else if (auto* started = std::get_if<PrefillStarted>(&message)) {
-    passToCell(effects, started->locality, message);
+    passToCell(effects, started->zone, message);
   } else if (auto* ended = std::get_if<PrefillEnded>(&message)) {
-    passToCell(effects, ended->locality, message);
+    passToCell(effects, ended->zone, message);
   } else if (auto* watchMsg = std::get_if<WatchMsg>(&message)) {
     WatchMsg passed = *watchMsg;
     passed.replyTo = settings.address;
-    passToCell(effects, passed.locality, passed);
+    passToCell(effects, passed.zone, passed);
   } else if (std::holds_alternative<LookupReply>(message) || std::holds_alternative<TransferDone>(message)) {
     for (const auto& [address, at] : proxies) effects.send(address, message);
   }
--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -7,7 +7,7 @@
 namespace tt {
 
 struct AgentSettings {
-  std::string name, address, locality;
+  std::string name, address, zone;
   std::vector<std::string> seeds;
   Defences defences;
 };
@@ -49,7 +49,7 @@
                  const std::vector<CellVersion>& known);
   void spread(Effects& effects, const Message& message);
   /// Passes what a proxy tells of a worker on to the holder of that worker's cell.
-  void passToCell(Effects& effects, const std::string& locality, const Message& message);
+  void passToCell(Effects& effects, const std::string& zone, const Message& message);
   std::vector<CellVersion> cellMarks() const;
 };
 
--- a/src/base/effects.cpp
+++ b/src/base/effects.cpp
@@ -15,7 +15,7 @@
 Uint64 digestOfMachineList(const std::vector<Machine>& machines) {
   Uint64 digest = 1;
   for (const auto& machine : machines) {
-    std::string row = machine.name + "\n" + machine.address + "\n" + machine.locality + "\n" + machine.kind +
+    std::string row = machine.name + "\n" + machine.address + "\n" + machine.zone + "\n" + machine.kind +
                       (machine.leaving ? "\nleaving" : "");
     digest = rendezvousHash(std::to_string(digest), row);
   }
--- a/src/base/messages.hpp
+++ b/src/base/messages.hpp
@@ -28,15 +28,15 @@
 /// Things that messages carry.
 /// An entry's revision is the one it makes; 0 is the next one.
 TT_STRUCT(LogEntry, ((Uint64, index))((Uint64, term))((int, kind))((std::string, body))((std::string, changeId))((Uint64, revision)))
-TT_STRUCT(Member, ((std::string, id))((std::string, name))((std::string, address))((std::string, locality))((bool, votes)))
-TT_STRUCT(Machine, ((std::string, name))((std::string, address))((std::string, locality))((std::string, kind))((bool, leaving))
+TT_STRUCT(Member, ((std::string, id))((std::string, name))((std::string, address))((std::string, zone))((bool, votes)))
+TT_STRUCT(Machine, ((std::string, name))((std::string, address))((std::string, zone))((std::string, kind))((bool, leaving))
                    ((std::string, service))((std::string, model))((std::string, weights))((int, slots)))
 /// Weights that were named for a model, how long ago in ns (-1 where that is unknown), and an index of the log by which
 /// they were named.
 TT_STRUCT(WeightsAnnouncement, ((std::string, model))((std::string, weights))((std::int64_t, age))((Uint64, index)))
-TT_STRUCT(CellVersion, ((std::string, locality))((Uint64, term))((Uint64, sequence)))
+TT_STRUCT(CellVersion, ((std::string, zone))((Uint64, term))((Uint64, sequence)))
 TT_STRUCT(WorkerView,
-          ((std::string, name))((std::string, address))((std::string, locality))((std::string, kind))
+          ((std::string, name))((std::string, address))((std::string, zone))((std::string, kind))
           ((std::string, weights))((std::string, model))((int, running))((int, slots))((bool, held))((bool, alive))
           ((bool, confirmed))((Uint64, kept))((Uint64, reportSequence))((std::string, summary))((std::string, service))((int, waiting))((int, memory))((int, savedPermille)))
 TT_STRUCT(LinkSpeed, ((std::string, source))((std::string, target))((double, blocksPerSecond)))
@@ -73,7 +73,7 @@
   X(ChangeResponse, ((std::string, requestId))((int, code))((std::string, subject))((std::string, text))((Uint64, revision))\
                      ((Uint64, index))((Uint64, term)))                                                                              \
   /* news */                                                                                                        \
-  X(LogEndRequest, ((Uint64, requestId))((std::string, agent))((std::string, locality))((Uint64, applied))                      \
+  X(LogEndRequest, ((Uint64, requestId))((std::string, agent))((std::string, zone))((Uint64, applied))                      \
                  ((std::vector<CellVersion>, cells))((bool, fresh))((bool, relays))((Uint64, machineListDigest)))             \
   X(LogEndResponse, ((Uint64, requestId))((std::string, core))((Uint64, term))((bool, leads))((Uint64, lastIndex))              \
                    ((Uint64, commit))((std::vector<Member>, members))((Strings, watch))((bool, machineListKnown))          \
@@ -83,18 +83,18 @@
   X(ReadersResponse, ((Uint64, roundId))((std::string, core))((bool, has))((std::vector<Reader>, readers)))             \
   X(NewsAsk, ((std::string, agent))((Uint64, applied))((std::vector<CellVersion>, cells)))                              \
   X(NewsMsg, ((Uint64, commit))((std::vector<LogEntry>, entries))((std::vector<Snapshot>, snapshots)))                    \
-  X(CellNews, ((std::string, locality))((Uint64, term))((Uint64, sequence))((std::string, holder))                    \
+  X(CellNews, ((std::string, zone))((Uint64, term))((Uint64, sequence))((std::string, holder))                    \
                   ((std::vector<WorkerView>, workers))((std::vector<LinkSpeed>, links))((bool, omitsSummaries))((Uint64, base))((Strings, gone)))        \
   X(MarksMsg, ((std::int64_t, age))((std::vector<Machine>, machines)))                                              \
   X(FeedAsk, ((std::int64_t, sentAt))((Uint64, applied))((std::vector<CellVersion>, cells))((Uint64, machineListDigest)))      \
   X(FeedReply, ((std::int64_t, sentAt))((std::int64_t, age))((Uint64, needed))((bool, known))                        \
                ((std::vector<WeightsAnnouncement>, namings)))                                                            \
   /* kept blocks */                                                                                                 \
-  X(LookupMsg, ((std::string, lookupId))((std::string, locality))((std::string, keeper))((std::string, weights))    \
+  X(LookupMsg, ((std::string, lookupId))((std::string, zone))((std::string, keeper))((std::string, weights))    \
                    ((Hashes, hashes))((std::string, replyTo)))                                                      \
   X(LookupReply, ((std::string, lookupId))((std::string, keeper))((std::vector<int>, hits))                          \
                      ((double, waitingTokens))((double, tokensPerMs))((int, pendingHits)))                                  \
-  X(WatchMsg, ((std::string, moveId))((std::string, locality))((std::string, source))((std::string, target))        \
+  X(WatchMsg, ((std::string, moveId))((std::string, zone))((std::string, source))((std::string, target))        \
                   ((Hashes, hashes))((std::int64_t, deadlineMs))((std::string, replyTo)))                           \
   X(TransferDone, ((std::string, moveId))((bool, success)))                                                         \
   /* back ends: HTTP and JSON on real machines, these structs in sim */                                             \
@@ -144,9 +144,9 @@
   /* when weights were named, for who has forgotten it */                                                           \
   X(NamingsMsg, ((std::vector<WeightsAnnouncement>, namings)))                                                           \
   /* prompts placed at workers and not read yet, told to the cells of those workers */                            \
-  X(PrefillStarted, ((std::string, sendId))((std::string, locality))((std::string, worker))((Hashes, hashes))       \
+  X(PrefillStarted, ((std::string, sendId))((std::string, zone))((std::string, worker))((Hashes, hashes))       \
                         ((int, tokens)))                                                                            \
-  X(PrefillEnded, ((std::string, sendId))((std::string, locality))((std::string, worker))((Hashes, hashes))         \
+  X(PrefillEnded, ((std::string, sendId))((std::string, zone))((std::string, worker))((Hashes, hashes))         \
                       ((bool, read)))
 
 /* clang-format on */
--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -26,7 +26,7 @@
     auto& core = cores[address];
     while (core.asks.size() > 16) core.asks.erase(core.asks.begin());
     core.asks[++askCount] = effects.now;
-    effects.send(address, LogEndRequest{askCount, settings.name, settings.locality, applied, cells, fresh(effects.now),
+    effects.send(address, LogEndRequest{askCount, settings.name, settings.zone, applied, cells, fresh(effects.now),
                                         settings.relays, digest});
   }
 }
--- a/src/cluster/cluster_view.hpp
+++ b/src/cluster/cluster_view.hpp
@@ -8,7 +8,7 @@
 
 /// How one reader of the configuration (an agent, or a core that reads back to operators) is known to the cores.
 struct ReaderSettings {
-  std::string name, address, locality;
+  std::string name, address, zone;
   Strings seeds;
   /// Whether other agents may follow it.
   bool relays{true};
--- a/src/cluster/core.cpp
+++ b/src/cluster/core.cpp
@@ -40,13 +40,13 @@
   } else {
     idSynced = true;
   }
-  self = Member{id, settings.name, settings.address, settings.locality, true};
+  self = Member{id, settings.name, settings.address, settings.zone, true};
   replicatedLog = std::make_unique<ReplicatedLog>(self, settings.recordRoom, settings.defences);
   clusterView = std::make_unique<ClusterView>(
-      ReaderSettings{self.id, self.address, self.locality, settings.seeds, false, settings.defences});
+      ReaderSettings{self.id, self.address, self.zone, settings.seeds, false, settings.defences});
   replicatedLog->restore(recovered, now);
   noteCommit(now);
-  for (const auto& locality : settings.localities) cellFor(locality);
+  for (const auto& zone : settings.zones) cellFor(zone);
   for (const auto& [duty, vote] : recovered.votes)
     if (duty.rfind("cell/", 0) == 0) cellFor(duty.substr(5)).election.restore(vote, now);
   replicatedLog->entryApplied = [this](Effects& effects, const LogEntry& entry) {
@@ -58,15 +58,15 @@
   };
   replicatedLog->membersChanged = [this](Effects& effects) {
     membersMovedAt = effects.now;
-    for (auto& [locality, cell] : cells)
+    for (auto& [zone, cell] : cells)
       cell->election.setVoters(replicatedLog->members(), replicatedLog->outgoingMembers());
   };
 }
 
-Cell& Core::cellFor(const std::string& locality) {
-  auto& cell = cells[locality];
+Cell& Core::cellFor(const std::string& zone) {
+  auto& cell = cells[zone];
   if (!cell) {
-    cell = std::make_unique<Cell>(locality, self, locality == settings.locality, settings.defences, settings.cell);
+    cell = std::make_unique<Cell>(zone, self, zone == settings.zone, settings.defences, settings.cell);
     cell->election.restore(Vote{}, startedAt);
     cell->election.setVoters(replicatedLog->members(), replicatedLog->outgoingMembers());
     cell->setMachines(machinesWithStores());
@@ -83,7 +83,7 @@
 }
 
 void Core::keepNews(Effects& effects, const CellNews& news, bool own) {
-  auto& kept = lastNews[news.locality];
+  auto& kept = lastNews[news.zone];
   if (!applyCellNews(kept, news)) return askMissed(effects, news);
   spread(effects, news);
   if (!own) return;
@@ -92,13 +92,13 @@
 }
 
 void Core::askMissed(Effects& effects, const CellNews& news) {
-  const auto& kept = lastNews[news.locality];
+  const auto& kept = lastNews[news.zone];
   if (std::make_pair(news.term, news.sequence) <= std::make_pair(kept.term, kept.sequence) ||
       effects.now - missedAt < missedEvery)
     return;
   missedAt = effects.now;
   std::vector<CellVersion> marks;
-  for (const auto& [locality, row] : lastNews) marks.push_back(CellVersion{locality, row.term, row.sequence});
+  for (const auto& [zone, row] : lastNews) marks.push_back(CellVersion{zone, row.term, row.sequence});
   effects.send(news.holder, NewsAsk{self.address, replicatedLog->configuration().index(), marks});
 }
 
@@ -112,13 +112,13 @@
 void Core::onEnds(Effects& effects, const std::string& from, const LogEndRequest& ask) {
   auto& row = agents[from];
   row.id = ask.agent;
-  row.locality = ask.locality;
+  row.zone = ask.zone;
   row.applied = ask.applied;
   row.fresh = ask.fresh;
   row.relays = ask.relays;
   row.at = effects.now;
   for (const auto& mark : ask.cells)
-    if (auto cell = cells.find(mark.locality); cell != cells.end()) cell->second->agentHas(from, mark, effects.now);
+    if (auto cell = cells.find(mark.zone); cell != cells.end()) cell->second->agentHas(from, mark, effects.now);
   if (!replicatedLog->formed()) return;
   if (!platformHeard && !settings.platformAddress.empty() && effects.now - startedAt < platformFirst) return;
   if (ask.relays && effects.now - row.watchAt >= (row.watch.empty() ? watchSought : watchKept)) {
@@ -148,11 +148,11 @@
   followers[from] = effects.now;
   auto news = replicatedLog->newsAfter(ask.applied);
   effects.send(from, news);
-  std::map<std::string, CellVersion> marksByLocality;
-  for (const auto& mark : ask.cells) marksByLocality[mark.locality] = mark;
-  for (const auto& [locality, kept] : lastNews) {
-    auto found = marksByLocality.find(locality);
-    if (found == marksByLocality.end() ||
+  std::map<std::string, CellVersion> cellVersionsByZone;
+  for (const auto& mark : ask.cells) cellVersionsByZone[mark.zone] = mark;
+  for (const auto& [zone, kept] : lastNews) {
+    auto found = cellVersionsByZone.find(zone);
+    if (found == cellVersionsByZone.end() ||
         std::make_pair(found->second.term, found->second.sequence) < std::make_pair(kept.term, kept.sequence))
       effects.send(from, kept);
   }
@@ -164,8 +164,8 @@
   cellDigest = clusterView->machineListDigest();
   servicesDigest = services;
   auto machines = machinesWithStores();
-  for (const auto& machine : machines) cellFor(machine.locality);
-  for (auto& [locality, cell] : cells) cell->setMachines(machines);
+  for (const auto& machine : machines) cellFor(machine.zone);
+  for (auto& [zone, cell] : cells) cell->setMachines(machines);
   effects.note("machines", self.id, static_cast<std::int64_t>(machines.size()));
 }
 
@@ -173,7 +173,7 @@
   const auto& configuration = replicatedLog->configuration();
   Uint64 digest = 1;
   for (const auto& store : configuration.stores())
-    digest = rendezvousHash(std::to_string(digest) + store.address, store.service + store.locality);
+    digest = rendezvousHash(std::to_string(digest) + store.address, store.service + store.zone);
   for (const auto& [name, service] : configuration.services())
     if (service.kind == ServiceKind::engine) digest = rendezvousHash(std::to_string(digest), name);
   return digest;
@@ -186,7 +186,7 @@
     if (service && service->kind == ServiceKind::engine) machine.kind = "language";
   }
   for (const auto& store : replicatedLog->configuration().stores()) {
-    Machine row{store.service + "@" + store.address, store.address, store.locality, "store", false, {}, {}, {}, 0};
+    Machine row{store.service + "@" + store.address, store.address, store.zone, "store", false, {}, {}, {}, 0};
     row.service = store.service;
     machines.push_back(std::move(row));
   }
@@ -203,11 +203,11 @@
   }
   bool mayStand = !diskStalled && leaveAt == TimePoint{};
   replicatedLog->election.mayStand = mayStand;
-  for (auto& [locality, cell] : cells) cell->election.mayStand = mayStand;
+  for (auto& [zone, cell] : cells) cell->election.mayStand = mayStand;
   replicatedLog->tick(effects);
   clusterView->noteVersions(replicatedLog->configuration());
   clusterView->settleVersions(startedAt, effects.now);
-  for (auto& [locality, cell] : cells) cell->tick(effects, replicatedLog->configuration());
+  for (auto& [zone, cell] : cells) cell->tick(effects, replicatedLog->configuration());
   bool lists = replicatedLog->leads(effects.now) || !clusterView->machineListKnown() ||
                effects.now - clusterView->machineListAt() >= timing.listOld;
   if (!settings.platformAddress.empty() && lists && effects.now - platformAt >= timing.listEvery) {
@@ -232,8 +232,8 @@
   return std::any_of(cells.begin(), cells.end(), [&](const auto& row) { return row.second->mayCommand(command, now); });
 }
 
-void Core::giveToCell(Effects& effects, const std::string& from, const std::string& locality, const Message& message) {
-  if (auto cell = cells.find(locality); cell != cells.end()) cell->second->handle(effects, from, message);
+void Core::giveToCell(Effects& effects, const std::string& from, const std::string& zone, const Message& message) {
+  if (auto cell = cells.find(zone); cell != cells.end()) cell->second->handle(effects, from, message);
 }
 
 void Core::handle(Effects& effects, const std::string& from, const Message& message) {
@@ -286,18 +286,18 @@
   } else if (auto* changeReply = std::get_if<ChangeResponse>(&message)) {
     onChangeReply(effects, from, *changeReply);
   } else if (auto* lookup = std::get_if<LookupMsg>(&message)) {
-    giveToCell(effects, from, lookup->locality, message);
+    giveToCell(effects, from, lookup->zone, message);
   } else if (auto* started = std::get_if<PrefillStarted>(&message)) {
-    giveToCell(effects, from, started->locality, message);
+    giveToCell(effects, from, started->zone, message);
   } else if (auto* ended = std::get_if<PrefillEnded>(&message)) {
-    giveToCell(effects, from, ended->locality, message);
+    giveToCell(effects, from, ended->zone, message);
   } else if (auto* watch = std::get_if<WatchMsg>(&message)) {
-    giveToCell(effects, from, watch->locality, message);
+    giveToCell(effects, from, watch->zone, message);
   } else if (auto* report = std::get_if<Report>(&message)) {
-    for (auto& [locality, cell] : cells)
+    for (auto& [zone, cell] : cells)
       if (cell->keepers().count(report->worker)) cell->handle(effects, from, message);
   } else if (auto* control = std::get_if<ControlReply>(&message)) {
-    for (auto& [locality, cell] : cells)
+    for (auto& [zone, cell] : cells)
       if (cell->keepers().count(control->worker)) cell->handle(effects, from, message);
   } else {
     auto duty = std::visit(
@@ -320,7 +320,7 @@
 void Core::resign(Effects& effects) {
   if (leaveAt != TimePoint{}) return;
   leaveAt = effects.now;
-  for (auto& [locality, cell] : cells) cell->election.resign(effects);
+  for (auto& [zone, cell] : cells) cell->election.resign(effects);
   replicatedLog->leave(effects);
   askCopies(effects);
 }
--- a/src/cluster/core.hpp
+++ b/src/cluster/core.hpp
@@ -6,9 +6,9 @@
 namespace tt {
 
 struct CoreSettings {
-  std::string name, address, locality, platformAddress;
+  std::string name, address, zone, platformAddress;
   std::vector<std::string> seeds;
-  std::vector<std::string> localities;
+  std::vector<std::string> zones;
   std::size_t recordRoom{1 << 20};
   /// Whether this core may take part in forming a new fleet; one that comes back empty may not.
   bool mayForm{true};
@@ -31,7 +31,7 @@
   /// Whether all that this core has synced is on as many other cores' disks as a change must rest on.
   bool mayEnd() const;
   const ReplicatedLog& agreement() const { return *replicatedLog; }
-  const std::map<std::string, std::unique_ptr<Cell>>& cellsByLocality() const { return cells; }
+  const std::map<std::string, std::unique_ptr<Cell>>& cellsByZone() const { return cells; }
   /// Everything an operator may want to see, as JSON text.
   std::string condition(TimePoint now) const;
   /// The host's word on how long the oldest write has waited for its sync.
@@ -45,7 +45,7 @@
 
  private:
   struct AgentRow {
-    std::string id, locality;
+    std::string id, zone;
     /// Whom it was last told to watch, and when that was drawn.
     Strings watch;
     TimePoint watchAt{};
@@ -100,7 +100,7 @@
   /// From when on this core's log was agreed up to an index, as far back as a copy of a change may lie unread.
   std::deque<std::pair<TimePoint, Uint64>> commitsSeen;
 
-  Cell& cellFor(const std::string& locality);
+  Cell& cellFor(const std::string& zone);
   void seekFleet(Effects& effects);
   void considerForming(Effects& effects);
   void onEnds(Effects& effects, const std::string& from, const LogEndRequest& ask);
@@ -133,7 +133,7 @@
   void askLogEnds(Effects& effects);
   void takeMarks(Effects& effects);
   /// Gives what concerns a worker or a store to the cell that has it, if this core knows that cell.
-  void giveToCell(Effects& effects, const std::string& from, const std::string& locality, const Message& message);
+  void giveToCell(Effects& effects, const std::string& from, const std::string& zone, const Message& message);
   /// Tells apart configurations whose stores or engine services differ.
   Uint64 digestOfServices() const;
   std::vector<Machine> machinesWithStores() const;
--- a/src/cluster/core_report.cpp
+++ b/src/cluster/core_report.cpp
@@ -5,7 +5,7 @@
 std::string Core::condition(TimePoint now) const {
   JsonObject whole;
   whole["core"] = Json(self.id);
-  whole["locality"] = Json(self.locality);
+  whole["locality"] = Json(self.zone);
   whole["formed"] = Json(replicatedLog->formed());
   whole["diskStalled"] = Json(diskStalled);
   whole["confirmed"] = Json(readsConfirmed(now));
@@ -20,7 +20,7 @@
     JsonObject row;
     row["id"] = Json(member.id);
     row["address"] = Json(member.address);
-    row["locality"] = Json(member.locality);
+    row["locality"] = Json(member.zone);
     row["votes"] = Json(member.votes);
     memberRows.push_back(Json(row));
   }
@@ -35,12 +35,12 @@
   };
   duty(replicatedLog->election);
   JsonObject workers;
-  for (const auto& [locality, cell] : cells) {
+  for (const auto& [zone, cell] : cells) {
     duty(cell->election);
     if (!cell->election.holds(now)) continue;
     for (const auto& [name, keeper] : cell->keepers()) {
       JsonObject row;
-      row["locality"] = Json(locality);
+      row["locality"] = Json(zone);
       row["kind"] = Json(keeper.machine.kind);
       row["weights"] = Json(keeper.last.weights);
       row["model"] = Json(keeper.last.model);
@@ -60,7 +60,7 @@
     if (!agent.relays) continue;
     JsonObject row;
     row["address"] = Json(address);
-    row["locality"] = Json(agent.locality);
+    row["locality"] = Json(agent.zone);
     row["applied"] = jsonNumber(static_cast<double>(agent.applied));
     row["fresh"] = Json(agent.fresh);
     row["heardMs"] = jsonNumber(static_cast<double>(toMilliseconds(now - agent.at)));
--- a/src/config/configuration.hpp
+++ b/src/config/configuration.hpp
@@ -33,7 +33,7 @@
 };
 /// What a service says of a store: where it is and how it is reached.
 struct StoreView {
-  std::string service, address, locality;
+  std::string service, address, zone;
 };
 /// What a service is made of: engines, which keep blocks and carry weights; plain workers, which only answer; a store.
 enum class ServiceKind { engine, plain, store };
--- a/src/fuzz/configurations.cpp
+++ b/src/fuzz/configurations.cpp
@@ -49,7 +49,7 @@
     text += "|" + name + ">" + (key ? key->id + "," + key->tenant : "");
   }
   std::set<std::string> stores;
-  for (const auto& store : view.stores()) stores.insert(store.service + "," + store.address + "," + store.locality);
+  for (const auto& store : view.stores()) stores.insert(store.service + "," + store.address + "," + store.zone);
   for (const auto& store : stores) text += "|" + store;
   const auto& limits = view.callerLimits();
   text += "|" + std::to_string(limits.headerBytes) + "," + std::to_string(limits.bodyBytes) + "," +
--- a/src/index/cell.cpp
+++ b/src/index/cell.cpp
@@ -42,9 +42,9 @@
   return table;
 }
 
-Cell::Cell(std::string locality, const Member& self, bool local, Defences defencesGiven, CellSettings cellSettings)
-    : election("cell/" + locality, self.id, local ? Duration(0) : Duration(600ms), defencesGiven),
-      place(std::move(locality)),
+Cell::Cell(std::string zone, const Member& self, bool local, Defences defencesGiven, CellSettings cellSettings)
+    : election("cell/" + zone, self.id, local ? Duration(0) : Duration(600ms), defencesGiven),
+      place(std::move(zone)),
       selfId(self.id),
       selfAddress(self.address),
       defences(defencesGiven),
@@ -76,7 +76,7 @@
 void Cell::setMachines(const std::vector<Machine>& machines) {
   std::set<std::string> listed;
   for (const auto& machine : machines) {
-    if (machine.locality != place) continue;
+    if (machine.zone != place) continue;
     listed.insert(machine.name);
     auto& keeper = rows[machine.name];
     if (keeper.machine.address != machine.address) keeper = Keeper{};
--- a/src/index/cell.hpp
+++ b/src/index/cell.hpp
@@ -57,8 +57,7 @@
 /// each locality; only the holder of the cell's duty asks, commands and answers.
 class Cell {
  public:
-  Cell(std::string locality, const Member& self, bool local, Defences defencesGiven = {},
-       CellSettings cellSettings = {});
+  Cell(std::string zone, const Member& self, bool local, Defences defencesGiven = {}, CellSettings cellSettings = {});
   Election election;
   void setMachines(const std::vector<Machine>& machines);
   void tick(Effects& effects, const Configuration& configuration);
@@ -71,7 +70,7 @@
   const std::map<std::string, CellNews>* allNews{nullptr};
   /// When weights were named, as this core knows it.
   const VersionTimeline* versions{nullptr};
-  const std::string& locality() const { return place; }
+  const std::string& zone() const { return place; }
   const std::map<std::string, Keeper>& keepers() const { return rows; }
   /// Whether a command may still leave: asked again in the instant before it is written to its worker.
   bool mayCommand(const ControlAsk& command, TimePoint now) const;
--- a/src/index/cell_rollouts.cpp
+++ b/src/index/cell_rollouts.cpp
@@ -128,9 +128,9 @@
 
 bool Cell::loadedElsewhere(const std::string& model) const {
   if (!allNews || !versions) return false;
-  for (const auto& [locality, news] : *allNews)
+  for (const auto& [zone, news] : *allNews)
     for (const auto& worker : news.workers)
-      if (locality != place && worker.alive && worker.model == model && versions->isNewest(model, worker.weights))
+      if (zone != place && worker.alive && worker.model == model && versions->isNewest(model, worker.weights))
         return true;
   return false;
 }
@@ -139,8 +139,8 @@
   if (!allNews || superseded == TimePoint::max()) return false;
   int before = 0;
   bool unfinished = false;
-  for (const auto& [locality, news] : *allNews) {
-    if (locality >= place) break;
+  for (const auto& [zone, news] : *allNews) {
+    if (zone >= place) break;
     const WorkerView* sole = nullptr;
     int workers = 0;
     for (const auto& worker : news.workers)
--- a/src/net/contract.cpp
+++ b/src/net/contract.cpp
@@ -281,7 +281,7 @@
     JsonObject row;
     row["name"] = Json(machine.name);
     row["address"] = Json(machine.address);
-    row["locality"] = Json(machine.locality);
+    row["locality"] = Json(machine.zone);
     row["kind"] = Json(machine.kind);
     row["leaving"] = Json(machine.leaving);
     rows.push_back(Json(row));
@@ -294,7 +294,7 @@
   Machine machine;
   for (auto [name, field] : std::initializer_list<std::pair<const char*, std::string*>>{{"name", &machine.name},
                                                                                         {"address", &machine.address},
-                                                                                        {"locality", &machine.locality},
+                                                                                        {"locality", &machine.zone},
                                                                                         {"kind", &machine.kind}}) {
     auto text = stringField(value.get<JsonObject>(), name, "machines");
     if (!text) return text.error();
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -34,7 +34,7 @@
 bool Edge::ready(TimePoint now) const {
   if (!fresh(now) || view.revision() == 0) return false;
   bool anyEngine = false, engineAlive = false, plainAlive = false;
-  for (const auto& [locality, news] : cells)
+  for (const auto& [zone, news] : cells)
     for (const auto& worker : news.workers) {
       if (worker.kind == "store") continue;
       bool engine = worker.kind == "language";
@@ -46,7 +46,7 @@
 }
 
 const WorkerView* Edge::workerView(const std::string& name) const {
-  for (const auto& [locality, news] : cells)
+  for (const auto& [zone, news] : cells)
     for (const auto& worker : news.workers)
       if (worker.name == name) return &worker;
   return nullptr;
@@ -124,7 +124,7 @@
     locals[order.plan.worker].unread += order.plan.unread;
     order.unreadCounted = true;
     if (!order.plan.model.empty())
-      effects.send(settings.agentAddress, PrefillStarted{order.sendId, order.plan.locality, order.plan.worker,
+      effects.send(settings.agentAddress, PrefillStarted{order.sendId, order.plan.zone, order.plan.worker,
                                                          order.plan.hashes, order.plan.unread});
   }
   effects.send(order.plan.address, std::move(sent));
@@ -186,7 +186,7 @@
     feedAt = effects.now;
     versions.forgetEnded(effects.now, timing.versionMost);
     std::vector<CellVersion> rows;
-    for (const auto& [locality, news] : cells) rows.push_back(CellVersion{locality, news.term, news.sequence});
+    for (const auto& [zone, news] : cells) rows.push_back(CellVersion{zone, news.term, news.sequence});
     effects.send(settings.agentAddress, FeedAsk{toNanoseconds(effects.now), view.index(), rows, machineListDigest});
     for (auto* moments : {&admittedAt, &retriedAt, &doneAt})
       while (!moments->empty() && effects.now - moments->front() > settings.retrySpan) moments->pop_front();
@@ -333,9 +333,9 @@
 }
 
 void Edge::onCellNews(Effects& effects, const CellNews& news) {
-  auto& kept = cells[news.locality];
+  auto& kept = cells[news.zone];
   if (!applyCellNews(kept, news)) return;
-  newsAt[kept.locality] = effects.now;
+  newsAt[kept.zone] = effects.now;
   for (const auto& worker : kept.workers) {
     auto& local = locals[worker.name];
     local.sentSinceNews = 0;
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -9,7 +9,7 @@
 namespace tt {
 
 struct EdgeSettings {
-  std::string name, address, locality, agentAddress;
+  std::string name, address, zone, agentAddress;
   bool fetching{true};
   std::size_t pendingMost{64};
   Duration pendingWait{1500ms};
@@ -36,11 +36,11 @@
 
 /// What a proxy means to do with an order, as data, before any of it is done.
 struct Plan {
-  std::string worker, address, locality, model, weights, salt;
+  std::string worker, address, zone, model, weights, salt;
   Hashes hashes;
   std::size_t localHits{0};
   struct Candidate {
-    std::string name, address, locality;
+    std::string name, address, zone;
     bool store{false};
     std::size_t guessedHits{0};
     double busyness{0}, speed{0};
--- a/src/routing/edge_admission.cpp
+++ b/src/routing/edge_admission.cpp
@@ -20,7 +20,7 @@
     least = static_cast<int>(std::clamp(1000.0 * static_cast<double>(pending.size()) / timing, 300.0, 5000.0));
   } else if (code == Code::noWorker) {
     bool held = false;
-    for (const auto& [locality, news] : cells)
+    for (const auto& [zone, news] : cells)
       for (const auto& worker : news.workers) held = held || (worker.held && worker.alive);
     least = held ? 1500 : 1000;
   } else if (code == Code::retryBudget) {
--- a/src/routing/edge_outcomes.cpp
+++ b/src/routing/edge_outcomes.cpp
@@ -51,7 +51,7 @@
   order.unreadCounted = false;
   if (!order.plan.model.empty())
     effects.send(settings.agentAddress,
-                 PrefillEnded{order.sendId, order.plan.locality, order.plan.worker, order.plan.hashes, read});
+                 PrefillEnded{order.sendId, order.plan.zone, order.plan.worker, order.plan.hashes, read});
   auto& local = locals[order.plan.worker];
   local.unread = std::max(0, local.unread - order.plan.unread);
 }
--- a/src/routing/edge_placement.cpp
+++ b/src/routing/edge_placement.cpp
@@ -18,7 +18,7 @@
 
 int Edge::busyOf(const WorkerView& worker, TimePoint now) const {
   auto local = locals.find(worker.name);
-  auto heard = newsAt.find(worker.locality);
+  auto heard = newsAt.find(worker.zone);
   if (heard == newsAt.end() || now - heard->second > newsOld) return local == locals.end() ? 0 : local->second.open;
   if (local == locals.end()) return worker.running;
   return std::max(local->second.open, worker.running + local->second.sentSinceNews);
@@ -69,7 +69,7 @@
   key += "/" + (shared > 0 ? order.ask.parts[shared - 1] : order.ask.orderId);
   std::vector<Choice> ranked;
   bool anyAlive = false;
-  for (const auto& [locality, news] : cells)
+  for (const auto& [zone, news] : cells)
     for (const auto& worker : news.workers) {
       if (worker.service != order.service || worker.kind == "store" || !worker.alive || !mayBeDrawn(worker)) continue;
       if (!order.ask.model.empty() && worker.model != order.ask.model) continue;
@@ -103,7 +103,7 @@
   Plan plan;
   plan.worker = best->name;
   plan.address = best->address;
-  plan.locality = best->locality;
+  plan.zone = best->zone;
   plan.model = best->model;
   plan.weights = best->weights;
   if (!order.ask.model.empty()) {
@@ -116,7 +116,7 @@
     for (std::size_t at = 0; at < drawable.size(); ++at) {
       const auto& worker = *ranked[drawable[at]].worker;
       if (worker.weights != plan.weights || (at != bestAt && ++others > ranksAsked)) continue;
-      plan.candidates.push_back(Plan::Candidate{worker.name, worker.address, worker.locality});
+      plan.candidates.push_back(Plan::Candidate{worker.name, worker.address, worker.zone});
       plan.candidates.back().rank = static_cast<int>(at);
       plan.candidates.back().service = worker.service;
     }
@@ -139,7 +139,7 @@
 }
 
 bool Edge::isPlain(const std::string& service) const {
-  for (const auto& [locality, news] : cells)
+  for (const auto& [zone, news] : cells)
     for (const auto& worker : news.workers)
       if (worker.service == service) return worker.kind == "app";
   return false;
@@ -148,7 +148,7 @@
 PlainCandidate Edge::plainCandidate(const WorkerView& worker, TimePoint now) const {
   PlainCandidate candidate;
   candidate.slots = worker.slots;
-  candidate.sameLocality = worker.locality == settings.locality;
+  candidate.sameZone = worker.zone == settings.zone;
   auto found = locals.find(worker.name);
   if (found == locals.end()) return candidate;
   const auto& local = found->second;
@@ -164,7 +164,7 @@
   std::vector<const WorkerView*> workers;
   std::vector<PlainCandidate> candidates;
   bool anyAlive = false;
-  for (const auto& [locality, news] : cells)
+  for (const auto& [zone, news] : cells)
     for (const auto& worker : news.workers) {
       if (worker.service != order.service || !worker.alive || !mayBeDrawn(worker)) continue;
       anyAlive = true;
@@ -179,7 +179,7 @@
   order.plan = Plan{};
   order.plan.worker = workers[*chosen]->name;
   order.plan.address = workers[*chosen]->address;
-  order.plan.locality = workers[*chosen]->locality;
+  order.plan.zone = workers[*chosen]->zone;
   countOpen(order);
   return true;
 }
@@ -197,7 +197,7 @@
   std::vector<const WorkerView*> able;
   std::string kind = order.route.app ? "app" : "language";
   bool anyAlive = false;
-  for (const auto& [locality, news] : cells)
+  for (const auto& [zone, news] : cells)
     for (const auto& worker : news.workers) {
       if (worker.kind != kind || !worker.alive || worker.held || !mayBeDrawn(worker)) continue;
       if (kind == "language" && (worker.model != order.ask.model || worker.weights.empty() ||
@@ -234,13 +234,13 @@
     }
     double busyness = worker->slots > 0 ? static_cast<double>(busyOf(*worker, effects.now)) / worker->slots : 1;
     choice.cost += busyness * busyness * 800 + busyness * 100 + static_cast<double>(effects.randomBelow(20));
-    if (worker->locality != settings.locality) choice.cost += 5;
+    if (worker->zone != settings.zone) choice.cost += 5;
     if (!best || choice.cost < best->cost) best = std::move(choice);
   }
   Plan plan;
   plan.worker = best->worker->name;
   plan.address = best->worker->address;
-  plan.locality = best->worker->locality;
+  plan.zone = best->worker->zone;
   plan.model = order.ask.model;
   plan.localHits = best->hits;
   if (!order.route.app) {
--- a/src/routing/edge_report.cpp
+++ b/src/routing/edge_report.cpp
@@ -18,7 +18,7 @@
   whole["retriesLately"] = jsonNumber(static_cast<double>(retriedAt.size()));
   whole["admittedLately"] = jsonNumber(static_cast<double>(admittedAt.size()));
   JsonObject workers;
-  for (const auto& [locality, news] : cells)
+  for (const auto& [zone, news] : cells)
     for (const auto& worker : news.workers) {
       JsonObject row;
       row["weights"] = Json(worker.weights);
--- a/src/routing/edge_sources.cpp
+++ b/src/routing/edge_sources.cpp
@@ -32,7 +32,7 @@
 }
 
 double Edge::linkSpeed(const std::string& source, const std::string& target) const {
-  for (const auto& [locality, news] : cells)
+  for (const auto& [zone, news] : cells)
     for (const auto& link : news.links)
       if (link.source == source && link.target == target) return link.blocksPerSecond;
   return unmeasuredSpeed;
@@ -50,7 +50,7 @@
   plan.hashes.pop_back();
   const WorkerView* store = nullptr;
   std::uint64_t storeRank = 0;
-  for (const auto& [locality, news] : cells)
+  for (const auto& [zone, news] : cells)
     for (const auto& keeper : news.workers)
       if (std::uint64_t rank = rendezvousHash(plan.hashes.back().hex(), keeper.name);
           keeper.kind == "store" && keeper.alive && (!store || rank > storeRank)) {
@@ -58,11 +58,11 @@
         storeRank = rank;
       }
   if (store) {
-    plan.candidates.push_back(Plan::Candidate{store->name, store->address, store->locality, true});
+    plan.candidates.push_back(Plan::Candidate{store->name, store->address, store->zone, true});
     plan.candidates.back().service = store->service;
   }
   auto silent = [&](const Plan::Candidate& candidate) {
-    auto found = indexSilent.find(candidate.locality);
+    auto found = indexSilent.find(candidate.zone);
     return found != indexSilent.end() && now < found->second;
   };
   plan.candidates.erase(std::remove_if(plan.candidates.begin(), plan.candidates.end(), silent), plan.candidates.end());
@@ -91,7 +91,7 @@
   const auto* targetService = view.findService(order.service);
   const auto* sourceService = view.findService(source.service);
   return transferMs(tokens, targetService ? targetService->tokenBytes : 0, sourceService ? sourceService->linkMbps : 0,
-                    targetService ? targetService->linkMbps : 0, source.locality == target.locality);
+                    targetService ? targetService->linkMbps : 0, source.zone == target.zone);
 }
 
 Edge::Source Edge::sourceFor(const Order& order, const Plan::Candidate& target, int own, TimePoint now) const {
@@ -103,7 +103,7 @@
     FetchCandidate facts{candidate.store, static_cast<double>(tokens), unmeasuredSpeed, 0};
     if (tokens < own + leastTokens || !order.policy.fetches(facts)) continue;
     const auto* other = best.candidate;
-    bool nearer = other && candidate.locality == target.locality && other->locality != target.locality;
+    bool nearer = other && candidate.zone == target.zone && other->zone != target.zone;
     if (tokens < best.tokens || (tokens == best.tokens && (candidate.store || !(nearer || (other && other->store)))))
       continue;
     best = Source{&candidate, tokens};
@@ -158,7 +158,7 @@
     freeWorker(effects, order);
     plan.worker = placement.target->name;
     plan.address = placement.target->address;
-    plan.locality = placement.target->locality;
+    plan.zone = placement.target->zone;
     countOpen(order);
   }
   const auto& facts = placement.facts;
@@ -171,7 +171,7 @@
   int shared = tokensOf(plan, plan.hashes.size());
   const Plan::Candidate* store = nullptr;
   for (const auto& candidate : plan.candidates) {
-    if (!order.replies.count(candidate.name)) indexSilent[candidate.locality] = effects.now + indexRest;
+    if (!order.replies.count(candidate.name)) indexSilent[candidate.zone] = effects.now + indexRest;
     if (candidate.store) store = &candidate;
   }
   auto placement = cheapestPlacement(order, effects.now);
@@ -202,14 +202,14 @@
     namesSource = namesSource || mode == "remote_kv_source" || mode == "remote_prefiller";
   if (!settings.fetching || order.route.app || namesSource || order.tries > 0) return;
   std::optional<Plan::Candidate> bestPeer, bestStore;
-  for (const auto& [locality, news] : cells)
+  for (const auto& [zone, news] : cells)
     for (const auto& keeper : news.workers) {
       bool store = keeper.kind == "store";
       if (keeper.name == plan.worker || !keeper.alive || !keeper.confirmed || keeper.held || !mayBeDrawn(keeper))
         continue;
       if (!store && (keeper.kind != "language" || keeper.weights != plan.weights)) continue;
       Plan::Candidate candidate{
-          keeper.name, keeper.address, keeper.locality, store, 0, 0, linkSpeed(keeper.name, plan.worker)};
+          keeper.name, keeper.address, keeper.zone, store, 0, 0, linkSpeed(keeper.name, plan.worker)};
       while (candidate.guessedHits < plan.hashes.size() &&
              Summary::mayHold(keeper.summary, plan.hashes[candidate.guessedHits]))
         ++candidate.guessedHits;
@@ -233,7 +233,7 @@
     std::string lookupId = settings.name + "/l" + std::to_string(++idCount);
     orderByLookup[lookupId] = order.ask.orderId;
     effects.send(settings.agentAddress,
-                 LookupMsg{lookupId, candidate.locality, candidate.name, order.plan.weights, order.plan.hashes, {}});
+                 LookupMsg{lookupId, candidate.zone, candidate.name, order.plan.weights, order.plan.hashes, {}});
   }
   effects.note("lookup asked", order.ask.orderId, static_cast<std::int64_t>(order.plan.candidates.size()));
 }
@@ -285,7 +285,7 @@
   effects.note("move sent", move.sendId + " " + plan.source->name + " " + plan.worker,
                static_cast<std::int64_t>(plan.confirmedHits));
   effects.send(settings.agentAddress,
-               WatchMsg{move.sendId, plan.locality, plan.source->name, plan.worker, prefix, toMilliseconds(wait), {}});
+               WatchMsg{move.sendId, plan.zone, plan.source->name, plan.worker, prefix, toMilliseconds(wait), {}});
   effects.send(plan.address, WorkerOrder{move.sendId,
                                          plan.model,
                                          plan.weights,
--- a/src/routing/placement_cost.cpp
+++ b/src/routing/placement_cost.cpp
@@ -12,7 +12,7 @@
 constexpr double rankMs = 1;
 /// What a move costs beside its bytes: the source is asked, and may turn out to be gone.
 constexpr double moveSetupMs = 2;
-constexpr double localityFactor = 2;
+constexpr double zoneFactor = 2;
 constexpr double bitsPerByte = 8, bitsPerMegabit = 1e6, msPerSecond = 1000;
 }  // namespace
 
@@ -28,11 +28,11 @@
   return cost;
 }
 
-double transferMs(double tokens, double tokenBytes, double sourceMbps, double targetMbps, bool sameLocality) {
+double transferMs(double tokens, double tokenBytes, double sourceMbps, double targetMbps, bool sameZone) {
   double mbps = sourceMbps > 0 && targetMbps > 0 ? std::min(sourceMbps, targetMbps) : std::max(sourceMbps, targetMbps);
   if (mbps <= 0) return 0;
   double ms = tokens * tokenBytes * bitsPerByte / (mbps * bitsPerMegabit) * msPerSecond;
-  return sameLocality ? ms : ms * localityFactor;
+  return sameZone ? ms : ms * zoneFactor;
 }
 
 }  // namespace tt
--- a/src/routing/placement_cost.hpp
+++ b/src/routing/placement_cost.hpp
@@ -24,6 +24,6 @@
 
 /// How long a move of kept tokens takes over the slower of two links, in ms; twice as long between localities. Links of
 /// which nothing was declared take no time.
-double transferMs(double tokens, double tokenBytes, double sourceMbps, double targetMbps, bool sameLocality);
+double transferMs(double tokens, double tokenBytes, double sourceMbps, double targetMbps, bool sameZone);
 
 }  // namespace tt
--- a/src/routing/plain_placement.cpp
+++ b/src/routing/plain_placement.cpp
@@ -5,7 +5,7 @@
 namespace tt {
 namespace {
 /// How much fuller a worker of the same locality may be and still be preferred.
-constexpr double localityWorth = 0.25;
+constexpr double zoneWeight = 0.25;
 /// Ejections double with each failure in succession up to this many spans.
 constexpr int mostEjectionSpans = 8;
 
@@ -24,7 +24,7 @@
   for (std::size_t place = 0; place < candidates.size(); ++place) {
     const auto& candidate = candidates[place];
     if (candidate.ejected && !allEjected) continue;
-    double cost = occupancyOf(candidate) + (candidate.sameLocality ? 0 : localityWorth);
+    double cost = occupancyOf(candidate) + (candidate.sameZone ? 0 : zoneWeight);
     if (best.empty() || cost < leastCost) {
       best.assign(1, place);
       leastCost = cost;
--- a/src/routing/plain_placement.hpp
+++ b/src/routing/plain_placement.hpp
@@ -14,7 +14,7 @@
   int slots{0};
   /// Orders that this proxy has open there, and what the worker said of itself, if that is recent.
   int open{0}, running{0}, waiting{0};
-  bool sameLocality{false};
+  bool sameZone{false};
   /// Left out for a while because it broke off, turned an order away or answered with failures.
   bool ejected{false};
 };
--- a/src/sim/actor.hpp
+++ b/src/sim/actor.hpp
@@ -11,7 +11,7 @@
 
 /// One process in the sim, with its machine's clock and disk.
 struct World::Actor {
-  std::string name, address, locality;
+  std::string name, address, zone;
   std::unique_ptr<Node> node;
   std::unique_ptr<SimDisk> disk;
   std::unique_ptr<Ring> ring;
--- a/src/sim/scale/draw_trial.cpp
+++ b/src/sim/scale/draw_trial.cpp
@@ -34,7 +34,7 @@
   WorkerView view;
   view.name = machine.name;
   view.address = machine.address;
-  view.locality = machine.locality;
+  view.zone = machine.zone;
   view.kind = machine.kind;
   view.weights = machine.weights;
   view.model = machine.model;
@@ -112,8 +112,8 @@
     for (int worker = 0; worker < size.workers; ++worker) {
       auto machine = machineOf(size, worker);
       marks.machines.push_back(machine);
-      auto& news = newsByZone[machine.locality];
-      news.locality = machine.locality;
+      auto& news = newsByZone[machine.zone];
+      news.zone = machine.zone;
       news.term = news.sequence = 1;
       news.holder = coreAddress;
       news.workers.push_back(viewOf(machine));
--- a/src/sim/scale/fleet_fixtures.cpp
+++ b/src/sim/scale/fleet_fixtures.cpp
@@ -122,7 +122,7 @@
   EdgeSettings settings;
   settings.name = name;
   settings.address = address;
-  settings.locality = zone;
+  settings.zone = zone;
   settings.agentAddress = agentAddress;
   settings.pendingMost = 256;
   settings.sourceRides = settings.openGoOn = true;
--- a/src/sim/scale/hollow_fleet.cpp
+++ b/src/sim/scale/hollow_fleet.cpp
@@ -88,10 +88,10 @@
     CoreSettings settings;
     settings.name = process.name;
     settings.address = process.address;
-    settings.locality = zoneName(size, number * size.zones / size.cores);
+    settings.zone = zoneName(size, number * size.zones / size.cores);
     settings.platformAddress = platformAddress;
     settings.seeds = seeds;
-    settings.localities = zones;
+    settings.zones = zones;
     settings.cell = platformCell();
     process.node = std::make_unique<Core>(settings, process.ring->held(), randomSource, clock);
   });
@@ -114,7 +114,7 @@
     AgentSettings settings;
     settings.name = name;
     settings.address = agentAddress;
-    settings.locality = zone;
+    settings.zone = zone;
     settings.seeds = seeds;
     process.node = std::make_unique<Agent>(settings);
     process.beside = proxyAddress;
@@ -361,7 +361,7 @@
 
 void HollowFleet::collectCells(FleetCost& total) {
   for (std::size_t number = 0; number < cores.size(); ++number)
-    for (const auto& [zone, cell] : core(number).cellsByLocality()) {
+    for (const auto& [zone, cell] : core(number).cellsByZone()) {
       if (!cell->election.holds(clock)) continue;
       ++total.cellsHeld;
       ++processes[cores[number]]->cost.cells;
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -189,9 +189,9 @@
       else if (key == "fetching")
         shape.fetching = value > 0;
       else if (key == "localities") {
-        shape.localities.clear();
+        shape.zones.clear();
         for (int number = 1; number <= static_cast<int>(value); ++number)
-          shape.localities.push_back("ghent-" + std::to_string(number));
+          shape.zones.push_back("ghent-" + std::to_string(number));
       } else
         wrong(line, "unknown fleet key " + key);
     }
@@ -211,7 +211,7 @@
     }
     std::vector<std::string> rows;
     if (word.rfind("locality:", 0) == 0) {
-      for (const auto& name : world->localityMembers(word.substr(9))) rows.push_back(name);
+      for (const auto& name : world->zoneMembers(word.substr(9))) rows.push_back(name);
       return rows;
     }
     for (auto [group, prefix] :
@@ -352,7 +352,7 @@
     } else if (verb == "relocate") {
       for (const auto& name : named(word(1))) {
         auto machine = world->platform().machines().at(name);
-        machine.locality = word(2);
+        machine.zone = word(2);
         world->platform().set(machine);
       }
     } else if (verb == "load") {
@@ -468,9 +468,8 @@
       double unconfirmed = 0;
       for (const auto& name : named("cores"))
         if (auto* node = world->core(name))
-          for (const auto& [locality, cell] : node->cellsByLocality())
-            if (world->holderOf("cell/" + locality) == name)
-              unconfirmed += static_cast<double>(cell->unconfirmedCount());
+          for (const auto& [zone, cell] : node->cellsByZone())
+            if (world->holderOf("cell/" + zone) == name) unconfirmed += static_cast<double>(cell->unconfirmedCount());
       compare(line, unconfirmed, 2);
     } else if (what == "voters" || what == "members") {
       double voters = 0;
@@ -497,8 +496,8 @@
     std::int64_t wrongRows = 0;
     for (const auto& name : named("cores"))
       if (auto* node = world->core(name))
-        for (const auto& [locality, cell] : node->cellsByLocality()) {
-          if (world->holderOf("cell/" + locality) != name) continue;
+        for (const auto& [zone, cell] : node->cellsByZone()) {
+          if (world->holderOf("cell/" + zone) != name) continue;
           for (const auto& [keeperName, keeper] : cell->keepers()) {
             auto* truth = world->keeper(keeperName);
             if (!truth || !keeper.confirmed) continue;
--- a/src/sim/sim.cpp
+++ b/src/sim/sim.cpp
@@ -38,7 +38,7 @@
     actor->offset = std::chrono::seconds(random() % 100000);
     actor->drift = 1 + (static_cast<double>(random() % 2001) - 1000) / 1e6;
     actor->tickEvery = tickEvery;
-    actor->locality = localityOf(name);
+    actor->zone = zoneOf(name);
     actor->address = addressOf(name);
     nameByAddress[actor->address] = name;
     actors[name] = std::move(actor);
@@ -61,10 +61,10 @@
   auto& list = platform();
   for (int number = 1; number <= shape.workers; ++number) {
     std::string name = "worker-" + std::to_string(number);
-    list.set(Machine{name, addressOf(name), localityOf(name), "language", false});
+    list.set(Machine{name, addressOf(name), zoneOf(name), "language", false});
   }
-  list.set(Machine{"store", addressOf("store"), localityOf("store"), "store", false});
-  list.set(Machine{"app", addressOf("app"), localityOf("app"), "app", false});
+  list.set(Machine{"store", addressOf("store"), zoneOf("store"), "store", false});
+  list.set(Machine{"app", addressOf("app"), zoneOf("app"), "app", false});
   for (const auto& name : all)
     if (name != "platform" && !(starts(name, "core-") && numberOf(name) > shape.cores))
       later(std::chrono::milliseconds(random() % 200), [this, name] { start(name); });
@@ -115,9 +115,9 @@
   return name == "platform" ? "10.3.0.1:9000" : name == "store" ? "10.3.0.2:9000" : "10.3.0.3:9000";
 }
 
-std::string World::localityOf(const std::string& name) const {
-  if (name == "store" || name == "app" || name == "platform") return shape.localities[0];
-  return shape.localities[static_cast<std::size_t>(numberOf(name) - 1) % shape.localities.size()];
+std::string World::zoneOf(const std::string& name) const {
+  if (name == "store" || name == "app" || name == "platform") return shape.zones[0];
+  return shape.zones[static_cast<std::size_t>(numberOf(name) - 1) % shape.zones.size()];
 }
 
 std::string World::nameAt(const std::string& address) const {
@@ -131,10 +131,10 @@
   return rows;
 }
 
-std::set<std::string> World::localityMembers(const std::string& locality) const {
+std::set<std::string> World::zoneMembers(const std::string& zone) const {
   std::set<std::string> rows;
   for (const auto& [name, actor] : actors)
-    if (actor->locality == locality && name != "platform") rows.insert(name);
+    if (actor->zone == zone && name != "platform") rows.insert(name);
   return rows;
 }
 
@@ -153,9 +153,9 @@
     CoreSettings settings;
     settings.name = "core-" + std::to_string(std::min(numberOf(name), shape.cores));
     settings.address = actor.address;
-    settings.locality = actor.locality;
+    settings.zone = actor.zone;
     settings.platformAddress = addressOf("platform");
-    settings.localities = shape.localities;
+    settings.zones = shape.zones;
     settings.cell.rolloutSpan = shape.rolloutSpan;
     settings.cell.rolloutParts = shape.rolloutParts;
     settings.recordRoom = actor.ring->room() / 2;
@@ -166,7 +166,7 @@
     }
     actor.node = std::make_unique<Core>(settings, actor.ring->held(), random, now);
   } else if (starts(name, "agent-")) {
-    AgentSettings settings{name, actor.address, actor.locality, {}, defences};
+    AgentSettings settings{name, actor.address, actor.zone, {}, defences};
     for (int at = 0; at < std::min(3, shape.cores); ++at)
       settings.seeds.push_back(actors.at("core-" + std::to_string((numberOf(name) + at) % shape.cores + 1))->address);
     actor.node = std::make_unique<Agent>(settings);
@@ -174,7 +174,7 @@
     EdgeSettings settings;
     settings.name = name + "." + std::to_string(actor.life);
     settings.address = actor.address;
-    settings.locality = actor.locality;
+    settings.zone = actor.zone;
     settings.agentAddress = addressOf("agent-" + std::to_string(numberOf(name)));
     settings.fetching = shape.fetching;
     settings.firstByteWait = 6s;
@@ -517,9 +517,9 @@
       loss != losses.end() && static_cast<int>(random() % 100) < loss->second)
     return;
   if (auto* gone = std::get_if<WorkerDrop>(&message)) streams.erase(gone->orderId);
-  Duration delay = beside ? Duration(100us)
-                          : std::chrono::microseconds(from.locality == target.locality ? 300 + random() % 400
-                                                                                       : 1000 + random() % 2500);
+  Duration delay =
+      beside ? Duration(100us)
+             : std::chrono::microseconds(from.zone == target.zone ? 300 + random() % 400 : 1000 + random() % 2500);
   auto& last = lastArrival[{from.name, toName}];
   TimePoint at = std::max(clock + delay, last + 1us);
   last = at;
@@ -871,7 +871,7 @@
 
 void World::watchHolders() {
   std::set<std::string> duties{"accord", "cell/brussels-1"};
-  for (const auto& locality : shape.localities) duties.insert("cell/" + locality);
+  for (const auto& zone : shape.zones) duties.insert("cell/" + zone);
   for (const auto& duty : duties)
     if (int holders = holdersOf(duty); holders > 1)
       violate("two-holders", duty + " is held by " + std::to_string(holders));
@@ -905,7 +905,7 @@
 void World::list(const std::string& name) {
   if (platform().machines().count(name)) return;
   leavingAt.erase(name);
-  platform().set(Machine{name, addressOf(name), localityOf(name), starts(name, "worker-") ? "language" : name, false});
+  platform().set(Machine{name, addressOf(name), zoneOf(name), starts(name, "worker-") ? "language" : name, false});
 }
 
 void World::mark(const std::string& worker, bool leaving) {
@@ -938,8 +938,8 @@
       holders += node->agreement().leads(now);
       continue;
     }
-    for (const auto& [locality, cell] : node->cellsByLocality())
-      if ("cell/" + locality == duty) holders += cell->election.holds(now);
+    for (const auto& [zone, cell] : node->cellsByZone())
+      if ("cell/" + zone == duty) holders += cell->election.holds(now);
   }
   return holders;
 }
@@ -951,8 +951,8 @@
     if (!node) continue;
     TimePoint now = actor->local(clock);
     if (duty == "accord" && node->agreement().leads(now)) return name;
-    for (const auto& [locality, cell] : node->cellsByLocality())
-      if ("cell/" + locality == duty && cell->election.holds(now)) return name;
+    for (const auto& [zone, cell] : node->cellsByZone())
+      if ("cell/" + zone == duty && cell->election.holds(now)) return name;
   }
   return {};
 }
--- a/src/sim/sim.hpp
+++ b/src/sim/sim.hpp
@@ -29,7 +29,7 @@
 /// What a fleet in the sim is made of.
 struct FleetShape {
   int cores{4}, spares{0}, edges{4}, workers{8}, tenants{4};
-  std::vector<std::string> localities{"ghent-1", "ghent-2", "antwerp-1", "bruges-1"};
+  std::vector<std::string> zones{"ghent-1", "ghent-2", "antwerp-1", "bruges-1"};
   double planRate{3}, swapRate{8}, reminderRate{12}, appRate{1};
   int loadMs{1500};
   std::size_t keepMost{600};
@@ -110,7 +110,7 @@
   void leap(const std::string& name, Duration span);
   std::set<std::string> names() const;
   std::string nameAt(const std::string& address) const;
-  std::set<std::string> localityMembers(const std::string& locality) const;
+  std::set<std::string> zoneMembers(const std::string& zone) const;
 
   /// What came of it.
   std::vector<Violation> violations;
@@ -266,7 +266,7 @@
   void checkGivenUp(const std::string& proxy);
   void checkGivenUp(const CallerVerdict& verdict, const OrderRow& order);
   std::string addressOf(const std::string& name) const;
-  std::string localityOf(const std::string& name) const;
+  std::string zoneOf(const std::string& name) const;
   void operatorAnswer(const OperatorResponse& reply);
   std::string firstConfiguration() const;
   std::map<std::string, std::function<void()>> ackActions, noteActions;
--- a/src/tools/main_agent.cpp
+++ b/src/tools/main_agent.cpp
@@ -13,7 +13,7 @@
   reader.text("name", &settings.name, "this machine's name", true)
       .address("address", &settings.address, "where other processes reach this one")
       .address("listen", &listenAddress, "where it listens, if not at its address", false)
-      .text("locality", &settings.locality, "this machine's locality", true)
+      .text("locality", &settings.zone, "this machine's locality", true)
       .addresses("seeds", &settings.seeds, "three cores to start from")
       .address("webAddress", &webAddress, "where condition and counters are read", false)
       .number("versionMs", &versionMs, versionMsLeast, versionMsMost,
--- a/src/tools/main_core.cpp
+++ b/src/tools/main_core.cpp
@@ -46,9 +46,9 @@
       .address("listen", &given.listenAddress, "where it listens, if not at its address", false)
       .text("diskFaults", &given.diskFaults,
             "for tries only: a file whose word the ring obeys: slow MS, stall, full, well")
-      .text("locality", &given.settings.locality, "this machine's locality", true)
+      .text("locality", &given.settings.zone, "this machine's locality", true)
       .addresses("seeds", &given.settings.seeds, "the other first cores")
-      .texts("localities", &given.settings.localities, "all localities that cells stand for")
+      .texts("localities", &given.settings.zones, "all localities that cells stand for")
       .address("platform", &given.settings.platformAddress, "the platform's HTTP address", false)
       .address("operatorAddress", &given.operatorAddress, "where operators reach this core")
       .text("operatorKeyHash", &given.operatorKeyHash, "SHA-256 of the operator key, in hex", true)
@@ -74,7 +74,7 @@
   auto& ring = opened.value().ring;
   if (ring->tornEnd()) logInfo("Torn end dropped.");
   given.settings.recordRoom = ring->room() / 2;
-  if (given.settings.localities.empty()) given.settings.localities.push_back(given.settings.locality);
+  if (given.settings.zones.empty()) given.settings.zones.push_back(given.settings.zone);
 
   asio::io_context context;
   std::mt19937_64 randomSource(std::random_device{}());
--- a/src/tools/main_proxy.cpp
+++ b/src/tools/main_proxy.cpp
@@ -38,7 +38,7 @@
   Settings reader("trouttally-proxy", "A proxy of the fleet: takes orders from callers, plans them, carries them out");
   reader.text("name", &settings.name, "this machine's name", true)
       .address("address", &settings.address, "where the agent reaches this process")
-      .text("locality", &settings.locality, "this machine's locality", true)
+      .text("locality", &settings.zone, "this machine's locality", true)
       .address("agentAddress", &settings.agentAddress, "the agent beside this proxy")
       .address("callerAddress", &callerAddress, "where callers reach this proxy")
       .text("operatorKeyHash", &operatorKeyHash, "SHA-256 of the operator key, for reading what is in force")
--- a/tests/call_table.cpp
+++ b/tests/call_table.cpp
@@ -400,7 +400,7 @@
         Machine machine;
         machine.name = "w" + std::to_string(number);
         machine.address = bench.servers[number]->address();
-        machine.locality = "north-a";
+        machine.zone = "north-a";
         machine.kind = "language";
         machine.service = "mill";
         machine.leaving = number != 3;
--- a/tests/cell_bench.hpp
+++ b/tests/cell_bench.hpp
@@ -110,7 +110,7 @@
       Machine machine;
       machine.name = name;
       machine.address = name + ":80";
-      machine.locality = "north-a";
+      machine.zone = "north-a";
       machine.kind = "language";
       machine.service = "mill";
       machine.model = "moss";
--- a/tests/core_bench.hpp
+++ b/tests/core_bench.hpp
@@ -61,9 +61,9 @@
     CoreSettings settings;
     settings.name = machine.nodeName;
     settings.address = machine.address;
-    settings.locality = "north-a";
+    settings.zone = "north-a";
     settings.seeds = seeds;
-    settings.localities = {"north-a"};
+    settings.zones = {"north-a"};
     settings.mayForm = mayForm;
     settings.cell.apart = settings.cell.loadsWhole = settings.cell.seedsForm = true;
     settings.cell.summaries = false;
--- a/tests/fleet_bench.hpp
+++ b/tests/fleet_bench.hpp
@@ -58,9 +58,9 @@
     CoreSettings settings;
     settings.name = name;
     settings.address = machine.address;
-    settings.locality = "north-a";
+    settings.zone = "north-a";
     settings.seeds = {"core-1:1", "core-2:1", "core-3:1"};
-    settings.localities = {"north-a"};
+    settings.zones = {"north-a"};
     settings.mayForm = mayForm;
     settings.cell.apart = settings.cell.loadsWhole = settings.cell.seedsForm = true;
     settings.cell.summaries = false;
@@ -79,7 +79,7 @@
     AgentSettings settings;
     settings.name = name;
     settings.address = machine.address;
-    settings.locality = "north-a";
+    settings.zone = "north-a";
     settings.seeds = {"core-1:1", "core-2:1", "core-3:1"};
     auto agent = std::make_unique<Agent>(settings);
     machine.agent = agent.get();
--- a/tests/gate_faults.cpp
+++ b/tests/gate_faults.cpp
@@ -134,9 +134,9 @@
     CoreSettings settings;
     settings.name = "core-1";
     settings.address = "core-1:1";
-    settings.locality = "north-a";
+    settings.zone = "north-a";
     settings.seeds = {"core-1:1"};
-    settings.localities = {"north-a"};
+    settings.zones = {"north-a"};
     core = std::make_unique<Core>(settings, disk, randomSource, now);
   }
   void with(const std::function<void(Effects&)>& action) {
--- a/tests/load.cpp
+++ b/tests/load.cpp
@@ -16,7 +16,7 @@
 CellNews newsOf(Uint64 term, Uint64 sequence, Uint64 base, const std::vector<WorkerView>& workers,
                 const Strings& gone = {}) {
   CellNews news;
-  news.locality = "north-a";
+  news.zone = "north-a";
   news.term = term;
   news.sequence = sequence;
   news.base = base;
@@ -117,7 +117,7 @@
       Machine machine;
       machine.name = name;
       machine.address = name + ":80";
-      machine.locality = "north-a";
+      machine.zone = "north-a";
       machine.kind = store ? "store" : "language";
       machine.service = store ? "barn" : "mill";
       if (!store) {
@@ -364,8 +364,8 @@
     CoreSettings settings;
     settings.name = name;
     settings.address = name + ":1";
-    settings.locality = "north-a";
-    settings.localities = {"north-a"};
+    settings.zone = "north-a";
+    settings.zones = {"north-a"};
     settings.cell.summaries = false;
     return settings;
   }
@@ -397,7 +397,7 @@
   auto asks = core.asksAt(newsOf(1, 4, 3, {viewOf("w2", 5)}));
   cr_assert_eq(asks.size(), 1u);
   cr_assert_eq(asks[0].cells.size(), 1u);
-  cr_expect_eq(asks[0].cells[0].locality, "north-a");
+  cr_expect_eq(asks[0].cells[0].zone, "north-a");
   cr_expect_eq(asks[0].cells[0].term, 1u);
   cr_expect_eq(asks[0].cells[0].sequence, 2u);
   TimePoint askedAt = core.now;
@@ -456,7 +456,7 @@
     EdgeSettings settings;
     settings.name = "proxy-1";
     settings.address = "proxy-1:1";
-    settings.locality = "north-a";
+    settings.zone = "north-a";
     settings.agentAddress = agentAddress;
     settings.pendingMost = 4096;
     settings.sourceRides = settings.openGoOn = true;
--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -48,9 +48,9 @@
     CoreSettings settings;
     settings.name = name;
     settings.address = machine.address;
-    settings.locality = "north-a";
+    settings.zone = "north-a";
     settings.seeds = {"core-1:1", "core-2:1", "core-3:1"};
-    settings.localities = {"north-a"};
+    settings.zones = {"north-a"};
     settings.cell.apart = settings.cell.loadsWhole = settings.cell.seedsForm = true;
     settings.cell.summaries = false;
     machine.core = std::make_unique<Core>(settings, machine.disk, randomSource, now);
--- a/tests/path_routes.cpp
+++ b/tests/path_routes.cpp
@@ -329,7 +329,7 @@
     cr_expect(asked.insert(ask.keeper).second, "%s is asked twice", ask.keeper.c_str());
     cr_expect_eq(ask.hashes.size(), 2u, "the last part is the caller's own");
     cr_expect_eq(ask.weights, "moss/3");
-    cr_expect_eq(ask.locality, ask.keeper == "barn" ? "north-b" : "north-a");
+    cr_expect_eq(ask.zone, ask.keeper == "barn" ? "north-b" : "north-a");
   }
   cr_expect(asked == (std::set<std::string>{"w1", "w2", "w3", "barn"}));
   for (std::size_t at = 0; at < lookups.size(); ++at) {
@@ -410,7 +410,7 @@
     std::set<std::string> keepers;
     for (const auto& ask : bench.openLookups()) {
       keepers.insert(ask.keeper);
-      if (ask.locality == "north-a") bench.answer(ask, {});
+      if (ask.zone == "north-a") bench.answer(ask, {});
     }
     return keepers;
   };
@@ -418,14 +418,14 @@
   auto lookups = bench.openLookups();
   cr_assert_eq(lookups.size(), 2u);
   for (const auto& ask : lookups)
-    if (ask.locality == "north-a") bench.answer(ask, {});
+    if (ask.zone == "north-a") bench.answer(ask, {});
   bench.run(190ms);
   cr_expect(bench.sendsOf(first).empty());
   bench.run(10ms);
   TimePoint settledAt = bench.now;
   cr_expect_eq(bench.onlySend(first).sourceAddress, "");
   for (const auto& ask : lookups)
-    if (ask.locality == "north-b") bench.answer(ask, {1, 1});
+    if (ask.zone == "north-b") bench.answer(ask, {1, 1});
   cr_expect_eq(bench.sendsOf(first).size(), 1u, "a reply after that changes nothing");
   bench.run(20ms);
   auto second = bench.place("/once/x", "key-a", promptOf(2), promptTokens);
--- a/tests/placement.cpp
+++ b/tests/placement.cpp
@@ -122,9 +122,9 @@
   }
   void tellAll() {
     std::vector<Machine> machines;
-    for (auto& [locality, news] : cells) {
+    for (auto& [zone, news] : cells) {
       ++news.sequence;
-      for (const auto& row : news.workers) machines.push_back(machineOf(row.name, locality));
+      for (const auto& row : news.workers) machines.push_back(machineOf(row.name, zone));
       give(agentAddress, news);
     }
     list(machines);
--- a/tests/plain_cells.cpp
+++ b/tests/plain_cells.cpp
@@ -17,7 +17,7 @@
   Machine machine;
   machine.name = name;
   machine.address = name + ":80";
-  machine.locality = "north-a";
+  machine.zone = "north-a";
   machine.kind = "app";
   machine.service = "weir";
   machine.slots = 6;
--- a/tests/platform.cpp
+++ b/tests/platform.cpp
@@ -361,7 +361,7 @@
   cr_assert_eq(page.value().rows.size(), 2u);
   const auto& first = page.value().rows[0];
   cr_assert(first.id == "i-1" && first.service == "mill" && first.address == "10.128.0.4:8080" &&
-            first.locality == "north-a");
+            first.zone == "north-a");
   cr_assert(first.revision == "v3" && first.slots == 64 && first.draining && first.coldLeftMs == 1200 &&
             first.phase == "colocated");
   cr_assert(first.models == ModelRevisions({{"moss7", 4}}));
--- a/tests/proxy_bench.hpp
+++ b/tests/proxy_bench.hpp
@@ -71,7 +71,7 @@
     EdgeSettings settings;
     settings.name = "proxy-1";
     settings.address = "proxy-1:1";
-    settings.locality = "north-a";
+    settings.zone = "north-a";
     settings.agentAddress = "agent:1";
     settings.pendingMost = 256;
     settings.pendingWait = pendingWait;
@@ -157,7 +157,7 @@
   }
   void tellWorkers() {
     CellNews news;
-    news.locality = "north-a";
+    news.zone = "north-a";
     news.term = 1;
     news.sequence = ++newsCount;
     std::vector<Machine> machines;
@@ -165,7 +165,7 @@
       WorkerView row;
       row.name = "w" + std::to_string(number);
       row.address = servers[number]->address();
-      row.locality = "north-a";
+      row.zone = "north-a";
       row.kind = "language";
       row.slots = 64;
       row.alive = row.confirmed = true;
@@ -174,7 +174,7 @@
       Machine machine;
       machine.name = row.name;
       machine.address = row.address;
-      machine.locality = row.locality;
+      machine.zone = row.zone;
       machine.kind = "language";
       machine.service = "mill";
       machines.push_back(machine);
--- a/tests/proxy_fixture.hpp
+++ b/tests/proxy_fixture.hpp
@@ -237,7 +237,7 @@
       hub->send(to, news);
     }
     CellNews cell;
-    cell.locality = "north-a";
+    cell.zone = "north-a";
     cell.term = 1;
     cell.sequence = ++sequence;
     MarksMsg marks;
@@ -245,7 +245,7 @@
       WorkerView worker;
       worker.name = "i-" + door.address();
       worker.address = door.address();
-      worker.locality = "north-a";
+      worker.zone = "north-a";
       worker.kind = "language";
       worker.slots = 64;
       worker.alive = worker.confirmed = true;
@@ -255,7 +255,7 @@
       Machine machine;
       machine.name = worker.name;
       machine.address = worker.address;
-      machine.locality = worker.locality;
+      machine.zone = worker.zone;
       machine.kind = worker.kind;
       machine.service = worker.service;
       cell.workers.push_back(worker);
--- a/tests/routing_bench.hpp
+++ b/tests/routing_bench.hpp
@@ -49,12 +49,12 @@
     "open":{"host":"h","prefix":"/open/","service":"mill","open":true,"tries":1,"timeoutMs":4000}}})";
 
 /// A worker that is alive and confirmed, as a cell's news tell of it.
-inline WorkerView languageWorker(const std::string& name, const std::string& locality = "north-a",
+inline WorkerView languageWorker(const std::string& name, const std::string& zone = "north-a",
                                  const std::string& weights = "moss/3", const std::string& service = "mill") {
   WorkerView view;
   view.name = name;
   view.address = name + ":80";
-  view.locality = locality;
+  view.zone = zone;
   view.kind = "language";
   view.weights = weights;
   view.model = "moss";
@@ -95,7 +95,7 @@
     EdgeSettings settings;
     settings.name = name;
     settings.address = name + ":1";
-    settings.locality = "north-a";
+    settings.zone = "north-a";
     settings.agentAddress = agentAddress;
     settings.pendingMost = 256;
     settings.sourceRides = settings.openGoOn = true;
@@ -150,37 +150,37 @@
     give(agentAddress, news);
     tick();
   }
-  WorkerView& worker(const std::string& name, const std::string& locality = "north-a",
+  WorkerView& worker(const std::string& name, const std::string& zone = "north-a",
                      const std::string& weights = "moss/3", const std::string& service = "mill") {
-    auto& news = cells[locality];
-    news.locality = locality;
+    auto& news = cells[zone];
+    news.zone = zone;
     news.term = 1;
     for (auto& row : news.workers)
       if (row.name == name) return row;
-    news.workers.push_back(languageWorker(name, locality, weights, service));
+    news.workers.push_back(languageWorker(name, zone, weights, service));
     return news.workers.back();
   }
-  WorkerView& store(const std::string& name, const std::string& locality) {
-    auto& row = worker(name, locality, "", "barn");
+  WorkerView& store(const std::string& name, const std::string& zone) {
+    auto& row = worker(name, zone, "", "barn");
     row.kind = "store";
     row.model.clear();
     return row;
   }
   void tell() {
     std::vector<Machine> machines;
-    for (auto& [locality, news] : cells) {
+    for (auto& [zone, news] : cells) {
       ++news.sequence;
       for (const auto& row : news.workers)
-        if (row.kind == "language") machines.push_back(machineOf(row.name, locality));
+        if (row.kind == "language") machines.push_back(machineOf(row.name, zone));
       give(agentAddress, news);
     }
     list(machines);
   }
-  static Machine machineOf(const std::string& name, const std::string& locality = "north-a") {
+  static Machine machineOf(const std::string& name, const std::string& zone = "north-a") {
     Machine machine;
     machine.name = name;
     machine.address = name + ":80";
-    machine.locality = locality;
+    machine.zone = zone;
     machine.kind = "language";
     machine.service = "mill";
     return machine;
--- a/tests/version_ends_cell.cpp
+++ b/tests/version_ends_cell.cpp
@@ -310,31 +310,31 @@
 
 namespace {
 /// Cells' news by which three localities that come before this one have a sole worker each that is never done.
-std::map<std::string, CellNews> localitiesBefore() {
-  std::map<std::string, CellNews> newsByLocality;
-  for (const char* locality : {"east-a", "east-b", "east-c"}) {
+std::map<std::string, CellNews> zonesBefore() {
+  std::map<std::string, CellNews> cellUpdatesByZone;
+  for (const char* zone : {"east-a", "east-b", "east-c"}) {
     WorkerView worker;
-    worker.name = std::string("sole-") + locality;
-    worker.locality = locality;
+    worker.name = std::string("sole-") + zone;
+    worker.zone = zone;
     worker.kind = "language";
     worker.model = "moss";
     worker.weights = "moss/3";
     worker.alive = true;
     CellNews news;
-    news.locality = locality;
+    news.zone = zone;
     news.term = news.sequence = 1;
     news.workers.push_back(worker);
-    newsByLocality[locality] = news;
+    cellUpdatesByZone[zone] = news;
   }
-  return newsByLocality;
+  return cellUpdatesByZone;
 }
 }  // namespace
 
 Test(version_ends_cell, a_sole_worker_that_waits_for_other_localities_is_commanded_before_the_end) {
-  auto newsByLocality = localitiesBefore();
+  auto cellUpdatesByZone = zonesBefore();
   for (int namingNumber : {1, 4}) {
     RollOutBench bench(1);
-    for (auto& [address, core] : bench.cores) core.cell->allNews = &newsByLocality;
+    for (auto& [address, core] : bench.cores) core.cell->allNews = &cellUpdatesByZone;
     bench.start();
     bench.nameEvery(4s, namingNumber);
     bench.watch(14s);
--- a/tests/version_ends_proxy.cpp
+++ b/tests/version_ends_proxy.cpp
@@ -140,7 +140,7 @@
   EdgeSettings settings;
   settings.name = "proxy-1";
   settings.address = "proxy-1:1";
-  settings.locality = "north-a";
+  settings.zone = "north-a";
   settings.agentAddress = agentAddress;
   return settings;
 }
