--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -25,10 +25,10 @@
 }
 
 std::uint64_t Agent::appliedBelow(TimePoint now) const {
-  if (now - startedAt < timing.readersWait + 70ms) return 0;
+  if (now - startedAt < timing.readerAckTimeout + 70ms) return 0;
   std::uint64_t applied = view.index();
   for (const auto& [address, at] : proxies)
-    if (now - at < timing.readersWait + 70ms) applied = std::min(applied, proxyApplied.at(address));
+    if (now - at < timing.readerAckTimeout + 70ms) applied = std::min(applied, proxyApplied.at(address));
   return applied;
 }
 
@@ -88,7 +88,7 @@
 }
 
 void Agent::onNews(Effects& effects, const NewsMsg& news) {
-  clusterView.seeCommit(news.commit);
+  clusterView.observeCommit(news.commit);
   for (const auto& snapshot : news.snapshots) {
     if (snapshot.index <= view.index()) continue;
     if (!view.adopt(snapshot)) continue;
@@ -109,7 +109,7 @@
   }
   if (!passed.entries.empty()) spread(effects, passed);
   if (view.index() >= clusterView.knownCommit()) behindSince = TimePoint{};
-  clusterView.weigh(effects.now, view);
+  clusterView.updateCompleteness(effects.now, view);
 }
 
 void Agent::onNewsAsk(Effects& effects, const std::string& from, std::uint64_t applied,
@@ -135,7 +135,7 @@
 void Agent::tick(Effects& effects) {
   if (startedAt == TimePoint{}) startedAt = effects.now;
   bool moved = appliedBelow(effects.now) > toldApplied && effects.now - roundAt >= roundSooner;
-  if (moved || effects.now - roundAt >= timing.roundEvery) askEnds(effects);
+  if (moved || effects.now - roundAt >= timing.logEndPollInterval) askEnds(effects);
   if (fresh(effects.now) != wasFresh) {
     wasFresh = !wasFresh;
     effects.note(wasFresh ? "fresh" : "stale", settings.name);
@@ -187,7 +187,7 @@
     proxies[from] = effects.now;
     proxyMarks[from] = feed->cells;
     proxyApplied[from] = feed->applied;
-    bool known = clusterView.stamp() != TimePoint{};
+    bool known = clusterView.completeAsOf() != TimePoint{};
     bool lags = feed->applied < view.index() || feed->applied == 0 || feed->cells.size() < cells.size();
     for (const auto& mark : feed->cells)
       if (auto kept = cells.find(mark.zone); kept != cells.end())
@@ -196,8 +196,9 @@
     if (lags) onNewsAsk(effects, from, feed->applied, feed->cells);
     if (clusterView.machineListKnown() && feed->machineListDigest != clusterView.machineListDigest())
       effects.send(from, MarksMsg{(effects.now - clusterView.machineListAt()).count(), clusterView.machines()});
-    effects.send(from, FeedReply{feed->sentAt, known ? (effects.now - clusterView.stamp()).count() : 0, view.index(),
-                                 known, clusterView.versions().tell(effects.now, timing.versionMost, false)});
+    effects.send(from,
+                 FeedReply{feed->sentAt, known ? (effects.now - clusterView.completeAsOf()).count() : 0, view.index(),
+                           known, clusterView.versions().tell(effects.now, timing.oldWeightsTimeout, false)});
   } else if (auto* lookup = std::get_if<LookupMsg>(&message)) {
     LookupMsg passed = *lookup;
     passed.replyTo = settings.address;
@@ -223,8 +224,9 @@
   JsonObject whole;
   whole["agent"] = Json(settings.name);
   whole["fresh"] = Json(fresh(now));
-  whole["freshAgeMs"] = jsonNumber(
-      clusterView.stamp() == TimePoint{} ? -1 : static_cast<double>(toMilliseconds(now - clusterView.stamp())));
+  whole["freshAgeMs"] = jsonNumber(clusterView.completeAsOf() == TimePoint{}
+                                       ? -1
+                                       : static_cast<double>(toMilliseconds(now - clusterView.completeAsOf())));
   whole["revision"] = jsonNumber(static_cast<double>(view.revision()));
   whole["applied"] = jsonNumber(static_cast<double>(view.index()));
   whole["follows"] = Json(parent);
--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -20,7 +20,7 @@
   void tick(Effects& effects) override;
   const Configuration& configuration() const { return view; }
   /// The moment up to which this view is known to be complete.
-  TimePoint freshStamp() const { return clusterView.stamp(); }
+  TimePoint completeAsOf() const { return clusterView.completeAsOf(); }
   bool fresh(TimePoint now) const { return clusterView.fresh(now); }
   std::string condition(TimePoint now) const;
   /// Whether a proxy has asked to be fed of late.
--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -17,7 +17,7 @@
 void ClusterView::ask(Effects& effects, Uint64 applied, const std::vector<CellVersion>& cells,
                       const Configuration& view) {
   outOfTouch = !fresh(effects.now);
-  if (!settings.defences.isEnabled(Defence::freshnessWeighed)) weigh(effects.now, view);
+  if (!settings.defences.isEnabled(Defence::freshnessWeighed)) updateCompleteness(effects.now, view);
   auto addresses = coreAddresses(view);
   for (auto row = cores.begin(); row != cores.end();)
     row = std::find(addresses.begin(), addresses.end(), row->first) == addresses.end() ? cores.erase(row)
@@ -63,7 +63,7 @@
     for (const auto& member : reply.members) toldAddresses.push_back(member.address);
   }
   watchRows = reply.watch;
-  weigh(effects.now, view);
+  updateCompleteness(effects.now, view);
 }
 
 bool ClusterView::offerMarks(const std::vector<Machine>& machines, TimePoint askedAt) {
@@ -147,9 +147,9 @@
   });
 }
 
-void ClusterView::weigh(TimePoint now, const Configuration& view) {
+void ClusterView::updateCompleteness(TimePoint now, const Configuration& view) {
   noteVersions(view);
-  timeline.forgetEnded(now, timing.versionMost);
+  timeline.forgetEnded(now, timing.oldWeightsTimeout);
   if (!settings.defences.isEnabled(Defence::freshnessWeighed)) {
     completeUntil = majorityUntil = view.members().empty() ? TimePoint{} : now;
     return;
--- a/src/cluster/cluster_view.hpp
+++ b/src/cluster/cluster_view.hpp
@@ -24,15 +24,15 @@
   void ask(Effects& effects, Uint64 applied, const std::vector<CellVersion>& cells, const Configuration& view);
   void handle(Effects& effects, const std::string& from, const LogEndResponse& reply, const Configuration& view);
   /// Looks again at how complete the view is, after it has moved on.
-  void weigh(TimePoint now, const Configuration& view);
+  void updateCompleteness(TimePoint now, const Configuration& view);
   /// Takes a list of machines that was asked of the platform at this moment; an older or empty one is not taken.
   bool offerMarks(const std::vector<Machine>& machines, TimePoint askedAt);
   /// The moment up to which the view is known to be complete.
-  TimePoint stamp() const { return completeUntil; }
+  TimePoint completeAsOf() const { return completeUntil; }
   /// The moment up to which the view is known to be complete by the word of more than half of the voters. Enough for
   /// completeness is half of an even number; reading back takes a majority.
   TimePoint majorityStamp() const { return majorityUntil; }
-  bool fresh(TimePoint now) const { return completeUntil != TimePoint{} && now < completeUntil + timing.freshFor; }
+  bool fresh(TimePoint now) const { return completeUntil != TimePoint{} && now < completeUntil + timing.maxStaleness; }
   Strings coreAddresses(const Configuration& view) const;
   /// The core that has lately told of the highest commit beyond an index; empty if none has.
   std::string furthestCore(TimePoint now, Uint64 beyond) const;
@@ -49,9 +49,11 @@
   /// Learns when weights were named from a reader that remembers it.
   void learnVersions(const std::vector<WeightsAnnouncement>& namings, TimePoint now) { timeline.learn(namings, now); }
   /// Settles namings of unknown moment once this process has run for longer than any old version may be used.
-  void settleVersions(TimePoint ownStart, TimePoint now) { timeline.settleUnknown(ownStart, now, timing.versionMost); }
+  void settleVersions(TimePoint ownStart, TimePoint now) {
+    timeline.settleUnknown(ownStart, now, timing.oldWeightsTimeout);
+  }
   /// Learns of a commit by another way than an answer of its own.
-  void seeCommit(Uint64 commit) { highestCommit = std::max(highestCommit, commit); }
+  void observeCommit(Uint64 commit) { highestCommit = std::max(highestCommit, commit); }
 
  private:
   struct CoreRow {
--- a/src/cluster/core.cpp
+++ b/src/cluster/core.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t rootRanks = 4;
 }  // namespace
 
-Strings drawWatch(const std::string& agent, const Strings& fellows, std::size_t most) {
+Strings selectUpstreams(const std::string& agent, const Strings& fellows, std::size_t most) {
   std::uint64_t ownRank = rendezvousHash("rank", agent);
   std::vector<std::pair<std::uint64_t, std::string>> lower;
   for (const auto& fellow : fellows)
@@ -41,7 +41,7 @@
     idSynced = true;
   }
   self = Member{id, settings.name, settings.address, settings.zone, true};
-  replicatedLog = std::make_unique<ReplicatedLog>(self, settings.recordRoom, settings.defences);
+  replicatedLog = std::make_unique<ReplicatedLog>(self, settings.maxRecordBytes, settings.defences);
   clusterView = std::make_unique<ClusterView>(
       ReaderSettings{self.id, self.address, self.zone, settings.seeds, false, settings.defences});
   replicatedLog->restore(recovered, now);
@@ -49,7 +49,7 @@
   for (const auto& zone : settings.zones) cellFor(zone);
   for (const auto& [duty, vote] : recovered.votes)
     if (duty.rfind("cell/", 0) == 0) cellFor(duty.substr(5)).election.restore(vote, now);
-  replicatedLog->entryApplied = [this](Effects& effects, const LogEntry& entry) {
+  replicatedLog->onEntryApplied = [this](Effects& effects, const LogEntry& entry) {
     effects.note("applied", self.id, static_cast<std::int64_t>(entry.index));
     clusterView->noteVersions(replicatedLog->configuration());
     if (entry.kind == static_cast<int>(EntryKind::members)) membersMovedAt = effects.now;
@@ -106,7 +106,7 @@
   Strings fellows;
   for (const auto& [address, row] : agents)
     if (row.relays && now - row.at < agentKept) fellows.push_back(address);
-  return drawWatch(agent, fellows, 3);
+  return selectUpstreams(agent, fellows, 3);
 }
 
 void Core::onEnds(Effects& effects, const std::string& from, const LogEndRequest& ask) {
@@ -128,8 +128,8 @@
   LogEndResponse reply{ask.requestId,
                        self.id,
                        replicatedLog->election.term(),
-                       replicatedLog->speaksForTerm(),
-                       replicatedLog->syncedEnd(),
+                       replicatedLog->hasCommittedInTerm(),
+                       replicatedLog->lastSyncedIndex(),
                        replicatedLog->commit(),
                        replicatedLog->members(),
                        ask.relays ? row.watch : Strings{},
@@ -137,7 +137,7 @@
                        0,
                        clusterView->machineListDigest(),
                        {},
-                       clusterView->versions().tell(effects.now, timing.versionMost, true)};
+                       clusterView->versions().tell(effects.now, timing.oldWeightsTimeout, true)};
   if (reply.machineListKnown) reply.machineListAgeNs = (effects.now - clusterView->machineListAt()).count();
   if (reply.machineListKnown && ask.machineListDigest != reply.machineListDigest)
     reply.machines = clusterView->machines();
@@ -201,20 +201,20 @@
     diskStalled = stalled;
     effects.note(stalled ? "disk stalled" : "disk well", self.id, toMilliseconds(diskWait));
   }
-  bool mayStand = !diskStalled && leaveAt == TimePoint{};
-  replicatedLog->election.mayStand = mayStand;
-  for (auto& [zone, cell] : cells) cell->election.mayStand = mayStand;
+  bool mayCampaign = !diskStalled && leaveAt == TimePoint{};
+  replicatedLog->election.mayCampaign = mayCampaign;
+  for (auto& [zone, cell] : cells) cell->election.mayCampaign = mayCampaign;
   replicatedLog->tick(effects);
   clusterView->noteVersions(replicatedLog->configuration());
   clusterView->settleVersions(startedAt, effects.now);
   for (auto& [zone, cell] : cells) cell->tick(effects, replicatedLog->configuration());
   bool lists = replicatedLog->leads(effects.now) || !clusterView->machineListKnown() ||
-               effects.now - clusterView->machineListAt() >= timing.listOld;
-  if (!settings.platformAddress.empty() && lists && effects.now - platformAt >= timing.listEvery) {
+               effects.now - clusterView->machineListAt() >= timing.maxListAge;
+  if (!settings.platformAddress.empty() && lists && effects.now - platformAt >= timing.listPollInterval) {
     platformAt = effects.now;
     effects.send(settings.platformAddress, MachinesAsk{toNanoseconds(effects.now)});
   }
-  if (replicatedLog->formed() && effects.now - endsAt >= timing.roundEvery) {
+  if (replicatedLog->formed() && effects.now - endsAt >= timing.logEndPollInterval) {
     askLogEnds(effects);
   }
   settleReads(effects);
@@ -282,7 +282,7 @@
   } else if (auto* read = std::get_if<ReadRequest>(&message)) {
     onRead(effects, from, *read);
   } else if (auto* change = std::get_if<ChangeRequest>(&message)) {
-    replicatedLog->takeChange(effects, from, *change);
+    replicatedLog->proposeChange(effects, from, *change);
   } else if (auto* changeReply = std::get_if<ChangeResponse>(&message)) {
     onChangeReply(effects, from, *changeReply);
   } else if (auto* lookup = std::get_if<LookupMsg>(&message)) {
--- a/src/cluster/core.hpp
+++ b/src/cluster/core.hpp
@@ -9,7 +9,7 @@
   std::string name, address, zone, platformAddress;
   std::vector<std::string> seeds;
   std::vector<std::string> zones;
-  std::size_t recordRoom{1 << 20};
+  std::size_t maxRecordBytes{1 << 20};
   /// Whether this core may take part in forming a new fleet; one that comes back empty may not.
   bool mayForm{true};
   CellSettings cell;
@@ -29,13 +29,13 @@
   /// no further copy of a change.
   void resign(Effects& effects);
   /// Whether all that this core has synced is on as many other cores' disks as a change must rest on.
-  bool mayEnd() const;
-  const ReplicatedLog& agreement() const { return *replicatedLog; }
+  bool safeToStop() const;
+  const ReplicatedLog& consensusLog() const { return *replicatedLog; }
   const std::map<std::string, std::unique_ptr<Cell>>& cellsByZone() const { return cells; }
   /// Everything an operator may want to see, as JSON text.
   std::string condition(TimePoint now) const;
   /// The host's word on how long the oldest write has waited for its sync.
-  void diskWaits(Duration span) { diskWait = span; }
+  void reportSyncWait(Duration span) { diskWait = span; }
   const std::string& id() const { return self.id; }
   /// Whether a command to a worker may still leave at this moment.
   bool mayCommand(const ControlAsk& command, TimePoint now) const;
@@ -145,6 +145,6 @@
 
 /// Whose news a daemon follows: its few lower-ranked fellows that rendezvous hashing names. As rank depends on the
 /// name alone, no two views of the fleet can make a ring.
-Strings drawWatch(const std::string& agent, const Strings& fellows, std::size_t most);
+Strings selectUpstreams(const std::string& agent, const Strings& fellows, std::size_t most);
 
 }  // namespace tt
--- a/src/cluster/core_membership.cpp
+++ b/src/cluster/core_membership.cpp
@@ -20,7 +20,7 @@
   for (const auto& row : replicatedLog->members())
     member = member || (row.id == self.id && row.address == self.address);
   if (replicatedLog->formed() && member &&
-      (replicatedLog->election.won() || effects.now - replicatedLog->heardLeaderAt() < timing.successorWait))
+      (replicatedLog->election.won() || effects.now - replicatedLog->lastLeaderContact() < timing.successorWait))
     return;
   if (effects.now - helloAt >= helloEvery) {
     helloAt = effects.now;
@@ -28,7 +28,7 @@
       if (seed != self.address) effects.send(seed, HelloRequest{self, replicatedLog->formed()});
     considerForming(effects);
   }
-  if (effects.now - joinAt < timing.joinEvery || leaveAt != TimePoint{}) return;
+  if (effects.now - joinAt < timing.joinInterval || leaveAt != TimePoint{}) return;
   std::set<std::string> told;
   for (const auto& [seed, hello] : hellos)
     for (const auto& row : hello.members) told.insert(row.address);
@@ -58,9 +58,9 @@
 }
 
 void Core::askCopies(Effects& effects) {
-  if (leaveAt == TimePoint{} || mayEnd() || effects.now - copiesAt < copiesEvery) return;
+  if (leaveAt == TimePoint{} || safeToStop() || effects.now - copiesAt < copiesEvery) return;
   copiesAt = effects.now;
-  Uint64 end = replicatedLog->syncedEnd();
+  Uint64 end = replicatedLog->lastSyncedIndex();
   Uint64 term = replicatedLog->election.logEnd().first;
   for (const auto& member : replicatedLog->members())
     if (member.votes && member.id != self.id) effects.send(member.address, ReadersRequest{copiesRound, end, term});
@@ -70,6 +70,6 @@
   if (reply.has && leaveAt != TimePoint{} && reply.core != self.id) copyHolders.insert(reply.core);
 }
 
-bool Core::mayEnd() const { return !replicatedLog->formed() || copyHolders.size() >= timing.copiesLeast(); }
+bool Core::safeToStop() const { return !replicatedLog->formed() || copyHolders.size() >= timing.copiesLeast(); }
 
 }  // namespace tt
--- a/src/cluster/core_operators.cpp
+++ b/src/cluster/core_operators.cpp
@@ -106,8 +106,9 @@
 void Core::settleAsked(Effects& effects) {
   for (auto found = asked.begin(); found != asked.end();) {
     auto& row = found->second;
-    bool settled = row.agreed && (readersHave(row, effects.now) || effects.now - row.agreedAt >= timing.readersWait ||
-                                  !settings.defences.isEnabled(Defence::ackWaits));
+    bool settled =
+        row.agreed && (readersHave(row, effects.now) || effects.now - row.agreedAt >= timing.readerAckTimeout ||
+                       !settings.defences.isEnabled(Defence::ackWaits));
     bool late = !row.agreed && effects.now - row.at >= operatorWait;
     if (settled) {
       confirm(effects, row);
@@ -122,7 +123,7 @@
 }
 
 bool Core::readersHave(const Asked& row, TimePoint now) const {
-  if (now - membersMovedAt < timing.readersWait || replicatedLog->commit() < row.index ||
+  if (now - membersMovedAt < timing.readerAckTimeout || replicatedLog->commit() < row.index ||
       replicatedLog->memberChangePending())
     return false;
   if (row.term != replicatedLog->election.term() || round.index < row.index ||
@@ -145,10 +146,10 @@
 }
 
 void Core::onReadersAsk(Effects& effects, const std::string& from, const ReadersRequest& ask) {
-  bool knowsReaders = effects.now - startedAt >= timing.readersWait;
+  bool knowsReaders = effects.now - startedAt >= timing.readerAckTimeout;
   ReadersResponse reply{ask.roundId, self.id, knowsReaders && replicatedLog->hasSynced(ask.index, ask.term), {}};
   for (const auto& [address, row] : agents)
-    if (effects.now - row.at < timing.readersWait)
+    if (effects.now - row.at < timing.readerAckTimeout)
       reply.readers.push_back(Reader{address, row.applied, (effects.now - row.at).count()});
   effects.send(from, reply);
 }
--- a/src/cluster/core_reads.cpp
+++ b/src/cluster/core_reads.cpp
@@ -26,7 +26,7 @@
 void Core::settleReads(Effects& effects) {
   if (pendingReads.empty()) return;
   const auto& view = replicatedLog->configuration();
-  clusterView->weigh(effects.now, view);
+  clusterView->updateCompleteness(effects.now, view);
   while (!pendingReads.empty()) {
     const auto& read = pendingReads.front();
     bool confirmed = clusterView->majorityStamp() >= read.at;
--- a/src/cluster/core_report.cpp
+++ b/src/cluster/core_report.cpp
@@ -30,14 +30,14 @@
     JsonObject row;
     row["term"] = jsonNumber(static_cast<double>(election.term()));
     row["holder"] = Json(election.holder());
-    row["here"] = Json(election.holds(now));
+    row["here"] = Json(election.holdsLease(now));
     duties[election.duty()] = Json(row);
   };
   duty(replicatedLog->election);
   JsonObject workers;
   for (const auto& [zone, cell] : cells) {
     duty(cell->election);
-    if (!cell->election.holds(now)) continue;
+    if (!cell->election.holdsLease(now)) continue;
     for (const auto& [name, keeper] : cell->keepers()) {
       JsonObject row;
       row["locality"] = Json(zone);
--- a/src/consensus/change_requests.cpp
+++ b/src/consensus/change_requests.cpp
@@ -86,8 +86,8 @@
                     refusal.index);
 }
 
-void ReplicatedLog::takeChange(Effects& effects, const std::string& from, const ChangeRequest& ask) {
-  if (!election.holds(effects.now)) return respond(effects, from, ask, Code::notLeading, "accord");
+void ReplicatedLog::proposeChange(Effects& effects, const std::string& from, const ChangeRequest& ask) {
+  if (!election.holdsLease(effects.now)) return respond(effects, from, ask, Code::notLeading, "accord");
   if (respondFromMemory(effects, from, ask)) return;
   if (waiters.size() >= mostWaiters) return respond(effects, from, ask, Code::changesFull, "changes");
   bool weights = static_cast<ChangeFormat>(ask.changeFormat) == ChangeFormat::weights;
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -17,13 +17,13 @@
 }
 }  // namespace
 
-void Timing::setMembers(Duration contact, Duration catchUp, std::size_t lossBudget) {
-  memberGone = 2 * contact;
-  votersLeast = 2 * lossBudget + 1;
+void Timing::setMembershipTimeouts(Duration contact, Duration catchUp, std::size_t lossBudget) {
+  memberRemovalTimeout = 2 * contact;
+  minVoters = 2 * lossBudget + 1;
   successorWait = std::min(contact / 3, catchUp / 4);
   strangerWait = catchUp / 3;
   suspectAfter = successorWait / 2;
-  joinEvery = catchUp / 16;
+  joinInterval = catchUp / 16;
   learnerGone = 2 * contact;
 }
 
@@ -43,7 +43,7 @@
 
 void Election::restore(const Vote& saved, TimePoint now) {
   vote = saved;
-  promisedUntil = now + timing.promise;
+  voteBlockedUntil = now + timing.minElectionTimeout;
 }
 
 void Election::setVoters(const std::vector<Member>& members, const std::vector<Member>& outgoing) {
@@ -94,7 +94,7 @@
   return starts[needed - 1];
 }
 
-bool Election::holds(TimePoint now) const {
+bool Election::holdsLease(TimePoint now) const {
   if (!won() || voters.empty()) return false;
   if (!defences.isEnabled(Defence::leaseLimits)) return true;
   TimePoint start = leaseStart(now);
@@ -104,26 +104,28 @@
 void Election::tick(Effects& effects) {
   if (!started) {
     started = true;
-    standAt = effects.now + timing.promise + eagerness + std::chrono::milliseconds(effects.randomBelow(300));
+    campaignAt =
+        effects.now + timing.minElectionTimeout + eagerness + std::chrono::milliseconds(effects.randomBelow(300));
   }
   if (walk.in("holding")) {
-    if (!voter() || !mayStand) {
+    if (!voter() || !mayCampaign) {
       resign(effects);
-    } else if (effects.now >= heldAt + timing.holdEvery) {
+    } else if (effects.now >= lastHeartbeatAt + timing.heartbeatInterval) {
       sendHolds(effects);
     }
     return;
   }
   if (walk.in("idle")) {
-    if (effects.now >= standAt && effects.now >= promisedUntil && voter() && mayStand)
+    if (effects.now >= campaignAt && effects.now >= voteBlockedUntil && voter() && mayCampaign)
       walk.dispatch(*this, "vacant", effects);
-  } else if (effects.now >= askedAt + timing.voteWait + (walk.in("asking") ? slowness() : Duration(0))) {
+  } else if (effects.now >=
+             votesRequestedAt + timing.voteTimeout + (walk.in("asking") ? syncAllowance() : Duration(0))) {
     walk.dispatch(*this, "lapsed", effects);
   }
 }
 
 void Election::askProbe(Effects& effects) {
-  askedAt = effects.now;
+  votesRequestedAt = effects.now;
   grants = {selfId};
   auto end = logEnd ? logEnd() : std::make_pair<std::uint64_t, std::uint64_t>(0, 0);
   toOthers(effects, VoteRequest{dutyName, vote.term + 1, selfId, true, end.first, end.second});
@@ -131,16 +133,16 @@
 }
 
 void Election::voteSelf(Effects& effects) {
-  askedAt = effects.now;
+  votesRequestedAt = effects.now;
   grants.clear();
   vote = Vote{vote.term + 1, selfId};
   std::uint64_t askedTerm = vote.term;
   TimePoint savedAt = effects.now;
-  askedAt = effects.now + timing.slowDiskMost;
+  votesRequestedAt = effects.now + timing.slowDiskMost;
   effects.save(voteRecord(dutyName, vote), [this, askedTerm, savedAt](Effects& later) {
-    syncSpan = later.now - savedAt;
+    lastSyncDuration = later.now - savedAt;
     if (!walk.in("asking") || vote.term != askedTerm) return;
-    askedAt = later.now;
+    votesRequestedAt = later.now;
     grants.insert(selfId);
     auto end = logEnd ? logEnd() : std::make_pair<std::uint64_t, std::uint64_t>(0, 0);
     toOthers(later, VoteRequest{dutyName, vote.term, selfId, false, end.first, end.second});
@@ -169,12 +171,12 @@
 }
 
 void Election::waitAgain(Effects& effects) {
-  auto spread = 400 + 4 * static_cast<std::uint64_t>(toMilliseconds(slowness()));
-  standAt = effects.now + eagerness + std::chrono::milliseconds(100 + effects.randomBelow(spread));
+  auto spread = 400 + 4 * static_cast<std::uint64_t>(toMilliseconds(syncAllowance()));
+  campaignAt = effects.now + eagerness + std::chrono::milliseconds(100 + effects.randomBelow(spread));
 }
 
 void Election::sendHolds(Effects& effects) {
-  heldAt = effects.now;
+  lastHeartbeatAt = effects.now;
   toOthers(effects, Heartbeat{dutyName, vote.term, selfId, toNanoseconds(effects.now)});
 }
 
@@ -186,20 +188,21 @@
     effects.send(address, Heartbeat{dutyName, vote.term, selfId, release});
   }
   walk.dispatch(*this, "resigned", effects);
-  standAt = effects.now + timing.promise;
+  campaignAt = effects.now + timing.minElectionTimeout;
 }
 
-void Election::seeTerm(Effects& effects, std::uint64_t term) {
+void Election::observeTerm(Effects& effects, std::uint64_t term) {
   if (term <= vote.term) return;
   seenTerm = term;
   walk.dispatch(*this, "higher", effects);
 }
 
 void Election::onAsk(Effects& effects, const std::string& from, const VoteRequest& ask) {
-  bool bound = effects.now < promisedUntil && knownHolder != ask.candidate && defences.isEnabled(Defence::promiseBinds);
+  bool bound =
+      effects.now < voteBlockedUntil && knownHolder != ask.candidate && defences.isEnabled(Defence::promiseBinds);
   bool granted = ask.term > vote.term ||
                  (!ask.probe && ask.term == vote.term && (vote.votedFor.empty() || vote.votedFor == ask.candidate));
-  if (holds(effects.now) || bound) granted = false;
+  if (holdsLease(effects.now) || bound) granted = false;
   if (granted && logEnd) {
     auto end = logEnd();
     granted = std::make_pair(ask.lastTerm, ask.lastIndex) >= end;
@@ -209,28 +212,28 @@
                  VoteResponse{dutyName, std::max(vote.term, ask.probe ? 0 : vote.term), selfId, ask.probe, granted});
     return;
   }
-  seeTerm(effects, ask.term);
+  observeTerm(effects, ask.term);
   vote = Vote{ask.term, ask.candidate};
-  standAt = std::max(standAt, effects.now + 2 * timing.voteWait + slowness() + eagerness +
-                                  std::chrono::milliseconds(effects.randomBelow(300)));
+  campaignAt = std::max(campaignAt, effects.now + 2 * timing.voteTimeout + syncAllowance() + eagerness +
+                                        std::chrono::milliseconds(effects.randomBelow(300)));
   if (!defences.isEnabled(Defence::syncBeforeVote)) {
     effects.send(from, VoteResponse{dutyName, ask.term, selfId, false, true});
     effects.save(voteRecord(dutyName, vote));
     return;
   }
   effects.save(voteRecord(dutyName, vote), [this, from, ask, savedAt = effects.now](Effects& later) {
-    syncSpan = later.now - savedAt;
+    lastSyncDuration = later.now - savedAt;
     if (vote.term != ask.term || vote.votedFor != ask.candidate) return;
     later.send(from, VoteResponse{dutyName, ask.term, selfId, false, true});
   });
 }
 
 void Election::onRelease(Effects& effects, std::int64_t release) {
-  promisedUntil = effects.now;
+  voteBlockedUntil = effects.now;
   knownHolder.clear();
-  standAt = effects.now + eagerness + std::chrono::milliseconds(effects.randomBelow(100));
-  if (release == releasedToOther) standAt += 2 * timing.voteWait + slowness();
-  if (release == releasedToSuccessor && voter() && mayStand) walk.dispatch(*this, "named", effects);
+  campaignAt = effects.now + eagerness + std::chrono::milliseconds(effects.randomBelow(100));
+  if (release == releasedToOther) campaignAt += 2 * timing.voteTimeout + syncAllowance();
+  if (release == releasedToSuccessor && voter() && mayCampaign) walk.dispatch(*this, "named", effects);
 }
 
 void Election::onHold(Effects& effects, const std::string& from, const Heartbeat& hold) {
@@ -238,14 +241,14 @@
     effects.send(from, HeartbeatResponse{dutyName, vote.term, selfId, hold.sentAt, false});
     return;
   }
-  seeTerm(effects, hold.term);
+  observeTerm(effects, hold.term);
   if (hold.sentAt < 0) {
     if (knownHolder == hold.holder) onRelease(effects, hold.sentAt);
     return;
   }
   knownHolder = hold.holder;
-  promisedUntil = effects.now + timing.promise;
-  standAt = promisedUntil + eagerness + std::chrono::milliseconds(effects.randomBelow(300));
+  voteBlockedUntil = effects.now + timing.minElectionTimeout;
+  campaignAt = voteBlockedUntil + eagerness + std::chrono::milliseconds(effects.randomBelow(300));
   walk.dispatch(*this, "held", effects);
   effects.send(from, HeartbeatResponse{dutyName, hold.term, selfId, hold.sentAt, true});
 }
@@ -255,7 +258,7 @@
     onAsk(effects, from, *ask);
   } else if (auto* reply = std::get_if<VoteResponse>(&message)) {
     if (reply->term > vote.term && !reply->granted) {
-      seeTerm(effects, reply->term);
+      observeTerm(effects, reply->term);
       return;
     }
     if (!reply->granted || !addressById.count(reply->voter)) return;
@@ -268,7 +271,7 @@
     onHold(effects, from, *hold);
   } else if (auto* kept = std::get_if<HeartbeatResponse>(&message)) {
     if (kept->term > vote.term) {
-      seeTerm(effects, kept->term);
+      observeTerm(effects, kept->term);
     } else if (kept->granted && kept->term == vote.term && won() && kept->sentAt >= 0) {
       auto& renewal = renewals[kept->voter];
       renewal = std::max(renewal, fromNanoseconds(kept->sentAt));
--- a/src/consensus/election.hpp
+++ b/src/consensus/election.hpp
@@ -7,41 +7,41 @@
 
 /// The spans that duties, freshness and news keep to: one set for a whole fleet, set before a process starts its logic.
 struct Timing {
-  Duration holdEvery{150ms}, lease{900ms}, promise{1100ms}, voteWait{300ms};
+  Duration heartbeatInterval{150ms}, lease{900ms}, minElectionTimeout{1100ms}, voteTimeout{300ms};
   /// How much of its own disk's slowness a election waits for, at most.
   Duration slowDiskMost{700ms};
   /// How long a reader serves on what it last knew to be complete.
-  Duration freshFor{1500ms};
+  Duration maxStaleness{1500ms};
   /// How long an acknowledgement waits for readers that are silent.
-  Duration readersWait{1530ms};
+  Duration readerAckTimeout{1530ms};
   /// How often agents and cores ask the cores for their logs' ends, and proxies their agent.
-  Duration roundEvery{250ms}, feedEvery{100ms};
+  Duration logEndPollInterval{250ms}, feedPollInterval{100ms};
   /// How often the platform's list is read, and how old a list may be before a core that need not read it does.
-  Duration listEvery{300ms}, listOld{300ms};
+  Duration listPollInterval{300ms}, maxListAge{300ms};
   /// How long a new holder of a cell sends no commands, so that holders never take turns at a worker.
-  Duration commandRest{0};
+  Duration commandHoldoff{0};
   /// How long a command may be on its way to a worker.
-  Duration commandWait{2s};
+  Duration commandTimeout{2s};
   /// How long after newer weights were named work may begin on a model's older ones, as promised; how long orders may
   /// be sent to workers that still have them; and when those sent there that have not begun are taken back.
-  Duration versionMost{20s}, rolloutMost{18s}, unbegunMost{19500ms};
+  Duration oldWeightsTimeout{20s}, oldWeightsOrderTimeout{18s}, unstartedOrderTimeout{19500ms};
   /// After which workers that have not begun to change to newer weights are overdue.
-  Duration rolloutLatest() const { return rolloutMost * 17 / 20; }
+  Duration rolloutStartTimeout() const { return oldWeightsOrderTimeout * 17 / 20; }
   /// How long a voter must be silent before it is taken out for good, and how many voters must stay; 0 takes none out.
-  Duration memberGone{0};
-  std::size_t votersLeast{3};
+  Duration memberRemovalTimeout{0};
+  std::size_t minVoters{3};
   /// How long a voter must be silent before an empty core of its name takes its place, and before one of another name
   /// does; a voter that is silent for `suspectAfter` keeps others from being added until it is heard or replaced.
   Duration successorWait{1s}, strangerWait{2s}, suspectAfter{500ms};
   /// How often a core that is no member asks to join.
-  Duration joinEvery{250ms};
+  Duration joinInterval{250ms};
   /// How long a learner must be silent before it is dropped.
   Duration learnerGone{9s};
   /// Sets what rests on how long a machine may be out of touch, how long a new one has to catch up, and how many may be
   /// lost at once.
-  void setMembers(Duration contact, Duration catchUp, std::size_t lossBudget);
+  void setMembershipTimeouts(Duration contact, Duration catchUp, std::size_t lossBudget);
   /// On how many disks a change must rest before one that holds it may leave.
-  std::size_t copiesLeast() const { return votersLeast / 2 + 1; }
+  std::size_t copiesLeast() const { return minVoters / 2 + 1; }
 };
 inline Timing timing;
 
@@ -61,18 +61,18 @@
   /// Looks at the log's end, where this duty cares whose log is longer.
   LogEnd logEnd;
   /// Whether this core may stand now.
-  bool mayStand{true};
+  bool mayCampaign{true};
   void tick(Effects& effects);
   void handle(Effects& effects, const std::string& from, const Message& message);
   /// Whether the lease is good at this moment: asked just before every command that leaves.
-  bool holds(TimePoint now) const;
+  bool holdsLease(TimePoint now) const;
   /// Whether this core won the current term's election, lease good or not.
   bool won() const { return walk.in("holding"); }
   /// Gives the duty up at once, so that others need not wait for the lease. A successor that is named stands at once,
   /// and the others let it go first.
   void resign(Effects& effects, const std::string& successor = {});
   /// Learns of a higher term.
-  void seeTerm(Effects& effects, std::uint64_t term);
+  void observeTerm(Effects& effects, std::uint64_t term);
   std::uint64_t term() const { return vote.term; }
   const std::string& holder() const { return knownHolder; }
   const std::string& duty() const { return dutyName; }
@@ -94,11 +94,11 @@
   std::vector<Strings> voterSets;
   std::map<std::string, std::string> addressById;
   std::string knownHolder;
-  TimePoint promisedUntil{}, standAt{}, askedAt{}, heldAt{};
+  TimePoint voteBlockedUntil{}, campaignAt{}, votesRequestedAt{}, lastHeartbeatAt{};
   bool started{false};
   /// How long this core's last vote took to be synced; others' disks are taken to be no faster.
-  Duration syncSpan{};
-  Duration slowness() const { return std::min(syncSpan, timing.slowDiskMost); }
+  Duration lastSyncDuration{};
+  Duration syncAllowance() const { return std::min(lastSyncDuration, timing.slowDiskMost); }
   std::set<std::string> grants;
   std::map<std::string, TimePoint> renewals;
   std::uint64_t seenTerm{0};
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -22,20 +22,20 @@
 }
 }  // namespace
 
-std::string packMembers(const std::vector<Member>& rows) {
+std::string encodeMembers(const std::vector<Member>& rows) {
   Snapshot snapshot;
   snapshot.members = rows;
   return encodeSnapshot(snapshot);
 }
-std::vector<Member> unpackMembers(const std::string& body) {
+std::vector<Member> decodeMembers(const std::string& body) {
   auto snapshot = decodeSnapshot(body);
   return snapshot ? snapshot.value().members : std::vector<Member>{};
 }
 
 std::vector<Member> ReplicatedLog::membersBefore(std::uint64_t index) const {
   for (auto entry = log.rbegin(); entry != log.rend(); ++entry)
-    if (entry->index < index && entry->kind == static_cast<int>(EntryKind::members)) return unpackMembers(entry->body);
-  return base.members;
+    if (entry->index < index && entry->kind == static_cast<int>(EntryKind::members)) return decodeMembers(entry->body);
+  return lastSnapshot.members;
 }
 
 std::uint64_t ReplicatedLog::newestMembersIndex() const {
@@ -46,17 +46,17 @@
 
 void ReplicatedLog::readMembers(Effects* effects) {
   std::uint64_t newest = newestMembersIndex();
-  memberRows = membersBefore(logEnd() + 1);
-  outgoingRows.clear();
-  if (newest > commitIndex && defences.isEnabled(Defence::jointMembers)) outgoingRows = membersBefore(newest);
-  if (sameVoters(outgoingRows, memberRows)) outgoingRows.clear();
-  election.setVoters(memberRows, outgoingRows);
+  currentMembers = membersBefore(logEnd() + 1);
+  previousMembers.clear();
+  if (newest > commitIndex && defences.isEnabled(Defence::jointMembers)) previousMembers = membersBefore(newest);
+  if (sameVoters(previousMembers, currentMembers)) previousMembers.clear();
+  election.setVoters(currentMembers, previousMembers);
   if (effects && membersChanged) membersChanged(*effects);
 }
 
 std::vector<Member> ReplicatedLog::replicas() const {
-  auto rows = memberRows;
-  for (const auto& member : outgoingRows)
+  auto rows = currentMembers;
+  for (const auto& member : previousMembers)
     if (std::none_of(rows.begin(), rows.end(),
                      [&](const Member& row) { return row.id == member.id || row.address == member.address; }))
       rows.push_back(member);
@@ -66,7 +66,7 @@
 bool ReplicatedLog::memberChangePending() const { return newestMembersIndex() > commitIndex; }
 
 bool ReplicatedLog::mayChangeMembers(TimePoint now) const {
-  return election.holds(now) && !memberChangePending() && speaksForTerm();
+  return election.holdsLease(now) && !memberChangePending() && hasCommittedInTerm();
 }
 
 bool ReplicatedLog::heardWithin(const Member& member, Duration span, TimePoint now) const {
@@ -74,12 +74,12 @@
 }
 
 TimePoint ReplicatedLog::lastHeard(const Member& member) const {
-  auto heard = heardFrom.find(member.id);
-  return heard == heardFrom.end() ? TimePoint{} : heard->second;
+  auto heard = lastContactAt.find(member.id);
+  return heard == lastContactAt.end() ? TimePoint{} : heard->second;
 }
 
 void ReplicatedLog::setMembers(Effects& effects, std::vector<Member> rows) {
-  append(effects, EntryKind::members, packMembers(rows), {});
+  append(effects, EntryKind::members, encodeMembers(rows), {});
   sendAll(effects);
   advance(effects);
 }
@@ -88,15 +88,15 @@
   std::uint64_t newest = newestMembersIndex();
   if (newest == 0) return false;
   auto before = membersBefore(newest);
-  if (before.empty() || sameVoters(before, memberRows)) return false;
+  if (before.empty() || sameVoters(before, currentMembers)) return false;
   effects.note("members settle", selfRow.id, static_cast<std::int64_t>(newest));
-  setMembers(effects, memberRows);
+  setMembers(effects, currentMembers);
   return true;
 }
 
 void ReplicatedLog::onJoin(Effects& effects, const JoinRequest& ask) {
   if (!mayChangeMembers(effects.now)) return;
-  auto rows = memberRows;
+  auto rows = currentMembers;
   for (auto& row : rows) {
     if (row.id != ask.self.id) continue;
     if (row.address == ask.self.address) return;
@@ -115,14 +115,14 @@
                             }),
              rows.end());
   rows.push_back(learner);
-  heardFrom[learner.id] = learnsSince[learner.id] = effects.now;
+  lastContactAt[learner.id] = learnerSince[learner.id] = effects.now;
   effects.note("core joins", learner.id);
   setMembers(effects, rows);
 }
 
 void ReplicatedLog::mendMembers(Effects& effects) {
   if (!mayChangeMembers(effects.now) || settleMembers(effects)) return;
-  auto rows = memberRows;
+  auto rows = currentMembers;
   for (const auto& member : rows)
     if (!member.votes && (dropLearner(effects, member) || promote(effects, member))) return;
 }
@@ -130,14 +130,14 @@
 bool ReplicatedLog::dropLearner(Effects& effects, const Member& learner) {
   if (heardWithin(learner, timing.learnerGone, effects.now)) return false;
   effects.note("learner dropped", learner.id);
-  setMembers(effects, without(memberRows, learner.id));
+  setMembers(effects, without(currentMembers, learner.id));
   return true;
 }
 
 std::optional<std::string> ReplicatedLog::placeFor(const Member& learner, TimePoint now) const {
   const Member* namesake = nullptr;
   const Member* silent = nullptr;
-  for (const auto& member : memberRows) {
+  for (const auto& member : currentMembers) {
     if (!member.votes || member.id == selfRow.id) continue;
     if (member.address == learner.address) return member.id;
     if (member.name == learner.name && (!namesake || !heardWithin(member, timing.successorWait, now)))
@@ -154,8 +154,8 @@
 }
 
 TimePoint ReplicatedLog::firstKnown(const Member& learner) const {
-  auto since = learnsSince.find(learner.id);
-  return since == learnsSince.end() ? TimePoint{} : since->second;
+  auto since = learnerSince.find(learner.id);
+  return since == learnerSince.end() ? TimePoint{} : since->second;
 }
 
 bool ReplicatedLog::promote(Effects& effects, const Member& learner) {
@@ -163,7 +163,7 @@
   if (matched == 0 || matched < commitIndex || !heardWithin(learner, timing.successorWait, effects.now)) return false;
   auto replaced = placeFor(learner, effects.now);
   if (!replaced) return false;
-  auto rows = without(memberRows, *replaced);
+  auto rows = without(currentMembers, *replaced);
   for (auto& row : rows)
     if (row.id == learner.id) row.votes = true;
   effects.note("core votes", learner.id);
@@ -173,17 +173,17 @@
 }
 
 void ReplicatedLog::dropGone(Effects& effects) {
-  if (timing.memberGone == Duration(0) || !mayChangeMembers(effects.now)) return;
+  if (timing.memberRemovalTimeout == Duration(0) || !mayChangeMembers(effects.now)) return;
   std::size_t voters = 0;
   std::string gone;
-  for (const auto& member : memberRows) {
+  for (const auto& member : currentMembers) {
     if (!member.votes) continue;
     ++voters;
-    if (gone.empty() && !heardWithin(member, timing.memberGone, effects.now)) gone = member.id;
+    if (gone.empty() && !heardWithin(member, timing.memberRemovalTimeout, effects.now)) gone = member.id;
   }
-  if (gone.empty() || voters <= timing.votersLeast) return;
+  if (gone.empty() || voters <= timing.minVoters) return;
   effects.note("core replaced", gone);
-  setMembers(effects, without(memberRows, gone));
+  setMembers(effects, without(currentMembers, gone));
 }
 
 }  // namespace tt
--- a/src/consensus/replicated_log.cpp
+++ b/src/consensus/replicated_log.cpp
@@ -11,13 +11,13 @@
 constexpr Duration appendAgain = 150ms;
 }  // namespace
 
-ReplicatedLog::ReplicatedLog(Member self, std::size_t recordRoom, Defences defencesGiven)
+ReplicatedLog::ReplicatedLog(Member self, std::size_t maxRecordBytes, Defences defencesGiven)
     : election("accord", self.id, 0ms, defencesGiven),
       selfRow(std::move(self)),
-      room(recordRoom),
+      room(maxRecordBytes),
       defences(defencesGiven) {
   election.logEnd = [this] {
-    std::uint64_t end = std::max(syncedIndex, base.index);
+    std::uint64_t end = std::max(syncedIndex, lastSnapshot.index);
     return std::make_pair(termAt(end), end);
   };
   election.changed = [this](Effects& effects, bool won) { whenLeads(effects, won); };
@@ -25,9 +25,9 @@
 
 void ReplicatedLog::restore(const RecoveredState& recovered, TimePoint now) {
   if (recovered.snapshot) {
-    base = *recovered.snapshot;
-    (void)applied.adopt(base);
-    commitIndex = base.index;
+    lastSnapshot = *recovered.snapshot;
+    (void)applied.adopt(lastSnapshot);
+    commitIndex = lastSnapshot.index;
   }
   log = recovered.entries;
   for (const auto& entry : log) logBytes += entry.body.size();
@@ -37,7 +37,7 @@
   readMembers(nullptr);
 }
 
-std::uint64_t ReplicatedLog::logEnd() const { return log.empty() ? base.index : log.back().index; }
+std::uint64_t ReplicatedLog::logEnd() const { return log.empty() ? lastSnapshot.index : log.back().index; }
 
 const LogEntry* ReplicatedLog::entryAt(std::uint64_t index) const {
   if (log.empty() || index < log.front().index || index > log.back().index) return nullptr;
@@ -45,22 +45,22 @@
 }
 
 std::uint64_t ReplicatedLog::termAt(std::uint64_t index) const {
-  if (index == base.index) return base.term;
+  if (index == lastSnapshot.index) return lastSnapshot.term;
   auto* entry = entryAt(index);
   return entry ? entry->term : 0;
 }
 
 bool ReplicatedLog::hasSynced(std::uint64_t index, std::uint64_t term) const {
-  return index <= syncedIndex && (base.index >= index || termAt(index) == term);
+  return index <= syncedIndex && (lastSnapshot.index >= index || termAt(index) == term);
 }
 
 std::string ReplicatedLog::leaderAddress() const {
-  for (const auto& member : memberRows)
+  for (const auto& member : currentMembers)
     if (member.id == election.holder()) return member.address;
   return {};
 }
 
-bool ReplicatedLog::speaksForTerm() const { return election.won() && termAt(commitIndex) == election.term(); }
+bool ReplicatedLog::hasCommittedInTerm() const { return election.won() && termAt(commitIndex) == election.term(); }
 
 void ReplicatedLog::store(Effects& effects, const LogEntry& entry) {
   log.push_back(entry);
@@ -81,15 +81,15 @@
 }
 
 void ReplicatedLog::tellSynced(Effects& effects) {
-  if (leaving || appendedFrom.empty() || verifiedTerm != election.term() || verifiedEnd == 0) return;
-  if (!effects.sends.empty() && effects.sends.back().first == appendedFrom)
+  if (leaving || appendSender.empty() || verifiedTerm != election.term() || verifiedEnd == 0) return;
+  if (!effects.sends.empty() && effects.sends.back().first == appendSender)
     if (auto* last = std::get_if<AppendResponse>(&effects.sends.back().second); last && last->matched)
       effects.sends.pop_back();
-  answerAppend(effects, appendedFrom, std::min(syncedIndex, verifiedEnd));
+  answerAppend(effects, appendSender, std::min(syncedIndex, verifiedEnd));
 }
 
 void ReplicatedLog::answerAppend(Effects& effects, const std::string& to, std::uint64_t index) {
-  effects.send(to, AppendResponse{election.term(), selfRow.id, true, index, verifiedEnd, heardRound});
+  effects.send(to, AppendResponse{election.term(), selfRow.id, true, index, verifiedEnd, lastAppendRound});
 }
 
 void ReplicatedLog::append(Effects& effects, EntryKind kind, std::string body, std::string changeId,
@@ -101,7 +101,7 @@
 
 void ReplicatedLog::form(Effects& effects, const std::vector<Member>& firstMembers) {
   if (formed()) return;
-  store(effects, LogEntry{1, 0, static_cast<int>(EntryKind::members), packMembers(firstMembers), {}});
+  store(effects, LogEntry{1, 0, static_cast<int>(EntryKind::members), encodeMembers(firstMembers), {}});
   effects.note("formed", selfRow.id, static_cast<std::int64_t>(firstMembers.size()));
 }
 
@@ -118,8 +118,8 @@
   for (const auto& entry : log) head.apply(entry);
   for (const auto& member : replicas()) {
     followers[member.id].next = logEnd() + 1;
-    heardFrom[member.id] = effects.now;
-    learnsSince[member.id] = effects.now;
+    lastContactAt[member.id] = effects.now;
+    learnerSince[member.id] = effects.now;
   }
   append(effects, EntryKind::empty, {}, {});
   sendAll(effects);
@@ -145,7 +145,7 @@
     follower.pending = true;
     follower.sentEnd = message.entries.back().index;
   }
-  follower.toldCommit = commitIndex;
+  follower.sentCommit = commitIndex;
   effects.send(member.address, std::move(message));
 }
 
@@ -170,8 +170,8 @@
 }
 
 void ReplicatedLog::advance(Effects& effects) {
-  std::uint64_t agreed = agreedAmong(memberRows);
-  if (!outgoingRows.empty()) agreed = std::min(agreed, agreedAmong(outgoingRows));
+  std::uint64_t agreed = agreedAmong(currentMembers);
+  if (!previousMembers.empty()) agreed = std::min(agreed, agreedAmong(previousMembers));
   if (agreed <= commitIndex || termAt(agreed) != election.term()) return;
   applyUpTo(effects, agreed);
   if (memberChangePending() || !settleMembers(effects)) sendAll(effects);
@@ -186,7 +186,7 @@
     ++commitIndex;
     applied.apply(entry);
     if (entry.kind == static_cast<int>(EntryKind::members)) readMembers(&effects);
-    if (entryApplied) entryApplied(effects, entry);
+    if (onEntryApplied) onEntryApplied(effects, entry);
   }
   auto waiting = std::move(waiters);
   waiters.clear();
@@ -197,9 +197,9 @@
 NewsMsg ReplicatedLog::newsAfter(std::uint64_t index, std::size_t most) const {
   NewsMsg news;
   news.commit = commitIndex;
-  if (index < base.index) {
-    news.snapshots.push_back(base);
-    index = base.index;
+  if (index < lastSnapshot.index) {
+    news.snapshots.push_back(lastSnapshot);
+    index = lastSnapshot.index;
   }
   for (std::uint64_t at = index + 1; at <= commitIndex && news.entries.size() < most; ++at)
     if (auto* entry = entryAt(at)) news.entries.push_back(*entry);
@@ -211,12 +211,12 @@
     effects.send(from, AppendResponse{election.term(), selfRow.id, false, syncedIndex});
     return;
   }
-  election.seeTerm(effects, message.term);
+  election.observeTerm(effects, message.term);
   if (election.won()) return;
-  leaderHeard = effects.now;
-  heardRound = message.round;
+  leaderContactAt = effects.now;
+  lastAppendRound = message.round;
   if (message.prevIndex > logEnd() ||
-      (message.prevIndex >= base.index && termAt(message.prevIndex) != message.prevTerm)) {
+      (message.prevIndex >= lastSnapshot.index && termAt(message.prevIndex) != message.prevTerm)) {
     std::uint64_t hint = message.prevIndex > logEnd() ? logEnd() : commitIndex;
     effects.send(from, AppendResponse{election.term(), selfRow.id, false, hint});
     return;
@@ -225,7 +225,7 @@
   std::uint64_t last = message.prevIndex;
   for (const auto& entry : message.entries) {
     last = entry.index;
-    if (entry.index <= base.index) continue;
+    if (entry.index <= lastSnapshot.index) continue;
     if (auto* mine = entryAt(entry.index)) {
       if (mine->term == entry.term) continue;
       if (entry.index <= commitIndex) return;
@@ -244,18 +244,18 @@
   verifiedEnd = verifiedTerm == message.term ? std::max(verifiedEnd, shared) : shared;
   verifiedTerm = message.term;
   if (message.commit > commitIndex) applyUpTo(effects, std::min(message.commit, shared));
-  appendedFrom = from;
+  appendSender = from;
   if (leaving) return;
   if (shared <= syncedIndex || message.entries.empty()) answerAppend(effects, from, std::min(syncedIndex, verifiedEnd));
 }
 
 void ReplicatedLog::onReply(Effects& effects, const AppendResponse& reply) {
   if (reply.term > election.term()) {
-    election.seeTerm(effects, reply.term);
+    election.observeTerm(effects, reply.term);
     return;
   }
   if (!election.won() || reply.term != election.term()) return;
-  heardFrom[reply.voter] = effects.now;
+  lastContactAt[reply.voter] = effects.now;
   auto& follower = followers[reply.voter];
   if (reply.matched) {
     follower.matched = std::max(follower.matched, reply.index);
@@ -273,15 +273,15 @@
   auto rows = replicas();
   auto from = std::find_if(rows.begin(), rows.end(), [&](const Member& row) { return row.id == reply.voter; });
   if (from == rows.end()) return;
-  if (follower.next <= logEnd() || follower.toldCommit < commitIndex) sendTo(effects, *from, false);
+  if (follower.next <= logEnd() || follower.sentCommit < commitIndex) sendTo(effects, *from, false);
   if (!from->votes) mendMembers(effects);
 }
 
 void ReplicatedLog::countOwnPause(TimePoint now) {
-  Duration pause = awakeAt == TimePoint{} ? Duration(0) : now - awakeAt;
-  awakeAt = now;
+  Duration pause = lastActiveAt == TimePoint{} ? Duration(0) : now - lastActiveAt;
+  lastActiveAt = now;
   if (pause <= timing.suspectAfter) return;
-  for (auto& [id, heard] : heardFrom) heard += pause;
+  for (auto& [id, heard] : lastContactAt) heard += pause;
 }
 
 void ReplicatedLog::tick(Effects& effects) {
@@ -302,7 +302,7 @@
   leaving = true;
   std::string successor;
   std::uint64_t most = 0;
-  for (const auto& member : memberRows) {
+  for (const auto& member : currentMembers) {
     if (!member.votes || member.id == selfRow.id || !heardWithin(member, timing.suspectAfter, effects.now)) continue;
     if (std::uint64_t matched = followers[member.id].matched; matched > most) {
       most = matched;
@@ -315,7 +315,7 @@
 void ReplicatedLog::handle(Effects& effects, const std::string& from, const Message& message) {
   countOwnPause(effects.now);
   if (auto* kept = std::get_if<HeartbeatResponse>(&message); kept && kept->granted && kept->term == election.term())
-    heardFrom[kept->voter] = effects.now;
+    lastContactAt[kept->voter] = effects.now;
   if (auto* append = std::get_if<AppendRequest>(&message))
     onAppend(effects, from, *append);
   else if (auto* reply = std::get_if<AppendResponse>(&message))
--- a/src/consensus/replicated_log.hpp
+++ b/src/consensus/replicated_log.hpp
@@ -9,29 +9,29 @@
 /// The thin layer over the cells: a replicated log on which the cores agree on the configuration and on who they are.
 class ReplicatedLog {
  public:
-  ReplicatedLog(Member self, std::size_t recordRoom, Defences defencesGiven = {});
+  ReplicatedLog(Member self, std::size_t maxRecordBytes, Defences defencesGiven = {});
   void restore(const RecoveredState& recovered, TimePoint now);
   void tick(Effects& effects);
   void handle(Effects& effects, const std::string& from, const Message& message);
   /// Writes the first entry of a fleet: who its cores are.
   void form(Effects& effects, const std::vector<Member>& firstMembers);
   /// Takes a change if this core leads; the answer goes to whoever asked once it is agreed.
-  void takeChange(Effects& effects, const std::string& from, const ChangeRequest& ask);
+  void proposeChange(Effects& effects, const std::string& from, const ChangeRequest& ask);
 
-  bool formed() const { return !memberRows.empty(); }
-  const std::vector<Member>& members() const { return memberRows; }
+  bool formed() const { return !currentMembers.empty(); }
+  const std::vector<Member>& members() const { return currentMembers; }
   /// Whether the log ends with a change of members that is not agreed yet.
   bool memberChangePending() const;
   /// The voters of before, while a change of who votes is not known here to be agreed; else nobody.
-  const std::vector<Member>& outgoingMembers() const { return outgoingRows; }
+  const std::vector<Member>& outgoingMembers() const { return previousMembers; }
   const Member& self() const { return selfRow; }
   std::string leaderAddress() const;
-  bool leads(TimePoint now) const { return election.holds(now); }
+  bool leads(TimePoint now) const { return election.holdsLease(now); }
   /// Whether what this core says of commits covers all earlier terms.
-  bool speaksForTerm() const;
+  bool hasCommittedInTerm() const;
   /// When a sound word of the leader last came.
-  TimePoint heardLeaderAt() const { return leaderHeard; }
-  std::uint64_t syncedEnd() const { return syncedIndex; }
+  TimePoint lastLeaderContact() const { return leaderContactAt; }
+  std::uint64_t lastSyncedIndex() const { return syncedIndex; }
   std::uint64_t commit() const { return commitIndex; }
   std::uint64_t logEnd() const;
   /// Whether this very entry, and with it all before it, is on this core's disk.
@@ -45,7 +45,7 @@
   void leave(Effects& effects);
   Election election;
   /// Told of each entry as it is applied.
-  std::function<void(Effects&, const LogEntry&)> entryApplied;
+  std::function<void(Effects&, const LogEntry&)> onEntryApplied;
   std::function<void(Effects&)> membersChanged;
 
  private:
@@ -53,7 +53,7 @@
   struct Follower {
     std::uint64_t next{1};
     std::uint64_t matched{0};
-    std::uint64_t toldCommit{0};
+    std::uint64_t sentCommit{0};
     TimePoint sentAt{};
     /// Whether entries are under way, up to which one, and the number of the last message.
     bool pending{false};
@@ -70,21 +70,21 @@
   std::size_t room;
   Defences defences;
   std::vector<LogEntry> log;
-  Snapshot base;
-  std::vector<Member> memberRows, outgoingRows;
+  Snapshot lastSnapshot;
+  std::vector<Member> currentMembers, previousMembers;
   Configuration applied, head;
   std::uint64_t commitIndex{0}, syncedIndex{0};
   std::map<std::string, Follower> followers;
   std::vector<Waiter> waiters;
   std::size_t logBytes{0};
   std::uint64_t verifiedTerm{0}, verifiedEnd{0};
-  TimePoint leaderHeard{};
+  TimePoint leaderContactAt{};
   /// The number of the last message that this follower had from its leader.
-  std::uint64_t heardRound{0};
+  std::uint64_t lastAppendRound{0};
   SnapshotReceiver receiver;
   std::weak_ptr<const SnapshotImage> newestImage;
   /// Where the newest entries came from: a learner hears no heartbeats, so this is all that it knows of the leader.
-  std::string appendedFrom;
+  std::string appendSender;
   bool leaving{false};
 
   std::uint64_t termAt(std::uint64_t index) const;
@@ -148,12 +148,12 @@
   void onReply(Effects& effects, const AppendResponse& reply);
   void onJoin(Effects& effects, const JoinRequest& ask);
   void setMembers(Effects& effects, std::vector<Member> rows);
-  std::map<std::string, TimePoint> heardFrom;
-  TimePoint awakeAt{};
+  std::map<std::string, TimePoint> lastContactAt;
+  TimePoint lastActiveAt{};
   /// Does not count the time in which this core itself stood still as others' silence.
   void countOwnPause(TimePoint now);
   /// Since when this leader knows each learner.
-  std::map<std::string, TimePoint> learnsSince;
+  std::map<std::string, TimePoint> learnerSince;
 };
 
 }  // namespace tt
--- a/src/consensus/snapshot.cpp
+++ b/src/consensus/snapshot.cpp
@@ -10,14 +10,14 @@
 }  // namespace
 
 void ReplicatedLog::trim(Effects& effects) {
-  std::uint64_t done = commitIndex - base.index;
-  if (done < entriesBeforeSnapshot && bytesAfter(base.index) < room / 4) return;
+  std::uint64_t done = commitIndex - lastSnapshot.index;
+  if (done < entriesBeforeSnapshot && bytesAfter(lastSnapshot.index) < room / 4) return;
   if (done == 0) return;
   Snapshot made = applied.snapshot();
   if (made.index != commitIndex) return;
   effects.save(snapshotRecord(made));
   effects.note("capture", selfRow.id, static_cast<std::int64_t>(made.index));
-  base = made;
+  lastSnapshot = made;
   dropEntriesBefore(firstNeeded(effects.now));
 }
 
@@ -28,11 +28,11 @@
 }
 
 std::uint64_t ReplicatedLog::firstNeeded(TimePoint now) const {
-  std::uint64_t needed = base.index + 1;
+  std::uint64_t needed = lastSnapshot.index + 1;
   if (!election.won()) return needed;
   for (const auto& [id, follower] : followers) {
-    auto heard = heardFrom.find(id);
-    if (heard == heardFrom.end() || now - heard->second > keptFor) continue;
+    auto heard = lastContactAt.find(id);
+    if (heard == lastContactAt.end() || now - heard->second > keptFor) continue;
     if (follower.transfer)
       needed = std::min(needed, follower.transfer->image().index);
     else if (follower.matched > 0)
@@ -43,9 +43,9 @@
 
 void ReplicatedLog::dropEntriesBefore(std::uint64_t index) {
   std::size_t kept = 0;
-  std::uint64_t first = base.index + 1;
+  std::uint64_t first = lastSnapshot.index + 1;
   for (auto entry = log.rbegin(); entry != log.rend() && entry->index >= index; ++entry) {
-    if (entry->index > base.index) continue;
+    if (entry->index > lastSnapshot.index) continue;
     kept += entry->body.size();
     if (kept > room / 2) break;
     first = entry->index;
@@ -57,18 +57,18 @@
 }
 
 bool ReplicatedLog::reachesBackTo(std::uint64_t index) const {
-  return index > base.index || entryAt(index - 1) != nullptr;
+  return index > lastSnapshot.index || entryAt(index - 1) != nullptr;
 }
 
 bool ReplicatedLog::sendSnapshot(Effects& effects, const Member& member, Follower& follower) {
   if (follower.transfer && !reachesBackTo(follower.transfer->image().index + 1)) {
     follower.transfer.reset();
-    effects.note("snapshot begun again", member.id, static_cast<std::int64_t>(base.index));
+    effects.note("snapshot begun again", member.id, static_cast<std::int64_t>(lastSnapshot.index));
   }
   if (!follower.transfer) {
     if (reachesBackTo(follower.next)) return false;
     auto image = newestImage.lock();
-    if (!image || image->index != base.index) image = imageOf(base);
+    if (!image || image->index != lastSnapshot.index) image = imageOf(lastSnapshot);
     newestImage = image;
     follower.transfer.emplace(image);
     follower.pending = false;
@@ -83,19 +83,19 @@
 }
 
 void ReplicatedLog::onSnapshotResponse(Effects& effects, const InstallSnapshotResponse& response) {
-  if (response.term > election.term()) return election.seeTerm(effects, response.term);
+  if (response.term > election.term()) return election.observeTerm(effects, response.term);
   if (!election.won() || response.term != election.term()) return;
-  heardFrom[response.voter] = effects.now;
+  lastContactAt[response.voter] = effects.now;
   auto found = followers.find(response.voter);
   if (found == followers.end() || !found->second.transfer) return;
   found->second.transfer->handle(response, effects.now);
-  for (const auto& member : memberRows)
+  for (const auto& member : currentMembers)
     if (member.id == response.voter) sendTo(effects, member, false);
 }
 
 void ReplicatedLog::onInstallSnapshot(Effects& effects, const std::string& from, const InstallSnapshot& message) {
   if (message.term < election.term()) return;
-  election.seeTerm(effects, message.term);
+  election.observeTerm(effects, message.term);
   if (election.won()) return;
   if (message.index <= commitIndex) {
     effects.send(from, AppendResponse{election.term(), selfRow.id, true, std::min(syncedIndex, commitIndex)});
@@ -112,26 +112,29 @@
 
 void ReplicatedLog::installWhole(Effects& effects, const std::string& from, const Snapshot& snapshot) {
   bool agrees = termAt(snapshot.index) == snapshot.term && snapshot.index <= logEnd();
-  base = snapshot;
+  lastSnapshot = snapshot;
   std::vector<LogEntry> rest;
   if (agrees)
     for (auto& entry : log)
-      if (entry.index > base.index) rest.push_back(std::move(entry));
+      if (entry.index > lastSnapshot.index) rest.push_back(std::move(entry));
   log = std::move(rest);
   logBytes = 0;
   for (const auto& entry : log) logBytes += entry.body.size();
   if (!agrees) syncedIndex = 0;
-  (void)applied.adopt(base);
-  commitIndex = base.index;
-  std::uint64_t index = base.index;
-  effects.save(agrees ? snapshotRecord(base) : installedRecord(base), [this, from, index](Effects& later) {
-    if (base.index != index) return;
-    syncedIndex = std::max(syncedIndex, index);
-    later.send(from, AppendResponse{election.term(), selfRow.id, true, index});
-  });
+  (void)applied.adopt(lastSnapshot);
+  commitIndex = lastSnapshot.index;
+  std::uint64_t index = lastSnapshot.index;
+  effects.save(agrees ? snapshotRecord(lastSnapshot) : installedRecord(lastSnapshot),
+               [this, from, index](Effects& later) {
+                 if (lastSnapshot.index != index) return;
+                 syncedIndex = std::max(syncedIndex, index);
+                 later.send(from, AppendResponse{election.term(), selfRow.id, true, index});
+               });
   readMembers(&effects);
   effects.note("caught up by capture", selfRow.id, static_cast<std::int64_t>(index));
-  if (entryApplied) entryApplied(effects, LogEntry{base.index, base.term, static_cast<int>(EntryKind::whole), {}, {}});
+  if (onEntryApplied)
+    onEntryApplied(effects,
+                   LogEntry{lastSnapshot.index, lastSnapshot.term, static_cast<int>(EntryKind::whole), {}, {}});
 }
 
 }  // namespace tt
--- a/src/consensus/timing_check.cpp
+++ b/src/consensus/timing_check.cpp
@@ -14,27 +14,31 @@
 }  // namespace
 
 Result<void> checkTiming(const Timing& spans, const TimingBounds& bounds) {
-  Duration newsLate = spans.roundEvery + newsWait + spans.feedEvery;
+  Duration newsLate = spans.logEndPollInterval + newsWait + spans.feedPollInterval;
   bool revokes = bounds.revoke.has_value();
   const Inequality inequalities[] = {
-      {"holdEvery > 0 and 3 holdEvery < lease", spans.holdEvery > Duration(0) && 3 * spans.holdEvery < spans.lease},
-      {"lease < promise", spans.lease < spans.promise},
-      {"voteWait < promise", spans.voteWait < spans.promise},
-      {"2 roundEvery + 2 feedEvery <= freshFor", 2 * spans.roundEvery + 2 * spans.feedEvery <= spans.freshFor},
-      {"roundEvery < readersWait", spans.roundEvery < spans.readersWait},
-      {"feedEvery < readersWait", spans.feedEvery < spans.readersWait},
-      {"readersWait < time for which readers are remembered", spans.readersWait < readerKept},
-      {"2 readersWait <= AckMs", 2 * spans.readersWait <= bounds.acknowledge},
+      {"holdEvery > 0 and 3 holdEvery < lease",
+       spans.heartbeatInterval > Duration(0) && 3 * spans.heartbeatInterval < spans.lease},
+      {"lease < promise", spans.lease < spans.minElectionTimeout},
+      {"voteWait < promise", spans.voteTimeout < spans.minElectionTimeout},
+      {"2 roundEvery + 2 feedEvery <= freshFor",
+       2 * spans.logEndPollInterval + 2 * spans.feedPollInterval <= spans.maxStaleness},
+      {"roundEvery < readersWait", spans.logEndPollInterval < spans.readerAckTimeout},
+      {"feedEvery < readersWait", spans.feedPollInterval < spans.readerAckTimeout},
+      {"readersWait < time for which readers are remembered", spans.readerAckTimeout < readerKept},
+      {"2 readersWait <= AckMs", 2 * spans.readerAckTimeout <= bounds.acknowledge},
       {"roundEvery + wait for news + feedEvery < ConfigApplyMs", newsLate < bounds.configApply},
-      {"freshFor < RevokeMs", !revokes || spans.freshFor < *bounds.revoke},
+      {"freshFor < RevokeMs", !revokes || spans.maxStaleness < *bounds.revoke},
       {"listEvery <= listOld and listOld + listEvery < DrainMs",
-       spans.listEvery <= spans.listOld && spans.listOld + spans.listEvery < bounds.drain},
-      {"commandRest >= LeaseMs", spans.commandRest >= bounds.commandLease},
-      {"memberGone > promise", spans.memberGone == Duration(0) || spans.memberGone > spans.promise},
+       spans.listPollInterval <= spans.maxListAge && spans.maxListAge + spans.listPollInterval < bounds.drain},
+      {"commandRest >= LeaseMs", spans.commandHoldoff >= bounds.commandLease},
+      {"memberGone > promise",
+       spans.memberRemovalTimeout == Duration(0) || spans.memberRemovalTimeout > spans.minElectionTimeout},
       {"last start of a roll-out < last use of old weights < unbegun orders dropped < VersionMs",
-       spans.rolloutLatest() < spans.rolloutMost && spans.rolloutMost < spans.unbegunMost &&
-           spans.unbegunMost < spans.versionMost},
-      {"votersLeast >= 1", spans.votersLeast >= 1},
+       spans.rolloutStartTimeout() < spans.oldWeightsOrderTimeout &&
+           spans.oldWeightsOrderTimeout < spans.unstartedOrderTimeout &&
+           spans.unstartedOrderTimeout < spans.oldWeightsTimeout},
+      {"votersLeast >= 1", spans.minVoters >= 1},
   };
   for (const auto& inequality : inequalities)
     if (!inequality.holds) return fault(Code::badProps, "Bounds", std::string("does not hold: ") + inequality.text);
--- a/src/index/cell.cpp
+++ b/src/index/cell.cpp
@@ -265,7 +265,7 @@
 }
 
 void Cell::onLookup(Effects& effects, const LookupMsg& ask) {
-  if (!election.holds(effects.now)) return;
+  if (!election.holdsLease(effects.now)) return;
   auto found = rows.find(ask.keeper);
   LookupReply reply{ask.lookupId, ask.keeper, {}, 0, 0, 0};
   if (found != rows.end()) {
@@ -286,7 +286,7 @@
 }
 
 bool Cell::mayCommand(const ControlAsk& command, TimePoint now) const {
-  return rows.count(command.worker) > 0 && command.term == election.term() && election.holds(now);
+  return rows.count(command.worker) > 0 && command.term == election.term() && election.holdsLease(now);
 }
 
 std::int64_t Cell::unconfirmedCount() const {
@@ -366,7 +366,7 @@
 
 void Cell::publishNews(Effects& effects) {
   if (effects.now - publishedAt < (newsDue ? settings.publishEvery : publishIdle)) return;
-  if (!election.holds(effects.now)) return;
+  if (!election.holdsLease(effects.now)) return;
   publishedAt = effects.now;
   bool omitsSummaries = sequence > 0 && effects.now - summariesAt < summariesEvery;
   if (!omitsSummaries) summariesAt = effects.now;
@@ -404,7 +404,7 @@
 void Cell::tick(Effects& effects, const Configuration& configuration) {
   election.tick(effects);
   lastConfiguration = &configuration;
-  if (!election.holds(effects.now)) return;
+  if (!election.holdsLease(effects.now)) return;
   askReports(effects);
   moveRollouts(effects, configuration);
   moveWatches(effects);
@@ -413,18 +413,18 @@
 
 void Cell::handle(Effects& effects, const std::string& from, const Message& message) {
   if (auto* report = std::get_if<Report>(&message)) {
-    if (election.holds(effects.now)) {
+    if (election.holdsLease(effects.now)) {
       onReport(effects, *report);
       moveWatches(effects);
     }
   } else if (auto* lookup = std::get_if<LookupMsg>(&message)) {
     onLookup(effects, *lookup);
   } else if (auto* started = std::get_if<PrefillStarted>(&message)) {
-    if (election.holds(effects.now) && rows.count(started->worker)) prefills.start(*started, effects.now);
+    if (election.holdsLease(effects.now) && rows.count(started->worker)) prefills.start(*started, effects.now);
   } else if (auto* ended = std::get_if<PrefillEnded>(&message)) {
     prefills.end(*ended, effects.now);
   } else if (auto* watch = std::get_if<WatchMsg>(&message)) {
-    if (!election.holds(effects.now)) return;
+    if (!election.holdsLease(effects.now)) return;
     Watch made;
     made.ask = *watch;
     made.startedAt = effects.now;
@@ -432,7 +432,7 @@
     made.walk = std::make_unique<StateMachine<Cell, Effects&, Watch&>>("transfer", watchActions(), "asked");
     if (watches.size() < 4096) watches[watch->moveId] = std::move(made);
   } else if (auto* reply = std::get_if<ControlReply>(&message)) {
-    if (reply->code == static_cast<int>(Code::termOld)) election.seeTerm(effects, reply->term);
+    if (reply->code == static_cast<int>(Code::termOld)) election.observeTerm(effects, reply->term);
     auto rollout = rollouts.find(reply->worker);
     if (reply->code != static_cast<int>(Code::done) || rollout == rollouts.end()) return;
     bool answersLast =
--- a/src/index/cell_rollouts.cpp
+++ b/src/index/cell_rollouts.cpp
@@ -28,7 +28,7 @@
   auto found = rows.find(worker);
   auto& rollout = rollouts[worker];
   rollout.sentAt = effects.now;
-  if (found == rows.end() || !election.holds(effects.now) || effects.now - wonAt < timing.commandRest) return;
+  if (found == rows.end() || !election.holdsLease(effects.now) || effects.now - wonAt < timing.commandHoldoff) return;
   const auto& last = found->second.last;
   rollout.commandNumber = ++lastCommand;
   effects.send(found->second.machine.address,
@@ -116,8 +116,8 @@
     workersByModel[keeper.last.model].push_back(
         RolloutWorker{name, supersededAt(keeper.last, *wanted), stepOf(name, right)});
   }
-  RolloutLimits limits{settings.rolloutSettle, settings.rolloutSpan, timing.rolloutLatest(), 2 * timing.rolloutMost,
-                       settings.rolloutParts};
+  RolloutLimits limits{settings.rolloutSettle, settings.rolloutSpan, timing.rolloutStartTimeout(),
+                       2 * timing.oldWeightsOrderTimeout, settings.rolloutParts};
   std::set<std::string> due;
   for (const auto& [model, workers] : workersByModel) {
     if (workers.size() == 1 && waitsItsTurn(model, workers.front().supersededAt, now)) continue;
@@ -152,7 +152,7 @@
     ++before;
     unfinished = unfinished || sole->held || !versions || !versions->isNewest(model, sole->weights);
   }
-  Duration turn = std::min<Duration>(turnMost, timing.rolloutLatest() / turnsMost);
+  Duration turn = std::min<Duration>(turnMost, timing.rolloutStartTimeout() / turnsMost);
   return unfinished && now < endOfUse(superseded, std::min(before, turnsMost) * turn);
 }
 
@@ -163,7 +163,7 @@
     if (!wanted || keeper.machine.kind != "language" || !keeper.known) continue;
     auto& rollout = rolloutOf(name);
     if (!takesPart(keeper, effects.now) || (settings.apart && keeper.machine.leaving)) continue;
-    if (effects.now - wonAt < timing.commandRest) continue;
+    if (effects.now - wonAt < timing.commandHoldoff) continue;
     if (rollout.walk->in("serving"))
       startRollout(effects, keeper, rollout, *wanted, due.count(name) > 0);
     else
--- a/src/model/fixed_sets.cpp
+++ b/src/model/fixed_sets.cpp
@@ -8,7 +8,7 @@
   setup.voters = voters;
   setup.spares = spares;
   setup.faultBudget = faultBudget;
-  setup.votersLeast = static_cast<std::size_t>(2 * faultBudget + 1);
+  setup.minVoters = static_cast<std::size_t>(2 * faultBudget + 1);
   return setup;
 }
 
--- a/src/model/model_world.cpp
+++ b/src/model/model_world.cpp
@@ -66,7 +66,7 @@
   for (int number = 0; number < worldSetup.machines(); ++number) {
     if (number < worldSetup.voters)
       machines[static_cast<std::size_t>(number)].synced.entries.push_back(
-          LogEntry{1, 0, static_cast<int>(EntryKind::members), packMembers(first), {}, 0});
+          LogEntry{1, 0, static_cast<int>(EntryKind::members), encodeMembers(first), {}, 0});
     boot(number);
   }
 }
@@ -82,7 +82,7 @@
   }
   machine.log.emplace(Member{recovered.identity, nameOf(number), addressOf(number), {}, true}, worldSetup.room,
                       defences);
-  machine.log->entryApplied = [this, number](Effects&, const LogEntry& entry) {
+  machine.log->onEntryApplied = [this, number](Effects&, const LogEntry& entry) {
     const auto& log = *machines[static_cast<std::size_t>(number)].log;
     if (entry.kind == static_cast<int>(EntryKind::whole))
       return writeHistory().agreedUpTo(idOf(number), entry.index, entry.term);
@@ -166,10 +166,10 @@
   std::vector<Member> members;
   for (const auto& row : history->agreedRows()) {
     if (row.index >= entry.index) return;
-    if (row.kind == static_cast<int>(EntryKind::members)) members = unpackMembers(row.body);
+    if (row.kind == static_cast<int>(EntryKind::members)) members = decodeMembers(row.body);
   }
   checkMajority(entry, members);
-  if (entry.kind == static_cast<int>(EntryKind::members)) checkMajority(entry, unpackMembers(entry.body));
+  if (entry.kind == static_cast<int>(EntryKind::members)) checkMajority(entry, decodeMembers(entry.body));
 }
 
 void ModelWorld::checkMajority(const LogEntry& entry, const std::vector<Member>& members) {
@@ -224,7 +224,7 @@
   if (!log.election.won()) return;
   writeHistory().won(log.self().id, log.election.term());
   checkComplete(log);
-  if (log.leads(clock) && log.speaksForTerm() && log.configuration().index() < history->mostAcknowledged())
+  if (log.leads(clock) && log.hasCommittedInTerm() && log.configuration().index() < history->mostAcknowledged())
     writeHistory().breakRule("old-read",
                              log.self().id + " would read at index " + std::to_string(log.configuration().index()) +
                                  " what was acknowledged at " + std::to_string(history->mostAcknowledged()));
@@ -319,7 +319,7 @@
   if (!machine.up() || machine.frozen) return false;
   for (const auto& row : machine.log->members())
     if (row.id == machine.log->self().id)
-      return !machine.log->election.won() && clock - machine.log->heardLeaderAt() >= leaderSilent;
+      return !machine.log->election.won() && clock - machine.log->lastLeaderContact() >= leaderSilent;
   return true;
 }
 
@@ -332,7 +332,7 @@
 void ModelWorld::sendChange(int number, int change) {
   auto ask = writeHistory().request(change);
   drive(number, [&](Effects& effects) {
-    machines[static_cast<std::size_t>(number)].log->takeChange(effects, clientAddress, ask);
+    machines[static_cast<std::size_t>(number)].log->proposeChange(effects, clientAddress, ask);
   });
 }
 
@@ -369,7 +369,7 @@
   TimePoint until = clock + span;
   while (clock < until && !broken()) {
     clock += roundSpan;
-    bool joins = (clock - startOfTime) % timing.joinEvery < roundSpan;
+    bool joins = (clock - startOfTime) % timing.joinInterval < roundSpan;
     for (int number = 0; number < worldSetup.machines(); ++number) {
       auto& machine = machines[static_cast<std::size_t>(number)];
       if (allUp && machine.frozen) {
@@ -578,7 +578,7 @@
     const auto& log = *machine.log;
     text += (machine.frozen ? " frozen, " : " ") + log.election.state() + " term " +
             std::to_string(log.election.term()) + " follows '" + log.election.holder() + "' commit " +
-            std::to_string(log.commit()) + " synced " + std::to_string(log.syncedEnd()) + " end " +
+            std::to_string(log.commit()) + " synced " + std::to_string(log.lastSyncedIndex()) + " end " +
             std::to_string(log.logEnd()) + " members";
     for (const auto& member : log.members()) text += " " + member.id + (member.votes ? "" : "(learns)");
     text += "; log";
--- a/src/model/setup.cpp
+++ b/src/model/setup.cpp
@@ -14,8 +14,8 @@
   std::ostringstream line;
   line << setupWord << " voters=" << voters << " spares=" << spares << " changes=" << changes << " room=" << room
        << " faultBudget=" << faultBudget << " catchUpMs=" << toMilliseconds(catchUp)
-       << " memberGoneMs=" << toMilliseconds(memberGone) << " votersLeast=" << votersLeast << " openSyncs=" << openSyncs
-       << " networkRoom=" << networkRoom;
+       << " memberGoneMs=" << toMilliseconds(memberRemovalTimeout) << " votersLeast=" << minVoters
+       << " openSyncs=" << openSyncs << " networkRoom=" << networkRoom;
   for (const auto& name : without) line << " without=" << name;
   for (const auto& rule : known) line << " known=" << rule;
   return line.str();
@@ -55,9 +55,9 @@
     } else if (name == "catchUpMs") {
       setup.catchUp = std::chrono::milliseconds(number);
     } else if (name == "memberGoneMs") {
-      setup.memberGone = std::chrono::milliseconds(number);
+      setup.memberRemovalTimeout = std::chrono::milliseconds(number);
     } else if (name == "votersLeast") {
-      setup.votersLeast = static_cast<std::size_t>(number);
+      setup.minVoters = static_cast<std::size_t>(number);
     } else if (name == "openSyncs") {
       setup.openSyncs = number != 0;
     } else if (name == "networkRoom") {
@@ -83,8 +83,8 @@
 }
 
 void Setup::applyTiming() const {
-  timing.memberGone = memberGone;
-  timing.votersLeast = votersLeast;
+  timing.memberRemovalTimeout = memberRemovalTimeout;
+  timing.minVoters = minVoters;
 }
 
 std::string Run::text() const { return setup.text() + "\n" + printChoices(choices); }
--- a/src/model/setup.hpp
+++ b/src/model/setup.hpp
@@ -16,8 +16,8 @@
   int faultBudget{1};
   Duration catchUp{4s};
   /// How long a voter must be silent to be taken out, and how many voters must stay.
-  Duration memberGone{6s};
-  std::size_t votersLeast{3};
+  Duration memberRemovalTimeout{6s};
+  std::size_t minVoters{3};
   /// Whether a starting process syncs what it finds written before it counts it.
   bool openSyncs{true};
   /// Messages under way at most; beyond, the oldest are lost.
--- a/src/model/state_dump.cpp
+++ b/src/model/state_dump.cpp
@@ -32,7 +32,7 @@
   number(entry.revision);
   if (entry.kind != static_cast<int>(EntryKind::members)) return word(entry.body);
   groups.emplace_back();
-  for (const auto& member : unpackMembers(entry.body)) groups.back().push_back(rowOf(member.id, {member.votes}));
+  for (const auto& member : decodeMembers(entry.body)) groups.back().push_back(rowOf(member.id, {member.votes}));
 }
 
 StateBytes StateDump::bytes(const ReplicatedLog& log) {
@@ -42,26 +42,26 @@
   out.word(election.vote.votedFor);
   out.word(election.knownHolder);
   out.word(election.walk.state());
-  out.number(election.started + 2 * election.mayStand);
-  out.number(static_cast<std::uint64_t>(election.syncSpan.count()));
+  out.number(election.started + 2 * election.mayCampaign);
+  out.number(static_cast<std::uint64_t>(election.lastSyncDuration.count()));
   out.groups.emplace_back();
   for (const auto& voter : election.voters) out.groups.back().push_back(rowOf(voter.id, {}));
   out.groups.emplace_back();
   for (const auto& grant : election.grants) out.groups.back().push_back(rowOf(grant, {}));
-  out.number(log.base.index);
-  out.number(log.base.term);
+  out.number(log.lastSnapshot.index);
+  out.number(log.lastSnapshot.term);
   for (const auto& entry : log.log) out.entry(entry);
   out.groups.emplace_back();
-  for (const auto& member : log.memberRows) out.groups.back().push_back(rowOf(member.id, {member.votes}));
+  for (const auto& member : log.currentMembers) out.groups.back().push_back(rowOf(member.id, {member.votes}));
   out.number(log.commitIndex);
   out.number(log.syncedIndex);
   out.number(log.verifiedTerm);
   out.number(log.verifiedEnd);
-  out.number(log.heardRound);
+  out.number(log.lastAppendRound);
   out.number(log.leaving);
-  out.word(log.appendedFrom);
+  out.word(log.appendSender);
   out.groups.emplace_back();
-  for (const auto& member : log.outgoingRows) out.groups.back().push_back(rowOf(member.id, {member.votes}));
+  for (const auto& member : log.previousMembers) out.groups.back().push_back(rowOf(member.id, {member.votes}));
   out.groups.emplace_back();
   for (const auto& voters : election.voterSets)
     for (const auto& voter : voters) out.groups.back().push_back(rowOf(voter, {voters.size()}));
@@ -70,7 +70,7 @@
   out.number(log.head.revision());
   out.groups.emplace_back();
   for (const auto& [id, follower] : log.followers)
-    out.groups.back().push_back(rowOf(id, {follower.next, follower.matched, follower.toldCommit, follower.pending,
+    out.groups.back().push_back(rowOf(id, {follower.next, follower.matched, follower.sentCommit, follower.pending,
                                            follower.sentEnd, follower.round, follower.transfer.has_value()}));
   for (const auto& waiter : log.waiters) {
     out.word(waiter.response.requestId);
@@ -82,17 +82,17 @@
 
 std::vector<StateDump::Mark> StateDump::marks(const ReplicatedLog& log) {
   const auto& election = log.election;
-  Duration longest = std::max<Duration>(timing.memberGone, longestSilence);
-  std::vector<Mark> rows{{election.promisedUntil, Duration(0), {}},
-                         {election.standAt, Duration(0), {}},
-                         {election.askedAt, timing.voteWait + election.slowness(), {}},
-                         {log.leaderHeard, leaderSilence, {}}};
+  Duration longest = std::max<Duration>(timing.memberRemovalTimeout, longestSilence);
+  std::vector<Mark> rows{{election.voteBlockedUntil, Duration(0), {}},
+                         {election.campaignAt, Duration(0), {}},
+                         {election.votesRequestedAt, timing.voteTimeout + election.syncAllowance(), {}},
+                         {log.leaderContactAt, leaderSilence, {}}};
   if (!election.won()) return rows;
-  rows.push_back({log.awakeAt, longest, {}});
-  for (const auto& [id, at] : log.learnsSince) rows.push_back({at, longest, id});
-  rows.push_back({election.heldAt, timing.holdEvery, {}});
+  rows.push_back({log.lastActiveAt, longest, {}});
+  for (const auto& [id, at] : log.learnerSince) rows.push_back({at, longest, id});
+  rows.push_back({election.lastHeartbeatAt, timing.heartbeatInterval, {}});
   for (const auto& [id, at] : election.renewals) rows.push_back({at, timing.lease, id});
-  for (const auto& [id, at] : log.heardFrom) rows.push_back({at, longest, id});
+  for (const auto& [id, at] : log.lastContactAt) rows.push_back({at, longest, id});
   for (const auto& [id, follower] : log.followers) rows.push_back({follower.sentAt, sendAgain, id});
   return rows;
 }
--- a/src/net/host.cpp
+++ b/src/net/host.cpp
@@ -250,7 +250,7 @@
 
 void Host::tick() {
   with([this](Effects& effects) {
-    if (diskWaits) diskWaits(diskWait());
+    if (reportSyncWait) reportSyncWait(diskWait());
     node.tick(effects);
   });
   timer.expires_after(every);
--- a/src/net/host.hpp
+++ b/src/net/host.hpp
@@ -63,7 +63,7 @@
   void with(const std::function<void(Effects&)>& action);
   /// How long the oldest unsynced write has waited.
   Duration diskWait() const;
-  std::function<void(Duration)> diskWaits;
+  std::function<void(Duration)> reportSyncWait;
   /// Called if the ring fails for good.
   std::function<void(const Error&)> diskFailed;
 
--- a/src/net/operator_drain.cpp
+++ b/src/net/operator_drain.cpp
@@ -27,7 +27,7 @@
 }
 
 void OperatorDrain::step() {
-  bool isSettled = answers.count() == 0 && hands.mayEnd();
+  bool isSettled = answers.count() == 0 && hands.safeToStop();
   if (!isSettled && Clock::now() < endsBy) return wait();
   phase = Phase::refusing;
   refuseAll();
@@ -40,7 +40,7 @@
 void OperatorDrain::refuseAll() {
   auto waiting = answers.removeAll();
   logInfo("Ending with " + std::to_string(waiting.size()) + " calls of operators refused, copies " +
-          (hands.mayEnd() ? "enough." : "too few."));
+          (hands.safeToStop() ? "enough." : "too few."));
   for (const auto& answer : waiting) hands.refuse(*answer);
 }
 
--- a/src/net/operator_drain.hpp
+++ b/src/net/operator_drain.hpp
@@ -10,7 +10,7 @@
  public:
   struct Hands {
     /// Whether the process may end for what it holds, such as records that others do not have yet.
-    std::function<bool()> mayEnd;
+    std::function<bool()> safeToStop;
     /// Answers one who would otherwise be left without an answer.
     std::function<void(WebAnswer& answer)> refuse;
     /// Called once, at the end; the process may then exit.
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -111,7 +111,8 @@
                    0,
                    order.lastPiece,
                    !order.ask.repeatable};
-  if (TimePoint end = endOfWeights(order.plan.model, order.plan.weights, timing.rolloutMost); end != TimePoint::max())
+  if (TimePoint end = endOfWeights(order.plan.model, order.plan.weights, timing.oldWeightsOrderTimeout);
+      end != TimePoint::max())
     sent.sendDeadline = toNanoseconds(end);
   if (order.route.matchesPath()) {
     sent.deadlineMs = std::max<std::int64_t>(1, toMilliseconds(order.deadline - effects.now));
@@ -154,7 +155,7 @@
   const auto* models = view.findSection("models");
   if (!models) return;
   std::optional<TimePoint> complete;
-  if (freshUntil != TimePoint{}) complete = freshUntil - timing.freshFor;
+  if (freshUntil != TimePoint{}) complete = freshUntil - timing.maxStaleness;
   for (const auto& [model, item] : *models) versions.observe(model, stringOr(item, "weights"), complete, view.index());
 }
 
@@ -166,12 +167,12 @@
 }
 
 bool Edge::mayBegin(const std::string& model, const std::string& weights, TimePoint now) const {
-  return now < endOfWeights(model, weights, timing.rolloutMost);
+  return now < endOfWeights(model, weights, timing.oldWeightsOrderTimeout);
 }
 
 bool Edge::beginsTooLate(const Order& order, TimePoint now) const {
   return order.walk->in("sent") && settings.defences.isEnabled(Defence::unbegunDropped) &&
-         now >= endOfWeights(order.plan.model, order.plan.weights, timing.unbegunMost);
+         now >= endOfWeights(order.plan.model, order.plan.weights, timing.unstartedOrderTimeout);
 }
 
 void Edge::setNews(Effects& effects) {
@@ -182,9 +183,9 @@
 }
 
 void Edge::tick(Effects& effects) {
-  if (effects.now - feedAt >= timing.feedEvery) {
+  if (effects.now - feedAt >= timing.feedPollInterval) {
     feedAt = effects.now;
-    versions.forgetEnded(effects.now, timing.versionMost);
+    versions.forgetEnded(effects.now, timing.oldWeightsTimeout);
     std::vector<CellVersion> rows;
     for (const auto& [zone, news] : cells) rows.push_back(CellVersion{zone, news.term, news.sequence});
     effects.send(settings.agentAddress, FeedAsk{toNanoseconds(effects.now), view.index(), rows, machineListDigest});
@@ -312,7 +313,7 @@
   agentHeard = now;
   versions.learn(feed.namings, fromNanoseconds(feed.sentAt));
   if (!feed.known) return;
-  TimePoint until = fromNanoseconds(feed.sentAt) - Duration(feed.age) + timing.freshFor;
+  TimePoint until = fromNanoseconds(feed.sentAt) - Duration(feed.age) + timing.maxStaleness;
   if (feed.age < 0 || until <= freshUntil) return;
   if (view.index() >= feed.needed) {
     freshUntil = until;
--- a/src/sim/scale/fleet_fixtures.cpp
+++ b/src/sim/scale/fleet_fixtures.cpp
@@ -136,15 +136,15 @@
 
 void setPlatformTiming() {
   static const bool done = [] {
-    timing.freshFor = 4s;
-    timing.readersWait = 666ms;
-    timing.listEvery = 600ms;
-    timing.listOld = 1500ms;
-    timing.commandRest = 3300ms;
-    timing.rolloutMost = 10500ms;
-    timing.memberGone = 6s;
-    timing.votersLeast = 3;
-    timing.feedEvery = 200ms;
+    timing.maxStaleness = 4s;
+    timing.readerAckTimeout = 666ms;
+    timing.listPollInterval = 600ms;
+    timing.maxListAge = 1500ms;
+    timing.commandHoldoff = 3300ms;
+    timing.oldWeightsOrderTimeout = 10500ms;
+    timing.memberRemovalTimeout = 6s;
+    timing.minVoters = 3;
+    timing.feedPollInterval = 200ms;
     return true;
   }();
   (void)done;
--- a/src/sim/scale/hollow_fleet.cpp
+++ b/src/sim/scale/hollow_fleet.cpp
@@ -287,13 +287,13 @@
 
 std::size_t HollowFleet::leader() {
   for (std::size_t number = 0; number < cores.size(); ++number)
-    if (core(number).agreement().leads(clock)) return number;
+    if (core(number).consensusLog().leads(clock)) return number;
   return 0;
 }
 
 std::size_t HollowFleet::countVoters() {
   std::size_t count = 0;
-  for (const auto& member : core(leader()).agreement().members()) count += member.votes;
+  for (const auto& member : core(leader()).consensusLog().members()) count += member.votes;
   return count;
 }
 
@@ -324,7 +324,7 @@
 void HollowFleet::noteAppliedChange(const std::string& changeId, Change& change) {
   if (change.proxiesAt != TimePoint{} && change.agentsAt != TimePoint{}) return;
   if (change.index == 0)
-    for (const auto& entry : core(leader()).agreement().entries())
+    for (const auto& entry : core(leader()).consensusLog().entries())
       if (entry.changeId == changeId) change.index = entry.index;
   if (change.index == 0) return;
   bool allAgents = true, allProxies = true;
@@ -350,7 +350,7 @@
   FleetCost total;
   total.eventsTaken = eventsTaken;
   total.requestsDone = requestsDone;
-  total.configurationBytes = static_cast<std::int64_t>(core(0).agreement().configuration().bytes());
+  total.configurationBytes = static_cast<std::int64_t>(core(0).consensusLog().configuration().bytes());
   collectCells(total);
   std::map<std::string, int> followersByAddress;
   for (std::size_t number = 0; number < agents.size(); ++number) ++followersByAddress[agent(number).parentAddress()];
@@ -362,7 +362,7 @@
 void HollowFleet::collectCells(FleetCost& total) {
   for (std::size_t number = 0; number < cores.size(); ++number)
     for (const auto& [zone, cell] : core(number).cellsByZone()) {
-      if (!cell->election.holds(clock)) continue;
+      if (!cell->election.holdsLease(clock)) continue;
       ++total.cellsHeld;
       ++processes[cores[number]]->cost.cells;
       for (const auto& [name, keeper] : cell->keepers())
--- a/src/sim/scale/index_trial.cpp
+++ b/src/sim/scale/index_trial.cpp
@@ -77,7 +77,7 @@
       cell->election.setVoters({self});
       cell->setMachines(machines);
     }
-    for (int turn = 0; turn < electionTicks && !cell->election.holds(now); ++turn) tick();
+    for (int turn = 0; turn < electionTicks && !cell->election.holdsLease(now); ++turn) tick();
     tick();
   }
 
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -475,7 +475,7 @@
       double voters = 0;
       std::string leader = world->holderOf("accord");
       if (!leader.empty())
-        for (const auto& member : world->core(leader)->agreement().members())
+        for (const auto& member : world->core(leader)->consensusLog().members())
           voters += what == "members" || member.votes;
       compare(line, voters, 2);
     } else if (what == "index-wrong") {
--- a/src/sim/sim.cpp
+++ b/src/sim/sim.cpp
@@ -158,7 +158,7 @@
     settings.zones = shape.zones;
     settings.cell.rolloutSpan = shape.rolloutSpan;
     settings.cell.rolloutParts = shape.rolloutParts;
-    settings.recordRoom = actor.ring->room() / 2;
+    settings.maxRecordBytes = actor.ring->room() / 2;
     settings.defences = defences;
     for (int number = 1; number <= shape.cores; ++number) {
       std::string other = "core-" + std::to_string(number);
@@ -352,7 +352,7 @@
     }
     drive(due, [&](Effects& effects) {
       if (auto* coreNode = dynamic_cast<Core*>(due.node.get()))
-        coreNode->diskWaits(due.oldestSave == TimePoint{} ? Duration(0) : clock - due.oldestSave);
+        coreNode->reportSyncWait(due.oldestSave == TimePoint{} ? Duration(0) : clock - due.oldestSave);
       due.node->tick(effects);
     });
     scheduleTick(name, life);
@@ -789,7 +789,7 @@
     if (!actor->alive || clock < actor->frozenUntil) continue;
     TimePoint now = actor->local(clock);
     if (auto* node = core(name); node && node->readsConfirmed(now))
-      readShown(name, node->agreement().configuration().index());
+      readShown(name, node->consensusLog().configuration().index());
     if (auto* node = edge(name); node && node->fresh(now)) readShown(name, node->configuration().index());
   }
   for (auto row = lookupsOpen.begin(); row != lookupsOpen.end();) {
@@ -805,7 +805,7 @@
 void World::watchEntry(const std::string& name, std::uint64_t index) {
   auto* node = dynamic_cast<Core*>(actors.at(name)->node.get());
   if (!node) return;
-  for (const auto& entry : node->agreement().entries()) {
+  for (const auto& entry : node->consensusLog().entries()) {
     if (entry.index != index) continue;
     auto [row, fresh] = canon.try_emplace(index, Canon{entry, name});
     const auto& known = row->second.entry;
@@ -849,7 +849,7 @@
   for (const auto& [name, actor] : actors) {
     if (!actor->alive) continue;
     if (auto* node = core(name))
-      views[node->agreement().configuration().index()].emplace_back(name, &node->agreement().configuration());
+      views[node->consensusLog().configuration().index()].emplace_back(name, &node->consensusLog().configuration());
     if (auto* node = edge(name)) views[node->configuration().index()].emplace_back(name, &node->configuration());
   }
   Configuration model;
@@ -935,11 +935,11 @@
     if (!node) continue;
     TimePoint now = actor->local(clock);
     if (duty == "accord") {
-      holders += node->agreement().leads(now);
+      holders += node->consensusLog().leads(now);
       continue;
     }
     for (const auto& [zone, cell] : node->cellsByZone())
-      if ("cell/" + zone == duty) holders += cell->election.holds(now);
+      if ("cell/" + zone == duty) holders += cell->election.holdsLease(now);
   }
   return holders;
 }
@@ -950,9 +950,9 @@
     auto* node = dynamic_cast<Core*>(actor->node.get());
     if (!node) continue;
     TimePoint now = actor->local(clock);
-    if (duty == "accord" && node->agreement().leads(now)) return name;
+    if (duty == "accord" && node->consensusLog().leads(now)) return name;
     for (const auto& [zone, cell] : node->cellsByZone())
-      if ("cell/" + zone == duty && cell->election.holds(now)) return name;
+      if ("cell/" + zone == duty && cell->election.holdsLease(now)) return name;
   }
   return {};
 }
@@ -963,13 +963,13 @@
     bool held = false;
     for (const auto& [name, actor] : actors)
       if (auto* node = core(name))
-        held = held || node->agreement().configuration().revisionOfChange(ack.changeId).has_value();
+        held = held || node->consensusLog().configuration().revisionOfChange(ack.changeId).has_value();
     if (!held) violate("acked-lost", ack.changeId + " is in no core's blueprint");
     for (const auto& [name, actor] : actors) {
       auto* node = core(name);
-      if (!node || !node->agreement().formed() || clock < actor->frozenUntil + 5s) continue;
-      if (node->agreement().leads(actor->local(clock)) &&
-          !node->agreement().configuration().revisionOfChange(ack.changeId))
+      if (!node || !node->consensusLog().formed() || clock < actor->frozenUntil + 5s) continue;
+      if (node->consensusLog().leads(actor->local(clock)) &&
+          !node->consensusLog().configuration().revisionOfChange(ack.changeId))
         violate("acked-lost", ack.changeId + " is unknown to the leader " + name);
     }
   }
--- a/src/sim/sim_drain.cpp
+++ b/src/sim/sim_drain.cpp
@@ -28,8 +28,8 @@
   if (actor.life != life || !actor.alive) return;
   const auto& plan = drains.at(name);
   bool isEmpty = clock >= plan.refusesFrom && edge(name)->openOrders() == 0;
-  bool mayEnd = clock >= actor.frozenUntil && (isEmpty || clock >= plan.exitsBy);
-  if (!mayEnd) return later(stepEvery, [this, name, life] { leaveFurther(name, life); });
+  bool safeToStop = clock >= actor.frozenUntil && (isEmpty || clock >= plan.exitsBy);
+  if (!safeToStop) return later(stepEvery, [this, name, life] { leaveFurther(name, life); });
   checkGivenUp(name);
   kill(name);
 }
--- a/src/sim/sim_operators.cpp
+++ b/src/sim/sim_operators.cpp
@@ -112,7 +112,7 @@
   auto& ack = ackRows[at];
   for (const auto& [name, actor] : actors)
     if (auto* node = core(name))
-      for (const auto& entry : node->agreement().entries())
+      for (const auto& entry : node->consensusLog().entries())
         if (entry.changeId == ack.changeId) ack.index = entry.index;
   if (auto applied = canonByChange.find(ack.changeId); ack.index == 0 && applied != canonByChange.end())
     ack.index = applied->second;
@@ -291,7 +291,7 @@
   readsOpen.erase(found);
   auto* node = core(actor.name);
   if (!response.confirmed || !node) return;
-  const auto& configuration = node->agreement().configuration();
+  const auto& configuration = node->consensusLog().configuration();
   if (configuration.revision() == 0) return;
   std::int64_t began = sinceStart(read.began), ended = sinceStart(clock + 1ms);
   operations.addRead(began, ended, actor.name, configuration.revision(), digestAt(actor.name, configuration));
--- a/src/sim/sim_weights.cpp
+++ b/src/sim/sim_weights.cpp
@@ -4,7 +4,7 @@
 namespace tt {
 namespace {
 /// The longest that an order may still begin on older weights once the first newer naming was acknowledged.
-constexpr Duration versionMost = 20s;
+constexpr Duration oldWeightsTimeout = 20s;
 /// When new weights must be in use at the latest.
 constexpr Duration weightsInUseMost = 25s;
 /// How long a worker that stood still or started anew has to come to the weights named.
@@ -78,7 +78,7 @@
   auto space = event.subject.rfind(' ');
   std::string weights = event.subject.substr(space + 1);
   auto late = versions.supersededFor(modelName, weights, clock);
-  if (!late || *late <= versionMost) return;
+  if (!late || *late <= oldWeightsTimeout) return;
   violate("old-weights-began", baseOrder(event.subject.substr(0, space)) + " " + event.kind + " on " + weights +
                                    " at " + worker + " " + secondsText(*late) + " after newer ones were acknowledged");
 }
--- a/src/tools/audit.cpp
+++ b/src/tools/audit.cpp
@@ -139,7 +139,7 @@
     if (row.event == "order began" && words.size() >= 2) {
       auto late = supersededFor(namings, row, words[1]);
       if (late && (!result.latestOldBegin || *late > *result.latestOldBegin)) result.latestOldBegin = late;
-      if (late && *late > records.versionMost)
+      if (late && *late > records.oldWeightsTimeout)
         breach("old-weights-began", words[0] + " began on " + words[1] + " at " + row.worker + ", " +
                                         std::to_string(toMilliseconds(*late)) +
                                         " ms after newer weights were acknowledged");
--- a/src/tools/audit.hpp
+++ b/src/tools/audit.hpp
@@ -12,7 +12,7 @@
   /// Tenants that share with nobody.
   std::set<std::string> isolated;
   /// How long after the acknowledgement of newer weights orders may begin on older ones.
-  Duration versionMost{20s};
+  Duration oldWeightsTimeout{20s};
 };
 /// What the records show of each line of "what must never happen".
 struct AuditResult {
--- a/src/tools/main_audit.cpp
+++ b/src/tools/main_audit.cpp
@@ -52,7 +52,7 @@
     std::cout << toMilliseconds(*result.latestOldBegin) << " ms after newer ones were acknowledged";
   else
     std::cout << "none";
-  std::cout << " (" << toMilliseconds(records.versionMost) << " ms promised)\n";
+  std::cout << " (" << toMilliseconds(records.oldWeightsTimeout) << " ms promised)\n";
 }
 
 Result<std::vector<std::string>> readLines(const std::vector<std::string>& files) {
@@ -115,7 +115,7 @@
     return 0;
   }
   AuditRecords records;
-  records.versionMost = std::chrono::milliseconds(static_cast<std::int64_t>(versionMs));
+  records.oldWeightsTimeout = std::chrono::milliseconds(static_cast<std::int64_t>(versionMs));
   for (auto [files, lines] :
        {std::pair{&callers, &records.callers}, {&workers, &records.workers}, {&events, &records.events}}) {
     auto read = readLines(*files);
--- a/src/tools/main_core.cpp
+++ b/src/tools/main_core.cpp
@@ -19,7 +19,7 @@
 };
 
 std::string blueprintBody(const Core& core, bool confirmed) {
-  const auto& view = core.agreement().configuration();
+  const auto& view = core.consensusLog().configuration();
   return "{\"revision\":" + std::to_string(view.revision()) + ",\"index\":" + std::to_string(view.index()) +
          ",\"confirmed\":" + (confirmed ? "true" : "false") + ",\"blueprint\":" + view.text() + "}";
 }
@@ -73,7 +73,7 @@
   if (!opened) return failDisk(opened.error());
   auto& ring = opened.value().ring;
   if (ring->tornEnd()) logInfo("Torn end dropped.");
-  given.settings.recordRoom = ring->room() / 2;
+  given.settings.maxRecordBytes = ring->room() / 2;
   if (given.settings.zones.empty()) given.settings.zones.push_back(given.settings.zone);
 
   asio::io_context context;
@@ -93,7 +93,7 @@
     });
   };
   host.ring = ring.get();
-  host.diskWaits = [&](Duration span) { core.diskWaits(span); };
+  host.reportSyncWait = [&](Duration span) { core.reportSyncWait(span); };
   host.diskFailed = [](const Error& trouble) { std::_Exit(failDisk(trouble)); };
   host.carry = [&](const std::string& to, Message&& message) {
     if (auto* machinesAsk = std::get_if<MachinesAsk>(&message)) {
@@ -184,7 +184,7 @@
       return host.handle(read.requestId, read);
     }
     if (ask.method != "PUT" && ask.method != "PATCH") return deny(fault(Code::unknownPath, ask.method));
-    if (ask.body.size() > given.settings.recordRoom) return deny(fault(Code::tooLarge, "body"));
+    if (ask.body.size() > given.settings.maxRecordBytes) return deny(fault(Code::tooLarge, "body"));
     OperatorRequest change{{}, ask.body, ask.method == "PUT", -1, {}, 0};
     for (const auto& [name, value] : ask.query) {
       if (name == "changeId" && value.size() <= 128) {
--- a/src/tools/main_model.cpp
+++ b/src/tools/main_model.cpp
@@ -160,8 +160,8 @@
 bool completeOptions(ModelOptions& options) {
   auto& setup = options.setup;
   setup.catchUp = std::chrono::milliseconds(options.catchUpMs);
-  setup.memberGone = std::chrono::milliseconds(options.memberGoneMs);
-  setup.votersLeast = static_cast<std::size_t>(2 * setup.faultBudget + 1);
+  setup.memberRemovalTimeout = std::chrono::milliseconds(options.memberGoneMs);
+  setup.minVoters = static_cast<std::size_t>(2 * setup.faultBudget + 1);
   setup.known = std::set<std::string>(options.known.begin(), options.known.end());
   setup.without = std::set<std::string>(options.without.begin(), options.without.end());
   if (auto checked = Setup::parse(setup.text()); !checked) {
--- a/src/tools/version_span.cpp
+++ b/src/tools/version_span.cpp
@@ -5,11 +5,11 @@
 namespace tt {
 
 Result<void> setVersionSpan(double versionMs) {
-  timing.versionMost = std::chrono::milliseconds(static_cast<std::int64_t>(versionMs));
-  timing.rolloutMost = timing.versionMost * 9 / 10;
-  timing.unbegunMost = timing.versionMost * 39 / 40;
+  timing.oldWeightsTimeout = std::chrono::milliseconds(static_cast<std::int64_t>(versionMs));
+  timing.oldWeightsOrderTimeout = timing.oldWeightsTimeout * 9 / 10;
+  timing.unstartedOrderTimeout = timing.oldWeightsTimeout * 39 / 40;
   TimingBounds bounds;
-  bounds.commandLease = timing.commandRest;
+  bounds.commandLease = timing.commandHoldoff;
   return checkTiming(timing, bounds);
 }
 
--- a/tests/call_table.cpp
+++ b/tests/call_table.cpp
@@ -261,16 +261,16 @@
 }
 
 Test(call_table, a_proxy_that_slept_sends_nothing_on_old_knowledge) {
-  auto usual = timing.freshFor;
-  timing.freshFor = 400ms;
+  auto usual = timing.maxStaleness;
+  timing.maxStaleness = 400ms;
   ProxyBench bench;
   bench.script = [&](const RawServer::Held& held, const std::string& request) { held->say(okayFor(request, "own")); };
   auto client = bench.begin("/once/x");
   cr_assert(bench.until([&] { return bench.exchanges->open() == 1; }));
   bench.feeds = false;
-  std::this_thread::sleep_for(timing.freshFor + 100ms);
+  std::this_thread::sleep_for(timing.maxStaleness + 100ms);
   auto got = bench.finish(client);
-  timing.freshFor = usual;
+  timing.maxStaleness = usual;
   cr_expect_eq(got.status, 503, "told %d", got.status);
   cr_expect_eq(bench.arrivals, 0u, "nothing was sent after the sleep");
 }
--- a/tests/catch_up.cpp
+++ b/tests/catch_up.cpp
@@ -18,7 +18,7 @@
   std::uint64_t changes;
   Duration syncSpan;
   double linkRate;
-  std::size_t recordRoom{1 << 20};
+  std::size_t maxRecordBytes{1 << 20};
   double stormPerSecond{20};
   std::size_t changeBytes{300};
 };
@@ -34,7 +34,7 @@
 
 /// Lets one replica miss changes, then measures how it catches up while changes go on.
 CatchUp catchUp(const Case& given) {
-  LogFleet fleet(5, given.recordRoom);
+  LogFleet fleet(5, given.maxRecordBytes);
   fleet.changeBytes = given.changeBytes;
   fleet.formed();
   fleet.makeChanges(10);
@@ -63,7 +63,8 @@
     fleet.step();
     if (auto id = fleet.leader(); !id.empty()) commits.emplace_back(fleet.now, fleet.machines[id].log->commit());
     while (commits.size() > 1 && commits[1].first <= fleet.now - 500ms) commits.pop_front();
-    result.reached = commits.front().first <= fleet.now - 500ms && machine.log->syncedEnd() >= commits.front().second;
+    result.reached =
+        commits.front().first <= fleet.now - 500ms && machine.log->lastSyncedIndex() >= commits.front().second;
   }
   result.seconds = static_cast<double>(toMilliseconds(fleet.now - startedAt)) / 1000;
   result.linkBytes = fleet.links[{leader, away}].total;
--- a/tests/cell_bench.hpp
+++ b/tests/cell_bench.hpp
@@ -63,7 +63,7 @@
     bool alive{true};
     std::vector<CellNews> news;
   };
-  TimingKept kept;
+  TimingGuard kept;
   TimePoint now{std::chrono::hours(9)};
   std::mt19937_64 randomSource{3};
   Configuration configuration;
@@ -75,7 +75,7 @@
   Duration transit{4ms};
 
   explicit CellBench(int coreNumber = 1, CellSettings settings = cellSettings()) {
-    timing.commandRest = 3300ms;
+    timing.commandHoldoff = 3300ms;
     std::vector<Member> members;
     for (int at = 1; at <= coreNumber; ++at) {
       std::string id = "core-" + std::to_string(at);
@@ -212,7 +212,7 @@
   }
   std::string holder() const {
     for (const auto& [address, core] : cores)
-      if (core.alive && core.cell->election.holds(now)) return address;
+      if (core.alive && core.cell->election.holdsLease(now)) return address;
     return {};
   }
   TimePoint runToHolder(Duration most = 6s) {
--- a/tests/cells.cpp
+++ b/tests/cells.cpp
@@ -127,7 +127,7 @@
   bench.run(2s);
   auto commands = bench.all<ControlAsk>();
   cr_assert_not(commands.empty());
-  cr_expect(commands[0].at - wonAt >= timing.commandRest);
+  cr_expect(commands[0].at - wonAt >= timing.commandHoldoff);
   const auto& first = std::get<ControlAsk>(commands[0].message);
   cr_expect_eq(first.term, bench.cores.begin()->second.cell->election.term());
   cr_expect_eq(first.weights, "moss/4");
@@ -297,7 +297,7 @@
   bench.name("moss/4");
   auto looks = [&] {
     int holders = 0;
-    for (const auto& [address, core] : bench.cores) holders += core.cell->election.holds(bench.now);
+    for (const auto& [address, core] : bench.cores) holders += core.cell->election.holdsLease(bench.now);
     cr_expect_leq(holders, 1);
   };
   bench.run(3s, looks);
@@ -315,8 +315,8 @@
   bench.run(14s, looks);
   auto after = bench.all<ControlAsk>(lostAt);
   cr_assert_not(after.empty());
-  cr_expect(after[0].at - wonAt >= timing.commandRest - 10ms);
-  cr_expect(after[0].at - before.back().at >= timing.commandRest);
+  cr_expect(after[0].at - wonAt >= timing.commandHoldoff - 10ms);
+  cr_expect(after[0].at - before.back().at >= timing.commandHoldoff);
   for (const auto& row : after) {
     cr_expect_eq(row.from, second);
     cr_expect_gt(std::get<ControlAsk>(row.message).term, firstTerm);
@@ -356,7 +356,7 @@
   bench.cores.at(first).alive = false;
   TimePoint lostAt = bench.now;
   bench.runToHolder();
-  TimePoint mayAt = bench.now + timing.commandRest;
+  TimePoint mayAt = bench.now + timing.commandHoldoff;
   bench.run(14s);
   auto after = bench.all<ControlAsk>(lostAt);
   cr_assert_eq(after.size(), 2u);
--- a/tests/core_bench.hpp
+++ b/tests/core_bench.hpp
@@ -23,7 +23,7 @@
     bool alive{false}, mayForm{false};
     std::uint64_t life{0};
   };
-  TimingKept kept;
+  TimingGuard kept;
   TimePoint now{std::chrono::hours(3)};
   std::mt19937_64 randomSource;
   std::map<std::string, Machine> machines;
@@ -39,8 +39,8 @@
   int askCount{0};
 
   explicit CoreBench(std::uint64_t seed = 1, int count = 5) : randomSource(seed) {
-    timing.memberGone = 6s;
-    timing.votersLeast = 3;
+    timing.memberRemovalTimeout = 6s;
+    timing.minVoters = 3;
     for (int at = 1; at <= count; ++at) {
       std::string name = "core-" + std::to_string(at);
       addMachine(name, name);
@@ -147,7 +147,9 @@
     for (TimePoint until = now + most; now < until && !reached();) step();
     return reached();
   }
-  std::vector<Member> membersOf(const std::string& name) const { return machines.at(name).core->agreement().members(); }
+  std::vector<Member> membersOf(const std::string& name) const {
+    return machines.at(name).core->consensusLog().members();
+  }
   std::size_t votersAt(const std::string& name) const {
     auto rows = membersOf(name);
     return static_cast<std::size_t>(
@@ -157,10 +159,10 @@
     auto rows = membersOf(name);
     return std::any_of(rows.begin(), rows.end(), [&](const Member& row) { return row.id == id && row.votes; });
   }
-  bool formed(const std::string& name) const { return machines.at(name).core->agreement().formed(); }
+  bool formed(const std::string& name) const { return machines.at(name).core->consensusLog().formed(); }
   std::string leader() const {
     for (const auto& [name, machine] : machines)
-      if (machine.alive && machine.core->agreement().leads(now)) return name;
+      if (machine.alive && machine.core->consensusLog().leads(now)) return name;
     return {};
   }
   bool allVote(const Strings& names) const {
@@ -207,17 +209,17 @@
     std::string text;
     for (const auto& [name, machine] : machines) {
       if (!machine.alive) continue;
-      const auto& log = machine.core->agreement();
+      const auto& log = machine.core->consensusLog();
       text += "\n" + machine.core->id() + (log.leads(now) ? " leads" : "") + " term " +
               std::to_string(log.election.term()) + " " + log.election.state() + " holder " + log.election.holder() +
-              " end " + std::to_string(log.logEnd()) + " synced " + std::to_string(log.syncedEnd()) + " commit " +
+              " end " + std::to_string(log.logEnd()) + " synced " + std::to_string(log.lastSyncedIndex()) + " commit " +
               std::to_string(log.commit()) + " of";
       for (const auto& member : log.members()) text += " " + member.id + (member.votes ? "" : " (learns)");
     }
     return text;
   }
   bool has(const std::string& name, const std::string& changeName) const {
-    return machines.at(name).core->agreement().configuration().section("weights").count(changeName) > 0;
+    return machines.at(name).core->consensusLog().configuration().section("weights").count(changeName) > 0;
   }
 };
 }  // namespace tt
--- a/tests/fleet_bench.hpp
+++ b/tests/fleet_bench.hpp
@@ -26,7 +26,7 @@
     std::uint64_t life{0};
     bool alive() const { return node != nullptr; }
   };
-  TimingKept kept;
+  TimingGuard kept;
   TimePoint now{std::chrono::hours(3)};
   std::mt19937_64 randomSource;
   std::map<std::string, Machine> machines;
@@ -43,8 +43,8 @@
   Strings staleReaders;
 
   explicit FleetHarness(std::uint64_t seed = 1) : randomSource(seed) {
-    timing.memberGone = 6s;
-    timing.votersLeast = 3;
+    timing.memberRemovalTimeout = 6s;
+    timing.minVoters = 3;
   }
 
   Machine& machineNamed(const std::string& name) {
@@ -173,7 +173,7 @@
     for (TimePoint until = now + most; now < until && !reached();) step();
     return reached();
   }
-  const ReplicatedLog& logOf(const std::string& name) { return machines.at(name).core->agreement(); }
+  const ReplicatedLog& logOf(const std::string& name) { return machines.at(name).core->consensusLog(); }
   std::size_t votersAt(const std::string& name) {
     const auto& rows = logOf(name).members();
     return static_cast<std::size_t>(
@@ -181,7 +181,7 @@
   }
   std::string leader() {
     for (auto& [name, machine] : machines)
-      if (machine.core && machine.core->agreement().leads(now)) return name;
+      if (machine.core && machine.core->consensusLog().leads(now)) return name;
     return {};
   }
   Strings followers() {
--- a/tests/freshness.cpp
+++ b/tests/freshness.cpp
@@ -79,8 +79,8 @@
 Test(freshness, a_core_that_is_cut_off_reads_back_nothing_older_than_what_was_acknowledged) {
   for (int cores : {4, 5, 8}) {
     FleetHarness bench;
-    timing.freshFor = 4s;
-    timing.readersWait = 666ms;
+    timing.maxStaleness = 4s;
+    timing.readerAckTimeout = 666ms;
     bench.form(cores);
     bench.run(2s);
     for (int round = 0; round < 2; ++round) {
@@ -150,8 +150,8 @@
   for (int cores : {4, 5, 8})
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
       FleetHarness bench(seed);
-      timing.freshFor = 4s;
-      timing.readersWait = 666ms;
+      timing.maxStaleness = 4s;
+      timing.readerAckTimeout = 666ms;
       bench.form(cores);
       std::map<std::string, std::uint64_t> openReads;
       Strings openChanges;
@@ -202,7 +202,7 @@
     std::vector<Member> members;
     for (std::size_t at = 0; at < voters; ++at)
       members.push_back(Member{nameOf(at), nameOf(at), nameOf(at) + ":1", "north-a", true});
-    view.apply(LogEntry{5, 1, static_cast<int>(EntryKind::members), packMembers(members), {}, 0});
+    view.apply(LogEntry{5, 1, static_cast<int>(EntryKind::members), encodeMembers(members), {}, 0});
   }
   static std::string nameOf(std::size_t at) { return "core-" + std::to_string(at); }
   /// Whether the reader, which has applied up to 5, thinks that complete after these words.
@@ -219,7 +219,7 @@
         Effects taking{now, randomSource, journal, {}, {}};
         reader.handle(taking, to, word, view);
       }
-    return reader.stamp() != TimePoint{};
+    return reader.completeAsOf() != TimePoint{};
   }
 };
 std::size_t countOf(unsigned set) { return static_cast<std::size_t>(__builtin_popcount(set)); }
@@ -263,7 +263,7 @@
 }
 
 Test(freshness, an_agent_that_restarted_does_not_speak_for_proxies_that_it_has_not_heard) {
-  TimingKept kept;
+  TimingGuard kept;
   AgentSettings settings;
   settings.name = "edge-1";
   settings.address = "edge-1:1";
@@ -285,7 +285,7 @@
   NewsMsg news;
   news.commit = 1;
   news.entries.push_back(LogEntry{
-      1, 1, static_cast<int>(EntryKind::members), packMembers({Member{"a", "a", "core-1:1", "n", true}}), {}, 0});
+      1, 1, static_cast<int>(EntryKind::members), encodeMembers({Member{"a", "a", "core-1:1", "n", true}}), {}, 0});
   with([&](Effects& effects) { agent.handle(effects, "core-1:1", news); });
   auto feedFrom = [&](const std::string& proxy, Uint64 applied) {
     with([&](Effects& effects) { agent.handle(effects, proxy, FeedAsk{toNanoseconds(now), applied, {}, 0}); });
@@ -293,7 +293,7 @@
   feedFrom("proxy-1", 1);
   passTime(300ms);
   cr_expect_eq(told.value_or(9), 0u, "proxy-2 may still be fresh by the word of this agent's earlier run");
-  passTime(timing.readersWait);
+  passTime(timing.readerAckTimeout);
   feedFrom("proxy-1", 1);
   passTime(300ms);
   cr_expect_eq(told.value_or(9), 1u);
--- a/tests/gate_faults.cpp
+++ b/tests/gate_faults.cpp
@@ -153,7 +153,7 @@
   }
   /// Runs until it leads; its words to itself are delivered.
   void lead() {
-    for (int step = 0; step < 4000 && !core->agreement().leads(now); ++step) {
+    for (int step = 0; step < 4000 && !core->consensusLog().leads(now); ++step) {
       now += 5ms;
       with([&](Effects& effects) { core->tick(effects); });
       auto mail = std::move(out);
@@ -161,7 +161,7 @@
       for (auto& [to, message] : mail)
         if (to == "core-1:1") handle(to, message);
     }
-    cr_assert(core->agreement().leads(now));
+    cr_assert(core->consensusLog().leads(now));
     out.clear();
   }
   /// The number under which a change of this operator travels to the leader.
--- a/tests/load.cpp
+++ b/tests/load.cpp
@@ -281,7 +281,7 @@
   Uint64 term = bench.news.back().term;
   cr_expect_gt(bench.news.back().base, 0u);
   bench.with([&](Effects& effects) { bench.cell->election.resign(effects); });
-  cr_expect_not(bench.cell->election.holds(bench.now));
+  cr_expect_not(bench.cell->election.holdsLease(bench.now));
   bench.runToNews();
   cr_expect_gt(bench.news[before].term, term);
   cr_expect_eq(bench.news[before].base, 0u);
--- a/tests/log_fleet.hpp
+++ b/tests/log_fleet.hpp
@@ -39,11 +39,12 @@
   std::size_t changeBytes{300};
   int refused{0};
 
-  explicit LogFleet(std::uint64_t seed, std::size_t recordRoom = 1 << 20) : randomSource(seed), room(recordRoom) {
+  explicit LogFleet(std::uint64_t seed, std::size_t maxRecordBytes = 1 << 20)
+      : randomSource(seed), room(maxRecordBytes) {
     std::vector<Member> members;
     for (const char* id : {"a", "b", "c"}) members.push_back({id, id, std::string(id) + ":1", "north", true});
     RecoveredState held;
-    held.entries.push_back(LogEntry{1, 1, static_cast<int>(EntryKind::members), packMembers(members), {}, 0});
+    held.entries.push_back(LogEntry{1, 1, static_cast<int>(EntryKind::members), encodeMembers(members), {}, 0});
     for (const auto& member : members) {
       held.identity = member.id;
       machines[member.id].self = member;
@@ -78,7 +79,8 @@
     request.changeId = "config/" + std::to_string(changes) + "/" + sha256Hex(std::to_string(changes));
     request.requestId = request.changeId;
     request.ifRevision = -1;
-    with(machines.at(id), [&](Effects& effects, ReplicatedLog& log) { log.takeChange(effects, "operator", request); });
+    with(machines.at(id),
+         [&](Effects& effects, ReplicatedLog& log) { log.proposeChange(effects, "operator", request); });
     return true;
   }
   void step() {
--- a/tests/members.cpp
+++ b/tests/members.cpp
@@ -109,7 +109,7 @@
 
 Test(members, with_no_span_set_none_is_taken_out) {
   CoreBench bench;
-  timing.memberGone = Duration(0);
+  timing.memberRemovalTimeout = Duration(0);
   bench.formFour();
   std::string gone = bench.follower();
   bench.stop(gone);
--- a/tests/membership.cpp
+++ b/tests/membership.cpp
@@ -26,7 +26,7 @@
   int spares{0};
   Strings acked;
   DeploymentBench(const Deployment& which, std::uint64_t seed) : CoreBench(seed, which.count), deployment(which) {
-    timing.setMembers(which.contact, which.catchUp, which.budget);
+    timing.setMembershipTimeouts(which.contact, which.catchUp, which.budget);
     formAll();
     run(1s);
   }
@@ -167,7 +167,7 @@
         auto done = [&] {
           auto who = bench.leader();
           if (who.empty()) return false;
-          const auto& log = bench.machines.at(who).core->agreement();
+          const auto& log = bench.machines.at(who).core->consensusLog();
           if (log.commit() != log.logEnd() || bench.votersAt(who) != bench.names().size()) return false;
           for (const auto& name : bench.names())
             if (!bench.votes(who, bench.machines.at(name).core->id())) return false;
@@ -230,7 +230,7 @@
         bench.powerLossWithout(lost);
       }
       bench.change("second", bench.drawLiving());
-      bench.run(timing.memberGone + 1s);
+      bench.run(timing.memberRemovalTimeout + 1s);
       bench.powerLossWithout({});
       bench.expectAllKept(bench.label(Successor::sameAddress, seed));
     }
@@ -268,7 +268,7 @@
       cr_assert(bench.runUntil(
           [&] {
             auto who = bench.leader();
-            return !who.empty() && who != leaves && bench.machines.at(who).core->agreement().speaksForTerm();
+            return !who.empty() && who != leaves && bench.machines.at(who).core->consensusLog().hasCommittedInTerm();
           },
           20s));
       gaps.push_back(toMilliseconds(bench.now - leftAt));
@@ -292,13 +292,13 @@
     bench.with(bench.machines.at(leaves), [](Effects& effects, Core& leaving) { leaving.resign(effects); });
     bench.run(1s);
     bool enough = quorum - 1 >= timing.copiesLeast();
-    cr_expect_eq(core.mayEnd(), enough, "%d machines", deployment.count);
+    cr_expect_eq(core.safeToStop(), enough, "%d machines", deployment.count);
     auto requestId = bench.ask(bench.leader(), "after");
     bench.run(2s);
     cr_expect_not(bench.acknowledged(requestId), "one that leaves counts for no copy");
     bench.cutOff.clear();
     bench.run(500ms);
-    cr_expect(core.mayEnd(), "%d machines", deployment.count);
+    cr_expect(core.safeToStop(), "%d machines", deployment.count);
     cr_expect(bench.runUntil([&] { return bench.acknowledged(requestId); }, 10s));
   }
 }
@@ -306,7 +306,7 @@
 namespace {
 /// One replica's log, whose fellows are played by hand.
 struct HandDrivenLog {
-  TimingKept kept;
+  TimingGuard kept;
   TimePoint now{std::chrono::hours(3)};
   std::mt19937_64 randomSource{7};
   Journal journal;
@@ -321,7 +321,7 @@
     disk.votes["accord"] = Vote{1, {}};
     Uint64 index = 0;
     for (const auto& members : membersInOrder)
-      disk.entries.push_back(LogEntry{++index, 1, static_cast<int>(EntryKind::members), packMembers(members), {}, 0});
+      disk.entries.push_back(LogEntry{++index, 1, static_cast<int>(EntryKind::members), encodeMembers(members), {}, 0});
     log.restore(disk, now);
   }
   static Member member(const std::string& id) { return Member{id, id, id + ":1", "north-a", true}; }
@@ -395,7 +395,7 @@
 
 Test(membership, what_precedes_a_passing_change_of_members_is_agreed_by_both_majorities) {
   HandDrivenLog log("a", {HandDrivenLog::voters({"a", "b", "c", "d"})});
-  timing.setMembers(3s, 4s, 1);
+  timing.setMembershipTimeouts(3s, 4s, 1);
   cr_assert(log.stands({"b", "c", "d"}));
   for (const char* id : {"b", "c", "d"}) log.acknowledge(id, 2);
   cr_assert_eq(log.log.commit(), 2u);
@@ -404,7 +404,7 @@
   change.body = R"({"weights":{"x":{"model":"moss"}}})";
   change.ifRevision = -1;
   for (const char* id : {"b", "c", "d"}) log.renew(id);
-  log.with([&](Effects& effects) { log.log.takeChange(effects, "operator", change); });
+  log.with([&](Effects& effects) { log.log.proposeChange(effects, "operator", change); });
   cr_assert_eq(log.log.logEnd(), 3u);
   for (int round = 0; round < 100 && log.log.members().size() == 4; ++round) {
     log.tick(100ms);
@@ -422,11 +422,11 @@
 
 Test(membership, a_leader_that_stood_still_takes_nobody_for_silent) {
   HandDrivenLog log("a", {HandDrivenLog::voters({"a", "b", "c", "d"})});
-  timing.setMembers(3s, 4s, 1);
+  timing.setMembershipTimeouts(3s, 4s, 1);
   cr_assert(log.stands({"b", "c", "d"}));
   for (const char* id : {"b", "c", "d"}) log.acknowledge(id, 2);
   log.tick(20ms);
-  log.now += timing.memberGone + 200ms;
+  log.now += timing.memberRemovalTimeout + 200ms;
   for (const char* id : {"b", "c"}) log.renew(id);
   log.tick(20ms);
   cr_expect(log.log.leads(log.now));
@@ -489,7 +489,7 @@
   std::mt19937_64 randomSource{1};
   Journal journal;
   Configuration view;
-  view.apply(LogEntry{1, 1, static_cast<int>(EntryKind::members), packMembers(voters), {}, 0});
+  view.apply(LogEntry{1, 1, static_cast<int>(EntryKind::members), encodeMembers(voters), {}, 0});
   ClusterView reader(ReaderSettings{"reader", "reader:1", "north-a", {}, false, {}});
   Effects effects{now, randomSource, journal, {}, {}};
   reader.ask(effects, 1, {}, view);
--- a/tests/old_weights_audit.cpp
+++ b/tests/old_weights_audit.cpp
@@ -13,7 +13,7 @@
 /// The records of a run in which weights are named, made by hand; moments are in seconds.
 class Run {
  public:
-  Run() { records.versionMost = 10s; }
+  Run() { records.oldWeightsTimeout = 10s; }
 
   Run& sent(const std::string& changeId, const std::string& weights, double at) {
     records.events.push_back(Json(namingRow("naming", changeId, weights, at)).serialize());
@@ -159,11 +159,11 @@
 Test(old_weights_audit, the_span_is_the_one_that_the_records_are_held_to) {
   auto run = fourNamings();
   run.began("order", "w1", 115);
-  run.records.versionMost = 20s;
+  run.records.oldWeightsTimeout = 20s;
   cr_expect(run.found().empty());
-  run.records.versionMost = 15s;
+  run.records.oldWeightsTimeout = 15s;
   cr_expect(run.found().empty(), "15 s after is still in time");
-  run.records.versionMost = 14999ms;
+  run.records.oldWeightsTimeout = 14999ms;
   cr_expect_eq(run.found().size(), 1u);
 }
 
--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -62,9 +62,9 @@
   }
   bool allFormed() const {
     for (const auto& [name, machine] : machines)
-      if (machine.core && machine.core->agreement().members().size() != machines.size()) return false;
+      if (machine.core && machine.core->consensusLog().members().size() != machines.size()) return false;
     return std::all_of(machines.begin(), machines.end(), [](const auto& row) {
-      const auto& rows = row.second.core->agreement().members();
+      const auto& rows = row.second.core->consensusLog().members();
       return std::all_of(rows.begin(), rows.end(), [](const Member& member) { return member.votes; });
     });
   }
@@ -145,7 +145,7 @@
   }
   std::string leader() const {
     for (const auto& [name, machine] : machines)
-      if (machine.core && machine.core->agreement().leads(now) && !cutOff.count(name) && !frozen.count(name))
+      if (machine.core && machine.core->consensusLog().leads(now) && !cutOff.count(name) && !frozen.count(name))
         return name;
     return {};
   }
@@ -176,7 +176,7 @@
     cr_assert_eq(answered(ask(name, change)), Code::changeTaken);
   }
   const Configuration& view(const std::string& name) const {
-    return machines.at(name).core->agreement().configuration();
+    return machines.at(name).core->consensusLog().configuration();
   }
   /// Whether any core has agreed on a change that names this item.
   bool inForce(const std::string& section, const std::string& item) const {
@@ -448,7 +448,7 @@
     request.changeFormat = change.changeFormat;
     request.toRevision = change.toRevision;
     answers.clear();
-    with([&](Effects& effects) { log.takeChange(effects, "door", request); });
+    with([&](Effects& effects) { log.proposeChange(effects, "door", request); });
     cr_assert_eq(answers.size(), 1u);
     return static_cast<Code>(answers.front().code);
   };
--- a/tests/order_faults.cpp
+++ b/tests/order_faults.cpp
@@ -103,8 +103,8 @@
 }
 
 Test(order_faults, silence_reset_and_close_are_no_answer) {
-  TimingKept kept;
-  timing.commandWait = 40ms;
+  TimingGuard kept;
+  timing.commandTimeout = 40ms;
   for (int fault = 0; fault < 4; ++fault) {
     OrderBench bench;
     RawServer server(bench.io, [&](const RawServer::Held& held, const std::string&) {
@@ -139,15 +139,15 @@
 }
 
 Test(order_faults, an_order_is_given_up_before_a_new_holder_may_send_one) {
-  TimingKept kept;
+  TimingGuard kept;
   SiteSettings settings;
   for (bool checked : {true, false})
     for (Duration lease : {600ms, 3000ms, 9000ms}) {
       settings.bounds.fenceChecked = checked;
       settings.bounds.lease = lease;
       cr_expect(bool(setTiming(settings)));
-      cr_expect(timing.commandWait < lease);
-      cr_expect(timing.commandRest >= lease + settings.bounds.thawSlack);
-      if (!checked) cr_expect(timing.commandRest >= lease + timing.commandWait);
+      cr_expect(timing.commandTimeout < lease);
+      cr_expect(timing.commandHoldoff >= lease + settings.bounds.thawSlack);
+      if (!checked) cr_expect(timing.commandHoldoff >= lease + timing.commandTimeout);
     }
 }
--- a/tests/parts.cpp
+++ b/tests/parts.cpp
@@ -298,7 +298,7 @@
   for (const auto& fellow : fellows) {
     std::string at = fellow;
     int depth = 0;
-    for (auto watch = drawWatch(at, fellows, 3); !watch.empty(); watch = drawWatch(at, fellows, 3)) {
+    for (auto watch = selectUpstreams(at, fellows, 3); !watch.empty(); watch = selectUpstreams(at, fellows, 3)) {
       cr_assert_lt(rendezvousHash("rank", watch[0]), rendezvousHash("rank", at));
       at = watch[0];
       ++depth;
--- a/tests/path_routes.cpp
+++ b/tests/path_routes.cpp
@@ -492,8 +492,8 @@
 }
 
 Test(path_orders, workers_with_old_weights_are_drawn_only_while_a_roll_out_may_last) {
-  TimingKept kept;
-  timing.rolloutMost = 4s;
+  TimingGuard kept;
+  timing.oldWeightsOrderTimeout = 4s;
   ProxyBench bench;
   bench.worker("w1");
   bench.worker("w2");
--- a/tests/plain_cells.cpp
+++ b/tests/plain_cells.cpp
@@ -67,7 +67,7 @@
   bench.run(1s);
   std::string holder;
   for (auto& [address, core] : bench.cores)
-    if (core.cell->election.holds(bench.now)) holder = address;
+    if (core.cell->election.holdsLease(bench.now)) holder = address;
   cr_assert_not(holder.empty());
   Hashes hashes{part("a"), part("b")};
   auto ask = [&] {
--- a/tests/snapshots.cpp
+++ b/tests/snapshots.cpp
@@ -13,7 +13,7 @@
 const std::vector<Member> three{
     {"a", "a", "a:1", "north", true}, {"b", "b", "b:1", "north", true}, {"c", "c", "c:1", "north", true}};
 
-LogEntry membersEntry() { return LogEntry{1, 1, static_cast<int>(EntryKind::members), packMembers(three), {}, 0}; }
+LogEntry membersEntry() { return LogEntry{1, 1, static_cast<int>(EntryKind::members), encodeMembers(three), {}, 0}; }
 std::string weightsBody(std::uint64_t number, std::size_t bytes = 4) {
   return R"({"weights":{"w)" + std::to_string(number) + R"(":{"model":")" + std::string(bytes, 'm') + R"("}}})";
 }
@@ -45,8 +45,9 @@
   Member self;
   std::size_t room;
 
-  explicit Replica(const RecoveredState& held = {}, const Member& member = three[0], std::size_t recordRoom = 1 << 20)
-      : disk(held), self(member), room(recordRoom) {
+  explicit Replica(const RecoveredState& held = {}, const Member& member = three[0],
+                   std::size_t maxRecordBytes = 1 << 20)
+      : disk(held), self(member), room(maxRecordBytes) {
     restart();
   }
   void restart() {
@@ -118,7 +119,7 @@
     request.changeId = "change " + std::to_string(changes);
     request.requestId = request.changeId;
     request.ifRevision = -1;
-    with([&](Effects& effects) { log->takeChange(effects, "operator", request); });
+    with([&](Effects& effects) { log->proposeChange(effects, "operator", request); });
   }
   void acknowledge(const std::string& other, std::uint64_t index) {
     handle(other + ":1", AppendResponse{log->election.term(), other, true, index});
@@ -172,7 +173,7 @@
   replica.sync();
   replica.restart();
   cr_expect_eq(replica.log->logEnd(), 20u);
-  cr_expect_eq(replica.log->syncedEnd(), 20u);
+  cr_expect_eq(replica.log->lastSyncedIndex(), 20u);
   cr_expect(replica.log->hasSynced(20, 3));
 }
 
@@ -216,7 +217,7 @@
   }
   for (const char* other : {"b", "c"}) replica.acknowledge(other, replica.log->logEnd());
   cr_assert_eq(replica.log->commit(), replica.log->logEnd());
-  cr_assert_lt(replica.log->syncedEnd(), replica.log->commit());
+  cr_assert_lt(replica.log->lastSyncedIndex(), replica.log->commit());
   cr_assert_eq(replica.journal.counts().count("capture"), 1u, "the leader has trimmed its log");
   return replica;
 }
@@ -232,7 +233,7 @@
 Test(snapshot_trim, a_trimmed_log_counts_as_synced_once_its_snapshot_is) {
   Replica replica = leaderWithSlowDisk();
   replica.sync();
-  cr_expect_eq(replica.log->syncedEnd(), replica.log->commit());
+  cr_expect_eq(replica.log->lastSyncedIndex(), replica.log->commit());
 }
 
 namespace {
@@ -489,7 +490,7 @@
     request.requestId = request.changeId = "large " + std::to_string(round);
     request.body = weightsBody(7, bytes);
     request.ifRevision = -1;
-    replica.with([&](Effects& effects) { replica.log->takeChange(effects, "operator", request); });
+    replica.with([&](Effects& effects) { replica.log->proposeChange(effects, "operator", request); });
     auto answers = replica.sentOf<ChangeResponse>();
     refused += !answers.empty() && answers.back().code == static_cast<int>(Code::changesFull);
     replica.sent.clear();
--- a/tests/timing.cpp
+++ b/tests/timing.cpp
@@ -11,7 +11,7 @@
 
 /// Sets the spans as a process does at its start, and says which inequality is broken; empty if none.
 std::string brokenAt(const SiteSettings& settings) {
-  TimingKept kept;
+  TimingGuard kept;
   timing = Timing{};
   return broken(setTiming(settings));
 }
@@ -67,27 +67,28 @@
     std::function<void(Timing&)> spoil;
   };
   Timing sound;
-  sound.commandRest = 3300ms;
+  sound.commandHoldoff = 3300ms;
   cr_assert_str_eq(broken(checkTiming(sound, TimingBounds{5s})).c_str(), "");
   const Case cases[] = {
-      {"3 holdEvery < lease", [](Timing& spans) { spans.holdEvery = 300ms; }},
-      {"lease < promise", [](Timing& spans) { spans.promise = spans.lease; }},
-      {"voteWait < promise", [](Timing& spans) { spans.voteWait = spans.promise; }},
-      {"2 roundEvery + 2 feedEvery <= freshFor", [](Timing& spans) { spans.freshFor = 600ms; }},
-      {"roundEvery < readersWait", [](Timing& spans) { spans.readersWait = 250ms; }},
+      {"3 holdEvery < lease", [](Timing& spans) { spans.heartbeatInterval = 300ms; }},
+      {"lease < promise", [](Timing& spans) { spans.minElectionTimeout = spans.lease; }},
+      {"voteWait < promise", [](Timing& spans) { spans.voteTimeout = spans.minElectionTimeout; }},
+      {"2 roundEvery + 2 feedEvery <= freshFor", [](Timing& spans) { spans.maxStaleness = 600ms; }},
+      {"roundEvery < readersWait", [](Timing& spans) { spans.readerAckTimeout = 250ms; }},
       {"feedEvery < readersWait",
-       [](Timing& spans) { spans.feedEvery = spans.freshFor / 3, spans.readersWait = 400ms; }},
-      {"2 readersWait <= AckMs", [](Timing& spans) { spans.readersWait = 2100ms; }},
-      {"readers are remembered", [](Timing& spans) { spans.readersWait = 11s; }},
-      {"freshFor < RevokeMs", [](Timing& spans) { spans.freshFor = 5s; }},
+       [](Timing& spans) { spans.feedPollInterval = spans.maxStaleness / 3, spans.readerAckTimeout = 400ms; }},
+      {"2 readersWait <= AckMs", [](Timing& spans) { spans.readerAckTimeout = 2100ms; }},
+      {"readers are remembered", [](Timing& spans) { spans.readerAckTimeout = 11s; }},
+      {"freshFor < RevokeMs", [](Timing& spans) { spans.maxStaleness = 5s; }},
       {"< ConfigApplyMs",
        [](Timing& spans) {
-         spans.freshFor = 4s, spans.roundEvery = 1500ms, spans.readersWait = 1900ms, spans.feedEvery = 400ms;
+         spans.maxStaleness = 4s, spans.logEndPollInterval = 1500ms, spans.readerAckTimeout = 1900ms,
+         spans.feedPollInterval = 400ms;
        }},
-      {"listOld + listEvery < DrainMs", [](Timing& spans) { spans.listOld = 2900ms; }},
-      {"commandRest >= LeaseMs", [](Timing& spans) { spans.commandRest = 2s; }},
-      {"memberGone > promise", [](Timing& spans) { spans.memberGone = 1s; }},
-      {"votersLeast >= 1", [](Timing& spans) { spans.votersLeast = 0; }},
+      {"listOld + listEvery < DrainMs", [](Timing& spans) { spans.maxListAge = 2900ms; }},
+      {"commandRest >= LeaseMs", [](Timing& spans) { spans.commandHoldoff = 2s; }},
+      {"memberGone > promise", [](Timing& spans) { spans.memberRemovalTimeout = 1s; }},
+      {"votersLeast >= 1", [](Timing& spans) { spans.minVoters = 0; }},
   };
   for (const auto& row : cases) {
     Timing spans = sound;
--- a/tests/timing_kept.hpp
+++ b/tests/timing_kept.hpp
@@ -4,9 +4,9 @@
 namespace tt {
 
 /// Puts the process's spans back at the end of a test that sets them.
-struct TimingKept {
+struct TimingGuard {
   Timing old = timing;
-  ~TimingKept() { timing = old; }
+  ~TimingGuard() { timing = old; }
 };
 
 }  // namespace tt
--- a/tests/version_ends_cell.cpp
+++ b/tests/version_ends_cell.cpp
@@ -23,7 +23,7 @@
 
   explicit RollOutBench(int workerNumber, int coreNumber = 1, CellSettings settings = cellSettings())
       : CellBench(coreNumber, settings) {
-    timing.rolloutMost = useMost;
+    timing.oldWeightsOrderTimeout = useMost;
     namings.push_back(Naming{"moss/3", now});
     list(workerNumber);
   }
--- a/tests/version_ends_proxy.cpp
+++ b/tests/version_ends_proxy.cpp
@@ -17,15 +17,15 @@
     std::string weights;
     TimePoint at;
   };
-  TimingKept kept;
+  TimingGuard kept;
   std::vector<Naming> namings;
   int prompts{0};
 
   VersionBench() : VersionBench(pathSettings("proxy-1"), proxyConfiguration) {}
   VersionBench(const EdgeSettings& settings, const std::string& configuration) : ProxyBench(settings, configuration) {
-    timing.rolloutMost = useMost;
-    timing.unbegunMost = dropMost;
-    timing.versionMost = dropMost + 500ms;
+    timing.oldWeightsOrderTimeout = useMost;
+    timing.unstartedOrderTimeout = dropMost;
+    timing.oldWeightsTimeout = dropMost + 500ms;
     namings.push_back(Naming{"moss/3", now});
   }
   static std::string patchNaming(const std::string& weights) {
--- a/tests/version_namings.cpp
+++ b/tests/version_namings.cpp
@@ -159,7 +159,7 @@
 
 /// A proxy that began after moss/4 was named, and is told how long ago by its agent.
 struct ToldBench : ProxyBench {
-  TimingKept kept;
+  TimingGuard kept;
   std::vector<WeightsAnnouncement> namings;
   TimePoint toldAt{};
   Duration replyLate{0};
@@ -168,7 +168,7 @@
   TimePoint lastOld{};
 
   ToldBench() {
-    timing.rolloutMost = useMost;
+    timing.oldWeightsOrderTimeout = useMost;
     feeds = false;
     declared.change(R"({"models":{"moss":{"weights":"moss/4"}}})");
     edge = std::make_unique<Edge>(pathSettings("proxy-1"));
--- a/tests/version_span.cpp
+++ b/tests/version_span.cpp
@@ -7,26 +7,27 @@
 using namespace tt;
 
 Test(version_span, the_usual_span_is_what_the_programs_have_anyway) {
-  TimingKept kept;
+  TimingGuard kept;
   timing = Timing{};
   cr_assert(bool(setVersionSpan(versionMsUsual)));
-  cr_assert(timing.versionMost == Timing{}.versionMost);
-  cr_assert(timing.rolloutMost == Timing{}.rolloutMost);
-  cr_assert(timing.unbegunMost == Timing{}.unbegunMost);
+  cr_assert(timing.oldWeightsTimeout == Timing{}.oldWeightsTimeout);
+  cr_assert(timing.oldWeightsOrderTimeout == Timing{}.oldWeightsOrderTimeout);
+  cr_assert(timing.unstartedOrderTimeout == Timing{}.unstartedOrderTimeout);
 }
 
 Test(version_span, every_span_that_a_program_takes_keeps_the_inequalities) {
-  TimingKept kept;
+  TimingGuard kept;
   for (double versionMs = versionMsLeast; versionMs <= versionMsMost; versionMs += 37) {
     timing = Timing{};
     cr_assert(bool(setVersionSpan(versionMs)), "%f ms", versionMs);
-    cr_assert(timing.rolloutLatest() < timing.rolloutMost && timing.rolloutMost < timing.unbegunMost &&
-              timing.unbegunMost < timing.versionMost);
+    cr_assert(timing.rolloutStartTimeout() < timing.oldWeightsOrderTimeout &&
+              timing.oldWeightsOrderTimeout < timing.unstartedOrderTimeout &&
+              timing.unstartedOrderTimeout < timing.oldWeightsTimeout);
   }
 }
 
 Test(version_span, one_that_leaves_no_room_is_refused_by_its_inequality) {
-  TimingKept kept;
+  TimingGuard kept;
   timing = Timing{};
   auto done = setVersionSpan(0);
   cr_assert(!done);
