--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -198,7 +198,7 @@
       effects.send(from, MarksMsg{(effects.now - clusterView.machineListAt()).count(), clusterView.machines()});
     effects.send(from,
                  FeedReply{feed->sentAt, known ? (effects.now - clusterView.completeAsOf()).count() : 0, view.index(),
-                           known, clusterView.versions().tell(effects.now, timing.oldWeightsTimeout, false)});
+                           known, clusterView.versions().exportRecent(effects.now, timing.oldWeightsTimeout, false)});
   } else if (auto* lookup = std::get_if<LookupMsg>(&message)) {
     LookupMsg passed = *lookup;
     passed.replyTo = settings.address;
--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -136,9 +136,9 @@
 }
 
 void ClusterView::learnFrom(Effects& effects, const std::string& from, const LogEndResponse& reply, TimePoint askedAt) {
-  timeline.learn(reply.namings, askedAt);
-  for (const auto& mine : timeline.knownNewest(effects.now))
-    if (forgot(reply, mine)) return effects.send(from, NamingsMsg{timeline.tellAll(effects.now)});
+  timeline.mergeFrom(reply.namings, askedAt);
+  for (const auto& mine : timeline.newestWithKnownTime(effects.now))
+    if (forgot(reply, mine)) return effects.send(from, NamingsMsg{timeline.exportAll(effects.now)});
 }
 
 bool ClusterView::forgot(const LogEndResponse& reply, const WeightsAnnouncement& newest) {
@@ -149,7 +149,7 @@
 
 void ClusterView::updateCompleteness(TimePoint now, const Configuration& view) {
   noteVersions(view);
-  timeline.forgetEnded(now, timing.oldWeightsTimeout);
+  timeline.pruneExpired(now, timing.oldWeightsTimeout);
   if (!settings.defences.isEnabled(Defence::freshnessWeighed)) {
     completeUntil = majorityUntil = view.members().empty() ? TimePoint{} : now;
     return;
--- a/src/cluster/cluster_view.hpp
+++ b/src/cluster/cluster_view.hpp
@@ -47,10 +47,12 @@
   void noteVersions(const Configuration& view);
   const VersionTimeline& versions() const { return timeline; }
   /// Learns when weights were named from a reader that remembers it.
-  void learnVersions(const std::vector<WeightsAnnouncement>& namings, TimePoint now) { timeline.learn(namings, now); }
+  void learnVersions(const std::vector<WeightsAnnouncement>& namings, TimePoint now) {
+    timeline.mergeFrom(namings, now);
+  }
   /// Settles namings of unknown moment once this process has run for longer than any old version may be used.
   void settleVersions(TimePoint ownStart, TimePoint now) {
-    timeline.settleUnknown(ownStart, now, timing.oldWeightsTimeout);
+    timeline.resolveUnknownTimes(ownStart, now, timing.oldWeightsTimeout);
   }
   /// Learns of a commit by another way than an answer of its own.
   void observeCommit(Uint64 commit) { highestCommit = std::max(highestCommit, commit); }
--- a/src/cluster/core.cpp
+++ b/src/cluster/core.cpp
@@ -118,7 +118,7 @@
   row.relays = ask.relays;
   row.at = effects.now;
   for (const auto& mark : ask.cells)
-    if (auto cell = cells.find(mark.zone); cell != cells.end()) cell->second->agentHas(from, mark, effects.now);
+    if (auto cell = cells.find(mark.zone); cell != cells.end()) cell->second->recordAgentMark(from, mark, effects.now);
   if (!replicatedLog->formed()) return;
   if (!platformHeard && !settings.platformAddress.empty() && effects.now - startedAt < platformFirst) return;
   if (ask.relays && effects.now - row.watchAt >= (row.watch.empty() ? watchSought : watchKept)) {
@@ -137,7 +137,7 @@
                        0,
                        clusterView->machineListDigest(),
                        {},
-                       clusterView->versions().tell(effects.now, timing.oldWeightsTimeout, true)};
+                       clusterView->versions().exportRecent(effects.now, timing.oldWeightsTimeout, true)};
   if (reply.machineListKnown) reply.machineListAgeNs = (effects.now - clusterView->machineListAt()).count();
   if (reply.machineListKnown && ask.machineListDigest != reply.machineListDigest)
     reply.machines = clusterView->machines();
@@ -295,10 +295,10 @@
     giveToCell(effects, from, watch->zone, message);
   } else if (auto* report = std::get_if<Report>(&message)) {
     for (auto& [zone, cell] : cells)
-      if (cell->keepers().count(report->worker)) cell->handle(effects, from, message);
+      if (cell->cacheNodes().count(report->worker)) cell->handle(effects, from, message);
   } else if (auto* control = std::get_if<ControlReply>(&message)) {
     for (auto& [zone, cell] : cells)
-      if (cell->keepers().count(control->worker)) cell->handle(effects, from, message);
+      if (cell->cacheNodes().count(control->worker)) cell->handle(effects, from, message);
   } else {
     auto duty = std::visit(
         [](const auto& value) -> std::string {
--- a/src/cluster/core_membership.cpp
+++ b/src/cluster/core_membership.cpp
@@ -42,7 +42,7 @@
   if (replicatedLog->formed() || !settings.mayForm) return;
   std::vector<Member> first{self};
   if (std::find(settings.seeds.begin(), settings.seeds.end(), self.address) == settings.seeds.end() &&
-      settings.cell.seedsForm)
+      settings.cell.onlySeedsBootstrap)
     return;
   for (const auto& seed : settings.seeds) {
     if (seed == self.address) continue;
--- a/src/cluster/core_report.cpp
+++ b/src/cluster/core_report.cpp
@@ -38,7 +38,7 @@
   for (const auto& [zone, cell] : cells) {
     duty(cell->election);
     if (!cell->election.holdsLease(now)) continue;
-    for (const auto& [name, keeper] : cell->keepers()) {
+    for (const auto& [name, keeper] : cell->cacheNodes()) {
       JsonObject row;
       row["locality"] = Json(zone);
       row["kind"] = Json(keeper.machine.kind);
--- a/src/index/cell.cpp
+++ b/src/index/cell.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t summaryMost = 8192;
 }  // namespace
 
-std::string Summary::make(const std::unordered_set<BlockHash, BlockHashHasher>& kept) {
+std::string BloomFilter::make(const std::unordered_set<BlockHash, BlockHashHasher>& kept) {
   if (kept.empty()) return {};
   std::size_t bytes = 16;
   while (bytes < kept.size() + kept.size() / 4 && bytes < summaryMost) bytes *= 2;
@@ -28,7 +28,7 @@
   return bits;
 }
 
-bool Summary::mayHold(const std::string& bits, const BlockHash& hash) {
+bool BloomFilter::mayContain(const std::string& bits, const BlockHash& hash) {
   if (bits.empty()) return false;
   for (std::uint64_t probe : {hash.high, hash.low, hash.high >> 32 ^ hash.low >> 16}) {
     std::size_t bit = probe % (bits.size() * 8);
@@ -79,9 +79,9 @@
     if (machine.zone != place) continue;
     listed.insert(machine.name);
     auto& keeper = rows[machine.name];
-    if (keeper.machine.address != machine.address) keeper = Keeper{};
+    if (keeper.machine.address != machine.address) keeper = CacheNode{};
     if (keeper.machine.leaving != machine.leaving || keeper.machine.name.empty()) newsDue = true;
-    if (settings.apart && keeper.conditionAt == TimePoint{}) {
+    if (settings.separateStatus && keeper.conditionAt == TimePoint{}) {
       keeper.last.weights = machine.weights;
       keeper.last.model = machine.model;
       keeper.last.slots = machine.slots;
@@ -100,7 +100,7 @@
   }
 }
 
-void Cell::doubt(Effects& effects, Keeper& keeper, const char* why) {
+void Cell::doubt(Effects& effects, CacheNode& keeper, const char* why) {
   if (!keeper.confirmed) return;
   keeper.confirmed = false;
   keeper.kept.clear();
@@ -109,18 +109,19 @@
   effects.note("keeper unconfirmed", keeper.machine.name + " " + why);
 }
 
-bool Cell::reports(const Keeper& keeper) const { return !settings.apart || keeper.machine.kind != "app"; }
+bool Cell::reports(const CacheNode& keeper) const { return !settings.separateStatus || keeper.machine.kind != "app"; }
 
 void Cell::askReports(Effects& effects) {
   for (auto& [name, keeper] : rows) {
     if (!reports(keeper)) continue;
-    if (keeper.known && effects.now - keeper.heardAt > settings.lateAfter) doubt(effects, keeper, "late");
-    if (settings.apart) askCondition(effects, keeper);
-    if (keeper.askPending ? effects.now - keeper.askedAt < askAgain : effects.now - keeper.askedAt < settings.askEvery)
+    if (keeper.known && effects.now - keeper.heardAt > settings.reportTimeout) doubt(effects, keeper, "late");
+    if (settings.separateStatus) askCondition(effects, keeper);
+    if (keeper.askPending ? effects.now - keeper.askedAt < askAgain
+                          : effects.now - keeper.askedAt < settings.reportInterval)
       continue;
     bool sweeping = false;
-    if (keeper.confirmed && settings.sweepEvery > Duration(0) && effects.now - sweptAt > settings.sweepEvery &&
-        name > sweptLast) {
+    if (keeper.confirmed && settings.fullReportInterval > Duration(0) &&
+        effects.now - sweptAt > settings.fullReportInterval && name > sweptLast) {
       sweeping = true;
       sweptAt = effects.now;
       sweptLast = name;
@@ -129,25 +130,25 @@
     keeper.askedAt = effects.now;
     effects.send(keeper.machine.address,
                  ReportAsk{keeper.applied, keeper.last.incarnation, sweeping || !keeper.confirmed,
-                           static_cast<int>(settings.apart ? ReportScope::index : ReportScope::all), name});
+                           static_cast<int>(settings.separateStatus ? ReportScope::index : ReportScope::all), name});
   }
-  if (effects.now - sweptAt > 2 * settings.sweepEvery) sweptLast.clear();
+  if (effects.now - sweptAt > 2 * settings.fullReportInterval) sweptLast.clear();
 }
 
-void Cell::askCondition(Effects& effects, Keeper& keeper) {
+void Cell::askCondition(Effects& effects, CacheNode& keeper) {
   if (keeper.machine.kind != "language" || keeper.machine.leaving) return;
   auto rollout = rollouts.find(keeper.machine.name);
   bool moving =
       rollout != rollouts.end() && !rollout->second.walk->in("serving") && !rollout->second.walk->in("marking");
-  if (keeper.conditionAt != TimePoint{} && !moving && settings.conditionEvery == Duration(0)) return;
-  Duration every = moving ? movingEvery : keeper.conditionAt == TimePoint{} ? askAgain : settings.conditionEvery;
+  if (keeper.conditionAt != TimePoint{} && !moving && settings.statusInterval == Duration(0)) return;
+  Duration every = moving ? movingEvery : keeper.conditionAt == TimePoint{} ? askAgain : settings.statusInterval;
   if (effects.now - keeper.conditionAskedAt < every) return;
   keeper.conditionAskedAt = effects.now;
   effects.send(keeper.machine.address,
                ReportAsk{0, {}, false, static_cast<int>(ReportScope::condition), keeper.machine.name});
 }
 
-void Cell::onCondition(Effects& effects, Keeper& keeper, const Report& report) {
+void Cell::onCondition(Effects& effects, CacheNode& keeper, const Report& report) {
   bool changed = keeper.last.weights != report.weights || keeper.last.draining != report.draining ||
                  keeper.conditionAt == TimePoint{} || keeper.last.waiting != report.waiting ||
                  keeper.last.running / 4 != report.running / 4;
@@ -174,7 +175,7 @@
   auto& keeper = found->second;
   if (report.scope == static_cast<int>(ReportScope::condition)) return onCondition(effects, keeper, report);
   keeper.askPending = false;
-  if (effects.now - keeper.askedAt > settings.lateAfter) {
+  if (effects.now - keeper.askedAt > settings.reportTimeout) {
     effects.note("report late", report.worker);
     return;
   }
@@ -243,13 +244,13 @@
         break;
     }
     keeper.summaryStale = true;
-    newsDue = newsDue || settings.summaries;
+    newsDue = newsDue || settings.publishSummaries;
   }
   if (report.gaps) keeper.applied = report.sequence;
   if (report.sequence != keeper.applied) doubt(effects, keeper, "gap");
 }
 
-void Cell::weighStore(Keeper& keeper, const BlockHash& prefix, TimePoint now) {
+void Cell::weighStore(CacheNode& keeper, const BlockHash& prefix, TimePoint now) {
   if (keeper.kept.count(prefix))
     ++keeper.found;
   else if (auto gone = keeper.dropped.find(prefix); gone != keeper.dropped.end() && now - gone->second < droppedKept)
@@ -272,8 +273,8 @@
     auto& keeper = found->second;
     if (keeper.machine.kind == "store" && keeper.confirmed && !ask.hashes.empty())
       weighStore(keeper, ask.hashes.back(), effects.now);
-    bool usable = keeper.confirmed && effects.now - keeper.heardAt < settings.lateAfter &&
-                  (!keeper.last.draining || settings.apart) && !keeper.machine.leaving &&
+    bool usable = keeper.confirmed && effects.now - keeper.heardAt < settings.reportTimeout &&
+                  (!keeper.last.draining || settings.separateStatus) && !keeper.machine.leaving &&
                   (keeper.machine.kind == "store" || keeper.last.weights == ask.weights);
     for (const auto& hash : ask.hashes) reply.hits.push_back(usable && keeper.kept.count(hash) ? 1 : 0);
     auto load = prefills.loadOf(ask.keeper, effects.now);
@@ -295,7 +296,7 @@
   return count;
 }
 
-void Cell::agentHas(const std::string& agent, const CellVersion& mark, TimePoint now) {
+void Cell::recordAgentMark(const std::string& agent, const CellVersion& mark, TimePoint now) {
   agentMarks[agent] = AgentMark{mark, now};
 }
 
@@ -313,7 +314,7 @@
   auto& speed = speeds[{watch.ask.source, watch.ask.target}];
   speed = Speed{static_cast<double>(watch.ask.hashes.size()) / seconds / 2, effects.now};
   newsDue = true;
-  if (auto source = rows.find(watch.ask.source); source != rows.end() && !settings.apart)
+  if (auto source = rows.find(watch.ask.source); source != rows.end() && !settings.separateStatus)
     doubt(effects, source->second, "move came short");
   effects.note("transfer failed", watch.ask.moveId);
   effects.send(watch.ask.replyTo, TransferDone{watch.ask.moveId, false});
@@ -365,7 +366,7 @@
 }
 
 void Cell::publishNews(Effects& effects) {
-  if (effects.now - publishedAt < (newsDue ? settings.publishEvery : publishIdle)) return;
+  if (effects.now - publishedAt < (newsDue ? settings.publishInterval : publishIdle)) return;
   if (!election.holdsLease(effects.now)) return;
   publishedAt = effects.now;
   bool omitsSummaries = sequence > 0 && effects.now - summariesAt < summariesEvery;
@@ -373,23 +374,23 @@
   newsDue = omitsSummaries;
   CellNews news{place, election.term(), ++sequence, selfAddress, {}, {}, omitsSummaries};
   for (auto& [name, keeper] : rows) {
-    if (keeper.summaryStale && !omitsSummaries && settings.summaries) {
-      keeper.summary = Summary::make(keeper.kept);
+    if (keeper.summaryStale && !omitsSummaries && settings.publishSummaries) {
+      keeper.summary = BloomFilter::make(keeper.kept);
       keeper.summaryStale = false;
     }
     auto rollout = rollouts.find(name);
     auto wanted = lastConfiguration ? lastConfiguration->weightsOf(keeper.last.model) : std::nullopt;
     bool right = !wanted || keeper.last.weights == *wanted;
-    bool held = (keeper.last.draining && (!settings.loadsWhole || !right)) ||
+    bool held = (keeper.last.draining && (!settings.singleLoadCommand || !right)) ||
                 (rollout != rollouts.end() && !rollout->second.walk->in("serving"));
-    bool alive = !reports(keeper) || (keeper.known && effects.now - keeper.heardAt < settings.goneAfter);
+    bool alive = !reports(keeper) || (keeper.known && effects.now - keeper.heardAt < settings.workerTimeout);
     news.workers.push_back(WorkerView{name, keeper.machine.address, place, keeper.machine.kind, keeper.last.weights,
                                       keeper.last.model, keeper.last.running, keeper.last.slots, held, alive,
                                       keeper.confirmed, keeper.kept.size(), keeper.last.sequence,
                                       omitsSummaries ? std::string() : keeper.summary, keeper.machine.service,
                                       keeper.last.waiting, keeper.last.memory, keeper.savedPermille});
   }
-  if (!settings.summaries) tellChanges(news);
+  if (!settings.publishSummaries) tellChanges(news);
   for (auto speed = speeds.begin(); speed != speeds.end();) {
     if (effects.now - speed->second.at > speedKept) {
       speed = speeds.erase(speed);
--- a/src/index/cell.hpp
+++ b/src/index/cell.hpp
@@ -8,14 +8,14 @@
 namespace tt {
 
 /// A small sketch of a set of block hashes: may say yes wrongly, never no.
-class Summary {
+class BloomFilter {
  public:
   static std::string make(const std::unordered_set<BlockHash, BlockHashHasher>& kept);
-  static bool mayHold(const std::string& bits, const BlockHash& hash);
+  static bool mayContain(const std::string& bits, const BlockHash& hash);
 };
 
 /// One keeper's row in the exact index: a worker or the store.
-struct Keeper {
+struct CacheNode {
   Machine machine;
   Report last;
   TimePoint heardAt{}, askedAt{}, sweptAt{}, conditionAt{}, conditionAskedAt{};
@@ -34,20 +34,21 @@
 /// How a cell deals with the workers it has, where it is not as with the project's own.
 struct CellSettings {
   /// Reports on kept blocks and on condition are asked apart; machines' own rows tell the weights at first.
-  bool apart{false};
+  bool separateStatus{false};
   /// One command lets runs finish, loads the weights and admits again.
-  bool loadsWhole{false};
+  bool singleLoadCommand{false};
   /// Only the seeds form a fleet; other cores join it.
-  bool seedsForm{false};
+  bool onlySeedsBootstrap{false};
   /// Whether news carry summaries of what each keeper has.
-  bool summaries{true};
+  bool publishSummaries{true};
   /// How often a serving worker's condition is asked; 0 asks it only when it is not known or is about to change.
-  Duration conditionEvery{0};
-  Duration askEvery{50ms}, sweepEvery{1s}, lateAfter{1s}, goneAfter{1500ms}, publishEvery{60ms}, markWait{1s};
+  Duration statusInterval{0};
+  Duration reportInterval{50ms}, fullReportInterval{1s}, reportTimeout{1s}, workerTimeout{1500ms},
+      publishInterval{60ms}, markTimeout{1s};
   /// How many workers of a model in this locality may be taken to other weights at once: one in so many.
   int rolloutParts{3};
   /// How long a roll-out waits for further namings before it starts its first worker.
-  Duration rolloutSettle{0};
+  Duration rolloutSettleDelay{0};
   /// Over how long a locality's workers are started on other weights, one after the other; 0 starts all that there is
   /// room for.
   Duration rolloutSpan{0};
@@ -63,7 +64,7 @@
   void tick(Effects& effects, const Configuration& configuration);
   void handle(Effects& effects, const std::string& from, const Message& message);
   /// What an agent is known to have applied of this cell's news.
-  void agentHas(const std::string& agent, const CellVersion& mark, TimePoint now);
+  void recordAgentMark(const std::string& agent, const CellVersion& mark, TimePoint now);
   /// Where fresh news go: the other cores and the agents that follow this core.
   std::function<void(Effects&, const CellNews&)> publish;
   /// All cells' newest news, so that small cells can take turns.
@@ -71,7 +72,7 @@
   /// When weights were named, as this core knows it.
   const VersionTimeline* versions{nullptr};
   const std::string& zone() const { return place; }
-  const std::map<std::string, Keeper>& keepers() const { return rows; }
+  const std::map<std::string, CacheNode>& cacheNodes() const { return rows; }
   /// Whether a command may still leave: asked again in the instant before it is written to its worker.
   bool mayCommand(const ControlAsk& command, TimePoint now) const;
   std::string rolloutState(const std::string& worker) const;
@@ -104,7 +105,7 @@
   CellSettings settings;
   TimePoint wonAt{};
   const Configuration* lastConfiguration{nullptr};
-  std::map<std::string, Keeper> rows;
+  std::map<std::string, CacheNode> rows;
   std::map<std::string, Rollout> rollouts;
   std::map<std::string, Watch> watches;
   std::map<std::string, AgentMark> agentMarks;
@@ -136,18 +137,18 @@
   void command(Effects& effects, const std::string& worker, const std::string& action);
   void onReport(Effects& effects, const Report& report);
   void onLookup(Effects& effects, const LookupMsg& ask);
-  void weighStore(Keeper& keeper, const BlockHash& prefix, TimePoint now);
+  void weighStore(CacheNode& keeper, const BlockHash& prefix, TimePoint now);
   /// Whether a worker tells of itself; a plain one behind an interface with reports of their own has none, and counts
   /// as alive for as long as it is listed.
-  bool reports(const Keeper& keeper) const;
+  bool reports(const CacheNode& keeper) const;
   void askReports(Effects& effects);
-  void askCondition(Effects& effects, Keeper& keeper);
-  void onCondition(Effects& effects, Keeper& keeper, const Report& report);
+  void askCondition(Effects& effects, CacheNode& keeper);
+  void onCondition(Effects& effects, CacheNode& keeper, const Report& report);
   void moveRollouts(Effects& effects, const Configuration& configuration);
   Rollout& rolloutOf(const std::string& worker);
   void advance(Effects& effects, const std::string& worker, Rollout& rollout, const char* event);
   /// Whether a worker was heard lately, so that it counts among those to be taken to other weights.
-  bool takesPart(const Keeper& keeper, TimePoint now) const;
+  bool takesPart(const CacheNode& keeper, TimePoint now) const;
   TimePoint supersededAt(const Report& report, const std::string& wanted) const;
   RolloutStep stepOf(const std::string& worker, bool right) const;
   std::set<std::string> workersDue(TimePoint now, const Configuration& configuration) const;
@@ -156,16 +157,16 @@
   /// Whether a cell with a single worker of a model leaves the turn to cells before it, so that not all of a model's
   /// workers change at once.
   bool waitsItsTurn(const std::string& model, TimePoint superseded, TimePoint now) const;
-  void startRollout(Effects& effects, const Keeper& keeper, Rollout& rollout, const std::string& wanted, bool due);
+  void startRollout(Effects& effects, const CacheNode& keeper, Rollout& rollout, const std::string& wanted, bool due);
   /// Goes on with a change that has begun. A load that a worker has taken is finished also where newer weights were
   /// named meanwhile: it takes no other order before, and would never serve if it were always sent on to the next.
-  void moveRollout(Effects& effects, const Keeper& keeper, Rollout& rollout, const std::string& wanted);
+  void moveRollout(Effects& effects, const CacheNode& keeper, Rollout& rollout, const std::string& wanted);
   void moveWatches(Effects& effects);
   void publishNews(Effects& effects);
   void tellChanges(CellNews& news);
   void whenHolds(Effects& effects, bool won);
   bool agentsHave(std::uint64_t markSequence, TimePoint now) const;
-  void doubt(Effects& effects, Keeper& keeper, const char* why);
+  void doubt(Effects& effects, CacheNode& keeper, const char* why);
 };
 
 }  // namespace tt
--- a/src/index/cell_rollouts.cpp
+++ b/src/index/cell_rollouts.cpp
@@ -75,8 +75,8 @@
 Cell::Rollout& Cell::rolloutOf(const std::string& worker) {
   auto& rollout = rollouts[worker];
   if (!rollout.walk)
-    rollout.walk =
-        std::make_unique<RolloutWalk>(settings.loadsWhole ? "weightsWhole" : "weights", rolloutActions(), "serving");
+    rollout.walk = std::make_unique<RolloutWalk>(settings.singleLoadCommand ? "weightsWhole" : "weights",
+                                                 rolloutActions(), "serving");
   return rollout;
 }
 
@@ -87,8 +87,8 @@
   effects.note("rollout", worker + " " + rollout.walk->state());
 }
 
-bool Cell::takesPart(const Keeper& keeper, TimePoint now) const {
-  return keeper.machine.kind == "language" && keeper.known && now - keeper.heardAt <= settings.goneAfter;
+bool Cell::takesPart(const CacheNode& keeper, TimePoint now) const {
+  return keeper.machine.kind == "language" && keeper.known && now - keeper.heardAt <= settings.workerTimeout;
 }
 
 TimePoint Cell::supersededAt(const Report& report, const std::string& wanted) const {
@@ -100,7 +100,7 @@
 }
 
 RolloutStep Cell::stepOf(const std::string& worker, bool right) const {
-  if (settings.loadsWhole && !right && rows.at(worker).last.draining) return RolloutStep::changing;
+  if (settings.singleLoadCommand && !right && rows.at(worker).last.draining) return RolloutStep::changing;
   auto found = rollouts.find(worker);
   if (found == rollouts.end() || !found->second.walk) return RolloutStep::serving;
   if (found->second.failed && defences.isEnabled(Defence::failedNotCounted)) return RolloutStep::failed;
@@ -116,7 +116,7 @@
     workersByModel[keeper.last.model].push_back(
         RolloutWorker{name, supersededAt(keeper.last, *wanted), stepOf(name, right)});
   }
-  RolloutLimits limits{settings.rolloutSettle, settings.rolloutSpan, timing.rolloutStartTimeout(),
+  RolloutLimits limits{settings.rolloutSettleDelay, settings.rolloutSpan, timing.rolloutStartTimeout(),
                        2 * timing.oldWeightsOrderTimeout, settings.rolloutParts};
   std::set<std::string> due;
   for (const auto& [model, workers] : workersByModel) {
@@ -162,7 +162,7 @@
     auto wanted = configuration.weightsOf(keeper.last.model);
     if (!wanted || keeper.machine.kind != "language" || !keeper.known) continue;
     auto& rollout = rolloutOf(name);
-    if (!takesPart(keeper, effects.now) || (settings.apart && keeper.machine.leaving)) continue;
+    if (!takesPart(keeper, effects.now) || (settings.separateStatus && keeper.machine.leaving)) continue;
     if (effects.now - wonAt < timing.commandHoldoff) continue;
     if (rollout.walk->in("serving"))
       startRollout(effects, keeper, rollout, *wanted, due.count(name) > 0);
@@ -171,10 +171,11 @@
   }
 }
 
-void Cell::startRollout(Effects& effects, const Keeper& keeper, Rollout& rollout, const std::string& wanted, bool due) {
+void Cell::startRollout(Effects& effects, const CacheNode& keeper, Rollout& rollout, const std::string& wanted,
+                        bool due) {
   const auto& report = keeper.last;
   bool right = report.weights == wanted;
-  if (settings.loadsWhole && (right || report.draining)) return;
+  if (settings.singleLoadCommand && (right || report.draining)) return;
   if (right && !report.draining) return;
   bool unsettled = report.weights.empty() || report.draining;
   if (!due && !unsettled) return;
@@ -183,15 +184,15 @@
   advance(effects, keeper.machine.name, rollout, "wanted");
 }
 
-void Cell::moveRollout(Effects& effects, const Keeper& keeper, Rollout& rollout, const std::string& wanted) {
+void Cell::moveRollout(Effects& effects, const CacheNode& keeper, Rollout& rollout, const std::string& wanted) {
   const auto& report = keeper.last;
   const auto& worker = keeper.machine.name;
-  bool finishing = settings.loadsWhole && rollout.walk->in("loading") && rollout.takenAt >= rollout.sentAt;
+  bool finishing = settings.singleLoadCommand && rollout.walk->in("loading") && rollout.takenAt >= rollout.sentAt;
   std::string target = finishing ? rollout.weights : wanted;
   bool right = report.weights == target;
   bool unanswered = rollout.takenAt < rollout.sentAt && effects.now - rollout.sentAt >= commandAgain;
   bool idled = rollout.takenAt >= rollout.sentAt && keeper.conditionAt > rollout.takenAt + idleSure && !report.draining;
-  bool again = (settings.loadsWhole ? unanswered || idled : effects.now - rollout.sentAt >= commandAgain) &&
+  bool again = (settings.singleLoadCommand ? unanswered || idled : effects.now - rollout.sentAt >= commandAgain) &&
                defences.isEnabled(Defence::commandAgain);
   Duration since = effects.now - rollout.since;
   auto dispatch = [&](const char* event) { advance(effects, worker, rollout, event); };
@@ -204,8 +205,8 @@
   }
   if (rollout.walk->in("marking")) {
     bool marked = sequence >= rollout.markSequence && agentsHave(rollout.markSequence, effects.now);
-    if (marked || since >= settings.markWait)
-      dispatch(right && (report.draining || settings.loadsWhole) ? "settled" : "cleared");
+    if (marked || since >= settings.markTimeout)
+      dispatch(right && (report.draining || settings.singleLoadCommand) ? "settled" : "cleared");
   } else if (rollout.walk->in("draining")) {
     if (right && report.draining)
       dispatch("settled");
--- a/src/rollout/version_timeline.cpp
+++ b/src/rollout/version_timeline.cpp
@@ -34,7 +34,7 @@
   for (; newest != told.rend(); ++newest) known.push_front(*newest);
 }
 
-void VersionTimeline::learn(const std::vector<WeightsAnnouncement>& told, TimePoint askedAt) {
+void VersionTimeline::mergeFrom(const std::vector<WeightsAnnouncement>& told, TimePoint askedAt) {
   std::map<std::string, std::vector<Naming>> toldByModel;
   for (const auto& naming : told) {
     std::optional<TimePoint> notBefore;
@@ -47,7 +47,7 @@
   }
 }
 
-std::vector<WeightsAnnouncement> VersionTimeline::tell(TimePoint now, Duration span, bool unknownToo) const {
+std::vector<WeightsAnnouncement> VersionTimeline::exportRecent(TimePoint now, Duration span, bool unknownToo) const {
   std::vector<WeightsAnnouncement> rows;
   for (const auto& [model, namings] : namingsByModel) {
     std::size_t first = 0;
@@ -63,7 +63,7 @@
   return rows;
 }
 
-std::vector<WeightsAnnouncement> VersionTimeline::knownNewest(TimePoint now) const {
+std::vector<WeightsAnnouncement> VersionTimeline::newestWithKnownTime(TimePoint now) const {
   std::vector<WeightsAnnouncement> rows;
   for (const auto& [model, namings] : namingsByModel)
     if (!namings.empty() && namings.back().notBefore)
@@ -72,7 +72,7 @@
   return rows;
 }
 
-void VersionTimeline::forgetEnded(TimePoint now, Duration span) {
+void VersionTimeline::pruneExpired(TimePoint now, Duration span) {
   for (auto& [model, namings] : namingsByModel)
     while (namings.size() > 1 && namings[1].notBefore && now - *namings[1].notBefore >= span) namings.pop_front();
 }
@@ -96,7 +96,7 @@
   return namings ? namings->back().notBefore.value_or(TimePoint::min()) : TimePoint::max();
 }
 
-void VersionTimeline::settleUnknown(TimePoint ownStart, TimePoint now, Duration span) {
+void VersionTimeline::resolveUnknownTimes(TimePoint ownStart, TimePoint now, Duration span) {
   if (now - ownStart < span) return;
   for (auto& [model, namings] : namingsByModel)
     if (!namings.empty() && !namings.back().notBefore) namings.back().notBefore = ownStart;
--- a/src/rollout/version_timeline.hpp
+++ b/src/rollout/version_timeline.hpp
@@ -18,16 +18,16 @@
   void observe(const std::string& model, const std::string& weights, std::optional<TimePoint> notBefore, Uint64 index);
   /// Takes from another process the moments of namings that are unknown here, and the namings before those known here.
   /// `askedAt` is the moment before which the other was asked; ages in `told` are of the moment when it answered.
-  void learn(const std::vector<WeightsAnnouncement>& told, TimePoint askedAt);
+  void mergeFrom(const std::vector<WeightsAnnouncement>& told, TimePoint askedAt);
   /// What others may learn of the namings younger than `span`: those of each model, oldest first, and the one before
   /// them, so that who learns can tell what is older still. With `unknownToo`, also a newest one of unknown moment.
-  std::vector<WeightsAnnouncement> tell(TimePoint now, Duration span, bool unknownToo) const;
+  std::vector<WeightsAnnouncement> exportRecent(TimePoint now, Duration span, bool unknownToo) const;
   /// All that is known, whatever its age.
-  std::vector<WeightsAnnouncement> tellAll(TimePoint now) const { return tell(now, Duration::max(), false); }
+  std::vector<WeightsAnnouncement> exportAll(TimePoint now) const { return exportRecent(now, Duration::max(), false); }
   /// The newest naming of each model whose moment is known.
-  std::vector<WeightsAnnouncement> knownNewest(TimePoint now) const;
+  std::vector<WeightsAnnouncement> newestWithKnownTime(TimePoint now) const;
   /// Forgets the namings that no end can depend on any more, `span` being the longest use of an old version.
-  void forgetEnded(TimePoint now, Duration span);
+  void pruneExpired(TimePoint now, Duration span);
 
   /// Whether these are the newest weights known of the model, or none was ever named.
   bool isNewest(const std::string& model, const std::string& weights) const;
@@ -38,7 +38,7 @@
   TimePoint newestAt(const std::string& model) const;
   /// Gives namings of unknown moment the moment of the owner's own start, once `span`, the longest use of an old
   /// version, has passed since: whether they were made before or after it, every use that they end is over.
-  void settleUnknown(TimePoint ownStart, TimePoint now, Duration span);
+  void resolveUnknownTimes(TimePoint ownStart, TimePoint now, Duration span);
 
  private:
   struct Naming {
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -185,7 +185,7 @@
 void Edge::tick(Effects& effects) {
   if (effects.now - feedAt >= timing.feedPollInterval) {
     feedAt = effects.now;
-    versions.forgetEnded(effects.now, timing.oldWeightsTimeout);
+    versions.pruneExpired(effects.now, timing.oldWeightsTimeout);
     std::vector<CellVersion> rows;
     for (const auto& [zone, news] : cells) rows.push_back(CellVersion{zone, news.term, news.sequence});
     effects.send(settings.agentAddress, FeedAsk{toNanoseconds(effects.now), view.index(), rows, machineListDigest});
@@ -311,7 +311,7 @@
 
 void Edge::onFeed(const FeedReply& feed, TimePoint now) {
   agentHeard = now;
-  versions.learn(feed.namings, fromNanoseconds(feed.sentAt));
+  versions.mergeFrom(feed.namings, fromNanoseconds(feed.sentAt));
   if (!feed.known) return;
   TimePoint until = fromNanoseconds(feed.sentAt) - Duration(feed.age) + timing.maxStaleness;
   if (feed.age < 0 || until <= freshUntil) return;
--- a/src/routing/edge_placement.cpp
+++ b/src/routing/edge_placement.cpp
@@ -228,7 +228,8 @@
         hashed.second = hashPrompt(order.ask.parts, hashed.first);
       }
       if (worker->confirmed)
-        while (choice.hits < hashed.second.size() && Summary::mayHold(worker->summary, hashed.second[choice.hits]))
+        while (choice.hits < hashed.second.size() &&
+               BloomFilter::mayContain(worker->summary, hashed.second[choice.hits]))
           ++choice.hits;
       choice.cost = static_cast<double>(hashed.second.size() - choice.hits) * settings.blockMs;
     }
--- a/src/routing/edge_sources.cpp
+++ b/src/routing/edge_sources.cpp
@@ -211,7 +211,7 @@
       Plan::Candidate candidate{
           keeper.name, keeper.address, keeper.zone, store, 0, 0, linkSpeed(keeper.name, plan.worker)};
       while (candidate.guessedHits < plan.hashes.size() &&
-             Summary::mayHold(keeper.summary, plan.hashes[candidate.guessedHits]))
+             BloomFilter::mayContain(keeper.summary, plan.hashes[candidate.guessedHits]))
         ++candidate.guessedHits;
       if (candidate.guessedHits < plan.localHits + leastGain) continue;
       candidate.busyness = keeper.slots > 0 ? static_cast<double>(busyOf(keeper, now)) / keeper.slots : 0;
--- a/src/sim/scale/fleet_fixtures.cpp
+++ b/src/sim/scale/fleet_fixtures.cpp
@@ -105,14 +105,14 @@
 
 CellSettings platformCell() {
   CellSettings settings;
-  settings.apart = settings.loadsWhole = settings.seedsForm = true;
-  settings.summaries = false;
-  settings.askEvery = 100ms;
-  settings.sweepEvery = 8s;
-  settings.lateAfter = 1500ms;
-  settings.goneAfter = 2s;
-  settings.publishEvery = 100ms;
-  settings.markWait = 400ms;
+  settings.separateStatus = settings.singleLoadCommand = settings.onlySeedsBootstrap = true;
+  settings.publishSummaries = false;
+  settings.reportInterval = 100ms;
+  settings.fullReportInterval = 8s;
+  settings.reportTimeout = 1500ms;
+  settings.workerTimeout = 2s;
+  settings.publishInterval = 100ms;
+  settings.markTimeout = 400ms;
   settings.rolloutSpan = 7800ms;
   return settings;
 }
--- a/src/sim/scale/hollow_fleet.cpp
+++ b/src/sim/scale/hollow_fleet.cpp
@@ -365,7 +365,7 @@
       if (!cell->election.holdsLease(clock)) continue;
       ++total.cellsHeld;
       ++processes[cores[number]]->cost.cells;
-      for (const auto& [name, keeper] : cell->keepers())
+      for (const auto& [name, keeper] : cell->cacheNodes())
         total.blocksIndexed += static_cast<std::int64_t>(keeper.kept.size());
     }
 }
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -498,7 +498,7 @@
       if (auto* node = world->core(name))
         for (const auto& [zone, cell] : node->cellsByZone()) {
           if (world->holderOf("cell/" + zone) != name) continue;
-          for (const auto& [keeperName, keeper] : cell->keepers()) {
+          for (const auto& [keeperName, keeper] : cell->cacheNodes()) {
             auto* truth = world->keeper(keeperName);
             if (!truth || !keeper.confirmed) continue;
             std::int64_t known = 0;
--- a/src/sim/sim.cpp
+++ b/src/sim/sim.cpp
@@ -142,7 +142,7 @@
   auto& actor = *actors.at(name);
   TimePoint now = actor.local(clock);
   if (starts(name, "core-")) {
-    auto opened = Ring::openOrEmpty(*actor.disk);
+    auto opened = Ring::openOrReset(*actor.disk);
     if (!opened) {
       ++counts["disk failed"];
       actor.alive = false;
@@ -158,7 +158,7 @@
     settings.zones = shape.zones;
     settings.cell.rolloutSpan = shape.rolloutSpan;
     settings.cell.rolloutParts = shape.rolloutParts;
-    settings.maxRecordBytes = actor.ring->room() / 2;
+    settings.maxRecordBytes = actor.ring->maxCheckpointBytes() / 2;
     settings.defences = defences;
     for (int number = 1; number <= shape.cores; ++number) {
       std::string other = "core-" + std::to_string(number);
--- a/src/storage/ring.cpp
+++ b/src/storage/ring.cpp
@@ -24,8 +24,8 @@
 
 }  // namespace
 
-Result<std::unique_ptr<FolderFiles>> FolderFiles::open(const std::string& folder, int files, std::size_t bytes) {
-  std::unique_ptr<FolderFiles> made(new FolderFiles);
+Result<std::unique_ptr<DirectoryFiles>> DirectoryFiles::open(const std::string& folder, int files, std::size_t bytes) {
+  std::unique_ptr<DirectoryFiles> made(new DirectoryFiles);
   made->fileBytes = bytes;
   if (::mkdir(folder.c_str(), 0755) != 0 && errno != EEXIST) return diskFault(folder);
   for (int number = 0; number < files; ++number) {
@@ -51,11 +51,11 @@
   return made;
 }
 
-FolderFiles::~FolderFiles() {
+DirectoryFiles::~DirectoryFiles() {
   for (int handle : handles) ::close(handle);
 }
 
-Result<std::string> FolderFiles::readAll(int file) {
+Result<std::string> DirectoryFiles::readAll(int file) {
   std::string bytes(fileBytes, '\0');
   std::size_t got = 0;
   while (got < fileBytes) {
@@ -68,7 +68,7 @@
   return bytes;
 }
 
-Result<void> FolderFiles::write(int file, std::size_t offset, std::string_view bytes) {
+Result<void> DirectoryFiles::write(int file, std::size_t offset, std::string_view bytes) {
   while (!bytes.empty()) {
     ssize_t step = ::pwrite(handles[file], bytes.data(), bytes.size(), static_cast<off_t>(offset));
     if (step < 0 && errno == EINTR) continue;
@@ -79,12 +79,12 @@
   return boost::outcome_v2::success();
 }
 
-Result<void> FolderFiles::sync(int file) {
+Result<void> DirectoryFiles::sync(int file) {
   if (::fdatasync(handles[file]) != 0) return diskFault("sync");
   return boost::outcome_v2::success();
 }
 
-std::pair<std::string, int> FaultyFiles::word() const {
+std::pair<std::string, int> FaultInjectingFiles::word() const {
   std::pair<std::string, int> said{"well", 0};
   if (file_.empty()) return said;
   std::ifstream source(file_);
@@ -92,12 +92,12 @@
   return said;
 }
 
-Result<void> FaultyFiles::write(int file, std::size_t offset, std::string_view bytes) {
+Result<void> FaultInjectingFiles::write(int file, std::size_t offset, std::string_view bytes) {
   if (word().first == "full") return fault(Code::diskFault, "write", "no space (tried)");
   return inner.write(file, offset, bytes);
 }
 
-Result<void> FaultyFiles::sync(int file) {
+Result<void> FaultInjectingFiles::sync(int file) {
   auto said = word();
   if (said.first == "slow") std::this_thread::sleep_for(std::chrono::milliseconds(said.second));
   while (word().first == "stall") std::this_thread::sleep_for(50ms);
@@ -152,7 +152,7 @@
   return ring;
 }
 
-Result<Ring::Opened> Ring::openOrEmpty(RingFiles& files) {
+Result<Ring::Opened> Ring::openOrReset(RingFiles& files) {
   Opened opened;
   auto ring = open(files);
   if (!ring && ring.error().code == Code::ringDamaged) {
--- a/src/storage/ring.hpp
+++ b/src/storage/ring.hpp
@@ -15,10 +15,10 @@
 };
 
 /// A folder of preallocated files.
-class FolderFiles : public RingFiles {
+class DirectoryFiles : public RingFiles {
  public:
-  static Result<std::unique_ptr<FolderFiles>> open(const std::string& folder, int files, std::size_t bytes);
-  ~FolderFiles() override;
+  static Result<std::unique_ptr<DirectoryFiles>> open(const std::string& folder, int files, std::size_t bytes);
+  ~DirectoryFiles() override;
   Result<std::string> readAll(int file) override;
   Result<void> write(int file, std::size_t offset, std::string_view bytes) override;
   Result<void> sync(int file) override;
@@ -32,9 +32,9 @@
 
 /// Passes on to other files, but for what a file of faults says at the moment: "slow MS", "stall", "full" or "well".
 /// For tries on real processes; without such a file it only passes on.
-class FaultyFiles : public RingFiles {
+class FaultInjectingFiles : public RingFiles {
  public:
-  FaultyFiles(RingFiles& innerFiles, std::string faultFile) : inner(innerFiles), file_(std::move(faultFile)) {}
+  FaultInjectingFiles(RingFiles& innerFiles, std::string faultFile) : inner(innerFiles), file_(std::move(faultFile)) {}
   Result<std::string> readAll(int file) override { return inner.readAll(file); }
   Result<void> write(int file, std::size_t offset, std::string_view bytes) override;
   Result<void> sync(int file) override;
@@ -57,18 +57,18 @@
   /// Reads what the files hold, syncs it and writes it down afresh in the next file. An unsynced end is dropped. Real
   /// damage is `ringDamaged`; files that cannot be read or written are `diskFault`.
   static Result<std::unique_ptr<Ring>> open(RingFiles& files);
-  /// What `openOrEmpty` came to: the ring, and the damage for which it had to be emptied.
+  /// What `openOrReset` came to: the ring, and the damage for which it had to be emptied.
   struct Opened;
   /// Opens a ring; one that is damaged is emptied for good, so that its owner joins anew. A disk that cannot be read or
   /// written at the moment empties nothing.
-  static Result<Opened> openOrEmpty(RingFiles& files);
+  static Result<Opened> openOrReset(RingFiles& files);
   const RecoveredState& held() const { return mirror; }
   /// Writes records and syncs them all at once. After a failure the ring takes nothing more: it is to be opened again.
   Result<void> append(const std::vector<Record>& records);
-  bool tornEnd() const { return torn; }
+  bool tornTailDropped() const { return torn; }
   std::uint64_t generation() const { return currentGeneration; }
   /// How many bytes one checkpoint may take.
-  std::size_t room() const { return files.size() / 2; }
+  std::size_t maxCheckpointBytes() const { return files.size() / 2; }
   /// Empties the ring for good. A stop in the middle never leaves an older state that can be opened.
   static Result<void> wipe(RingFiles& files);
 
--- a/src/tools/main_core.cpp
+++ b/src/tools/main_core.cpp
@@ -65,15 +65,15 @@
     return failStart(fault(Code::badProps, "operatorKeyHash", "must be 64 hexadecimal digits"));
   startLog("core", given.settings.name, chatty);
 
-  auto files = FolderFiles::open(given.dataFolder, static_cast<int>(given.ringFiles),
-                                 static_cast<std::size_t>(given.ringFileKiB) * 1024);
+  auto files = DirectoryFiles::open(given.dataFolder, static_cast<int>(given.ringFiles),
+                                    static_cast<std::size_t>(given.ringFileKiB) * 1024);
   if (!files) return failStart(files.error());
-  FaultyFiles ringFiles(*files.value(), given.diskFaults);
-  auto opened = Ring::openOrEmpty(ringFiles);
+  FaultInjectingFiles ringFiles(*files.value(), given.diskFaults);
+  auto opened = Ring::openOrReset(ringFiles);
   if (!opened) return failDisk(opened.error());
   auto& ring = opened.value().ring;
-  if (ring->tornEnd()) logInfo("Torn end dropped.");
-  given.settings.maxRecordBytes = ring->room() / 2;
+  if (ring->tornTailDropped()) logInfo("Torn end dropped.");
+  given.settings.maxRecordBytes = ring->maxCheckpointBytes() / 2;
   if (given.settings.zones.empty()) given.settings.zones.push_back(given.settings.zone);
 
   asio::io_context context;
--- a/tests/cell_bench.hpp
+++ b/tests/cell_bench.hpp
@@ -9,15 +9,15 @@
 /// Settings of a cell whose workers tell kept blocks and condition apart, as the users' platform has them.
 inline CellSettings cellSettings() {
   CellSettings settings;
-  settings.apart = settings.loadsWhole = settings.seedsForm = true;
-  settings.summaries = false;
-  settings.askEvery = 100ms;
-  settings.sweepEvery = 8s;
-  settings.lateAfter = 1500ms;
-  settings.goneAfter = 2s;
-  settings.publishEvery = 100ms;
-  settings.markWait = 400ms;
-  settings.rolloutSettle = 400ms;
+  settings.separateStatus = settings.singleLoadCommand = settings.onlySeedsBootstrap = true;
+  settings.publishSummaries = false;
+  settings.reportInterval = 100ms;
+  settings.fullReportInterval = 8s;
+  settings.reportTimeout = 1500ms;
+  settings.workerTimeout = 2s;
+  settings.publishInterval = 100ms;
+  settings.markTimeout = 400ms;
+  settings.rolloutSettleDelay = 400ms;
   settings.rolloutSpan = 7800ms;
   return settings;
 }
@@ -243,7 +243,7 @@
       if (auto* reply = std::get_if<LookupReply>(&sent[at].message)) return reply->hits;
     return {-1};
   }
-  bool confirmed(const std::string& worker) const { return cores.at(holder()).cell->keepers().at(worker).confirmed; }
+  bool confirmed(const std::string& worker) const { return cores.at(holder()).cell->cacheNodes().at(worker).confirmed; }
   std::size_t wholeAsks(const std::string& worker, TimePoint since) const {
     std::size_t count = 0;
     for (const auto& row : all<ReportAsk>(since)) {
--- a/tests/core_bench.hpp
+++ b/tests/core_bench.hpp
@@ -65,8 +65,8 @@
     settings.seeds = seeds;
     settings.zones = {"north-a"};
     settings.mayForm = mayForm;
-    settings.cell.apart = settings.cell.loadsWhole = settings.cell.seedsForm = true;
-    settings.cell.summaries = false;
+    settings.cell.separateStatus = settings.cell.singleLoadCommand = settings.cell.onlySeedsBootstrap = true;
+    settings.cell.publishSummaries = false;
     machine.core = std::make_unique<Core>(settings, machine.disk, randomSource, now);
     machine.core->journal.appended.connect([this](const Event& event) {
       ++notes[event.kind];
--- a/tests/fleet_bench.hpp
+++ b/tests/fleet_bench.hpp
@@ -62,8 +62,8 @@
     settings.seeds = {"core-1:1", "core-2:1", "core-3:1"};
     settings.zones = {"north-a"};
     settings.mayForm = mayForm;
-    settings.cell.apart = settings.cell.loadsWhole = settings.cell.seedsForm = true;
-    settings.cell.summaries = false;
+    settings.cell.separateStatus = settings.cell.singleLoadCommand = settings.cell.onlySeedsBootstrap = true;
+    settings.cell.publishSummaries = false;
     auto core = std::make_unique<Core>(settings, machine.disk, randomSource, now);
     machine.core = core.get();
     core->journal.appended.connect([this](const Event& event) {
--- a/tests/load.cpp
+++ b/tests/load.cpp
@@ -85,7 +85,7 @@
   Journal journal;
   Configuration configuration;
   std::unique_ptr<Cell> cell;
-  std::map<std::string, TestKeeper> keepers;
+  std::map<std::string, TestKeeper> cacheNodes;
   std::vector<CellNews> news;
   std::vector<TimePoint> newsAt;
   CellNews follower;
@@ -94,8 +94,8 @@
 
   KeeperBench() {
     CellSettings settings = cellSettings();
-    settings.askEvery = 50ms;
-    settings.conditionEvery = 100ms;
+    settings.reportInterval = 50ms;
+    settings.statusInterval = 100ms;
     auto patch = configuration.preparePatch(
         R"({"weights":{"moss/3":{"model":"moss"}},"models":{"moss":{"weights":"moss/3"}}})", ChangeFormat::patch);
     cr_assert(bool(patch));
@@ -113,7 +113,7 @@
   void list(const Strings& workers, const Strings& stores = {}) {
     std::vector<Machine> machines;
     auto add = [&](const std::string& name, bool store) {
-      keepers[name].store = store;
+      cacheNodes[name].store = store;
       Machine machine;
       machine.name = name;
       machine.address = name + ":80";
@@ -132,7 +132,7 @@
     cell->setMachines(machines);
   }
   void drop(const std::string& keeper, const std::string& id) {
-    auto& row = keepers.at(keeper);
+    auto& row = cacheNodes.at(keeper);
     row.kept.erase(hashPromptPart("salt", id));
     row.events.push_back(
         CacheEvent{++row.sequence, static_cast<int>(CacheEventKind::removed), {hashPromptPart("salt", id)}});
@@ -156,8 +156,8 @@
     }
   }
   void answer(const ReportAsk& ask) {
-    auto found = keepers.find(ask.worker);
-    if (found == keepers.end()) return;
+    auto found = cacheNodes.find(ask.worker);
+    if (found == cacheNodes.end()) return;
     const auto& keeper = found->second;
     Report report;
     report.worker = ask.worker;
@@ -206,7 +206,7 @@
       if (auto* reply = std::get_if<LookupReply>(&message)) return reply->hits;
     return {};
   }
-  int shareOf(const std::string& keeper) const { return cell->keepers().at(keeper).savedPermille; }
+  int shareOf(const std::string& keeper) const { return cell->cacheNodes().at(keeper).savedPermille; }
   int toldShare(const std::string& keeper) const {
     for (const auto& worker : follower.workers)
       if (worker.name == keeper) return worker.savedPermille;
@@ -238,7 +238,7 @@
     cr_expect(bench.news[at].gone.empty());
   }
   before = bench.news.size();
-  bench.keepers["w3"].waiting = 12;
+  bench.cacheNodes["w3"].waiting = 12;
   bench.run(1s);
   std::size_t told = 0;
   for (std::size_t at = before; at < bench.news.size(); ++at) {
@@ -294,13 +294,13 @@
 
 Test(load, a_store_that_lets_go_what_is_then_asked_for_is_given_less) {
   KeeperBench bench;
-  auto& barn = bench.keepers["barn"];
+  auto& barn = bench.cacheNodes["barn"];
   for (int at = 0; at < 400; ++at) barn.kept.insert(hashPromptPart("salt", "p" + std::to_string(at)));
   barn.kept.insert(hashPromptPart("salt", "system"));
   bench.list({"w1"}, {"barn"});
   bench.runToNews();
   bench.run(1s);
-  cr_assert(bench.cell->keepers().at("barn").confirmed);
+  cr_assert(bench.cell->cacheNodes().at("barn").confirmed);
   cr_expect_eq(bench.shareOf("barn"), 1000);
   for (int at = 0; at < 200; ++at) bench.drop("barn", "p" + std::to_string(at));
   bench.run(200ms);
@@ -337,7 +337,7 @@
 
 Test(load, what_a_store_never_had_or_let_go_long_ago_does_not_count_against_it) {
   KeeperBench bench;
-  auto& barn = bench.keepers["barn"];
+  auto& barn = bench.cacheNodes["barn"];
   barn.kept = {hashPromptPart("salt", "system"), hashPromptPart("salt", "old")};
   bench.list({"w1"}, {"barn"});
   bench.runToNews();
@@ -366,7 +366,7 @@
     settings.address = name + ":1";
     settings.zone = "north-a";
     settings.zones = {"north-a"};
-    settings.cell.summaries = false;
+    settings.cell.publishSummaries = false;
     return settings;
   }
   explicit LoneCore(const std::string& name)
--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -51,8 +51,8 @@
     settings.zone = "north-a";
     settings.seeds = {"core-1:1", "core-2:1", "core-3:1"};
     settings.zones = {"north-a"};
-    settings.cell.apart = settings.cell.loadsWhole = settings.cell.seedsForm = true;
-    settings.cell.summaries = false;
+    settings.cell.separateStatus = settings.cell.singleLoadCommand = settings.cell.onlySeedsBootstrap = true;
+    settings.cell.publishSummaries = false;
     machine.core = std::make_unique<Core>(settings, machine.disk, randomSource, now);
   }
   /// Ends a process; what it had not synced is gone, its disk stays.
--- a/tests/parts.cpp
+++ b/tests/parts.cpp
@@ -73,7 +73,7 @@
   torn.rows[file][torn.rows[file].find("body 20") + 3] ^= 1;
   auto opened = Ring::open(torn);
   cr_assert(bool(opened), "a torn end is no damage");
-  cr_assert(opened.value()->tornEnd());
+  cr_assert(opened.value()->tornTailDropped());
   cr_assert_eq(opened.value()->held().entries.back().index, 19u);
   cr_assert(bool(opened.value()->append({entryRecord(entryAt(20))})));
   cr_assert_eq(Ring::open(torn).value()->held().entries.back().index, 20u);
--- a/tests/plain_cells.cpp
+++ b/tests/plain_cells.cpp
@@ -7,9 +7,9 @@
 namespace {
 CellSettings platformCell() {
   CellSettings settings;
-  settings.apart = settings.loadsWhole = true;
-  settings.summaries = false;
-  settings.askEvery = 100ms;
+  settings.separateStatus = settings.singleLoadCommand = true;
+  settings.publishSummaries = false;
+  settings.reportInterval = 100ms;
   return settings;
 }
 
--- a/tests/ring.cpp
+++ b/tests/ring.cpp
@@ -245,7 +245,7 @@
   cr_assert_eq(damaged.error().code, Code::ringDamaged);
   bench.files.cache[1].replace(0, bytes.size(), tornBytes);
   bench.reopen();
-  cr_assert(bench.ring->tornEnd());
+  cr_assert(bench.ring->tornTailDropped());
   cr_assert_eq(bench.ring->held().entries.back().index, 8u);
 }
 
@@ -255,7 +255,7 @@
   bench.fill(1, 20);
   auto [file, at] = bench.find("body 12");
   bench.files.cache[file][at] ^= 1;
-  auto opened = Ring::openOrEmpty(bench.files);
+  auto opened = Ring::openOrReset(bench.files);
   cr_assert(bool(opened));
   cr_assert(opened.value().damage.has_value());
   cr_assert_eq(opened.value().damage->code, Code::ringDamaged);
@@ -283,7 +283,7 @@
   bench.append({identityRecord("core-x")});
   bench.fill(1, 20);
   bench.files.full = true;
-  auto refused = Ring::openOrEmpty(bench.files);
+  auto refused = Ring::openOrReset(bench.files);
   cr_assert_not(bool(refused));
   cr_assert_eq(refused.error().code, Code::diskFault);
   bench.files.full = false;
--- a/tests/version_ends_cell.cpp
+++ b/tests/version_ends_cell.cpp
@@ -92,7 +92,7 @@
 
 CellSettings askingSettings() {
   CellSettings settings = cellSettings();
-  settings.conditionEvery = 500ms;
+  settings.statusInterval = 500ms;
   return settings;
 }
 }  // namespace
--- a/tests/version_timeline.cpp
+++ b/tests/version_timeline.cpp
@@ -25,7 +25,7 @@
   cr_expect(timeline.isNewest("moss", "moss/3"));
   cr_expect(timeline.supersededAt("moss", "moss/3") == TimePoint::max());
   cr_expect(mayUse(timeline, "moss/3", start + 1h));
-  cr_expect(timeline.tell(start, useMost, true).empty());
+  cr_expect(timeline.exportRecent(start, useMost, true).empty());
 }
 
 Test(version_timeline, a_use_ends_a_span_after_the_first_newer_version_whatever_follows) {
@@ -50,7 +50,7 @@
   timeline.observe("moss", "moss/4", start, 0);
   for (int times = 1; times <= 5; ++times) timeline.observe("moss", "moss/4", start + 1s * times, 0);
   cr_expect(timeline.supersededAt("moss", "moss/3") == start);
-  cr_expect_eq(timeline.tell(start + 1s, useMost, true).size(), 2u);
+  cr_expect_eq(timeline.exportRecent(start + 1s, useMost, true).size(), 2u);
 }
 
 Test(version_timeline, a_version_named_back_is_the_newest_again) {
@@ -81,7 +81,7 @@
   timeline.observe("moss", "moss/3", std::nullopt, 0);
   timeline.observe("fern", "fern/1", std::nullopt, 0);
   timeline.observe("moss", "moss/4", start, 0);
-  timeline.learn({told("fern/1", 1s, "fern")}, start);
+  timeline.mergeFrom({told("fern/1", 1s, "fern")}, start);
   cr_expect(timeline.isNewest("fern", "fern/1"));
   cr_expect(timeline.supersededAt("moss", "moss/3") == start);
   cr_expect(timeline.supersededAt("oak", "oak/1") == TimePoint::max());
@@ -90,7 +90,7 @@
 Test(version_timeline, an_unknown_moment_is_learned_on_the_owners_own_clock) {
   VersionTimeline timeline;
   timeline.observe("moss", "moss/4", std::nullopt, 0);
-  timeline.learn({told("moss/3", 60s), told("moss/4", 4s)}, start);
+  timeline.mergeFrom({told("moss/3", 60s), told("moss/4", 4s)}, start);
   cr_expect(timeline.supersededAt("moss", "moss/3") == start - 4s);
   cr_expect(mayUse(timeline, "moss/3", start + 5s));
   cr_expect_not(mayUse(timeline, "moss/3", start + 6s));
@@ -106,7 +106,7 @@
                            {told("moss/4", 0s)},
                            {toldUnknown("moss/4"), toldUnknown("moss/5")},
                            {told("moss/5", 0s), told("moss/4", 0s)}}) {
-    timeline.learn(rows, start + 8s);
+    timeline.mergeFrom(rows, start + 8s);
     cr_expect(timeline.supersededAt("moss", "moss/3") == start);
     cr_expect(timeline.supersededAt("moss", "moss/4") == start + 3s);
     cr_expect(timeline.isNewest("moss", "moss/5"));
@@ -116,7 +116,7 @@
 Test(version_timeline, what_others_know_of_newer_namings_does_not_make_them_the_newest_here) {
   VersionTimeline timeline;
   timeline.observe("moss", "moss/4", std::nullopt, 0);
-  timeline.learn({told("moss/5", 2s)}, start);
+  timeline.mergeFrom({told("moss/5", 2s)}, start);
   cr_expect(timeline.isNewest("moss", "moss/4"), "only the configuration names versions");
   cr_expect_not(mayUse(timeline, "moss/3", start));
 }
@@ -125,12 +125,12 @@
   VersionTimeline timeline;
   timeline.observe("moss", "moss/4", std::nullopt, 0);
   timeline.observe("fern", "fern/2", start + 3s, 0);
-  timeline.settleUnknown(start, start + 10s - 1ms, 10s);
+  timeline.resolveUnknownTimes(start, start + 10s - 1ms, 10s);
   cr_expect(timeline.supersededAt("moss", "moss/3") == TimePoint::min());
-  timeline.settleUnknown(start, start + 10s, 10s);
+  timeline.resolveUnknownTimes(start, start + 10s, 10s);
   cr_expect(timeline.supersededAt("moss", "moss/3") == start, "whose use of 10 s has ended");
-  cr_expect(timeline.tell(start + 10s, 10s, true).size() == 1u, "nothing is left to be asked for moss");
-  timeline.settleUnknown(start + 5s, start + 30s, 10s);
+  cr_expect(timeline.exportRecent(start + 10s, 10s, true).size() == 1u, "nothing is left to be asked for moss");
+  timeline.resolveUnknownTimes(start + 5s, start + 30s, 10s);
   cr_expect(timeline.supersededAt("moss", "moss/3") == start);
   cr_expect(timeline.supersededAt("fern", "fern/1") == start + 3s, "a known moment stays");
   cr_expect(timeline.isNewest("oak", "oak/1"));
@@ -144,7 +144,7 @@
   TimePoint now = start + 17s;
   VersionTimeline learner;
   learner.observe("moss", "moss/8", std::nullopt, 0);
-  learner.learn(teller.tell(now, useMost, true), now);
+  learner.mergeFrom(teller.exportRecent(now, useMost, true), now);
   for (TimePoint at = now; at < now + 2 * useMost; at += 500ms)
     for (int number = 1; number <= 8; ++number) {
       std::string weights = "moss/" + std::to_string(number);
@@ -164,7 +164,7 @@
       if (step > 0) notBefore = now - std::chrono::milliseconds(drawn() % 300);
       whole.observe("moss", weights, notBefore, 0);
       forgetful.observe("moss", weights, notBefore, 0);
-      if (drawn() % 3 == 0) forgetful.forgetEnded(now, useMost);
+      if (drawn() % 3 == 0) forgetful.pruneExpired(now, useMost);
       for (int number = 0; number < 7; ++number) {
         std::string each = "moss/" + std::to_string(number);
         cr_assert_eq(forgetful.isNewest("moss", each), whole.isNewest("moss", each));
@@ -172,8 +172,8 @@
                      static_cast<int>(seed), step, each.c_str());
       }
     }
-    forgetful.forgetEnded(now + 1h, useMost);
-    cr_expect_leq(forgetful.tell(now + 1h, Duration(2h), true).size(), 2u,
+    forgetful.pruneExpired(now + 1h, useMost);
+    cr_expect_leq(forgetful.exportRecent(now + 1h, Duration(2h), true).size(), 2u,
                   "what can end nothing any more is forgotten");
   }
 }
@@ -213,10 +213,10 @@
         break;
       case 3:
       case 4:
-        learn(follower, followers[below(followers.size())]);
+        mergeFrom(follower, followers[below(followers.size())]);
         break;
       case 5:
-        follower.timeline.forgetEnded(now + follower.clockAhead, useMost);
+        follower.timeline.pruneExpired(now + follower.clockAhead, useMost);
         break;
       default:
         hear(follower);
@@ -254,13 +254,13 @@
     follower.heard = follower.learned = namings.size();
     follower.completeAt = now + follower.clockAhead;
   }
-  void learn(Follower& follower, const Follower& teller) {
+  void mergeFrom(Follower& follower, const Follower& teller) {
     if (&follower == &teller || follower.heard == 0) return;
     TimePoint askedAt = now + follower.clockAhead;
     now += std::chrono::milliseconds(below(200));
-    auto rows = teller.timeline.tell(now + teller.clockAhead, useMost, below(2) == 0);
+    auto rows = teller.timeline.exportRecent(now + teller.clockAhead, useMost, below(2) == 0);
     now += std::chrono::milliseconds(below(200));
-    follower.timeline.learn(rows, askedAt);
+    follower.timeline.mergeFrom(rows, askedAt);
     follower.learned = std::max(follower.learned, teller.learned);
   }
   /// When, on the follower's clock, the first version newer than this one was named, of so many namings.
@@ -318,7 +318,7 @@
       std::string weights = "moss/" + std::to_string(number);
       timeline.observe("moss", weights, completeAt, 0);
       namings.emplace_back(weights, now);
-      if (drawn() % 4 == 0) timeline.learn(timeline.tell(now, useMost, true), now);
+      if (drawn() % 4 == 0) timeline.mergeFrom(timeline.exportRecent(now, useMost, true), now);
       for (std::size_t at = 0; at + 1 < namings.size(); ++at) {
         TimePoint claimed = timeline.supersededAt("moss", namings[at].first);
         cr_assert(claimed <= namings[at + 1].second && namings[at + 1].second - claimed <= 100ms,
@@ -343,7 +343,7 @@
         rows.push_back(WeightsAnnouncement{drawn() % 5 ? "moss" : "", "moss/" + std::to_string(drawn() % 7),
                                            drawn() % 6 ? std::max<std::int64_t>(age, -1) : -1});
       }
-      timeline.learn(rows, start + 10s);
+      timeline.mergeFrom(rows, start + 10s);
       for (int number = 0; number < 4; ++number)
         cr_assert(timeline.supersededAt("moss", "moss/" + std::to_string(number)) == start + 2s * (number + 1),
                   "seed %d", static_cast<int>(seed));
