--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -13,25 +13,27 @@
 constexpr Duration deadlineSlack = 300ms;
 }  // namespace
 
-const Edge::Actions& Edge::actions() {
-  static const Actions table{
-      {"sendOrder", &Edge::sendOrder},     {"sendLookup", &Edge::sendLookup}, {"sendMove", &Edge::sendMove},
-      {"dropMove", &Edge::dropMove},       {"freeWorker", &Edge::freeWorker}, {"passChunk", &Edge::passChunk},
-      {"endDone", &Edge::endDone},         {"endFailed", &Edge::endFailed},   {"endBroken", &Edge::endBroken},
-      {"endSilent", &Edge::endSilent},     {"endRevoked", &Edge::endRevoked}, {"denyLate", &Edge::denyLate},
-      {"denyKey", &Edge::denyKey},         {"dropOrder", &Edge::dropOrder},   {"weighUnsent", &Edge::weighUnsent},
-      {"weighBroken", &Edge::weighBroken}, {"redraw", &Edge::redraw},         {"drawAgain", &Edge::drawAgain},
-      {"weighResume", &Edge::weighResume}};
+const ProxyRouter::Actions& ProxyRouter::actions() {
+  static const Actions table{{"sendOrder", &ProxyRouter::sendOrder},     {"sendLookup", &ProxyRouter::sendLookup},
+                             {"sendMove", &ProxyRouter::sendMove},       {"dropMove", &ProxyRouter::dropMove},
+                             {"freeWorker", &ProxyRouter::freeWorker},   {"passChunk", &ProxyRouter::passChunk},
+                             {"endDone", &ProxyRouter::endDone},         {"endFailed", &ProxyRouter::endFailed},
+                             {"endBroken", &ProxyRouter::endBroken},     {"endSilent", &ProxyRouter::endSilent},
+                             {"endRevoked", &ProxyRouter::endRevoked},   {"denyLate", &ProxyRouter::denyLate},
+                             {"denyKey", &ProxyRouter::denyKey},         {"dropOrder", &ProxyRouter::dropOrder},
+                             {"weighUnsent", &ProxyRouter::weighUnsent}, {"weighBroken", &ProxyRouter::weighBroken},
+                             {"redraw", &ProxyRouter::redraw},           {"drawAgain", &ProxyRouter::drawAgain},
+                             {"weighResume", &ProxyRouter::weighResume}};
   return table;
 }
 
-Edge::Edge(EdgeSettings edgeSettings) : settings(std::move(edgeSettings)) {
+ProxyRouter::ProxyRouter(ProxyRouterSettings edgeSettings) : settings(std::move(edgeSettings)) {
   if (auto policy = Policy::read(settings.routePolicy)) routePolicy = policy.value();
 }
 
-bool Edge::fresh(TimePoint now) const { return now < freshUntil && view.index() >= needed; }
+bool ProxyRouter::fresh(TimePoint now) const { return now < freshUntil && view.index() >= needed; }
 
-bool Edge::ready(TimePoint now) const {
+bool ProxyRouter::ready(TimePoint now) const {
   if (!fresh(now) || view.revision() == 0) return false;
   bool anyEngine = false, engineAlive = false, plainAlive = false;
   for (const auto& [zone, news] : cells)
@@ -45,14 +47,14 @@
   return anyEngine ? engineAlive : plainAlive;
 }
 
-const WorkerView* Edge::workerView(const std::string& name) const {
+const WorkerView* ProxyRouter::workerView(const std::string& name) const {
   for (const auto& [zone, news] : cells)
     for (const auto& worker : news.workers)
       if (worker.name == name) return &worker;
   return nullptr;
 }
 
-void Edge::dispatch(Effects& effects, const std::string& orderId, const std::string& event) {
+void ProxyRouter::dispatch(Effects& effects, const std::string& orderId, const std::string& event) {
   auto found = orders.find(orderId);
   if (found == orders.end()) return;
   auto& order = *found->second;
@@ -64,7 +66,7 @@
   orders.erase(orderId);
 }
 
-bool Edge::stillGood(const Order& order, TimePoint now) const {
+bool ProxyRouter::stillGood(const Order& order, TimePoint now) const {
   if (!settings.defences.isEnabled(Defence::drawnAgain)) return true;
   const auto* worker = workerView(order.plan.worker);
   if (!worker || !worker->alive || worker->held || !staying.count(worker->name)) return false;
@@ -72,7 +74,7 @@
   return worker->weights == order.plan.weights && mayBegin(order.plan.model, order.plan.weights, now);
 }
 
-void Edge::sendOrRedraw(Effects& effects, const std::string& orderId, const std::string& event) {
+void ProxyRouter::sendOrRedraw(Effects& effects, const std::string& orderId, const std::string& event) {
   auto found = orders.find(orderId);
   if (found == orders.end()) return;
   if (!fresh(effects.now)) {
@@ -85,7 +87,7 @@
   if (!good) servePending(effects);
 }
 
-void Edge::sendOrder(Effects& effects, Order& order) {
+void ProxyRouter::sendOrder(Effects& effects, Order& order) {
   ++order.tries;
   order.sendId = order.ask.orderId + "." + std::to_string(order.tries);
   order.heardAt = effects.now;
@@ -131,27 +133,27 @@
   effects.send(order.plan.address, std::move(sent));
 }
 
-std::optional<Code> Edge::endOfAll(TimePoint now) const {
+std::optional<Code> ProxyRouter::endOfAll(TimePoint now) const {
   if (cutOff(now)) return Code::staleEdge;
   if (drainPlan && now >= drainPlan->endsAt && settings.defences.isEnabled(Defence::drainAnswers))
     return Code::stopping;
   return std::nullopt;
 }
 
-bool Edge::cutOff(TimePoint now) const {
-  return !settings.openGoOn && freshUntil != TimePoint{} && now - freshUntil > staleMost &&
+bool ProxyRouter::cutOff(TimePoint now) const {
+  return !settings.letOpenRequestsFinish && freshUntil != TimePoint{} && now - freshUntil > staleMost &&
          settings.defences.isEnabled(Defence::staleEndsStreams);
 }
 
-void Edge::revokeOpen(Effects& effects) {
-  if (!settings.defences.isEnabled(Defence::revokeEndsStreams) || settings.openGoOn) return;
+void ProxyRouter::revokeOpen(Effects& effects) {
+  if (!settings.defences.isEnabled(Defence::revokeEndsStreams) || settings.letOpenRequestsFinish) return;
   std::vector<std::string> revoked;
   for (const auto& [orderId, order] : orders)
     if (!view.findKey(order->keyHash)) revoked.push_back(orderId);
   for (const auto& orderId : revoked) dispatch(effects, orderId, "revoked");
 }
 
-void Edge::noteVersions() {
+void ProxyRouter::noteVersions() {
   const auto* models = view.findSection("models");
   if (!models) return;
   std::optional<TimePoint> complete;
@@ -159,30 +161,30 @@
   for (const auto& [model, item] : *models) versions.observe(model, stringOr(item, "weights"), complete, view.index());
 }
 
-TimePoint Edge::endOfWeights(const std::string& model, const std::string& weights, Duration span) const {
+TimePoint ProxyRouter::endOfWeights(const std::string& model, const std::string& weights, Duration span) const {
   if (model.empty() || weights.empty() || !settings.defences.isEnabled(Defence::oldWeightsEnd)) return TimePoint::max();
   if (settings.defences.isEnabled(Defence::endFromFirstNewer))
     return endOfUse(versions.supersededAt(model, weights), span);
   return versions.isNewest(model, weights) ? TimePoint::max() : endOfUse(versions.newestAt(model), span);
 }
 
-bool Edge::mayBegin(const std::string& model, const std::string& weights, TimePoint now) const {
+bool ProxyRouter::mayBegin(const std::string& model, const std::string& weights, TimePoint now) const {
   return now < endOfWeights(model, weights, timing.oldWeightsOrderTimeout);
 }
 
-bool Edge::beginsTooLate(const Order& order, TimePoint now) const {
+bool ProxyRouter::beginsTooLate(const Order& order, TimePoint now) const {
   return order.walk->in("sent") && settings.defences.isEnabled(Defence::unbegunDropped) &&
          now >= endOfWeights(order.plan.model, order.plan.weights, timing.unstartedOrderTimeout);
 }
 
-void Edge::setNews(Effects& effects) {
+void ProxyRouter::setNews(Effects& effects) {
   effects.note("edge applied", settings.name, static_cast<std::int64_t>(view.index()));
   feedAt = TimePoint{};
   revokeOpen(effects);
   servePending(effects);
 }
 
-void Edge::tick(Effects& effects) {
+void ProxyRouter::tick(Effects& effects) {
   if (effects.now - feedAt >= timing.feedPollInterval) {
     feedAt = effects.now;
     versions.pruneExpired(effects.now, timing.oldWeightsTimeout);
@@ -190,7 +192,7 @@
     for (const auto& [zone, news] : cells) rows.push_back(CellVersion{zone, news.term, news.sequence});
     effects.send(settings.agentAddress, FeedAsk{toNanoseconds(effects.now), view.index(), rows, machineListDigest});
     for (auto* moments : {&admittedAt, &retriedAt, &doneAt})
-      while (!moments->empty() && effects.now - moments->front() > settings.retrySpan) moments->pop_front();
+      while (!moments->empty() && effects.now - moments->front() > settings.retryBudgetWindow) moments->pop_front();
   }
   std::vector<std::string> ids;
   for (const auto& [orderId, order] : orders) ids.push_back(orderId);
@@ -209,7 +211,7 @@
       dispatch(effects, orderId, "revoked");
       continue;
     }
-    if (order.walk->in("lookup") && effects.now - order.lookupAt >= settings.lookupWait &&
+    if (order.walk->in("lookup") && effects.now - order.lookupAt >= settings.lookupTimeout &&
         settings.defences.isEnabled(Defence::lookupExpires))
       settleLookup(effects, order);
     else if (beginsTooLate(order, effects.now)) {
@@ -217,9 +219,9 @@
       dispatch(effects, orderId, "silent");
     } else if (order.route.matchesPath() && !order.walk->in("pending")) {
       if (effects.now >= order.deadline + deadlineSlack) dispatch(effects, orderId, "silent");
-    } else if (order.walk->in("sent") && effects.now - order.heardAt >= settings.firstByteWait)
+    } else if (order.walk->in("sent") && effects.now - order.heardAt >= settings.firstByteTimeout)
       dispatch(effects, orderId, "silent");
-    else if (order.walk->in("streaming") && effects.now - order.heardAt >= settings.chunkWait)
+    else if (order.walk->in("streaming") && effects.now - order.heardAt >= settings.chunkTimeout)
       dispatch(effects, orderId, "silent");
   }
   std::vector<std::string> overdue;
@@ -229,12 +231,12 @@
   servePending(effects);
 }
 
-Edge::Order* Edge::orderSentAs(const std::string& sendId) {
+ProxyRouter::Order* ProxyRouter::orderSentAs(const std::string& sendId) {
   auto sent = orderBySend.find(sendId);
   return sent == orderBySend.end() ? nullptr : orders.at(sent->second).get();
 }
 
-void Edge::onWorkerChunk(Effects& effects, const WorkerChunk& chunk) {
+void ProxyRouter::onWorkerChunk(Effects& effects, const WorkerChunk& chunk) {
   auto* order = orderSentAs(chunk.orderId);
   if (!order) return;
   order->chunk = chunk.text;
@@ -245,7 +247,7 @@
   dispatch(effects, orderId, late ? "revoked" : "chunk");
 }
 
-const char* Edge::eventOf(const Order& order, OrderOutcome outcome) const {
+const char* ProxyRouter::eventOf(const Order& order, OrderOutcome outcome) const {
   bool goesOn = order.walk->in("streaming") && order.route.resumable;
   bool brokeOff =
       outcome == OrderOutcome::broken || outcome == OrderOutcome::denied || outcome == OrderOutcome::brokenBeforeSend;
@@ -269,7 +271,7 @@
   }
 }
 
-void Edge::onWorkerEnd(Effects& effects, const WorkerEnd& end) {
+void ProxyRouter::onWorkerEnd(Effects& effects, const WorkerEnd& end) {
   auto outcome = static_cast<OrderOutcome>(end.outcome);
   if (auto move = moveBySend.find(end.orderId); move != moveBySend.end()) {
     std::string moveId = move->second;
@@ -287,7 +289,7 @@
   servePending(effects);
 }
 
-void Edge::eject(const Order& order, OrderOutcome outcome, TimePoint now) {
+void ProxyRouter::eject(const Order& order, OrderOutcome outcome, TimePoint now) {
   auto& local = locals[order.plan.worker];
   if (outcome == OrderOutcome::denied) {
     local.shunUntil = now + deniedShunFor;
@@ -300,7 +302,7 @@
   if (spans > 0) local.shunUntil = now + spans * shunFor;
 }
 
-void Edge::onWorkerLoad(const WorkerLoad& load, TimePoint now) {
+void ProxyRouter::onWorkerLoad(const WorkerLoad& load, TimePoint now) {
   const auto* order = orderSentAs(load.orderId);
   if (!order) return;
   auto& local = locals[order->plan.worker];
@@ -309,7 +311,7 @@
   local.loadAt = now;
 }
 
-void Edge::onFeed(const FeedReply& feed, TimePoint now) {
+void ProxyRouter::onFeed(const FeedReply& feed, TimePoint now) {
   agentHeard = now;
   versions.mergeFrom(feed.namings, fromNanoseconds(feed.sentAt));
   if (!feed.known) return;
@@ -321,7 +323,7 @@
   }
 }
 
-void Edge::onNews(Effects& effects, const NewsMsg& news) {
+void ProxyRouter::onNews(Effects& effects, const NewsMsg& news) {
   Uint64 before = view.index();
   for (const auto& snapshot : news.snapshots)
     if (snapshot.index > view.index() && view.adopt(snapshot)) noteVersions();
@@ -333,7 +335,7 @@
   if (view.index() != before) setNews(effects);
 }
 
-void Edge::onCellNews(Effects& effects, const CellNews& news) {
+void ProxyRouter::onCellNews(Effects& effects, const CellNews& news) {
   auto& kept = cells[news.zone];
   if (!applyCellNews(kept, news)) return;
   newsAt[kept.zone] = effects.now;
@@ -348,7 +350,7 @@
   servePending(effects);
 }
 
-void Edge::onMarks(const MarksMsg& marks, TimePoint now) {
+void ProxyRouter::onMarks(const MarksMsg& marks, TimePoint now) {
   TimePoint listedAt = now - Duration(marks.age);
   bool older = machineListDigest && listedAt < machineListAt && settings.defences.isEnabled(Defence::listOrder);
   if (marks.age < 0 || marks.machines.empty() || older) return;
@@ -359,7 +361,7 @@
     if (!machine.leaving) staying.insert(machine.name);
 }
 
-void Edge::onLookupReply(Effects& effects, const LookupReply& reply) {
+void ProxyRouter::onLookupReply(Effects& effects, const LookupReply& reply) {
   auto row = orderByLookup.find(reply.lookupId);
   if (row == orderByLookup.end()) return;
   std::string orderId = row->second;
@@ -367,11 +369,11 @@
   auto found = orders.find(orderId);
   if (found == orders.end() || !found->second->walk->in("lookup")) return;
   auto& order = *found->second;
-  if (effects.now - order.lookupAt < settings.lookupWait) order.replies[reply.keeper] = reply;
+  if (effects.now - order.lookupAt < settings.lookupTimeout) order.replies[reply.keeper] = reply;
   if (order.replies.size() == order.plan.candidates.size()) settleLookup(effects, order);
 }
 
-void Edge::handle(Effects& effects, const std::string& from, const Message& message) {
+void ProxyRouter::handle(Effects& effects, const std::string& from, const Message& message) {
   if (auto* ask = std::get_if<CallerOrder>(&message)) {
     admit(effects, *ask);
   } else if (auto* gone = std::get_if<CallerGone>(&message)) {
@@ -388,7 +390,7 @@
   }
 }
 
-void Edge::takeFromAgent(Effects& effects, const Message& message) {
+void ProxyRouter::takeFromAgent(Effects& effects, const Message& message) {
   if (auto* feed = std::get_if<FeedReply>(&message)) {
     onFeed(*feed, effects.now);
   } else if (auto* news = std::get_if<NewsMsg>(&message)) {
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -8,29 +8,29 @@
 
 namespace tt {
 
-struct EdgeSettings {
+struct ProxyRouterSettings {
   std::string name, address, zone, agentAddress;
   bool fetching{true};
-  std::size_t pendingMost{64};
-  Duration pendingWait{1500ms};
-  Duration firstByteWait{10s};
-  Duration chunkWait{5s};
+  std::size_t maxPending{64};
+  Duration pendingTimeout{1500ms};
+  Duration firstByteTimeout{10s};
+  Duration chunkTimeout{5s};
   double blockMs{4};
-  double retryShare{0.1};
-  Duration lookupWait{200ms};
+  double retryBudgetRatio{0.1};
+  Duration lookupTimeout{200ms};
   /// A source rides on the caller's own order; moves are no orders of their own.
-  bool sourceRides{false};
+  bool fetchWithinRequest{false};
   /// Orders under way go on when their key is revoked or this proxy is cut off; only new ones are denied.
-  bool openGoOn{false};
+  bool letOpenRequestsFinish{false};
   /// The policy of routes that name none.
   std::string routePolicy;
   /// Prompt tokens that a worker reads in a millisecond, about.
   double tokensPerMs{100};
   /// How much of the orders is denied at most when workers are too late for the aims of all.
-  double shedMost{0};
+  double maxShedRatio{0};
   /// Repeat tries that one proxy may always have within the retry span.
-  double retryLeast{1};
-  Duration retrySpan{5s}, retryAtOnce{1s};
+  double minRetriesPerWindow{1};
+  Duration retryBudgetWindow{5s}, retryBurstWindow{1s};
   Defences defences;
 };
 
@@ -60,9 +60,9 @@
 
 /// The logic of a proxy: admits, plans and carries out orders. It speaks to callers as "caller", to its agent and to
 /// workers by address.
-class Edge : public Node {
+class ProxyRouter : public Node {
  public:
-  explicit Edge(EdgeSettings edgeSettings);
+  explicit ProxyRouter(ProxyRouterSettings edgeSettings);
   void handle(Effects& effects, const std::string& from, const Message& message) override;
   void tick(Effects& effects) override;
   std::string condition(TimePoint now) const;
@@ -94,7 +94,7 @@
     Code lastCode{Code::noWorker};
     WorkerEnd end;
     std::string chunk;
-    std::unique_ptr<StateMachine<Edge, Effects&, Order&>> walk;
+    std::unique_ptr<StateMachine<ProxyRouter, Effects&, Order&>> walk;
   };
   struct Move {
     std::string target, sendId;
@@ -111,7 +111,7 @@
     /// For workers of plain services, where one that fails is left out for longer each time.
     OutlierRecord outliers;
   };
-  EdgeSettings settings;
+  ProxyRouterSettings settings;
   Configuration view;
   std::map<std::string, CellNews> cells;
   std::map<std::string, TimePoint> newsAt;
@@ -149,7 +149,7 @@
   bool wasFresh{false};
   std::optional<DrainPlan> drainPlan;
 
-  using Actions = StateMachine<Edge, Effects&, Order&>::Actions;
+  using Actions = StateMachine<ProxyRouter, Effects&, Order&>::Actions;
   static const Actions& actions();
   void sendOrder(Effects& effects, Order& order);
   void sendLookup(Effects& effects, Order& order);
@@ -269,7 +269,7 @@
 };
 
 /// Whether these transfer modes may stand together in one order.
-Result<void> checkModes(const Strings& modes);
+Result<void> checkTransferModes(const Strings& modes);
 std::size_t prefixHits(const std::vector<int>& hits);
 
 }  // namespace tt
--- a/src/routing/edge_admission.cpp
+++ b/src/routing/edge_admission.cpp
@@ -8,15 +8,15 @@
 constexpr std::size_t mostPriorities = 64;
 }  // namespace
 
-int Edge::comeBackMs(Effects& effects, Code code) const {
+int ProxyRouter::comeBackMs(Effects& effects, Code code) const {
   int least = 300;
   if (code == Code::staleEdge) {
-    least = settings.sourceRides ? 1200 : 500;
+    least = settings.fetchWithinRequest ? 1200 : 500;
   } else if (code == Code::stopping) {
     least = 200;
   } else if (code == Code::pendingFull) {
-    double timing =
-        std::max(1.0, static_cast<double>(doneAt.size()) / std::chrono::duration<double>(settings.retrySpan).count());
+    double timing = std::max(
+        1.0, static_cast<double>(doneAt.size()) / std::chrono::duration<double>(settings.retryBudgetWindow).count());
     least = static_cast<int>(std::clamp(1000.0 * static_cast<double>(pending.size()) / timing, 300.0, 5000.0));
   } else if (code == Code::noWorker) {
     bool held = false;
@@ -29,13 +29,13 @@
   return least + static_cast<int>(effects.randomBelow(static_cast<std::uint64_t>(std::max(least, 700))));
 }
 
-bool Edge::makeRoom(Effects& effects, const std::string& tenant) {
+bool ProxyRouter::makeRoom(Effects& effects, const std::string& tenant) {
   std::map<std::string, std::size_t> pendingByTenant{{tenant, 0}};
   for (const auto& orderId : pending)
     if (auto found = orders.find(orderId); found != orders.end()) ++pendingByTenant[found->second->tenant];
   auto greediest = std::max_element(pendingByTenant.begin(), pendingByTenant.end(),
                                     [](const auto& one, const auto& other) { return one.second < other.second; });
-  std::size_t share = settings.pendingMost / pendingByTenant.size();
+  std::size_t share = settings.maxPending / pendingByTenant.size();
   if (pendingByTenant[tenant] >= share || greediest->second <= share) return false;
   for (auto row = pending.rbegin(); row != pending.rend(); ++row) {
     auto found = orders.find(*row);
@@ -50,7 +50,7 @@
   return false;
 }
 
-void Edge::admit(Effects& effects, const CallerOrder& ask) {
+void ProxyRouter::admit(Effects& effects, const CallerOrder& ask) {
   auto order = std::make_unique<Order>();
   order->ask = ask;
   order->takenAt = effects.now;
@@ -99,7 +99,7 @@
     }
     order->route = *pathRoute;
     order->policy = pathRoute->policy.empty() ? routePolicy : view.policyOf(pathRoute->policy);
-    if (pending.size() >= settings.pendingMost && !makeRoom(effects, order->tenant))
+    if (pending.size() >= settings.maxPending && !makeRoom(effects, order->tenant))
       return deny(Code::pendingFull, "pending");
     return accept(effects, std::move(order));
   }
@@ -110,18 +110,18 @@
   if (route->model != ask.model) return deny(Code::badField, "model", "this route serves model " + route->model);
   if (!route->tenants.empty() && !route->tenants.count(order->tenant)) return deny(Code::unknownTenant, "route");
   if (!ask.tenant.empty() && ask.tenant != order->tenant) return deny(Code::unknownTenant, "tenant");
-  if (auto modes = checkModes(ask.modes); !modes)
+  if (auto modes = checkTransferModes(ask.modes); !modes)
     return deny(modes.error().code, modes.error().subject, modes.error().text);
-  if (pending.size() >= settings.pendingMost && !makeRoom(effects, order->tenant))
+  if (pending.size() >= settings.maxPending && !makeRoom(effects, order->tenant))
     return deny(Code::pendingFull, "pending");
   order->route = *route;
   order->policy = view.policyOf(route->policy);
   accept(effects, std::move(order));
 }
 
-void Edge::accept(Effects& effects, std::unique_ptr<Order> order) {
+void ProxyRouter::accept(Effects& effects, std::unique_ptr<Order> order) {
   std::string orderId = order->ask.orderId;
-  order->walk = std::make_unique<StateMachine<Edge, Effects&, Order&>>("order", actions(), "pending");
+  order->walk = std::make_unique<StateMachine<ProxyRouter, Effects&, Order&>>("order", actions(), "pending");
   admittedAt.push_back(effects.now);
   effects.note("admitted", orderId);
   orders[orderId] = std::move(order);
@@ -129,12 +129,12 @@
   servePending(effects);
 }
 
-Duration Edge::pendingMostOf(const Order& order) const {
-  if (!order.route.matchesPath() || order.route.targetLatency <= Duration(0)) return settings.pendingWait;
-  return std::min(settings.pendingWait, order.route.targetLatency / 5);
+Duration ProxyRouter::pendingMostOf(const Order& order) const {
+  if (!order.route.matchesPath() || order.route.targetLatency <= Duration(0)) return settings.pendingTimeout;
+  return std::min(settings.pendingTimeout, order.route.targetLatency / 5);
 }
 
-void Edge::servePending(Effects& effects) {
+void ProxyRouter::servePending(Effects& effects) {
   std::map<std::string, std::deque<std::string>> byTenant;
   for (const auto& orderId : pending)
     if (auto found = orders.find(orderId); found != orders.end() && found->second->walk->in("pending"))
@@ -182,7 +182,7 @@
   pending.insert(pending.end(), left.begin(), left.end());
 }
 
-bool Edge::mayEndBefore(TimePoint deadline, TimePoint now) const {
+bool ProxyRouter::mayEndBefore(TimePoint deadline, TimePoint now) const {
   return drainPlan && !drainPlan->takes(now, deadline) && settings.defences.isEnabled(Defence::drainRefuses);
 }
 
--- a/src/routing/edge_outcomes.cpp
+++ b/src/routing/edge_outcomes.cpp
@@ -9,18 +9,20 @@
 constexpr int mostTries = 3;
 }  // namespace
 
-bool Edge::mayRetry(TimePoint now) const {
+bool ProxyRouter::mayRetry(TimePoint now) const {
   if (!settings.defences.isEnabled(Defence::retryBudget)) return true;
   auto fits = [&](Duration span) {
     auto within = [&](const std::deque<TimePoint>& moments) {
       return static_cast<double>(moments.end() - std::lower_bound(moments.begin(), moments.end(), now - span));
     };
-    return within(retriedAt) + 1 <= std::max(settings.retryLeast, settings.retryShare * within(admittedAt));
+    return within(retriedAt) + 1 <=
+           std::max(settings.minRetriesPerWindow, settings.retryBudgetRatio * within(admittedAt));
   };
-  return fits(settings.retrySpan) && fits(settings.retryAtOnce);
+  return fits(settings.retryBudgetWindow) && fits(settings.retryBurstWindow);
 }
 
-void Edge::verdict(Effects& effects, Order& order, const std::string& word, Code code, const std::string& subject) {
+void ProxyRouter::verdict(Effects& effects, Order& order, const std::string& word, Code code,
+                          const std::string& subject) {
   CallerVerdict said;
   said.orderId = order.ask.orderId;
   said.verdict = word;
@@ -40,13 +42,13 @@
   effects.send("caller", said);
 }
 
-void Edge::denyOrUnknown(Effects& effects, Order& order, Code code, const std::string& subject) {
+void ProxyRouter::denyOrUnknown(Effects& effects, Order& order, Code code, const std::string& subject) {
   verdict(effects, order, order.mayHaveRun ? "unknown" : "not run", code, subject);
 }
 
-int Edge::mostTriesOf(const Order& order) const { return order.route.tries > 0 ? order.route.tries : mostTries; }
+int ProxyRouter::mostTriesOf(const Order& order) const { return order.route.tries > 0 ? order.route.tries : mostTries; }
 
-void Edge::readDone(Effects& effects, Order& order, bool read) {
+void ProxyRouter::readDone(Effects& effects, Order& order, bool read) {
   if (!order.unreadCounted) return;
   order.unreadCounted = false;
   if (!order.plan.model.empty())
@@ -56,7 +58,7 @@
   local.unread = std::max(0, local.unread - order.plan.unread);
 }
 
-void Edge::freeWorker(Effects& effects, Order& order) {
+void ProxyRouter::freeWorker(Effects& effects, Order& order) {
   readDone(effects, order, false);
   if (!order.counted) return;
   order.counted = false;
@@ -66,7 +68,7 @@
     openByTenant.erase(open);
 }
 
-void Edge::passChunk(Effects& effects, Order& order) {
+void ProxyRouter::passChunk(Effects& effects, Order& order) {
   if (!order.began && order.route.matchesPath() && !order.plan.model.empty()) noteDelay(order, effects.now);
   if (!order.began && order.plan.source)
     effects.note("transfer inferred", order.plan.source->name, toMilliseconds(effects.now - order.heardAt));
@@ -76,38 +78,40 @@
   order.heardAt = effects.now;
 }
 
-void Edge::endDone(Effects& effects, Order& order) {
+void ProxyRouter::endDone(Effects& effects, Order& order) {
   doneAt.push_back(effects.now);
   verdict(effects, order, "done", Code::done);
 }
 
-void Edge::endFailed(Effects& effects, Order& order) {
+void ProxyRouter::endFailed(Effects& effects, Order& order) {
   verdict(effects, order, "failed", Code::workerFailed, order.plan.worker);
 }
 
-void Edge::endBroken(Effects& effects, Order& order) {
+void ProxyRouter::endBroken(Effects& effects, Order& order) {
   bool says = settings.defences.isEnabled(Defence::brokenSaysSo);
   verdict(effects, order, says ? "failed" : "done", says ? Code::workerBroke : Code::done, order.plan.worker);
 }
 
-void Edge::endSilent(Effects& effects, Order& order) {
+void ProxyRouter::endSilent(Effects& effects, Order& order) {
   verdict(effects, order, "failed", Code::workerSilent, order.plan.worker);
 }
 
-void Edge::endRevoked(Effects& effects, Order& order) {
+void ProxyRouter::endRevoked(Effects& effects, Order& order) {
   verdict(effects, order, "failed", endsWithProxy(order) ? order.lastCode : Code::keyRevoked);
 }
 
-void Edge::denyLate(Effects& effects, Order& order) { denyOrUnknown(effects, order, order.lastCode); }
+void ProxyRouter::denyLate(Effects& effects, Order& order) { denyOrUnknown(effects, order, order.lastCode); }
 
-void Edge::denyKey(Effects& effects, Order& order) {
+void ProxyRouter::denyKey(Effects& effects, Order& order) {
   if (endsWithProxy(order)) return denyOrUnknown(effects, order, order.lastCode);
   denyOrUnknown(effects, order, Code::keyDenied, "authorization");
 }
 
-void Edge::dropOrder(Effects& effects, Order& order) { effects.send(order.plan.address, WorkerDrop{order.sendId}); }
+void ProxyRouter::dropOrder(Effects& effects, Order& order) {
+  effects.send(order.plan.address, WorkerDrop{order.sendId});
+}
 
-void Edge::weighUnsent(Effects& effects, Order& order) {
+void ProxyRouter::weighUnsent(Effects& effects, Order& order) {
   if (!order.plan.sinkAddress.empty()) savedAt.erase(order.plan.hashes.back());
   freeWorker(effects, order);
   order.tried.insert(order.plan.worker);
@@ -119,7 +123,7 @@
   if (!order.retryAsked) denyOrUnknown(effects, order, Code::noWorker);
 }
 
-void Edge::weighResume(Effects& effects, Order& order) {
+void ProxyRouter::weighResume(Effects& effects, Order& order) {
   freeWorker(effects, order);
   order.tried.insert(order.plan.worker);
   orderBySend.erase(order.sendId);
@@ -130,7 +134,7 @@
   if (!order.retryAsked) verdict(effects, order, "failed", Code::workerBroke, order.plan.worker);
 }
 
-void Edge::weighBroken(Effects& effects, Order& order) {
+void ProxyRouter::weighBroken(Effects& effects, Order& order) {
   freeWorker(effects, order);
   if (static_cast<OrderOutcome>(order.end.outcome) != OrderOutcome::forgotten) order.tried.insert(order.plan.worker);
   orderBySend.erase(order.sendId);
@@ -140,12 +144,12 @@
   if (!order.retryAsked) denyOrUnknown(effects, order, Code::workerBroke, order.plan.worker);
 }
 
-void Edge::redraw(Effects& effects, Order& order) {
+void ProxyRouter::redraw(Effects& effects, Order& order) {
   order.takenAt = effects.now;
   pending.push_front(order.ask.orderId);
 }
 
-void Edge::drawAgain(Effects&, Order& order) {
+void ProxyRouter::drawAgain(Effects&, Order& order) {
   order.plan = Plan{};
   pending.push_front(order.ask.orderId);
 }
--- a/src/routing/edge_placement.cpp
+++ b/src/routing/edge_placement.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t ranksAsked = 3;
 }  // namespace
 
-int Edge::busyOf(const WorkerView& worker, TimePoint now) const {
+int ProxyRouter::busyOf(const WorkerView& worker, TimePoint now) const {
   auto local = locals.find(worker.name);
   auto heard = newsAt.find(worker.zone);
   if (heard == newsAt.end() || now - heard->second > newsOld) return local == locals.end() ? 0 : local->second.open;
@@ -24,7 +24,7 @@
   return std::max(local->second.open, worker.running + local->second.sentSinceNews);
 }
 
-double Edge::loadOf(const std::string& worker, TimePoint now) const {
+double ProxyRouter::loadOf(const std::string& worker, TimePoint now) const {
   auto found = locals.find(worker);
   if (found == locals.end()) return 0;
   const auto& local = found->second;
@@ -33,14 +33,14 @@
          std::max(local.open, told ? local.running : 0) * runningMs;
 }
 
-bool Edge::savesTo(const std::string& store, const BlockHash& prefix, TimePoint now) {
+bool ProxyRouter::savesTo(const std::string& store, const BlockHash& prefix, TimePoint now) {
   const auto* keeper = workerView(store);
   if (!keeper || static_cast<int>(prefix.high % 1000) >= keeper->savedPermille) return false;
   auto row = savedAt.find(prefix);
   return row == savedAt.end() || now - row->second >= savedSure;
 }
 
-void Edge::noteDelay(const Order& order, TimePoint now) {
+void ProxyRouter::noteDelay(const Order& order, TimePoint now) {
   double readMs = order.plan.unread / settings.tokensPerMs;
   double late = std::max(0.0, std::chrono::duration<double, std::milli>(now - order.sentAt).count() - readMs);
   delayMs += (late - delayMs) * delayShare;
@@ -48,17 +48,17 @@
   delayAt = now;
 }
 
-bool Edge::sheds(Effects& effects, const Order& order) {
-  if (settings.shedMost <= 0 || order.route.targetLatency <= Duration(0) || effects.now - delayAt > delayOld)
+bool ProxyRouter::sheds(Effects& effects, const Order& order) {
+  if (settings.maxShedRatio <= 0 || order.route.targetLatency <= Duration(0) || effects.now - delayAt > delayOld)
     return false;
   double aimMs = std::chrono::duration<double, std::milli>(order.route.targetLatency).count();
   double over = delayMs / aimMs - 1;
   if (over <= 0) return false;
   double size = std::clamp(order.plan.unread / std::max(1.0, meanUnread), 0.2, 2.0);
-  return static_cast<double>(effects.randomBelow(1000)) < 1000 * std::min(settings.shedMost, over * 0.5) * size;
+  return static_cast<double>(effects.randomBelow(1000)) < 1000 * std::min(settings.maxShedRatio, over * 0.5) * size;
 }
 
-bool Edge::drawByPrefix(Effects& effects, Order& order) {
+bool ProxyRouter::drawByPrefix(Effects& effects, Order& order) {
   struct Choice {
     const WorkerView* worker;
     std::uint64_t rank;
@@ -126,7 +126,7 @@
   return true;
 }
 
-void Edge::countOpen(Order& order) {
+void ProxyRouter::countOpen(Order& order) {
   auto& local = locals[order.plan.worker];
   ++local.open;
   ++local.sentSinceNews;
@@ -134,18 +134,18 @@
   order.counted = true;
 }
 
-bool Edge::mayBeDrawn(const WorkerView& worker) const {
+bool ProxyRouter::mayBeDrawn(const WorkerView& worker) const {
   return staying.count(worker.name) || !settings.defences.isEnabled(Defence::marksAtDraw);
 }
 
-bool Edge::isPlain(const std::string& service) const {
+bool ProxyRouter::isPlain(const std::string& service) const {
   for (const auto& [zone, news] : cells)
     for (const auto& worker : news.workers)
       if (worker.service == service) return worker.kind == "app";
   return false;
 }
 
-PlainCandidate Edge::plainCandidate(const WorkerView& worker, TimePoint now) const {
+PlainCandidate ProxyRouter::plainCandidate(const WorkerView& worker, TimePoint now) const {
   PlainCandidate candidate;
   candidate.slots = worker.slots;
   candidate.sameZone = worker.zone == settings.zone;
@@ -160,7 +160,7 @@
   return candidate;
 }
 
-bool Edge::drawPlain(Effects& effects, Order& order) {
+bool ProxyRouter::drawPlain(Effects& effects, Order& order) {
   std::vector<const WorkerView*> workers;
   std::vector<PlainCandidate> candidates;
   bool anyAlive = false;
@@ -184,7 +184,7 @@
   return true;
 }
 
-bool Edge::drawWorker(Effects& effects, Order& order) {
+bool ProxyRouter::drawWorker(Effects& effects, Order& order) {
   if (order.route.matchesPath() && isPlain(order.service)) return drawPlain(effects, order);
   if (order.route.matchesPath()) return drawByPrefix(effects, order);
   struct Choice {
--- a/src/routing/edge_report.cpp
+++ b/src/routing/edge_report.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 
 namespace tt {
-std::string Edge::condition(TimePoint now) const {
+std::string ProxyRouter::condition(TimePoint now) const {
   JsonObject whole;
   whole["proxy"] = Json(settings.name);
   whole["fresh"] = Json(fresh(now));
--- a/src/routing/edge_sources.cpp
+++ b/src/routing/edge_sources.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t leastGain = 4;
 }  // namespace
 
-Result<void> checkModes(const Strings& modes) {
+Result<void> checkTransferModes(const Strings& modes) {
   std::set<std::string> given(modes.begin(), modes.end());
   for (const auto& mode : given)
     if (mode != "remote_decoder" && mode != "remote_prefiller" && mode != "remote_kv_source")
@@ -31,14 +31,14 @@
   return count;
 }
 
-double Edge::linkSpeed(const std::string& source, const std::string& target) const {
+double ProxyRouter::linkSpeed(const std::string& source, const std::string& target) const {
   for (const auto& [zone, news] : cells)
     for (const auto& link : news.links)
       if (link.source == source && link.target == target) return link.blocksPerSecond;
   return unmeasuredSpeed;
 }
 
-void Edge::drawRideSources(Order& order, TimePoint now) {
+void ProxyRouter::drawRideSources(Order& order, TimePoint now) {
   auto& plan = order.plan;
   bool namesSource = false;
   for (const auto& mode : order.ask.modes)
@@ -68,33 +68,34 @@
   plan.candidates.erase(std::remove_if(plan.candidates.begin(), plan.candidates.end(), silent), plan.candidates.end());
 }
 
-int Edge::tokensOf(const Plan& plan, std::size_t parts) {
+int ProxyRouter::tokensOf(const Plan& plan, std::size_t parts) {
   int tokens = 0;
   for (std::size_t at = 0; at < parts && at < plan.tokens.size(); ++at) tokens += plan.tokens[at];
   return tokens;
 }
 
-int Edge::keptTokens(const Order& order, const Plan::Candidate& candidate) {
+int ProxyRouter::keptTokens(const Order& order, const Plan::Candidate& candidate) {
   auto reply = order.replies.find(candidate.name);
   return reply == order.replies.end() ? 0 : tokensOf(order.plan, prefixHits(reply->second.hits));
 }
 
-int Edge::soonKeptTokens(const Order& order, const Plan::Candidate& candidate) {
+int ProxyRouter::soonKeptTokens(const Order& order, const Plan::Candidate& candidate) {
   auto reply = order.replies.find(candidate.name);
   if (reply == order.replies.end()) return 0;
   auto pending = static_cast<std::size_t>(std::max(0, reply->second.pendingHits));
   return tokensOf(order.plan, std::max(prefixHits(reply->second.hits), pending));
 }
 
-double Edge::transferMsBetween(const Order& order, const Plan::Candidate& source, const Plan::Candidate& target,
-                               int tokens) const {
+double ProxyRouter::transferMsBetween(const Order& order, const Plan::Candidate& source, const Plan::Candidate& target,
+                                      int tokens) const {
   const auto* targetService = view.findService(order.service);
   const auto* sourceService = view.findService(source.service);
   return transferMs(tokens, targetService ? targetService->tokenBytes : 0, sourceService ? sourceService->linkMbps : 0,
                     targetService ? targetService->linkMbps : 0, source.zone == target.zone);
 }
 
-Edge::Source Edge::sourceFor(const Order& order, const Plan::Candidate& target, int own, TimePoint now) const {
+ProxyRouter::Source ProxyRouter::sourceFor(const Order& order, const Plan::Candidate& target, int own,
+                                           TimePoint now) const {
   Source best;
   for (const auto& candidate : order.plan.candidates) {
     if (candidate.name == target.name) continue;
@@ -111,8 +112,8 @@
   return best;
 }
 
-Edge::Placement Edge::placementAt(const Order& order, const Plan::Candidate& target, int heldAnywhere,
-                                  TimePoint now) const {
+ProxyRouter::Placement ProxyRouter::placementAt(const Order& order, const Plan::Candidate& target, int heldAnywhere,
+                                                TimePoint now) const {
   Placement placement;
   placement.target = &target;
   auto& facts = placement.facts;
@@ -135,7 +136,7 @@
   return placement;
 }
 
-std::optional<Edge::Placement> Edge::cheapestPlacement(const Order& order, TimePoint now) const {
+std::optional<ProxyRouter::Placement> ProxyRouter::cheapestPlacement(const Order& order, TimePoint now) const {
   int heldAnywhere = 0;
   for (const auto& candidate : order.plan.candidates)
     heldAnywhere = std::max(heldAnywhere, soonKeptTokens(order, candidate));
@@ -152,7 +153,7 @@
   return best;
 }
 
-void Edge::placeAt(Effects& effects, Order& order, const Placement& placement) {
+void ProxyRouter::placeAt(Effects& effects, Order& order, const Placement& placement) {
   auto& plan = order.plan;
   if (placement.target->name != plan.worker) {
     freeWorker(effects, order);
@@ -166,7 +167,7 @@
   plan.unread -= std::max(facts.ownTokens, facts.fetchedTokens);
 }
 
-bool Edge::settleRide(Effects& effects, Order& order) {
+bool ProxyRouter::settleRide(Effects& effects, Order& order) {
   auto& plan = order.plan;
   int shared = tokensOf(plan, plan.hashes.size());
   const Plan::Candidate* store = nullptr;
@@ -193,7 +194,7 @@
   return plan.source.has_value();
 }
 
-void Edge::drawSources(Order& order, TimePoint now) {
+void ProxyRouter::drawSources(Order& order, TimePoint now) {
   if (order.route.matchesPath()) return drawRideSources(order, now);
   auto& plan = order.plan;
   plan.candidates.clear();
@@ -226,7 +227,7 @@
   if (bestStore) plan.candidates.push_back(*bestStore);
 }
 
-void Edge::sendLookup(Effects& effects, Order& order) {
+void ProxyRouter::sendLookup(Effects& effects, Order& order) {
   order.lookupAt = effects.now;
   order.replies.clear();
   for (const auto& candidate : order.plan.candidates) {
@@ -238,7 +239,7 @@
   effects.note("lookup asked", order.ask.orderId, static_cast<std::int64_t>(order.plan.candidates.size()));
 }
 
-void Edge::settleLookup(Effects& effects, Order& order) {
+void ProxyRouter::settleLookup(Effects& effects, Order& order) {
   auto& plan = order.plan;
   effects.note("lookup settled", order.ask.orderId, toMilliseconds(effects.now - order.lookupAt));
   plan.source.reset();
@@ -266,7 +267,7 @@
   sendOrRedraw(effects, order.ask.orderId, plan.source ? "hits" : "misses");
 }
 
-void Edge::sendMove(Effects& effects, Order& order) {
+void ProxyRouter::sendMove(Effects& effects, Order& order) {
   auto& plan = order.plan;
   std::size_t blocks = settings.defences.isEnabled(Defence::moveCut) ? plan.wantedHits : plan.hashes.size();
   Hashes prefix(plan.hashes.begin(), plan.hashes.begin() + static_cast<std::ptrdiff_t>(blocks));
@@ -301,12 +302,12 @@
                                          {}});
 }
 
-void Edge::dropMove(Effects&, Order& order) {
+void ProxyRouter::dropMove(Effects&, Order& order) {
   auto move = moves.find(order.moveId);
   if (move != moves.end()) move->second.orderIds.erase(order.ask.orderId);
 }
 
-void Edge::settleMove(Effects& effects, const std::string& moveId, bool success) {
+void ProxyRouter::settleMove(Effects& effects, const std::string& moveId, bool success) {
   auto found = moves.find(moveId);
   if (found == moves.end()) return;
   Move move = std::move(found->second);
--- a/src/sim/scale/draw_trial.cpp
+++ b/src/sim/scale/draw_trial.cpp
@@ -69,7 +69,7 @@
   std::mt19937_64 randomSource;
   std::int64_t heapBytes{0};
   TimePoint now{std::chrono::hours(1)};
-  Edge edge;
+  ProxyRouter edge;
   std::vector<std::pair<std::string, Message>> sends;
   Spent draws, replies, pieces, ends, idle;
 
--- a/src/sim/scale/fleet_fixtures.cpp
+++ b/src/sim/scale/fleet_fixtures.cpp
@@ -117,20 +117,20 @@
   return settings;
 }
 
-EdgeSettings platformEdge(const std::string& name, const std::string& address, const std::string& zone,
-                          const std::string& agentAddress) {
-  EdgeSettings settings;
+ProxyRouterSettings platformEdge(const std::string& name, const std::string& address, const std::string& zone,
+                                 const std::string& agentAddress) {
+  ProxyRouterSettings settings;
   settings.name = name;
   settings.address = address;
   settings.zone = zone;
   settings.agentAddress = agentAddress;
-  settings.pendingMost = 256;
-  settings.sourceRides = settings.openGoOn = true;
+  settings.maxPending = 256;
+  settings.fetchWithinRequest = settings.letOpenRequestsFinish = true;
   settings.routePolicy = "fetch peer when hits >= 1\nfetch store when hits >= 1";
-  settings.retryShare = 0.15;
-  settings.retryLeast = 2.9;
-  settings.retrySpan = 10s;
-  settings.retryAtOnce = 2s;
+  settings.retryBudgetRatio = 0.15;
+  settings.minRetriesPerWindow = 2.9;
+  settings.retryBudgetWindow = 10s;
+  settings.retryBurstWindow = 2s;
   return settings;
 }
 
--- a/src/sim/scale/fleet_fixtures.hpp
+++ b/src/sim/scale/fleet_fixtures.hpp
@@ -24,8 +24,8 @@
 
 /// Settings and timing as the platform's roles have them.
 CellSettings platformCell();
-EdgeSettings platformEdge(const std::string& name, const std::string& address, const std::string& zone,
-                          const std::string& agentAddress);
+ProxyRouterSettings platformEdge(const std::string& name, const std::string& address, const std::string& zone,
+                                 const std::string& agentAddress);
 void setPlatformTiming();
 
 }  // namespace tt
--- a/src/sim/scale/hollow_fleet.cpp
+++ b/src/sim/scale/hollow_fleet.cpp
@@ -120,7 +120,7 @@
     process.beside = proxyAddress;
   }));
   proxies.push_back(startProcess("proxy", name, proxyAddress, [&](Process& process) {
-    process.node = std::make_unique<Edge>(platformEdge(name, proxyAddress, zone, agentAddress));
+    process.node = std::make_unique<ProxyRouter>(platformEdge(name, proxyAddress, zone, agentAddress));
     process.beside = agentAddress;
   }));
 }
--- a/src/sim/scale/hollow_fleet.hpp
+++ b/src/sim/scale/hollow_fleet.hpp
@@ -101,7 +101,7 @@
 
   Core& core(std::size_t number) { return static_cast<Core&>(*processes[cores[number]]->node); }
   Agent& agent(std::size_t number) { return static_cast<Agent&>(*processes[agents[number]]->node); }
-  Edge& proxy(std::size_t number) { return static_cast<Edge&>(*processes[proxies[number]]->node); }
+  ProxyRouter& proxy(std::size_t number) { return static_cast<ProxyRouter&>(*processes[proxies[number]]->node); }
   std::size_t leader();
 
   std::size_t startProcess(const std::string& role, const std::string& name, const std::string& address,
--- a/src/sim/sim.cpp
+++ b/src/sim/sim.cpp
@@ -171,16 +171,16 @@
       settings.seeds.push_back(actors.at("core-" + std::to_string((numberOf(name) + at) % shape.cores + 1))->address);
     actor.node = std::make_unique<Agent>(settings);
   } else if (starts(name, "proxy-")) {
-    EdgeSettings settings;
+    ProxyRouterSettings settings;
     settings.name = name + "." + std::to_string(actor.life);
     settings.address = actor.address;
     settings.zone = actor.zone;
     settings.agentAddress = addressOf("agent-" + std::to_string(numberOf(name)));
     settings.fetching = shape.fetching;
-    settings.firstByteWait = 6s;
-    settings.chunkWait = 3s;
+    settings.firstByteTimeout = 6s;
+    settings.chunkTimeout = 3s;
     settings.defences = defences;
-    actor.node = std::make_unique<Edge>(settings);
+    actor.node = std::make_unique<ProxyRouter>(settings);
   } else if (name == "platform") {
     auto fresh = std::make_unique<PlatformNode>();
     if (actor.node)
@@ -326,7 +326,7 @@
   auto& actor = *actors.at(name);
   return actor.alive ? dynamic_cast<Core*>(actor.node.get()) : nullptr;
 }
-Edge* World::edge(const std::string& name) { return dynamic_cast<Edge*>(actors.at(name)->node.get()); }
+ProxyRouter* World::edge(const std::string& name) { return dynamic_cast<ProxyRouter*>(actors.at(name)->node.get()); }
 Agent* World::agent(const std::string& name) { return dynamic_cast<Agent*>(actors.at(name)->node.get()); }
 
 void World::cut(const std::string& one, const std::string& other, bool bothWays) {
--- a/src/sim/sim.hpp
+++ b/src/sim/sim.hpp
@@ -137,7 +137,7 @@
   std::string holderOf(const std::string& duty) const;
   int holdersOf(const std::string& duty) const;
   Core* core(const std::string& name);
-  Edge* edge(const std::string& name);
+  ProxyRouter* edge(const std::string& name);
   Agent* agent(const std::string& name);
   /// Looks at what only shows at the end: nothing acknowledged may be lost, and repeat tries stay few.
   void checkEnd();
--- a/src/tools/main_proxy.cpp
+++ b/src/tools/main_proxy.cpp
@@ -31,9 +31,9 @@
 }  // namespace
 
 int main(int count, char** words) {
-  EdgeSettings settings;
+  ProxyRouterSettings settings;
   std::string callerAddress, operatorKeyHash;
-  double threads = 3, pendingMost = 64, blockMs = 4, versionMs = versionMsUsual;
+  double threads = 3, maxPending = 64, blockMs = 4, versionMs = versionMsUsual;
   bool chatty = false;
   Settings reader("trouttally-proxy", "A proxy of the fleet: takes orders from callers, plans them, carries them out");
   reader.text("name", &settings.name, "this machine's name", true)
@@ -43,7 +43,7 @@
       .address("callerAddress", &callerAddress, "where callers reach this proxy")
       .text("operatorKeyHash", &operatorKeyHash, "SHA-256 of the operator key, for reading what is in force")
       .flag("fetching", &settings.fetching, "fetch prefixes from peers and the store")
-      .number("pendingMost", &pendingMost, 1, 100000, "orders that may be pending here")
+      .number("pendingMost", &maxPending, 1, 100000, "orders that may be pending here")
       .number("blockMs", &blockMs, 0.01, 10000, "milliseconds a worker needs for one block")
       .number("versionMs", &versionMs, versionMsLeast, versionMsMost,
               "milliseconds after a naming for which requests may begin on older weights; the same at every process")
@@ -51,12 +51,12 @@
       .flag("chatty", &chatty, "log more");
   if (auto code = reader.read(count, words)) return *code;
   if (auto done = setVersionSpan(versionMs); !done) return failStart(done.error());
-  settings.pendingMost = static_cast<std::size_t>(pendingMost);
+  settings.maxPending = static_cast<std::size_t>(maxPending);
   settings.blockMs = blockMs;
   startLog("proxy", settings.name, chatty);
 
   asio::io_context context;
-  Edge edge(settings);
+  ProxyRouter edge(settings);
   WebCalls calls;
   OpenAnswers answers;
   WorkerCalls workerCalls;
--- a/tests/load.cpp
+++ b/tests/load.cpp
@@ -451,18 +451,18 @@
 
 /// A proxy whose workers' load is told and whose callers ask for numbered documents.
 struct EdgeBench : ProxyBench {
-  explicit EdgeBench(double shedMost = 0) : ProxyBench(loadSettings(shedMost), loadConfiguration) {}
-  static EdgeSettings loadSettings(double shedMost) {
-    EdgeSettings settings;
+  explicit EdgeBench(double maxShedRatio = 0) : ProxyBench(loadSettings(maxShedRatio), loadConfiguration) {}
+  static ProxyRouterSettings loadSettings(double maxShedRatio) {
+    ProxyRouterSettings settings;
     settings.name = "proxy-1";
     settings.address = "proxy-1:1";
     settings.zone = "north-a";
     settings.agentAddress = agentAddress;
-    settings.pendingMost = 4096;
-    settings.sourceRides = settings.openGoOn = true;
+    settings.maxPending = 4096;
+    settings.fetchWithinRequest = settings.letOpenRequestsFinish = true;
     settings.routePolicy = "fetch peer when hits >= 1\nfetch store when hits >= 1";
-    settings.retryLeast = 10000;
-    settings.shedMost = shedMost;
+    settings.minRetriesPerWindow = 10000;
+    settings.maxShedRatio = maxShedRatio;
     return settings;
   }
   WorkerView& store() {
--- a/tests/parts.cpp
+++ b/tests/parts.cpp
@@ -141,13 +141,14 @@
 }
 
 Test(modes, only_decoder_target_with_kv_source_may_be_combined) {
-  cr_assert(bool(checkModes({})));
-  cr_assert(bool(checkModes({"remote_decoder", "remote_kv_source"})));
-  cr_assert(bool(checkModes({"remote_prefiller"})));
-  cr_assert_eq(checkModes({"remote_prefiller", "remote_kv_source"}).error().code, Code::badMode);
-  cr_assert_eq(checkModes({"remote_prefiller", "remote_decoder"}).error().code, Code::badMode);
-  cr_assert_eq(checkModes({"remote_prefiller", "remote_decoder", "remote_kv_source"}).error().code, Code::badMode);
-  cr_assert_eq(checkModes({"remote_moon"}).error().code, Code::unknownField);
+  cr_assert(bool(checkTransferModes({})));
+  cr_assert(bool(checkTransferModes({"remote_decoder", "remote_kv_source"})));
+  cr_assert(bool(checkTransferModes({"remote_prefiller"})));
+  cr_assert_eq(checkTransferModes({"remote_prefiller", "remote_kv_source"}).error().code, Code::badMode);
+  cr_assert_eq(checkTransferModes({"remote_prefiller", "remote_decoder"}).error().code, Code::badMode);
+  cr_assert_eq(checkTransferModes({"remote_prefiller", "remote_decoder", "remote_kv_source"}).error().code,
+               Code::badMode);
+  cr_assert_eq(checkTransferModes({"remote_moon"}).error().code, Code::unknownField);
 }
 
 Test(blocks, hashes_chain_and_are_kept_apart_by_salt) {
--- a/tests/proxy_bench.hpp
+++ b/tests/proxy_bench.hpp
@@ -67,17 +67,17 @@
  public:
   using Script = std::function<void(const RawServer::Held& held, const std::string& request)>;
 
-  explicit ProxyBench(std::size_t workers = 2, Duration pendingWait = 1500ms) {
-    EdgeSettings settings;
+  explicit ProxyBench(std::size_t workers = 2, Duration pendingTimeout = 1500ms) {
+    ProxyRouterSettings settings;
     settings.name = "proxy-1";
     settings.address = "proxy-1:1";
     settings.zone = "north-a";
     settings.agentAddress = "agent:1";
-    settings.pendingMost = 256;
-    settings.pendingWait = pendingWait;
-    settings.sourceRides = settings.openGoOn = true;
-    settings.retryLeast = 10000;
-    edge = std::make_unique<Edge>(settings);
+    settings.maxPending = 256;
+    settings.pendingTimeout = pendingTimeout;
+    settings.fetchWithinRequest = settings.letOpenRequestsFinish = true;
+    settings.minRetriesPerWindow = 10000;
+    edge = std::make_unique<ProxyRouter>(settings);
     host = std::make_unique<Host>(*edge, io, 20ms);
     calls = std::make_unique<HttpCalls>(io);
     exchanges = std::make_unique<Exchanges>(
@@ -184,7 +184,7 @@
   }
 
   asio::io_context io;
-  std::unique_ptr<Edge> edge;
+  std::unique_ptr<ProxyRouter> edge;
   std::unique_ptr<Host> host;
   std::unique_ptr<HttpCalls> calls;
   std::unique_ptr<Exchanges> exchanges;
--- a/tests/routing_bench.hpp
+++ b/tests/routing_bench.hpp
@@ -74,7 +74,7 @@
   TimePoint now{std::chrono::hours(5)};
   std::mt19937_64 randomSource{11};
   Declared declared;
-  std::unique_ptr<Edge> edge;
+  std::unique_ptr<ProxyRouter> edge;
   std::vector<Sent> sent;
   std::map<std::string, std::vector<WorkerOrder>> sends;
   std::map<std::string, std::vector<CallerVerdict>> verdicts;
@@ -85,25 +85,25 @@
   int orderCount{0};
 
   explicit ProxyBench(const std::string& name = "proxy-1") : ProxyBench(pathSettings(name), proxyConfiguration) {}
-  ProxyBench(const EdgeSettings& settings, const std::string& configuration) {
-    edge = std::make_unique<Edge>(settings);
+  ProxyBench(const ProxyRouterSettings& settings, const std::string& configuration) {
+    edge = std::make_unique<ProxyRouter>(settings);
     declared.change(configuration);
     adoptSnapshot();
     tick();
   }
-  static EdgeSettings pathSettings(const std::string& name) {
-    EdgeSettings settings;
+  static ProxyRouterSettings pathSettings(const std::string& name) {
+    ProxyRouterSettings settings;
     settings.name = name;
     settings.address = name + ":1";
     settings.zone = "north-a";
     settings.agentAddress = agentAddress;
-    settings.pendingMost = 256;
-    settings.sourceRides = settings.openGoOn = true;
+    settings.maxPending = 256;
+    settings.fetchWithinRequest = settings.letOpenRequestsFinish = true;
     settings.routePolicy = "fetch peer when hits >= 1\nfetch store when hits >= 1";
-    settings.retryShare = 0.15;
-    settings.retryLeast = 2.9;
-    settings.retrySpan = 10s;
-    settings.retryAtOnce = 2s;
+    settings.retryBudgetRatio = 0.15;
+    settings.minRetriesPerWindow = 2.9;
+    settings.retryBudgetWindow = 10s;
+    settings.retryBurstWindow = 2s;
     return settings;
   }
 
--- a/tests/version_ends_proxy.cpp
+++ b/tests/version_ends_proxy.cpp
@@ -22,7 +22,8 @@
   int prompts{0};
 
   VersionBench() : VersionBench(pathSettings("proxy-1"), proxyConfiguration) {}
-  VersionBench(const EdgeSettings& settings, const std::string& configuration) : ProxyBench(settings, configuration) {
+  VersionBench(const ProxyRouterSettings& settings, const std::string& configuration)
+      : ProxyBench(settings, configuration) {
     timing.oldWeightsOrderTimeout = useMost;
     timing.unstartedOrderTimeout = dropMost;
     timing.oldWeightsTimeout = dropMost + 500ms;
@@ -136,8 +137,8 @@
   "policies":{"peers":"fetch peer when hits >= 1"},
   "tenants":{"asp":{"secrets":["key-a"]}},"routes":{"talk":{"model":"moss","policy":"peers"}}})";
 
-EdgeSettings moveSettings() {
-  EdgeSettings settings;
+ProxyRouterSettings moveSettings() {
+  ProxyRouterSettings settings;
   settings.name = "proxy-1";
   settings.address = "proxy-1:1";
   settings.zone = "north-a";
@@ -441,7 +442,7 @@
     VersionBench bench;
     bench.name("moss/4");
     VersionBench restarted;
-    restarted.edge = std::make_unique<Edge>(ProxyBench::pathSettings("proxy-1"));
+    restarted.edge = std::make_unique<ProxyRouter>(ProxyBench::pathSettings("proxy-1"));
     restarted.declared = bench.declared;
     restarted.namings = bench.namings;
     restarted.adoptSnapshot();
@@ -464,7 +465,7 @@
 Test(version_ends_proxy, a_naming_that_it_sees_does_not_open_versions_that_ended_before_it_began) {
   VersionBench bench;
   bench.name("moss/4");
-  bench.edge = std::make_unique<Edge>(ProxyBench::pathSettings("proxy-1"));
+  bench.edge = std::make_unique<ProxyRouter>(ProxyBench::pathSettings("proxy-1"));
   bench.adoptSnapshot();
   bench.tick();
   bench.workersWith({"moss/3", "moss/4", "moss/5"});
--- a/tests/version_namings.cpp
+++ b/tests/version_namings.cpp
@@ -171,7 +171,7 @@
     timing.oldWeightsOrderTimeout = useMost;
     feeds = false;
     declared.change(R"({"models":{"moss":{"weights":"moss/4"}}})");
-    edge = std::make_unique<Edge>(pathSettings("proxy-1"));
+    edge = std::make_unique<ProxyRouter>(pathSettings("proxy-1"));
     sent.clear();
     adoptSnapshot();
     worker("w3");
