--- a/src/config/configuration.hpp
+++ b/src/config/configuration.hpp
@@ -45,8 +45,8 @@
 };
 /// What callers may send and how long they may take.
 struct CallerLimits {
-  std::size_t headerBytes{16384}, bodyBytes{4u << 20};
-  Duration headerWait{3s}, idleWait{15s};
+  std::size_t maxHeaderBytes{16384}, maxBodyBytes{4u << 20};
+  Duration headerTimeout{3s}, idleTimeout{15s};
 };
 
 /// What operators declare, as agreed: sections of named items, a revision, and the changes already taken.
--- a/src/config/item_readers.cpp
+++ b/src/config/item_readers.cpp
@@ -94,10 +94,10 @@
 
 CallerLimits readCallerLimits(const Json& item) {
   CallerLimits limits;
-  limits.headerBytes = bytesOr(item, "headerBytes", 16384);
-  limits.bodyBytes = bytesOr(item, "bodyBytes", 4 << 20);
-  limits.headerWait = std::max(Duration(0), spanOr(item, "headerMs", 3000));
-  limits.idleWait = std::max(Duration(0), spanOr(item, "idleMs", 15000));
+  limits.maxHeaderBytes = bytesOr(item, "headerBytes", 16384);
+  limits.maxBodyBytes = bytesOr(item, "bodyBytes", 4 << 20);
+  limits.headerTimeout = std::max(Duration(0), spanOr(item, "headerMs", 3000));
+  limits.idleTimeout = std::max(Duration(0), spanOr(item, "idleMs", 15000));
   return limits;
 }
 
--- a/src/fuzz/clients.cpp
+++ b/src/fuzz/clients.cpp
@@ -7,23 +7,23 @@
 /// What a gate made of some bytes: the requests that it handed over, and the statuses that it answered with.
 struct Read {
   std::vector<std::string> requests;
-  std::vector<GateRequest> rows;
+  std::vector<HttpRequest> rows;
   std::vector<int> statuses;
   int refused{0}, asked{0};
 };
 
-std::string written(const GateRequest& request) {
+std::string written(const HttpRequest& request) {
   std::string text = request.method + " " + request.target + " HTTP/1.1\r\n";
   for (const auto& [name, value] : request.headers) {
-    if (sameName(name, "Content-Length") || sameName(name, "Transfer-Encoding") || sameName(name, "Connection") ||
-        sameName(name, "Expect"))
+    if (equalIgnoringCase(name, "Content-Length") || equalIgnoringCase(name, "Transfer-Encoding") ||
+        equalIgnoringCase(name, "Connection") || equalIgnoringCase(name, "Expect"))
       continue;
     text += name + ": " + value + "\r\n";
   }
   if (!findHeader(request.headers, "Host")) text += "Host: old\r\n";
   return text + "Content-Length: " + std::to_string(request.body.size()) + "\r\n\r\n" + request.body;
 }
-std::string listed(const GateRequest& request) {
+std::string listed(const HttpRequest& request) {
   std::string text = request.method + " " + request.target + "\n";
   for (const auto& [name, value] : request.headers) text += name + ":" + value + "\n";
   return text + "\n" + request.body;
@@ -33,16 +33,16 @@
 class Wire {
  public:
   Wire()
-      : gate(io, "127.0.0.1:0", [this](GateRequest request, std::shared_ptr<GateAnswer> answer) {
+      : gate(io, "127.0.0.1:0", [this](HttpRequest request, std::shared_ptr<ResponseWriter> answer) {
           read.requests.push_back(listed(request));
           answer->head(299, {}, 0);
           answer->end();
           read.rows.push_back(std::move(request));
         }) {
-    GateLimits limits;
-    limits.headerBytes = 2048;
-    limits.bodyBytes = 4096;
-    limits.headerWait = limits.idleWait = 1h;
+    HttpServerLimits limits;
+    limits.maxHeaderBytes = 2048;
+    limits.maxBodyBytes = 4096;
+    limits.headerTimeout = limits.idleTimeout = 1h;
     gate.setLimits(limits);
   }
   bool open() { return bool(gate.open()); }
@@ -75,7 +75,7 @@
 
  private:
   asio::io_context io;
-  Gate gate;
+  HttpServer gate;
   Read read;
 
   static void take(asio::ip::tcp::socket& client, std::string& answers) {
@@ -85,8 +85,8 @@
   }
   void push(asio::ip::tcp::socket& client, std::string_view bytes, std::string& answers) {
     asio::error_code error;
-    std::uint64_t awaited = gate.received() + bytes.size();
-    while (gate.connections() > 0 && gate.received() < awaited) {
+    std::uint64_t awaited = gate.bytesReceived() + bytes.size();
+    while (gate.connections() > 0 && gate.bytesReceived() < awaited) {
       std::size_t size = bytes.empty() ? 0 : client.write_some(asio::buffer(bytes.data(), bytes.size()), error);
       bytes.remove_prefix(size);
       if (error && error != asio::error::would_block) return;
--- a/src/fuzz/configurations.cpp
+++ b/src/fuzz/configurations.cpp
@@ -52,8 +52,8 @@
   for (const auto& store : view.stores()) stores.insert(store.service + "," + store.address + "," + store.zone);
   for (const auto& store : stores) text += "|" + store;
   const auto& limits = view.callerLimits();
-  text += "|" + std::to_string(limits.headerBytes) + "," + std::to_string(limits.bodyBytes) + "," +
-          std::to_string(limits.headerWait.count()) + "," + std::to_string(limits.idleWait.count());
+  text += "|" + std::to_string(limits.maxHeaderBytes) + "," + std::to_string(limits.maxBodyBytes) + "," +
+          std::to_string(limits.headerTimeout.count()) + "," + std::to_string(limits.idleTimeout.count());
   for (const auto& [name, item] : view.section("models")) text += "|" + name + ">" + view.weightsOf(name).value_or("");
   return text;
 }
--- a/src/net/answer_framing.cpp
+++ b/src/net/answer_framing.cpp
@@ -14,8 +14,8 @@
 /// Fields that hold for one connection only; the gate sets its own.
 bool isHopByHop(std::string_view name) {
   for (auto other : {"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length", "TE", "Trailer", "Upgrade"})
-    if (sameName(name, other)) return true;
-  return name.size() >= 6 && sameName(name.substr(0, 6), "Proxy-");
+    if (equalIgnoringCase(name, other)) return true;
+  return name.size() >= 6 && equalIgnoringCase(name.substr(0, 6), "Proxy-");
 }
 
 const char* reasonOf(int status) {
--- a/src/net/calls.cpp
+++ b/src/net/calls.cpp
@@ -38,7 +38,8 @@
          std::all_of(text.begin(), text.end(), [](unsigned char letter) { return letter > ' ' && letter != 0x7f; });
 }
 bool isFraming(std::string_view name) {
-  return sameName(name, "Content-Length") || sameName(name, "Transfer-Encoding") || sameName(name, "Expect");
+  return equalIgnoringCase(name, "Content-Length") || equalIgnoringCase(name, "Transfer-Encoding") ||
+         equalIgnoringCase(name, "Expect");
 }
 /// The seconds that a Keep-Alive header names.
 std::optional<long> keepAliveTimeout(std::string_view value) {
@@ -47,7 +48,7 @@
     auto part = trimmed(value.substr(0, comma));
     value = comma == std::string_view::npos ? std::string_view() : value.substr(comma + 1);
     auto equals = part.find('=');
-    if (equals == std::string_view::npos || !sameName(trimmed(part.substr(0, equals)), "timeout")) continue;
+    if (equals == std::string_view::npos || !equalIgnoringCase(trimmed(part.substr(0, equals)), "timeout")) continue;
     auto number = trimmed(part.substr(equals + 1));
     if (number.empty() || number.size() > 6 || number.find_first_not_of("0123456789") != std::string_view::npos)
       return std::nullopt;
@@ -69,14 +70,14 @@
 }
 /// Where a head says that its body ends; nothing if it says so twice, or not in a way that all readers take alike.
 enum class BodyEnd { told, byClose, unsound };
-BodyEnd bodyEndOf(const HttpHead& head, std::string_view method) {
+BodyEnd bodyEndOf(const HttpResponseHead& head, std::string_view method) {
   const std::string *length = nullptr, *coding = nullptr;
   for (const auto& [name, value] : head.headers) {
-    if (sameName(name, "Content-Length")) {
+    if (equalIgnoringCase(name, "Content-Length")) {
       if (length && *length != value) return BodyEnd::unsound;
       length = &value;
-    } else if (sameName(name, "Transfer-Encoding")) {
-      if (coding || !sameName(value, "chunked")) return BodyEnd::unsound;
+    } else if (equalIgnoringCase(name, "Transfer-Encoding")) {
+      if (coding || !equalIgnoringCase(value, "chunked")) return BodyEnd::unsound;
       coding = &value;
     }
   }
@@ -91,9 +92,9 @@
 
 }  // namespace
 
-const std::string* HttpHead::find(std::string_view name) const { return findHeader(headers, name); }
+const std::string* HttpResponseHead::find(std::string_view name) const { return findHeader(headers, name); }
 
-struct HttpCalls::Inner : std::enable_shared_from_this<Inner> {
+struct HttpClient::Inner : std::enable_shared_from_this<Inner> {
   explicit Inner(asio::io_context& context) : io(context), timer(context) {}
 
   struct Watch {
@@ -111,11 +112,11 @@
   struct Row {
     Inner* owner{nullptr};
     std::uint64_t id{0};
-    HttpCall call;
+    HttpClientRequest call;
     OnHead onHead;
     OnBytes onBytes;
     OnEnd onEnd;
-    HttpHead head;
+    HttpResponseHead head;
     CURL* easy{nullptr};
     curl_slist* headers{nullptr};
     bool added{false}, headWhole{false}, sent{false}, resendRefused{false}, dropped{false}, foundStale{false};
@@ -219,7 +220,7 @@
     int socket = ::socket(address->family, address->socktype | SOCK_CLOEXEC, address->protocol);
     if (socket < 0) return CURL_SOCKET_BAD;
     auto watch = std::make_shared<Watch>(self->io);
-    watch->resets = row->call.alone;
+    watch->resets = row->call.exclusiveConnection;
     asio::error_code error;
     watch->descriptor.assign(socket, error);
     if (error) {
@@ -233,8 +234,8 @@
   static int onTune(void* owner, curl_socket_t socket, curlsocktype) {
     const auto& call = static_cast<Row*>(owner)->call;
     int on = 1, idle = 5, every = 1, unanswered = 2000;
-    if (call.alone && call.wholeWait > Duration(0))
-      unanswered = static_cast<int>(std::min<std::int64_t>(unanswered, toMilliseconds(call.wholeWait)));
+    if (call.exclusiveConnection && call.totalTimeout > Duration(0))
+      unanswered = static_cast<int>(std::min<std::int64_t>(unanswered, toMilliseconds(call.totalTimeout)));
     ::setsockopt(socket, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof on);
     ::setsockopt(socket, IPPROTO_TCP, TCP_KEEPIDLE, &idle, sizeof idle);
     ::setsockopt(socket, IPPROTO_TCP, TCP_KEEPINTVL, &every, sizeof every);
@@ -265,7 +266,7 @@
       row->resendRefused = true;
       return CURL_PREREQFUNC_ABORT;
     }
-    if (row->call.mayLeave && !row->call.mayLeave()) {
+    if (row->call.maySend && !row->call.maySend()) {
       row->leaveRefused = true;
       return CURL_PREREQFUNC_ABORT;
     }
@@ -418,12 +419,14 @@
     if (beginAfresh(id)) return;
     auto row = remove(id);
     if (!row || row->dropped || !row->onEnd) return;
-    HttpEnd end;
-    end.how = code == CURLE_OK && row->headWhole ? HttpHow::whole : row->sent ? HttpHow::broken : HttpHow::unsent;
+    HttpCallResult end;
+    end.outcome = code == CURLE_OK && row->headWhole ? HttpCallOutcome::whole
+                  : row->sent                        ? HttpCallOutcome::broken
+                                                     : HttpCallOutcome::unsent;
     end.head = std::move(row->head);
     bool ended =
         row->resendRefused || code == CURLE_GOT_NOTHING || code == CURLE_RECV_ERROR || code == CURLE_SEND_ERROR;
-    end.forgotten = end.how == HttpHow::broken && row->keptConnection && !row->heard && ended;
+    end.forgotten = end.outcome == HttpCallOutcome::broken && row->keptConnection && !row->heard && ended;
     noteUse(*row, end.forgotten);
     if (row->leaveRefused) {
       end.trouble = "the call could not leave in time";
@@ -463,7 +466,7 @@
       auto self = weak.lock();
       if (!self) return;
       auto refused = self->remove(id);
-      if (refused && refused->onEnd) refused->onEnd(HttpEnd{HttpHow::unsent, {}, why});
+      if (refused && refused->onEnd) refused->onEnd(HttpCallResult{HttpCallOutcome::unsent, {}, why});
     });
   }
 
@@ -471,8 +474,8 @@
     auto found = rows.find(id);
     if (found == rows.end()) return;
     Row& row = *found->second;
-    const HttpCall& call = row.call;
-    auto address = readAddress(call.address);
+    const HttpClientRequest& call = row.call;
+    auto address = parseAddress(call.address);
     if (!address) return refuse(row, "the address is not ip:port");
     if (!isToken(call.method) || !isTarget(call.target)) return refuse(row, "the method or target is not valid");
     for (const auto& [name, value] : call.headers)
@@ -493,7 +496,7 @@
   }
 
   void prepare(Row& row, const std::string& url) {
-    const HttpCall& call = row.call;
+    const HttpClientRequest& call = row.call;
     CURL* easy = row.easy;
     curl_easy_setopt(easy, CURLOPT_URL, url.c_str());
     curl_easy_setopt(easy, CURLOPT_REQUEST_TARGET, call.target.c_str());
@@ -510,10 +513,11 @@
     curl_easy_setopt(easy, CURLOPT_PRIVATE, &row);
 
     auto wholeMs = [](Duration span) { return std::max(1L, static_cast<long>(toMilliseconds(span))); };
-    if (call.connectWait > Duration(0)) curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, wholeMs(call.connectWait));
-    if (call.wholeWait > Duration(0)) curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, wholeMs(call.wholeWait));
+    if (call.connectTimeout > Duration(0))
+      curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, wholeMs(call.connectTimeout));
+    if (call.totalTimeout > Duration(0)) curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, wholeMs(call.totalTimeout));
 
-    if (call.alone) {
+    if (call.exclusiveConnection) {
       curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
       curl_easy_setopt(easy, CURLOPT_FORBID_REUSE, 1L);
     }
@@ -555,8 +559,8 @@
     bool accept = false, contentType = false;
     for (const auto& [name, value] : call.headers) {
       if (isFraming(name)) continue;
-      accept = accept || sameName(name, "Accept");
-      contentType = contentType || sameName(name, "Content-Type");
+      accept = accept || equalIgnoringCase(name, "Accept");
+      contentType = contentType || equalIgnoringCase(name, "Content-Type");
       add(trimmed(value).empty() ? name + ";" : name + ": " + value);
     }
     add("Expect:");
@@ -575,7 +579,7 @@
   }
 };
 
-HttpCalls::HttpCalls(asio::io_context& context) : inner(std::make_shared<Inner>(context)) {
+HttpClient::HttpClient(asio::io_context& context) : inner(std::make_shared<Inner>(context)) {
   static const CURLcode ready = curl_global_init(CURL_GLOBAL_DEFAULT);
   (void)ready;
   inner->multi = curl_multi_init();
@@ -587,9 +591,9 @@
   curl_multi_setopt(inner->multi, CURLMOPT_PIPELINING, static_cast<long>(CURLPIPE_NOTHING));
 }
 
-HttpCalls::~HttpCalls() { inner->close(); }
+HttpClient::~HttpClient() { inner->close(); }
 
-std::uint64_t HttpCalls::start(HttpCall call, OnHead onHead, OnBytes onBytes, OnEnd onEnd) {
+std::uint64_t HttpClient::start(HttpClientRequest call, OnHead onHead, OnBytes onBytes, OnEnd onEnd) {
   auto row = std::make_unique<Inner::Row>();
   row->owner = inner.get();
   row->id = ++inner->lastId;
@@ -607,7 +611,7 @@
   return id;
 }
 
-void HttpCalls::drop(std::uint64_t callId) {
+void HttpClient::drop(std::uint64_t callId) {
   auto found = inner->rows.find(callId);
   if (found == inner->rows.end()) return;
   found->second->dropped = true;
@@ -618,7 +622,7 @@
   }
 }
 
-std::uint64_t HttpCalls::connectionsOpened() const { return inner->opened; }
-std::uint64_t HttpCalls::callsStarted() const { return inner->lastId; }
+std::uint64_t HttpClient::connectionsOpened() const { return inner->opened; }
+std::uint64_t HttpClient::callsStarted() const { return inner->lastId; }
 
 }  // namespace tt
--- a/src/net/gate.cpp
+++ b/src/net/gate.cpp
@@ -10,9 +10,9 @@
 constexpr Duration acceptPause = 50ms, sweepPause = 100ms;
 }  // namespace
 
-Result<void> Gate::Inner::open() {
+Result<void> HttpServer::Inner::open() {
   bool anyPort = address.size() > 2 && address.compare(address.size() - 2, 2, ":0") == 0;
-  auto read = readAddress(anyPort ? address.substr(0, address.size() - 1) + "1" : address);
+  auto read = parseAddress(anyPort ? address.substr(0, address.size() - 1) + "1" : address);
   if (!read) return read.error();
   asio::error_code error;
   asio::ip::tcp::endpoint end(asio::ip::make_address(read.value().ip, error), anyPort ? 0 : read.value().port);
@@ -29,7 +29,7 @@
   return boost::outcome_v2::success();
 }
 
-void Gate::Inner::accept() {
+void HttpServer::Inner::accept() {
   acceptor.async_accept([self = shared_from_this()](asio::error_code error, asio::ip::tcp::socket socket) {
     if (self->closed || !self->acceptor.is_open()) return;
     if (error) {
@@ -45,7 +45,7 @@
   });
 }
 
-void Gate::Inner::wakeBy(TimePoint moment) {
+void HttpServer::Inner::wakeBy(TimePoint moment) {
   moment = std::max(moment, lastSweep + sweepPause);
   if (closed || moment >= sweepAt) return;
   sweepAt = moment;
@@ -55,7 +55,7 @@
   });
 }
 
-void Gate::Inner::sweep() {
+void HttpServer::Inner::sweep() {
   lastSweep = Clock::now();
   sweepAt = never;
   std::vector<std::shared_ptr<Connection>> due;
@@ -70,7 +70,7 @@
   if (next != never) wakeBy(next);
 }
 
-void Gate::Inner::queue(std::size_t bytes) {
+void HttpServer::Inner::queue(std::size_t bytes) {
   queuedBytes += bytes;
   if (queuedBytes <= limits.queuedBytes || shedPosted) return;
   shedPosted = true;
@@ -80,7 +80,7 @@
   });
 }
 
-void Gate::Inner::shed() {
+void HttpServer::Inner::shed() {
   while (queuedBytes > limits.queuedBytes && !connections.empty()) {
     auto most = *std::max_element(connections.begin(), connections.end(), [](const auto& one, const auto& other) {
       return one->unwritten() < other->unwritten();
@@ -89,13 +89,13 @@
   }
 }
 
-void Gate::Inner::stopAccepting() {
+void HttpServer::Inner::stopAccepting() {
   asio::error_code ignored;
   acceptor.close(ignored);
   pause.cancel();
 }
 
-void Gate::Inner::close() {
+void HttpServer::Inner::close() {
   if (closed) return;
   closed = true;
   stopAccepting();
@@ -105,30 +105,30 @@
   for (const auto& connection : open) connection->close();
 }
 
-Gate::Gate(asio::io_context& context, std::string address, GateHandler handler)
+HttpServer::HttpServer(asio::io_context& context, std::string address, HttpHandler handler)
     : inner(std::make_shared<Inner>(context, std::move(address), std::move(handler))) {}
-Gate::~Gate() { inner->close(); }
-Result<void> Gate::open() { return inner->open(); }
-unsigned short Gate::port() const {
+HttpServer::~HttpServer() { inner->close(); }
+Result<void> HttpServer::open() { return inner->open(); }
+unsigned short HttpServer::port() const {
   asio::error_code ignored;
   return inner->acceptor.local_endpoint(ignored).port();
 }
-void Gate::setLimits(const GateLimits& limits) { inner->limits = limits; }
-void Gate::leave() {
+void HttpServer::setLimits(const HttpServerLimits& limits) { inner->limits = limits; }
+void HttpServer::leave() {
   if (std::exchange(inner->leaving, true)) return;
   for (const auto& connection : inner->connections) connection->leave();
 }
-void Gate::stopAccepting() { inner->stopAccepting(); }
-void Gate::close() { inner->close(); }
-std::size_t Gate::connections() const { return inner->connections.size(); }
-std::size_t Gate::exchanges() const { return inner->exchanges; }
-std::vector<GateExchange> Gate::exchangesUnderWay() const {
-  std::vector<GateExchange> rows;
+void HttpServer::stopAccepting() { inner->stopAccepting(); }
+void HttpServer::close() { inner->close(); }
+std::size_t HttpServer::connections() const { return inner->connections.size(); }
+std::size_t HttpServer::exchanges() const { return inner->exchanges; }
+std::vector<ExchangeStatus> HttpServer::exchangesUnderWay() const {
+  std::vector<ExchangeStatus> rows;
   for (const auto& connection : inner->connections)
     if (auto exchange = connection->exchangeUnderWay()) rows.push_back(*exchange);
   return rows;
 }
-std::uint64_t Gate::received() const { return inner->receivedBytes; }
-std::size_t Gate::queued() const { return inner->queuedBytes; }
+std::uint64_t HttpServer::bytesReceived() const { return inner->receivedBytes; }
+std::size_t HttpServer::queued() const { return inner->queuedBytes; }
 
 }  // namespace tt
--- a/src/net/gate_connection.cpp
+++ b/src/net/gate_connection.cpp
@@ -29,23 +29,23 @@
 
 }  // namespace
 
-void Gate::Connection::start() {
+void HttpServer::Connection::start() {
   tune(socket);
   connectedAt = Clock::now();
   setDeadline(restsUntil());
   read();
 }
 
-void Gate::Connection::leave() {
+void HttpServer::Connection::leave() {
   if (phase == Phase::idle) setDeadline(std::min(deadline, Clock::now() + gate->limits.idleClose));
 }
 
-void Gate::Connection::setDeadline(TimePoint moment) {
+void HttpServer::Connection::setDeadline(TimePoint moment) {
   deadline = moment;
   if (moment != never) gate->wakeBy(moment);
 }
 
-void Gate::Connection::read() {
+void HttpServer::Connection::read() {
   if (reading || phase == Phase::closed) return;
   if (phase == Phase::exchange && reader.unreadBytes() >= heldBytes) return watch();
   std::size_t room = phase == Phase::body || phase == Phase::draining ? bigRead : smallRead;
@@ -59,7 +59,7 @@
       [self = shared_from_this()](asio::error_code error, std::size_t size) { self->onRead(error, size); });
 }
 
-void Gate::Connection::watch() {
+void HttpServer::Connection::watch() {
   if (watching) return;
   watching = true;
   socket.async_wait(Tcp::socket::wait_error, [self = shared_from_this()](asio::error_code) {
@@ -72,7 +72,7 @@
   });
 }
 
-void Gate::Connection::onRead(asio::error_code error, std::size_t size) {
+void HttpServer::Connection::onRead(asio::error_code error, std::size_t size) {
   reading = false;
   gate->receivedBytes += size;
   if (phase == Phase::closed) return;
@@ -83,19 +83,19 @@
   read();
 }
 
-void Gate::Connection::onReadEnd(asio::error_code error) {
+void HttpServer::Connection::onReadEnd(asio::error_code error) {
   sawEnd = true;
   bool halfClosed = error == asio::error::eof;
   bool hasMoreToWrite = phase == Phase::refusing || phase == Phase::cutting || (phase == Phase::exchange && ended);
   if (!halfClosed || !hasMoreToWrite) onFailure();
 }
 
-void Gate::Connection::onFailure() {
+void HttpServer::Connection::onFailure() {
   if (phase == Phase::exchange && !ended) return callerLeft();
   close();
 }
 
-void Gate::Connection::onDeadline() {
+void HttpServer::Connection::onDeadline() {
   asio::error_code ignored;
   if (phase == Phase::draining) return close();
   if (phase != Phase::head && socket.available(ignored) > 0) return setDeadline(Clock::now() + deadlineRetry);
@@ -103,7 +103,7 @@
   refuse(requestTimeout);
 }
 
-void Gate::Connection::close() {
+void HttpServer::Connection::close() {
   if (phase == Phase::closed) return;
   auto self = shared_from_this();
   auto dropped = std::move(gone);
@@ -118,18 +118,18 @@
   gate->connections.erase(self);
 }
 
-std::optional<GateExchange> Gate::Connection::exchangeUnderWay() const {
+std::optional<ExchangeStatus> HttpServer::Connection::exchangeUnderWay() const {
   if (!exchanging) return std::nullopt;
-  return GateExchange{connectedAt, takenAt, requestCount, framing.isStarted()};
+  return ExchangeStatus{connectedAt, takenAt, requestCount, framing.isStarted()};
 }
 
-void Gate::Connection::detach(bool left) {
+void HttpServer::Connection::detach(bool left) {
   if (exchanging) --gate->exchanges;
   exchanging = false;
   if (answer) std::exchange(answer, nullptr)->detach(left);
 }
 
-void Gate::Connection::callerLeft() {
+void HttpServer::Connection::callerLeft() {
   auto self = shared_from_this();
   auto call = std::move(gone);
   gone = nullptr;
@@ -138,18 +138,18 @@
   if (call) call();
 }
 
-void Gate::Connection::parse() {
+void HttpServer::Connection::parse() {
   if (phase == Phase::idle && reader.unreadBytes() > 0) {
     reader.begin(gate->limits);
     phase = Phase::head;
-    setDeadline(Clock::now() + reader.limits().headerWait);
+    setDeadline(Clock::now() + reader.limits().headerTimeout);
   }
   if (phase == Phase::head && !parseHead()) return;
   if (phase == Phase::body && !parseBody()) return;
   read();
 }
 
-bool Gate::Connection::parseHead() {
+bool HttpServer::Connection::parseHead() {
   switch (reader.takeHead()) {
     case RequestReader::Progress::none:
       phase = Phase::idle;
@@ -168,7 +168,7 @@
   return false;
 }
 
-bool Gate::Connection::parseBody() {
+bool HttpServer::Connection::parseBody() {
   auto progress = reader.takeBody();
   if (progress == RequestReader::Progress::refused) {
     refuse(reader.refusal());
@@ -183,11 +183,11 @@
     enqueue("HTTP/1.1 100 Continue\r\n\r\n");
     flush();
   }
-  setDeadline(Clock::now() + reader.limits().headerWait);
+  setDeadline(Clock::now() + reader.limits().headerTimeout);
   return true;
 }
 
-void Gate::Connection::refuse(int status) {
+void HttpServer::Connection::refuse(int status) {
   phase = Phase::refusing;
   deadline = never;
   reader.drop();
@@ -196,7 +196,7 @@
   read();
 }
 
-void Gate::Connection::beginExchange() {
+void HttpServer::Connection::beginExchange() {
   phase = Phase::exchange;
   deadline = never;
   framing.reset();
@@ -212,17 +212,17 @@
   owner->handler(reader.takeRequest(), std::move(made));
 }
 
-KeepAlive Gate::Connection::promiseKeepAlive() {
+KeepAlive HttpServer::Connection::promiseKeepAlive() {
   bool hasReadMore = reader.unreadBytes() > 0;
   keeps = reader.mayKeep() && (!gate->leaving || hasReadMore) && !framing.endsWithConnection();
   if (!keeps) return {};
-  auto whole = std::chrono::duration_cast<std::chrono::seconds>(gate->limits.idleWait);
+  auto whole = std::chrono::duration_cast<std::chrono::seconds>(gate->limits.idleTimeout);
   if (gate->leaving) whole = std::chrono::seconds(0);
   promised = whole;
   return {true, whole};
 }
 
-void Gate::Connection::head(int status, const HttpHeaders& headers, std::optional<std::size_t> length) {
+void HttpServer::Connection::head(int status, const HttpHeaders& headers, std::optional<std::size_t> length) {
   if (phase != Phase::exchange || ended || framing.isStarted()) return;
   framing.start(status, length, {reader.isHttp10(), reader.isHead()});
   auto keepAlive = promiseKeepAlive();
@@ -231,26 +231,26 @@
   postFlush();
 }
 
-void Gate::Connection::bytes(std::string_view bytes) {
+void HttpServer::Connection::bytes(std::string_view bytes) {
   if (phase != Phase::exchange || ended || bytes.empty() || !framing.hasBody()) return;
   auto framed = framing.frame(bytes);
-  if (!framed) return cut();
+  if (!framed) return abort();
   for (auto part : {std::string_view(framed->before), framed->bytes, framed->after})
     if (!part.empty()) enqueue(part);
   postFlush();
 }
 
-void Gate::Connection::end() {
+void HttpServer::Connection::end() {
   auto dropped = std::move(gone);
   if (phase != Phase::exchange || ended) return;
-  if (!framing.isFilled()) return cut();
+  if (!framing.isFilled()) return abort();
   ended = true;
   enqueue(framing.takeTail());
   flush();
   if (flying.empty()) onFlushed();
 }
 
-void Gate::Connection::cut() {
+void HttpServer::Connection::abort() {
   if (phase != Phase::exchange || ended) return;
   auto self = shared_from_this();
   auto dropped = std::move(gone);
@@ -262,30 +262,30 @@
   if (flying.empty()) close();
 }
 
-void Gate::Connection::abandon() {
+void HttpServer::Connection::abandon() {
   if (phase == Phase::closed) return;
   resetOnClose(true);
   onFailure();
 }
 
-TimePoint Gate::Connection::restsUntil() const {
+TimePoint HttpServer::Connection::restsUntil() const {
   if (gate->leaving) return Clock::now() + gate->limits.idleClose;
-  return std::max(Clock::now() + gate->limits.idleWait, keptUntil);
+  return std::max(Clock::now() + gate->limits.idleTimeout, keptUntil);
 }
 
 /// Where the end of the connection is the end of the answer, whatever ends the connection before that, even a kill of
 /// the process, must reset it.
-void Gate::Connection::resetOnClose(bool resets) {
+void HttpServer::Connection::resetOnClose(bool resets) {
   asio::error_code ignored;
   socket.set_option(asio::socket_base::linger(resets, 0), ignored);
 }
 
-void Gate::Connection::enqueue(std::string_view bytes) {
+void HttpServer::Connection::enqueue(std::string_view bytes) {
   pending += bytes;
   gate->queue(bytes.size());
 }
 
-void Gate::Connection::finishExchange() {
+void HttpServer::Connection::finishExchange() {
   detach(false);
   if (framing.endsWithConnection()) resetOnClose(false);
   if (sawEnd) return close();
@@ -297,7 +297,7 @@
   parse();
 }
 
-void Gate::Connection::postFlush() {
+void HttpServer::Connection::postFlush() {
   if (flushPosted || !flying.empty()) return;
   flushPosted = true;
   asio::post(gate->io, [self = shared_from_this()] {
@@ -306,14 +306,14 @@
   });
 }
 
-void Gate::Connection::flush() {
+void HttpServer::Connection::flush() {
   if (!flying.empty() || pending.empty() || phase == Phase::closed) return;
   flying.swap(pending);
   flown = 0;
   onWritten({}, 0);
 }
 
-void Gate::Connection::onWritten(asio::error_code error, std::size_t size) {
+void HttpServer::Connection::onWritten(asio::error_code error, std::size_t size) {
   if (phase == Phase::closed) return;
   if (error) return onFailure();
   flown += size;
@@ -330,13 +330,13 @@
   onFlushed();
 }
 
-void Gate::Connection::onFlushed() {
+void HttpServer::Connection::onFlushed() {
   if (phase == Phase::cutting) return close();
   if (phase == Phase::refusing) return sawEnd ? close() : drain();
   if (phase == Phase::exchange && ended) finishExchange();
 }
 
-void Gate::Connection::drain() {
+void HttpServer::Connection::drain() {
   asio::error_code ignored;
   phase = Phase::draining;
   reader.dropBytes();
@@ -345,36 +345,36 @@
   read();
 }
 
-Gate::Answer::~Answer() {
+HttpServer::Answer::~Answer() {
   if (!connection) return;
   connection->answer = nullptr;
-  if (!connection->hasEnded()) connection->cut();
+  if (!connection->hasEnded()) connection->abort();
 }
 
-void Gate::Answer::head(int status, const HttpHeaders& headers, std::optional<std::size_t> length) {
+void HttpServer::Answer::head(int status, const HttpHeaders& headers, std::optional<std::size_t> length) {
   if (auto on = connection) on->head(status, headers, length);
 }
 
-void Gate::Answer::bytes(std::string_view bytes) {
+void HttpServer::Answer::bytes(std::string_view bytes) {
   if (auto on = connection) on->bytes(bytes);
 }
 
-void Gate::Answer::end() {
+void HttpServer::Answer::end() {
   if (auto on = connection) on->end();
 }
 
-void Gate::Answer::cut() {
-  if (auto on = connection) on->cut();
+void HttpServer::Answer::abort() {
+  if (auto on = connection) on->abort();
 }
 
-void Gate::Answer::onGone(std::function<void()> gone) {
+void HttpServer::Answer::onDisconnect(std::function<void()> gone) {
   if (connection && !connection->hasEnded())
     connection->gone = std::move(gone);
   else if (callerLeft && gone)
     asio::post(io, std::move(gone));
 }
 
-void Gate::Answer::detach(bool left) {
+void HttpServer::Answer::detach(bool left) {
   wasStarted = started();
   callerLeft = left;
   connection.reset();
--- a/src/net/gate_connection.hpp
+++ b/src/net/gate_connection.hpp
@@ -7,7 +7,7 @@
 
 /// One client's connection: reads a request, hands it over, writes its answer, and then reads the next. All on the
 /// gate's one thread.
-class Gate::Connection : public std::enable_shared_from_this<Connection> {
+class HttpServer::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(std::shared_ptr<Inner> owner, asio::ip::tcp::socket taken)
       : gate(std::move(owner)), socket(std::move(taken)) {}
@@ -22,13 +22,13 @@
   void head(int status, const HttpHeaders& headers, std::optional<std::size_t> length);
   void bytes(std::string_view bytes);
   void end();
-  void cut();
+  void abort();
   /// Lets go of a caller that does not take its answer: what waits for it is dropped and it is told nothing more.
   void abandon();
   std::size_t unwritten() const { return pending.size() + flying.size() - flown + framing.tailBytes(); }
   bool hasStarted() const { return framing.isStarted(); }
   bool hasEnded() const { return ended; }
-  std::optional<GateExchange> exchangeUnderWay() const;
+  std::optional<ExchangeStatus> exchangeUnderWay() const;
 
   Answer* answer{nullptr};
   std::function<void()> gone;
@@ -89,15 +89,15 @@
 };
 
 /// The handler's end of an exchange; outlives the connection if the handler keeps it.
-class Gate::Answer : public GateAnswer {
+class HttpServer::Answer : public ResponseWriter {
  public:
   Answer(std::shared_ptr<Connection> on, asio::io_context& context) : connection(std::move(on)), io(context) {}
   ~Answer() override;
   void head(int status, const HttpHeaders& headers, std::optional<std::size_t> length) override;
   void bytes(std::string_view bytes) override;
   void end() override;
-  void cut() override;
-  void onGone(std::function<void()> gone) override;
+  void abort() override;
+  void onDisconnect(std::function<void()> gone) override;
   std::size_t unwritten() const override { return connection ? connection->unwritten() : 0; }
   bool started() const override { return connection ? connection->hasStarted() : wasStarted; }
 
--- a/src/net/gate_drain.cpp
+++ b/src/net/gate_drain.cpp
@@ -7,9 +7,9 @@
 constexpr Duration stepEvery = 50ms;
 }  // namespace
 
-GateDrain::GateDrain(asio::io_context& context, Gate& drained) : gate(drained), timer(context) {}
+HttpServerDrain::HttpServerDrain(asio::io_context& context, HttpServer& drained) : gate(drained), timer(context) {}
 
-void GateDrain::start(const DrainPlan& drainPlan, std::function<void()> onEnd) {
+void HttpServerDrain::start(const DrainPlan& drainPlan, std::function<void()> onEnd) {
   if (std::exchange(started, true)) return;
   plan = drainPlan;
   ended = std::move(onEnd);
@@ -17,14 +17,14 @@
   wait();
 }
 
-void GateDrain::wait() {
+void HttpServerDrain::wait() {
   timer.expires_after(stepEvery);
   timer.async_wait([this](asio::error_code error) {
     if (!error) step();
   });
 }
 
-void GateDrain::step() {
+void HttpServerDrain::step() {
   TimePoint now = Clock::now();
   if (now >= plan.refusesFrom) gate.stopAccepting();
   bool isEmpty = now >= plan.refusesFrom && gate.connections() == 0;
@@ -33,7 +33,7 @@
   ended();
 }
 
-void GateDrain::tellGivenUp() const {
+void HttpServerDrain::tellGivenUp() const {
   auto sinceSignal = [this](TimePoint moment) {
     return std::to_string(toMilliseconds(moment - plan.startedAt)) + " ms";
   };
--- a/src/net/gate_drain.hpp
+++ b/src/net/gate_drain.hpp
@@ -6,15 +6,15 @@
 
 /// Takes a gate out of service as a plan says: no new connections once clients are led elsewhere, then an end as soon
 /// as all connections are closed, or when the plan's time is over. All on the context's one thread.
-class GateDrain {
+class HttpServerDrain {
  public:
-  GateDrain(asio::io_context& context, Gate& drained);
+  HttpServerDrain(asio::io_context& context, HttpServer& drained);
   bool hasStarted() const { return started; }
   /// Calls back once, at the end; the process may then exit.
   void start(const DrainPlan& drainPlan, std::function<void()> onEnd);
 
  private:
-  Gate& gate;
+  HttpServer& gate;
   asio::steady_timer timer;
   DrainPlan plan;
   std::function<void()> ended;
--- a/src/net/gate_listener.hpp
+++ b/src/net/gate_listener.hpp
@@ -9,8 +9,8 @@
 
 /// The listening side of a gate: takes connections, ends those whose time is over, and keeps the bytes that wait for
 /// clients within their limit. All on the context's one thread.
-struct Gate::Inner : std::enable_shared_from_this<Inner> {
-  Inner(asio::io_context& context, std::string at, GateHandler taken)
+struct HttpServer::Inner : std::enable_shared_from_this<Inner> {
+  Inner(asio::io_context& context, std::string at, HttpHandler taken)
       : io(context),
         address(std::move(at)),
         handler(std::move(taken)),
@@ -19,10 +19,10 @@
         sweepTimer(context) {}
   asio::io_context& io;
   std::string address;
-  GateHandler handler;
+  HttpHandler handler;
   asio::ip::tcp::acceptor acceptor;
   asio::steady_timer pause, sweepTimer;
-  GateLimits limits;
+  HttpServerLimits limits;
   bool leaving{false}, closed{false};
   std::unordered_set<std::shared_ptr<Connection>> connections;
   std::size_t exchanges{0};
--- a/src/net/host.cpp
+++ b/src/net/host.cpp
@@ -34,7 +34,7 @@
 }
 }  // namespace
 
-Result<Address> readAddress(const std::string& text) {
+Result<Address> parseAddress(const std::string& text) {
   auto colon = text.rfind(':');
   if (colon == std::string::npos) return fault(Code::badProps, text, "an address is ip:port");
   asio::error_code error;
@@ -47,10 +47,10 @@
   return Address{ip.to_string(), static_cast<unsigned short>(std::stoul(port))};
 }
 
-struct Hub::Link : std::enable_shared_from_this<Link> {
-  Link(Hub& owner, std::string peer)
+struct PeerTransport::Link : std::enable_shared_from_this<Link> {
+  Link(PeerTransport& owner, std::string peer)
       : hub(owner), strand(asio::make_strand(owner.io)), socket(strand), retry(strand), to(std::move(peer)) {}
-  Hub& hub;
+  PeerTransport& hub;
   asio::strand<asio::io_context::executor_type> strand;
   asio::ip::tcp::socket socket;
   asio::steady_timer retry;
@@ -82,7 +82,7 @@
   void go() {
     if (!connected) {
       if (connecting) return;
-      auto address = readAddress(to);
+      auto address = parseAddress(to);
       if (!address) return;
       connecting = true;
       asio::error_code error;
@@ -128,10 +128,12 @@
   }
 };
 
-struct Hub::Inbound : std::enable_shared_from_this<Inbound> {
-  Inbound(Hub& owner, asio::ip::tcp::socket accepted) : hub(owner), socket(std::move(accepted)) { ++inboundCount; }
+struct PeerTransport::Inbound : std::enable_shared_from_this<Inbound> {
+  Inbound(PeerTransport& owner, asio::ip::tcp::socket accepted) : hub(owner), socket(std::move(accepted)) {
+    ++inboundCount;
+  }
   ~Inbound() { --inboundCount; }
-  Hub& hub;
+  PeerTransport& hub;
   asio::ip::tcp::socket socket;
   std::string from;
   unsigned char head[4]{};
@@ -162,7 +164,7 @@
   }
   void whole() {
     if (from.empty()) {
-      if (!readAddress(body)) {
+      if (!parseAddress(body)) {
         logWarning("Link without a good first frame closed.");
         return;
       }
@@ -179,15 +181,15 @@
   }
 };
 
-Hub::Hub(asio::io_context& context, std::string ownAddress, Taken taken, std::string listenAt)
+PeerTransport::PeerTransport(asio::io_context& context, std::string ownAddress, Taken taken, std::string listenAt)
     : io(context),
       self(std::move(ownAddress)),
       listenAddress(listenAt.empty() ? self : std::move(listenAt)),
       onTaken(std::move(taken)),
       acceptor(context) {}
 
-Result<void> Hub::listen() {
-  auto address = readAddress(listenAddress);
+Result<void> PeerTransport::listen() {
+  auto address = parseAddress(listenAddress);
   if (!address) return address.error();
   asio::error_code error;
   asio::ip::tcp::endpoint end(asio::ip::make_address(address.value().ip, error), address.value().port);
@@ -201,7 +203,7 @@
   return boost::outcome_v2::success();
 }
 
-void Hub::accept() {
+void PeerTransport::accept() {
   acceptor.async_accept(asio::make_strand(io), [this](asio::error_code error, asio::ip::tcp::socket socket) {
     if (error == asio::error::operation_aborted) return;
     if (!error) {
@@ -212,7 +214,7 @@
   });
 }
 
-void Hub::send(const std::string& to, const Message& message) {
+void PeerTransport::send(const std::string& to, const Message& message) {
   std::shared_ptr<Link> link;
   {
     std::lock_guard<std::mutex> guard(linksLock);
@@ -223,22 +225,22 @@
   link->push(frameOf(encodeMessage(message)));
 }
 
-void Hub::stop() {
+void PeerTransport::stop() {
   asio::error_code ignored;
   acceptor.close(ignored);
 }
 
-Host::Host(Node& hostedNode, asio::io_context& context, Duration tickEvery)
+NodeHost::NodeHost(Node& hostedNode, asio::io_context& context, Duration tickEvery)
     : node(hostedNode), timer(context), every(tickEvery), randomSource(std::random_device{}()) {}
 
-Host::~Host() { stop(); }
+NodeHost::~NodeHost() { stop(); }
 
-void Host::start() {
+void NodeHost::start() {
   if (ring) diskThread = std::thread([this] { runDisk(); });
   tick();
 }
 
-void Host::stop() {
+void NodeHost::stop() {
   {
     std::lock_guard<std::mutex> guard(diskLock);
     if (stopping) return;
@@ -248,7 +250,7 @@
   if (diskThread.joinable()) diskThread.join();
 }
 
-void Host::tick() {
+void NodeHost::tick() {
   with([this](Effects& effects) {
     if (reportSyncWait) reportSyncWait(diskWait());
     node.tick(effects);
@@ -259,33 +261,33 @@
   });
 }
 
-void Host::handle(const std::string& from, const Message& message) {
+void NodeHost::handle(const std::string& from, const Message& message) {
   with([&](Effects& effects) { node.handle(effects, from, message); });
 }
 
-void Host::with(const std::function<void(Effects&)>& action) {
+void NodeHost::with(const std::function<void(Effects&)>& action) {
   std::lock_guard<std::recursive_mutex> guard(lock);
   Effects effects{Clock::now(), randomSource, node.journal, {}, {}};
   action(effects);
   finish(effects);
 }
 
-void Host::finish(Effects& effects) {
+void NodeHost::finish(Effects& effects) {
   if (!effects.saves.empty()) {
     std::lock_guard<std::mutex> guard(diskLock);
     if (saves.empty() && oldestSave == TimePoint{}) oldestSave = Clock::now();
     for (auto& save : effects.saves) saves.push_back(std::move(save));
     diskWake.notify_one();
   }
-  for (auto& [to, message] : effects.sends) carry(to, std::move(message));
+  for (auto& [to, message] : effects.sends) sendMessage(to, std::move(message));
 }
 
-Duration Host::diskWait() const {
+Duration NodeHost::diskWait() const {
   std::lock_guard<std::mutex> guard(diskLock);
   return oldestSave == TimePoint{} ? Duration(0) : Clock::now() - oldestSave;
 }
 
-void Host::runDisk() {
+void NodeHost::runDisk() {
   while (true) {
     std::vector<Effects::Save> batch;
     {
@@ -299,7 +301,7 @@
     for (const auto& save : batch) records.push_back(save.record);
     auto written = ring->append(records);
     if (!written) {
-      if (diskFailed) diskFailed(written.error());
+      if (onDiskFailure) onDiskFailure(written.error());
       return;
     }
     {
--- a/src/net/host.hpp
+++ b/src/net/host.hpp
@@ -18,15 +18,15 @@
   unsigned short port{0};
 };
 /// Reads "ip:port"; names are not looked up.
-Result<Address> readAddress(const std::string& text);
+Result<Address> parseAddress(const std::string& text);
 
 /// Frames between own processes over TCP. Sending never waits: what a link cannot take is dropped, as on a bad network,
 /// and the logic above repeats itself where it must.
-class Hub {
+class PeerTransport {
  public:
   using Taken = std::function<void(const std::string& from, Message message)>;
   /// Others know this process by its own address; it may listen at another, where something stands in between.
-  Hub(asio::io_context& context, std::string ownAddress, Taken taken, std::string listenAt = {});
+  PeerTransport(asio::io_context& context, std::string ownAddress, Taken taken, std::string listenAt = {});
   Result<void> listen();
   void send(const std::string& to, const Message& message);
   void stop();
@@ -47,13 +47,13 @@
 /// Runs one piece of logic in a real process: a lock around it, a tick, and hands that carry out what it asks for.
 /// Lock order: logic, then journal views, then hub links, then open exchanges. Nothing is called back under a later
 /// lock.
-class Host {
+class NodeHost {
  public:
   using Carry = std::function<void(const std::string& to, Message&& message)>;
-  Host(Node& hostedNode, asio::io_context& context, Duration tickEvery);
-  ~Host();
+  NodeHost(Node& hostedNode, asio::io_context& context, Duration tickEvery);
+  ~NodeHost();
   /// Carries out what the logic sends; set before start.
-  Carry carry;
+  Carry sendMessage;
   /// Writes records and tells the logic when they are synced; set before start by processes with a disk.
   Ring* ring{nullptr};
   void start();
@@ -65,7 +65,7 @@
   Duration diskWait() const;
   std::function<void(Duration)> reportSyncWait;
   /// Called if the ring fails for good.
-  std::function<void(const Error&)> diskFailed;
+  std::function<void(const Error&)> onDiskFailure;
 
  private:
   Node& node;
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -10,7 +10,7 @@
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
 /// Whether two names are the same but for the case of ASCII letters.
-inline bool sameName(std::string_view one, std::string_view other) {
+inline bool equalIgnoringCase(std::string_view one, std::string_view other) {
   auto lower = [](char letter) { return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter + 32) : letter; };
   if (one.size() != other.size()) return false;
   for (std::size_t at = 0; at < one.size(); ++at)
@@ -21,7 +21,7 @@
 /// The first value under a name, or null.
 inline const std::string* findHeader(const HttpHeaders& headers, std::string_view name) {
   for (const auto& [key, value] : headers)
-    if (sameName(key, name)) return &value;
+    if (equalIgnoringCase(key, name)) return &value;
   return nullptr;
 }
 
--- a/src/net/operator_drain.cpp
+++ b/src/net/operator_drain.cpp
@@ -9,7 +9,7 @@
 constexpr Duration lastAnswers = 100ms;
 }  // namespace
 
-OperatorDrain::OperatorDrain(asio::io_context& context, OpenAnswers& openAnswers, Hands drainHands)
+OperatorDrain::OperatorDrain(asio::io_context& context, PendingResponses& openAnswers, Hands drainHands)
     : answers(openAnswers), hands(std::move(drainHands)), timer(context) {}
 
 void OperatorDrain::start(TimePoint exitsBy) {
--- a/src/net/operator_drain.hpp
+++ b/src/net/operator_drain.hpp
@@ -12,11 +12,11 @@
     /// Whether the process may end for what it holds, such as records that others do not have yet.
     std::function<bool()> safeToStop;
     /// Answers one who would otherwise be left without an answer.
-    std::function<void(WebAnswer& answer)> refuse;
+    std::function<void(WebResponse& answer)> refuse;
     /// Called once, at the end; the process may then exit.
     std::function<void()> ended;
   };
-  OperatorDrain(asio::io_context& context, OpenAnswers& openAnswers, Hands drainHands);
+  OperatorDrain(asio::io_context& context, PendingResponses& openAnswers, Hands drainHands);
   void start(TimePoint exitsBy);
   bool hasStarted() const { return phase != Phase::serving; }
   /// Whether calls that come now are to be refused at once.
@@ -24,7 +24,7 @@
 
  private:
   enum class Phase { serving, waiting, refusing };
-  OpenAnswers& answers;
+  PendingResponses& answers;
   Hands hands;
   asio::steady_timer timer;
   Phase phase{Phase::serving};
--- a/src/net/process.cpp
+++ b/src/net/process.cpp
@@ -63,7 +63,7 @@
     if (!value.is<std::string>()) return wrong("must be a text");
     *row.text = value.get<std::string>();
     if (row.isAddress && !row.text->empty())
-      if (auto read = readAddress(*row.text); !read) return wrong(*row.text + ": " + read.error().text);
+      if (auto read = parseAddress(*row.text); !read) return wrong(*row.text + ": " + read.error().text);
   } else if (row.texts) {
     if (!value.is<JsonArray>()) return wrong("must be a list of texts");
     row.texts->clear();
@@ -71,7 +71,7 @@
       if (!item.is<std::string>()) return wrong("must be a list of texts");
       row.texts->push_back(item.get<std::string>());
       if (row.isAddress)
-        if (auto read = readAddress(row.texts->back()); !read)
+        if (auto read = parseAddress(row.texts->back()); !read)
           return wrong(row.texts->back() + ": " + read.error().text);
     }
   } else if (row.number) {
@@ -116,7 +116,7 @@
     return code == 0 ? 0 : 2;
   }
   if (!file.empty())
-    if (auto done = readFile(); !done) return failStart(done.error());
+    if (auto done = readFile(); !done) return reportStartFailure(done.error());
   for (auto& row : rows) {
     if (row->option->count() == 0) continue;
     Json value(row->given);
@@ -127,14 +127,14 @@
       value = Json(items);
     } else if (row->number || row->flag) {
       auto read = parseJson(row->given);
-      if (!read) return failStart(fault(Code::badProps, row->key, "'" + row->given + "' cannot be read"));
+      if (!read) return reportStartFailure(fault(Code::badProps, row->key, "'" + row->given + "' cannot be read"));
       value = read.value();
     }
-    if (auto done = set(*row, value); !done) return failStart(done.error());
+    if (auto done = set(*row, value); !done) return reportStartFailure(done.error());
   }
   for (const auto& row : rows)
     if (row->needed && row->text && row->text->empty())
-      return failStart(fault(Code::badProps, row->key, "must be given"));
+      return reportStartFailure(fault(Code::badProps, row->key, "must be given"));
   if (checkOnly) {
     std::cout << "props are good\n";
     return 0;
@@ -142,23 +142,23 @@
   return std::nullopt;
 }
 
-int failStart(const Error& fault) {
+int reportStartFailure(const Error& fault) {
   std::cerr << "error " << static_cast<int>(fault.code) << " " << codeName(fault.code) << ": " << fault.subject << ": "
             << fault.text << "\n";
   return 2;
 }
 
-int failDisk(const Error& fault) {
+int reportDiskFailure(const Error& fault) {
   logWarning("Disk failed (" + fault.subject + ": " + fault.text + "), ending.");
   return 3;
 }
 
-void noteRingDamage(Journal& journal, const Error& damage) {
+void reportRingDamage(Journal& journal, const Error& damage) {
   logWarning("Ring damaged (" + damage.subject + ": " + damage.text + "), starting empty under a new id.");
   journal.append(Clock::now(), "ring damaged", damage.subject);
 }
 
-void runPool(asio::io_context& context, std::size_t threads, const std::function<void()>& stopping) {
+void runThreadPool(asio::io_context& context, std::size_t threads, const std::function<void()>& stopping) {
   std::signal(SIGPIPE, SIG_IGN);
   asio::signal_set signals(context, SIGTERM, SIGINT);
   signals.async_wait([&](asio::error_code error, int) {
--- a/src/net/process.hpp
+++ b/src/net/process.hpp
@@ -44,12 +44,12 @@
 };
 
 /// Runs a pool of threads until the process is told to stop; then calls stopping and returns.
-void runPool(asio::io_context& context, std::size_t threads, const std::function<void()>& stopping);
+void runThreadPool(asio::io_context& context, std::size_t threads, const std::function<void()>& stopping);
 /// Ends the program with exit code 2 after saying what is wrong.
-int failStart(const Error& fault);
+int reportStartFailure(const Error& fault);
 /// Says that the disk cannot be read or written, and gives the exit code for it: 3. Nothing on the disk is given up.
-int failDisk(const Error& fault);
+int reportDiskFailure(const Error& fault);
 /// Says that a ring was emptied for its damage, and counts it.
-void noteRingDamage(Journal& journal, const Error& damage);
+void reportRingDamage(Journal& journal, const Error& damage);
 
 }  // namespace tt
--- a/src/net/request_reader.cpp
+++ b/src/net/request_reader.cpp
@@ -24,7 +24,7 @@
 /// Has http_parser fill a request from a head.
 class HeadParser {
  public:
-  explicit HeadParser(GateRequest& filled) : request(filled) {
+  explicit HeadParser(HttpRequest& filled) : request(filled) {
     http_parser_init(&parser, HTTP_REQUEST);
     leaveFramingToReader(parser);
     parser.data = this;
@@ -42,7 +42,7 @@
   unsigned flags() const { return headFlags; }
 
  private:
-  GateRequest& request;
+  HttpRequest& request;
   http_parser parser;
   unsigned headFlags{0};
   bool afterValue{true}, whole{false};
@@ -88,14 +88,14 @@
 
 }  // namespace
 
-void RequestReader::begin(const GateLimits& given) {
+void RequestReader::begin(const HttpServerLimits& given) {
   requestLimits = given;
   scanned = 0;
 }
 
 void RequestReader::drop() {
   in = std::string();
-  request = GateRequest{};
+  request = HttpRequest{};
 }
 
 void RequestReader::finish() {
@@ -120,7 +120,7 @@
 RequestReader::Progress RequestReader::takeHead() {
   if (skipBlankLine() && in.empty()) return Progress::none;
   for (; scanned < in.size(); ++scanned) {
-    if (scanned >= requestLimits.headerBytes) return refuse(headTooLarge);
+    if (scanned >= requestLimits.maxHeaderBytes) return refuse(headTooLarge);
     auto byte = static_cast<unsigned char>(in[scanned]);
     bool afterCr = scanned > 0 && in[scanned - 1] == '\r';
     if ((byte == '\n') != afterCr) return refuse(badRequest);
@@ -136,7 +136,7 @@
 RequestReader::Progress RequestReader::readHead(std::size_t size) {
   std::string_view head(in.data(), size);
   if (!isRequestHead(head)) return refuse(badRequest);
-  request = GateRequest{};
+  request = HttpRequest{};
   request.headers.reserve(usualHeaders);
   HeadParser parser(request);
   if (int status = parser.parse(head)) return refuse(status);
@@ -153,17 +153,17 @@
   bodyLeft = 0;
   for (auto& [name, value] : request.headers) {
     if (auto bare = trimmed(value); bare.size() != value.size()) value = std::string(bare);
-    if (sameName(name, "Host")) {
+    if (equalIgnoringCase(name, "Host")) {
       ++hosts;
       if (!isHost(value)) return refuse(badRequest);
-    } else if (sameName(name, "Content-Length")) {
+    } else if (equalIgnoringCase(name, "Content-Length")) {
       ++lengths;
       auto length = readDigits(value);
       if (!length) return refuse(badRequest);
       bodyLeft = *length;
-    } else if (sameName(name, "Transfer-Encoding")) {
+    } else if (equalIgnoringCase(name, "Transfer-Encoding")) {
       ++codings;
-      if (!sameName(value, "chunked")) return refuse(badRequest);
+      if (!equalIgnoringCase(value, "chunked")) return refuse(badRequest);
     }
   }
   bool isHostless = hosts == 0 && !oldVersion, isChunkedTooEarly = codings > 0 && oldVersion;
@@ -171,7 +171,7 @@
   isChunked = codings == 1;
   if (isChunked != ((parserFlags & F_CHUNKED) != 0)) return refuse(badRequest);
   keepable = !(parserFlags & F_CONNECTION_CLOSE) && (!oldVersion || (parserFlags & F_CONNECTION_KEEP_ALIVE));
-  if (bodyLeft > requestLimits.bodyBytes) return refuse(bodyTooLarge);
+  if (bodyLeft > requestLimits.maxBodyBytes) return refuse(bodyTooLarge);
   chunkPart = ChunkPart::size;
   chunkExcess = trailerBytes = 0;
   return Progress::whole;
@@ -180,7 +180,7 @@
 bool RequestReader::awaitsContinue() const {
   if (!in.empty() || !request.body.empty() || oldVersion) return false;
   const auto* expected = findHeader(request.headers, "Expect");
-  return expected && sameName(*expected, "100-continue");
+  return expected && equalIgnoringCase(*expected, "100-continue");
 }
 
 RequestReader::Progress RequestReader::takeWholeBody() {
@@ -213,7 +213,7 @@
 std::size_t RequestReader::longestChunkLine() const {
   switch (chunkPart) {
     case ChunkPart::trailer:
-      return requestLimits.headerBytes - trailerBytes;
+      return requestLimits.maxHeaderBytes - trailerBytes;
     case ChunkPart::size:
       return chunkLineBytes;
     default:
@@ -251,7 +251,7 @@
 std::optional<RequestReader::Progress> RequestReader::takeSizeLine(std::string_view line) {
   auto size = readChunkSize(line);
   if (!size) return refuse(badRequest);
-  if (*size > requestLimits.bodyBytes - request.body.size()) return refuse(bodyTooLarge);
+  if (*size > requestLimits.maxBodyBytes - request.body.size()) return refuse(bodyTooLarge);
   std::size_t excess = chunkExcess + line.size() + 2;
   std::size_t fair = fairChunkOverhead + fairChunkShare * static_cast<std::size_t>(*size);
   chunkExcess = excess > fair ? excess - fair : 0;
--- a/src/net/request_reader.hpp
+++ b/src/net/request_reader.hpp
@@ -15,13 +15,13 @@
   std::size_t unreadBytes() const { return in.size(); }
 
   /// Begins to read a request within these limits.
-  void begin(const GateLimits& given);
-  const GateLimits& limits() const { return requestLimits; }
+  void begin(const HttpServerLimits& given);
+  const HttpServerLimits& limits() const { return requestLimits; }
   Progress takeHead();
   Progress takeBody() { return isChunked ? takeChunks() : takeWholeBody(); }
   /// The status that a refused request is answered with.
   int refusal() const { return refusedStatus; }
-  GateRequest takeRequest() { return std::move(request); }
+  HttpRequest takeRequest() { return std::move(request); }
   /// Forgets the request and all bytes that came.
   void drop();
   /// Forgets the bytes that came and were not taken.
@@ -41,8 +41,8 @@
   enum class ChunkPart { size, data, dataEnd, trailer };
 
   std::string in;
-  GateLimits requestLimits;
-  GateRequest request;
+  HttpServerLimits requestLimits;
+  HttpRequest request;
   std::size_t scanned{0};
   bool skippedBlank{false};
   int refusedStatus{0};
--- a/src/net/web.cpp
+++ b/src/net/web.cpp
@@ -18,7 +18,7 @@
 };
 using Chunked = restinio::response_builder_t<restinio::chunked_output_t>;
 
-class RestAnswer : public WebAnswer, public std::enable_shared_from_this<RestAnswer> {
+class RestAnswer : public WebResponse, public std::enable_shared_from_this<RestAnswer> {
  public:
   explicit RestAnswer(restinio::request_handle_t request) : asked(std::move(request)) {}
 
@@ -123,7 +123,7 @@
 
 WebServer::WebServer(asio::io_context& context, const std::string& address, WebHandler handler)
     : inner(std::make_unique<Inner>()) {
-  auto read = readAddress(address);
+  auto read = parseAddress(address);
   if (!read) return;
   inner->ip = read.value().ip;
   inner->port = read.value().port;
@@ -142,7 +142,7 @@
       .acceptor_options_setter([](auto& options) { options.set_option(asio::socket_base::reuse_address(true)); })
       .socket_options_setter([](auto& options) { options.set_option(asio::ip::tcp::no_delay(true)); })
       .request_handler([handler](restinio::request_handle_t request) {
-        WebAsk ask;
+        WebRequest ask;
         ask.method = request->header().method().c_str();
         ask.path = std::string(request->header().path());
         ask.query = readQuery(request->header().query());
@@ -177,7 +177,7 @@
   }
 }
 
-struct WebCalls::Inner {
+struct WebClient::Inner {
   struct Row {
     std::uint64_t id{0};
     WebCall call;
@@ -235,15 +235,15 @@
     curl_easy_setopt(easy, CURLOPT_TCP_NODELAY, 1L);
     curl_easy_setopt(easy, CURLOPT_PROXY, "");
     curl_easy_setopt(easy, CURLOPT_HTTP_VERSION, static_cast<long>(CURL_HTTP_VERSION_1_1));
-    curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, static_cast<long>(toMilliseconds(row->call.connectWait)));
-    if (row->call.wholeWait > Duration(0))
-      curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, static_cast<long>(toMilliseconds(row->call.wholeWait)));
+    curl_easy_setopt(easy, CURLOPT_CONNECTTIMEOUT_MS, static_cast<long>(toMilliseconds(row->call.connectTimeout)));
+    if (row->call.totalTimeout > Duration(0))
+      curl_easy_setopt(easy, CURLOPT_TIMEOUT_MS, static_cast<long>(toMilliseconds(row->call.totalTimeout)));
     curl_easy_setopt(easy, CURLOPT_WRITEFUNCTION, &Inner::onBytes);
     curl_easy_setopt(easy, CURLOPT_WRITEDATA, row.get());
     curl_easy_setopt(easy, CURLOPT_HEADERFUNCTION, &Inner::onHeader);
     curl_easy_setopt(easy, CURLOPT_HEADERDATA, row.get());
     curl_easy_setopt(easy, CURLOPT_PRIVATE, row.get());
-    if (row->call.onceOnly) {
+    if (row->call.noResend) {
       curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
       curl_easy_setopt(easy, CURLOPT_FORBID_REUSE, 1L);
     }
@@ -272,7 +272,7 @@
       curl_easy_getinfo(row->easy, CURLINFO_RESPONSE_CODE, &status);
       curl_easy_getinfo(row->easy, CURLINFO_REQUEST_SIZE, &sent);
       result.reached = *code == CURLE_OK;
-      result.nothingSent = *code == CURLE_COULDNT_CONNECT || (*code != CURLE_OK && sent == 0);
+      result.requestUnsent = *code == CURLE_COULDNT_CONNECT || (*code != CURLE_OK && sent == 0);
       result.status = static_cast<int>(status);
       result.body = std::move(row->body);
       result.retryAfterMs = row->retryAfterMs;
@@ -314,7 +314,7 @@
   }
 };
 
-WebCalls::WebCalls() : inner(std::make_unique<Inner>()) {
+WebClient::WebClient() : inner(std::make_unique<Inner>()) {
   static std::once_flag once;
   std::call_once(once, [] { curl_global_init(CURL_GLOBAL_DEFAULT); });
   inner->multi = curl_multi_init();
@@ -322,7 +322,7 @@
   inner->thread = std::thread([this] { inner->run(); });
 }
 
-WebCalls::~WebCalls() {
+WebClient::~WebClient() {
   {
     std::lock_guard<std::mutex> guard(inner->lock);
     inner->stopping = true;
@@ -332,7 +332,7 @@
   curl_multi_cleanup(inner->multi);
 }
 
-std::uint64_t WebCalls::start(WebCall call, OnDone onDone, OnLine onLine) {
+std::uint64_t WebClient::start(WebCall call, OnDone onDone, OnLine onLine) {
   auto row = std::make_unique<Inner::Row>();
   row->call = std::move(call);
   row->onDone = std::move(onDone);
@@ -347,7 +347,7 @@
   return id;
 }
 
-void WebCalls::drop(std::uint64_t callId) {
+void WebClient::drop(std::uint64_t callId) {
   {
     std::lock_guard<std::mutex> guard(inner->lock);
     inner->drops.push_back(callId);
@@ -355,9 +355,9 @@
   curl_multi_wakeup(inner->multi);
 }
 
-WorkerEnd endOfCall(const std::string& sendId, const WebResult& result) {
+WorkerEnd workerEndOfCall(const std::string& sendId, const WebResult& result) {
   WorkerEnd end{sendId, static_cast<int>(OrderOutcome::broken), static_cast<int>(Code::workerBroke), 0, 0, 0};
-  if (result.nothingSent) {
+  if (result.requestUnsent) {
     end.outcome = static_cast<int>(OrderOutcome::brokenBeforeSend);
   } else if (result.reached && (result.status == 409 || result.status == 503 || result.status == 400)) {
     end.outcome = static_cast<int>(OrderOutcome::denied);
@@ -367,7 +367,7 @@
   return end;
 }
 
-WebResult callAndWait(WebCalls& calls, WebCall call) {
+WebResult callAndWait(WebClient& calls, WebCall call) {
   std::mutex lock;
   std::condition_variable wake;
   std::optional<WebResult> got;
@@ -381,25 +381,25 @@
   return *got;
 }
 
-std::string OpenAnswers::freshName() {
+std::string PendingResponses::newName() {
   std::lock_guard<std::mutex> guard(lock);
   return "http/" + std::to_string(++lastNumber);
 }
-void OpenAnswers::addAs(const std::string& name, std::shared_ptr<WebAnswer> answer) {
+void PendingResponses::addAs(const std::string& name, std::shared_ptr<WebResponse> answer) {
   std::lock_guard<std::mutex> guard(lock);
   rows[name] = std::move(answer);
 }
-std::string OpenAnswers::add(std::shared_ptr<WebAnswer> answer) {
-  std::string name = freshName();
+std::string PendingResponses::add(std::shared_ptr<WebResponse> answer) {
+  std::string name = newName();
   addAs(name, std::move(answer));
   return name;
 }
-std::shared_ptr<WebAnswer> OpenAnswers::find(const std::string& name) {
+std::shared_ptr<WebResponse> PendingResponses::find(const std::string& name) {
   std::lock_guard<std::mutex> guard(lock);
   auto found = rows.find(name);
   return found == rows.end() ? nullptr : found->second;
 }
-std::shared_ptr<WebAnswer> OpenAnswers::remove(const std::string& name) {
+std::shared_ptr<WebResponse> PendingResponses::remove(const std::string& name) {
   std::lock_guard<std::mutex> guard(lock);
   auto found = rows.find(name);
   if (found == rows.end()) return nullptr;
@@ -407,14 +407,14 @@
   rows.erase(found);
   return answer;
 }
-std::vector<std::shared_ptr<WebAnswer>> OpenAnswers::removeAll() {
+std::vector<std::shared_ptr<WebResponse>> PendingResponses::removeAll() {
   std::lock_guard<std::mutex> guard(lock);
-  std::vector<std::shared_ptr<WebAnswer>> all;
+  std::vector<std::shared_ptr<WebResponse>> all;
   for (auto& [name, answer] : rows) all.push_back(std::move(answer));
   rows.clear();
   return all;
 }
-std::size_t OpenAnswers::count() {
+std::size_t PendingResponses::count() {
   std::lock_guard<std::mutex> guard(lock);
   return rows.size();
 }
--- a/src/sim/scale/link_trial.cpp
+++ b/src/sim/scale/link_trial.cpp
@@ -27,9 +27,9 @@
 
   std::vector<Figure> run() {
     std::string address = freeAddress();
-    Hub target(receiving, address, [this](const std::string&, Message) { ++taken; });
+    PeerTransport target(receiving, address, [this](const std::string&, Message) { ++taken; });
     if (auto listening = target.listen(); !listening) return {};
-    Hub source(sending, "127.0.0.1:1", [](const std::string&, Message) {});
+    PeerTransport source(sending, "127.0.0.1:1", [](const std::string&, Message) {});
     std::thread receiver([&] { receive(target); });
     std::thread sender([&] { send(source, address); });
     sender.join();
@@ -51,14 +51,14 @@
     return "127.0.0.1:" + std::to_string(probe.local_endpoint().port());
   }
 
-  void receive(Hub& target) {
+  void receive(PeerTransport& target) {
     std::int64_t start = threadCpuNs();
     while (taken < frames) receiving.run_for(5ms);
     takeNs = threadCpuNs() - start;
     target.stop();
   }
 
-  void send(Hub& source, const std::string& address) {
+  void send(PeerTransport& source, const std::string& address) {
     std::int64_t start = threadCpuNs();
     int sent = 0;
     TimePoint by = Clock::now() + arriveWithin;
--- a/src/tools/main_agent.cpp
+++ b/src/tools/main_agent.cpp
@@ -21,15 +21,15 @@
       .number("threads", &threads, 1, 64, "threads in the pool")
       .flag("chatty", &chatty, "log more");
   if (auto code = reader.read(count, words)) return *code;
-  if (auto done = setVersionSpan(versionMs); !done) return failStart(done.error());
+  if (auto done = setVersionSpan(versionMs); !done) return reportStartFailure(done.error());
   startLog("agent", settings.name, chatty);
   asio::io_context context;
   Agent agent(settings);
-  Host host(agent, context, 20ms);
-  Hub hub(
+  NodeHost host(agent, context, 20ms);
+  PeerTransport hub(
       context, settings.address, [&](const std::string& from, Message message) { host.handle(from, message); },
       listenAddress);
-  host.carry = [&](const std::string& to, Message&& message) { hub.send(to, message); };
+  host.sendMessage = [&](const std::string& to, Message&& message) { hub.send(to, message); };
   agent.journal.appended.connect([](const Event& event) {
     if (event.kind == "follows" || event.kind == "parent dropped" || event.kind == "capture taken" ||
         event.kind == "fresh" || event.kind == "stale")
@@ -37,7 +37,7 @@
   });
   std::unique_ptr<WebServer> server;
   if (!webAddress.empty()) {
-    server = std::make_unique<WebServer>(context, webAddress, [&](WebAsk ask, std::shared_ptr<WebAnswer> answer) {
+    server = std::make_unique<WebServer>(context, webAddress, [&](WebRequest ask, std::shared_ptr<WebResponse> answer) {
       if (ask.path != "/v1/condition" && ask.path != "/v1/counters" && ask.path != "/v1/blueprint")
         return answer->finish(404, faultBody(fault(Code::unknownPath, ask.path)));
       std::string text;
@@ -47,12 +47,12 @@
       });
       answer->finish(200, text);
     });
-    if (auto done = server->open(); !done) return failStart(done.error());
+    if (auto done = server->open(); !done) return reportStartFailure(done.error());
   }
-  if (auto done = hub.listen(); !done) return failStart(done.error());
+  if (auto done = hub.listen(); !done) return reportStartFailure(done.error());
   host.start();
   logInfo("Serving at " + settings.address + ".");
-  runPool(context, static_cast<std::size_t>(threads), [&] {
+  runThreadPool(context, static_cast<std::size_t>(threads), [&] {
     if (server) server->close();
     hub.stop();
     host.stop();
--- a/src/tools/main_audit.cpp
+++ b/src/tools/main_audit.cpp
@@ -110,7 +110,7 @@
       .number("revision", &note.revision, 0, 1e15, "the revision that the acknowledgement of a naming told");
   if (auto code = reader.read(count, words)) return *code;
   if (!note.event.empty()) {
-    if (auto done = checkNote(note); !done) return failStart(done.error());
+    if (auto done = checkNote(note); !done) return reportStartFailure(done.error());
     std::cout << writeNote(note) << "\n";
     return 0;
   }
@@ -119,24 +119,25 @@
   for (auto [files, lines] :
        {std::pair{&callers, &records.callers}, {&workers, &records.workers}, {&events, &records.events}}) {
     auto read = readLines(*files);
-    if (!read) return failStart(read.error());
+    if (!read) return reportStartFailure(read.error());
     *lines = read.value();
   }
   bool sound = true;
   for (const auto& file : operators) {
     auto checked = auditOperators(file);
-    if (!checked) return failStart(checked.error());
+    if (!checked) return reportStartFailure(checked.error());
     sound = sound && checked.value();
   }
   if (!operators.empty() && records.callers.empty() && records.workers.empty()) return sound ? 0 : 1;
   if (records.callers.empty() || records.workers.empty())
-    return failStart(fault(Code::badProps, "callers", "an audit needs records of callers and of back ends"));
+    return reportStartFailure(fault(Code::badProps, "callers", "an audit needs records of callers and of back ends"));
   if (!configuration.empty()) {
     std::ifstream source(configuration);
     std::stringstream bytes;
     bytes << source.rdbuf();
     auto read = parseJson(bytes.str());
-    if (!read || !read.value().is<JsonObject>()) return failStart(fault(Code::badProps, "blueprint", "cannot be read"));
+    if (!read || !read.value().is<JsonObject>())
+      return reportStartFailure(fault(Code::badProps, "blueprint", "cannot be read"));
     auto tenants = read.value().get<JsonObject>().find("tenants");
     if (tenants != read.value().get<JsonObject>().end() && tenants->second.is<JsonObject>())
       for (const auto& [tenant, row] : tenants->second.get<JsonObject>())
--- a/src/tools/main_core.cpp
+++ b/src/tools/main_core.cpp
@@ -60,17 +60,17 @@
       .number("threads", &given.threads, 1, 64, "threads in the pool")
       .flag("chatty", &chatty, "log more");
   if (auto code = reader.read(count, words)) return *code;
-  if (auto done = setVersionSpan(given.versionMs); !done) return failStart(done.error());
+  if (auto done = setVersionSpan(given.versionMs); !done) return reportStartFailure(done.error());
   if (given.operatorKeyHash.size() != 64)
-    return failStart(fault(Code::badProps, "operatorKeyHash", "must be 64 hexadecimal digits"));
+    return reportStartFailure(fault(Code::badProps, "operatorKeyHash", "must be 64 hexadecimal digits"));
   startLog("core", given.settings.name, chatty);
 
   auto files = DirectoryFiles::open(given.dataFolder, static_cast<int>(given.ringFiles),
                                     static_cast<std::size_t>(given.ringFileKiB) * 1024);
-  if (!files) return failStart(files.error());
+  if (!files) return reportStartFailure(files.error());
   FaultInjectingFiles ringFiles(*files.value(), given.diskFaults);
   auto opened = Ring::openOrReset(ringFiles);
-  if (!opened) return failDisk(opened.error());
+  if (!opened) return reportDiskFailure(opened.error());
   auto& ring = opened.value().ring;
   if (ring->tornTailDropped()) logInfo("Torn end dropped.");
   given.settings.maxRecordBytes = ring->maxCheckpointBytes() / 2;
@@ -79,23 +79,23 @@
   asio::io_context context;
   std::mt19937_64 randomSource(std::random_device{}());
   Core core(given.settings, ring->held(), randomSource, Clock::now());
-  WebCalls calls;
-  OpenAnswers answers;
-  Host host(core, context, 20ms);
-  Hub hub(
+  WebClient calls;
+  PendingResponses answers;
+  NodeHost host(core, context, 20ms);
+  PeerTransport hub(
       context, given.settings.address, [&](const std::string& from, Message message) { host.handle(from, message); },
       given.listenAddress);
 
   auto call = [&](const std::string& to, WebCall made, std::function<void(const std::string&)> onBody) {
-    made.wholeWait = 2s;
+    made.totalTimeout = 2s;
     calls.start(std::move(made), [to, onBody](const WebResult& result) {
       if (result.reached && (result.status == 200 || result.status == 409)) onBody(result.body);
     });
   };
   host.ring = ring.get();
   host.reportSyncWait = [&](Duration span) { core.reportSyncWait(span); };
-  host.diskFailed = [](const Error& trouble) { std::_Exit(failDisk(trouble)); };
-  host.carry = [&](const std::string& to, Message&& message) {
+  host.onDiskFailure = [](const Error& trouble) { std::_Exit(reportDiskFailure(trouble)); };
+  host.sendMessage = [&](const std::string& to, Message&& message) {
     if (auto* machinesAsk = std::get_if<MachinesAsk>(&message)) {
       WebCall made;
       made.url = "http://" + to + "/v1/machines";
@@ -154,9 +154,9 @@
       logInfo(event.kind + ": " + event.subject + " (" + std::to_string(event.number) + ").");
   });
 
-  if (opened.value().damage) noteRingDamage(core.journal, *opened.value().damage);
+  if (opened.value().damage) reportRingDamage(core.journal, *opened.value().damage);
 
-  WebServer server(context, given.operatorAddress, [&](WebAsk ask, std::shared_ptr<WebAnswer> answer) {
+  WebServer server(context, given.operatorAddress, [&](WebRequest ask, std::shared_ptr<WebResponse> answer) {
     auto deny = [&](const Error& trouble) { answer->finish(codeStatus(trouble.code), faultBody(trouble)); };
     if (ask.path == "/v1/counters" && ask.method == "GET") {
       JsonObject rows;
@@ -202,12 +202,12 @@
     host.handle(name, change);
   });
 
-  if (auto done = hub.listen(); !done) return failStart(done.error());
-  if (auto done = server.open(); !done) return failStart(done.error());
+  if (auto done = hub.listen(); !done) return reportStartFailure(done.error());
+  if (auto done = server.open(); !done) return reportStartFailure(done.error());
   host.start();
   logInfo("Serving as " + core.id() + " at " + given.settings.address + ", operators at " + given.operatorAddress +
           ".");
-  runPool(context, static_cast<std::size_t>(given.threads), [&] {
+  runThreadPool(context, static_cast<std::size_t>(given.threads), [&] {
     host.with([&](Effects& effects) { core.resign(effects); });
     TimePoint answersBy = Clock::now() + answersMost;
     do {
--- a/src/tools/main_ctl.cpp
+++ b/src/tools/main_ctl.cpp
@@ -99,23 +99,23 @@
   std::vector<std::string> addresses;
   std::stringstream list(coreList);
   for (std::string item; std::getline(list, item, ',');) {
-    if (auto read = readAddress(item); !read)
-      return failStart(fault(Code::badProps, "cores", item + ": " + read.error().text));
+    if (auto read = parseAddress(item); !read)
+      return reportStartFailure(fault(Code::badProps, "cores", item + ": " + read.error().text));
     addresses.push_back(item);
   }
-  WebCalls calls;
+  WebClient calls;
   WebCall call;
   call.bearer = key;
-  call.wholeWait = 10s;
+  call.totalTimeout = 10s;
   std::string path = "/v1/blueprint";
   if (put->parsed() || patch->parsed() || manifest->parsed()) {
     call.method = put->parsed() ? "PUT" : "PATCH";
     auto body = readFileOrInput(file);
-    if (!body) return failStart(body.error());
+    if (!body) return reportStartFailure(body.error());
     call.body = body.value();
     if (manifest->parsed()) {
       auto routes = patchFromManifests(call.body);
-      if (!routes) return failStart(routes.error());
+      if (!routes) return reportStartFailure(routes.error());
       call.body = routes.value();
     }
     if (changeId.empty()) {
@@ -132,7 +132,7 @@
   }
   (void)get;
   if (lag->parsed()) {
-    call.wholeWait = 3s;
+    call.totalTimeout = 3s;
     TimePoint until = Clock::now() + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(waitSeconds));
     while (true) {
       std::vector<std::string> lines;
@@ -232,13 +232,13 @@
   }
   if (diff->parsed() && result.status == 200) {
     auto wanted = readFileOrInput(file);
-    if (!wanted) return failStart(wanted.error());
+    if (!wanted) return reportStartFailure(wanted.error());
     auto after = parseJson(wanted.value());
     auto before = parseJson(result.body);
     if (!after || !after.value().is<JsonObject>())
-      return failStart(fault(Code::badJson, file, after ? "must be an object" : after.error().text));
+      return reportStartFailure(fault(Code::badJson, file, after ? "must be an object" : after.error().text));
     if (!before || !before.value().is<JsonObject>() || !before.value().get<JsonObject>().count("blueprint"))
-      return failStart(fault(Code::badJson, "answer"));
+      return reportStartFailure(fault(Code::badJson, "answer"));
     auto lines = differences(before.value().get<JsonObject>().at("blueprint").get<JsonObject>(),
                              after.value().get<JsonObject>());
     for (const auto& line : lines) std::cout << line << "\n";
--- a/src/tools/main_keeper.cpp
+++ b/src/tools/main_keeper.cpp
@@ -41,9 +41,9 @@
   settings.kind = "store";
 #else
   if (settings.kind != "language" && settings.kind != "app")
-    return failStart(fault(Code::badProps, "kind", "must be language or app"));
+    return reportStartFailure(fault(Code::badProps, "kind", "must be language or app"));
   if (settings.kind == "language" && settings.model.empty())
-    return failStart(fault(Code::badProps, "model", "must be given"));
+    return reportStartFailure(fault(Code::badProps, "model", "must be given"));
 #endif
   settings.slots = static_cast<int>(slots);
   settings.keepMost = static_cast<std::size_t>(keepMost);
@@ -56,7 +56,7 @@
   std::ofstream record;
   if (!recordFile.empty()) {
     record.open(recordFile, std::ios::app);
-    if (!record) return failStart(fault(Code::badProps, "recordFile", "cannot be written"));
+    if (!record) return reportStartFailure(fault(Code::badProps, "recordFile", "cannot be written"));
     record << "\n" << std::flush;
     keeper.journal.appended.connect([&](const Event& event) {
       static const std::set<std::string> kinds{"ran for",      "order began",   "move ran",
@@ -73,10 +73,10 @@
       record << Json(row).serialize() << "\n" << std::flush;
     });
   }
-  WebCalls calls;
-  OpenAnswers answers;
-  Host host(keeper, context, 5ms);
-  host.carry = [&](const std::string& to, Message&& message) {
+  WebClient calls;
+  PendingResponses answers;
+  NodeHost host(keeper, context, 5ms);
+  host.sendMessage = [&](const std::string& to, Message&& message) {
     if (auto* chunk = std::get_if<WorkerChunk>(&message)) {
       auto answer = answers.find(to);
       if (answer && !answer->line(writeWorkerChunk(*chunk)))
@@ -103,7 +103,7 @@
       call.method = "POST";
       call.url = "http://" + to + "/v1/blocks/pull";
       call.body = writeBlocks(pull->hashes, {});
-      call.wholeWait = 2s;
+      call.totalTimeout = 2s;
       calls.start(std::move(call), [&, pullId = pull->pullId](const WebResult& result) {
         if (!result.reached || result.status != 200) return;
         if (auto blocks = readBlocks(result.body))
@@ -114,12 +114,12 @@
       call.method = "POST";
       call.url = "http://" + to + "/v1/blocks";
       call.body = writeBlocks(stored->hashes, stored->origins);
-      call.wholeWait = 2s;
+      call.totalTimeout = 2s;
       calls.start(std::move(call), {});
     }
   };
 
-  WebServer server(context, settings.address, [&](WebAsk ask, std::shared_ptr<WebAnswer> answer) {
+  WebServer server(context, settings.address, [&](WebRequest ask, std::shared_ptr<WebResponse> answer) {
     auto deny = [&](const Error& trouble) { answer->finish(codeStatus(trouble.code), faultBody(trouble)); };
     auto pass = [&](const Message& message) {
       std::string name = answers.add(answer);
@@ -200,10 +200,10 @@
     }
     deny(fault(Code::unknownPath, ask.path));
   });
-  if (auto done = server.open(); !done) return failStart(done.error());
+  if (auto done = server.open(); !done) return reportStartFailure(done.error());
   host.start();
   logInfo("Serving at " + settings.address + ".");
-  runPool(context, static_cast<std::size_t>(threads), [&] {
+  runThreadPool(context, static_cast<std::size_t>(threads), [&] {
     server.close();
     host.stop();
   });
--- a/src/tools/main_link.cpp
+++ b/src/tools/main_link.cpp
@@ -78,7 +78,7 @@
 
   void connect() {
     if (links.ruleFor(hello, shownAddress).mode == "cut") return close();
-    auto address = readAddress(realAddress);
+    auto address = parseAddress(realAddress);
     asio::error_code error;
     far.async_connect(tcp::endpoint(asio::ip::make_address(address.value().ip, error), address.value().port),
                       [self = shared_from_this()](asio::error_code connectError) {
@@ -125,9 +125,9 @@
 };
 
 Result<void> Links::open(const std::string& shownAddress, const std::string& realAddress) {
-  auto shown = readAddress(shownAddress);
+  auto shown = parseAddress(shownAddress);
   if (!shown) return shown.error();
-  if (auto real = readAddress(realAddress); !real) return real.error();
+  if (auto real = parseAddress(realAddress); !real) return real.error();
   asio::error_code error;
   auto acceptor = std::make_unique<tcp::acceptor>(io);
   tcp::endpoint end(asio::ip::make_address(shown.value().ip, error), shown.value().port);
@@ -208,10 +208,12 @@
   Links links(context);
   for (const auto& pair : pairs) {
     auto sign = pair.find('=');
-    if (sign == std::string::npos) return failStart(fault(Code::badProps, "pairs", pair + ": must be SHOWN=REAL"));
-    if (auto done = links.open(pair.substr(0, sign), pair.substr(sign + 1)); !done) return failStart(done.error());
+    if (sign == std::string::npos)
+      return reportStartFailure(fault(Code::badProps, "pairs", pair + ": must be SHOWN=REAL"));
+    if (auto done = links.open(pair.substr(0, sign), pair.substr(sign + 1)); !done)
+      return reportStartFailure(done.error());
   }
-  WebServer server(context, webAddress, [&](WebAsk ask, std::shared_ptr<WebAnswer> answer) {
+  WebServer server(context, webAddress, [&](WebRequest ask, std::shared_ptr<WebResponse> answer) {
     auto deny = [&](const Error& trouble) { answer->finish(codeStatus(trouble.code), faultBody(trouble)); };
     if (ask.path != "/v1/rules") return deny(fault(Code::unknownPath, ask.path));
     if (ask.method == "DELETE") {
@@ -228,8 +230,8 @@
     links.set(std::move(rule));
     answer->finish(200, "{}");
   });
-  if (auto done = server.open(); !done) return failStart(done.error());
+  if (auto done = server.open(); !done) return reportStartFailure(done.error());
   logInfo("Passing on " + std::to_string(pairs.size()) + " addresses.");
-  runPool(context, 1, [&] { server.close(); });
+  runThreadPool(context, 1, [&] { server.close(); });
   return 0;
 }
--- a/src/tools/main_loadgen.cpp
+++ b/src/tools/main_loadgen.cpp
@@ -102,13 +102,13 @@
       .number("move", &move, 0, 100, "per cent that try the next proxy at once")
       .number("hangUps", &hangUps, 0, 100, "per cent of callers that hang up within 600 ms");
   if (auto code = reader.read(count, arguments)) return *code;
-  if (proxies.empty()) return failStart(fault(Code::badProps, "proxies", "must be given"));
+  if (proxies.empty()) return reportStartFailure(fault(Code::badProps, "proxies", "must be given"));
   std::ifstream source(kindsFile);
-  if (!source) return failStart(fault(Code::badProps, "kinds", "cannot read " + kindsFile));
+  if (!source) return reportStartFailure(fault(Code::badProps, "kinds", "cannot read " + kindsFile));
   std::stringstream bytes;
   bytes << source.rdbuf();
   auto read = readKinds(bytes.str());
-  if (!read) return failStart(fault(Code::badProps, "kinds", read.error().subject + ": " + read.error().text));
+  if (!read) return reportStartFailure(fault(Code::badProps, "kinds", read.error().subject + ": " + read.error().text));
   const auto& kinds = read.value();
 
   std::mt19937_64 randomSource(static_cast<std::uint64_t>(seed));
@@ -136,7 +136,7 @@
   std::ofstream record;
   if (!recordFile.empty()) {
     record.open(recordFile, std::ios::app);
-    if (!record) return failStart(fault(Code::badProps, "recordFile", "cannot be written"));
+    if (!record) return reportStartFailure(fault(Code::badProps, "recordFile", "cannot be written"));
   }
   std::mutex lock;
   std::condition_variable wake;
@@ -155,7 +155,7 @@
   std::map<int, std::int64_t> failedAt;
   std::map<int, std::pair<std::int64_t, std::int64_t>> blocksAt;
   std::int64_t open = 0, cameBack = 0;
-  WebCalls calls;
+  WebClient calls;
   auto tell = [&](const Shot& shot, const Seen& seen, TimePoint sentAt) {
     if (!record.is_open()) return;
     const auto& kind = kinds[shot.kind];
@@ -211,8 +211,8 @@
     call.url = "http://" + shot.proxy + "/v1/orders";
     call.bearer = shot.key;
     call.body = Json(body).serialize();
-    call.wholeWait = 30s;
-    call.onceOnly = true;
+    call.totalTimeout = 30s;
+    call.noResend = true;
     auto seen = std::make_shared<Seen>();
     TimePoint sentAt = Clock::now();
     auto count_ = [&, shot, seen](const Json& verdict) {
@@ -257,7 +257,7 @@
               count_(verdict.value());
             } else {
               ++(seen->first ? tallies[shot.kind].torn : tallies[shot.kind].unfinished);
-              seen->verdict = result.nothingSent ? "no connection" : seen->first ? "stream torn" : "no verdict";
+              seen->verdict = result.requestUnsent ? "no connection" : seen->first ? "stream torn" : "no verdict";
               ++tallies[shot.kind].verdicts[seen->verdict];
               ++failedAt[static_cast<int>(toMilliseconds(shot.due - start) / 1000)];
             }
--- a/src/tools/main_operators.cpp
+++ b/src/tools/main_operators.cpp
@@ -79,7 +79,7 @@
   Shared& shared;
   std::string name;
   std::mt19937_64 random;
-  WebCalls calls;
+  WebClient calls;
   int made{0};
 
   std::uint64_t randomBelow(std::uint64_t below) { return random() % below; }
@@ -90,7 +90,7 @@
     call.method = method;
     call.url = "http://" + core + "/v1/blueprint" + query;
     call.bearer = shared.key;
-    call.wholeWait = callWait;
+    call.totalTimeout = callWait;
     return call;
   }
 
@@ -144,9 +144,9 @@
     auto call =
         callTo(core, "PATCH", "?changeId=" + change.changeId + "&ifRevision=" + std::to_string(change.ifRevision));
     call.body = change.body;
-    call.onceOnly = true;
+    call.noResend = true;
     if (static_cast<int>(randomBelow(100)) < shared.losePerCent)
-      call.wholeWait = std::chrono::milliseconds(1 + randomBelow(60));
+      call.totalTimeout = std::chrono::milliseconds(1 + randomBelow(60));
     operation.began = steadyNow();
     auto result = callAndWait(calls, call);
     auto answer = parseJson(result.body);
@@ -175,27 +175,27 @@
       .number("lose", &lose, 0, 100, "per cent of the calls that are given up before their answer can be awaited")
       .number("seed", &seed, 1, mostCount, "the seed of what they choose");
   if (auto code = reader.read(count, words)) return *code;
-  if (shared.cores.empty()) return failStart(fault(Code::missingField, "cores"));
+  if (shared.cores.empty()) return reportStartFailure(fault(Code::missingField, "cores"));
   shared.changes = static_cast<int>(changes);
   shared.losePerCent = static_cast<int>(lose);
   shared.seed = static_cast<std::uint64_t>(seed);
   shared.runName = std::to_string(steadyNow());
   shared.file.open(out, std::ios::trunc);
-  if (!shared.file) return failStart(fault(Code::badProps, "history", "cannot be written"));
+  if (!shared.file) return reportStartFailure(fault(Code::badProps, "history", "cannot be written"));
 
-  WebCalls calls;
+  WebClient calls;
   std::optional<ReadBack> initial;
   for (int tries = 0; tries < mostTries && !initial; ++tries) {
     WebCall call;
     call.url = "http://" + shared.cores[static_cast<std::size_t>(tries) % shared.cores.size()] + "/v1/blueprint";
     call.bearer = shared.key;
-    call.wholeWait = callWait;
+    call.totalTimeout = callWait;
     if (auto back = readBackOf(callAndWait(calls, call)))
       initial = back.value();
     else
       std::this_thread::sleep_for(200ms);
   }
-  if (!initial) return failStart(fault(Code::httpFault, "cores", "none answers a read"));
+  if (!initial) return reportStartFailure(fault(Code::httpFault, "cores", "none answers a read"));
   shared.file << writeInitial(initial->revision, initial->items) << "\n";
 
   std::vector<std::thread> threads;
--- a/src/tools/main_platform.cpp
+++ b/src/tools/main_platform.cpp
@@ -23,13 +23,14 @@
     std::stringstream bytes;
     bytes << source.rdbuf();
     auto list = readMachines(bytes.str());
-    if (!list) return failStart(fault(Code::badProps, "list", list.error().subject + ": " + list.error().text));
+    if (!list)
+      return reportStartFailure(fault(Code::badProps, "list", list.error().subject + ": " + list.error().text));
     for (const auto& machine : list.value().machines) platform.set(machine);
   }
   asio::io_context context;
-  Host host(platform, context, 1s);
-  host.carry = [](const std::string&, Message&&) {};
-  WebServer server(context, address, [&](WebAsk ask, std::shared_ptr<WebAnswer> answer) {
+  NodeHost host(platform, context, 1s);
+  host.sendMessage = [](const std::string&, Message&&) {};
+  WebServer server(context, address, [&](WebRequest ask, std::shared_ptr<WebResponse> answer) {
     auto deny = [&](const Error& trouble) { answer->finish(codeStatus(trouble.code), faultBody(trouble)); };
     if (ask.path != "/v1/machines") return deny(fault(Code::unknownPath, ask.path));
     if (ask.method == "GET") {
@@ -55,10 +56,10 @@
     }
     answer->finish(200, "{}");
   });
-  if (auto done = server.open(); !done) return failStart(done.error());
+  if (auto done = server.open(); !done) return reportStartFailure(done.error());
   host.start();
   logInfo("Serving at " + address + ".");
-  runPool(context, static_cast<std::size_t>(threads), [&] {
+  runThreadPool(context, static_cast<std::size_t>(threads), [&] {
     server.close();
     host.stop();
   });
--- a/src/tools/main_proxy.cpp
+++ b/src/tools/main_proxy.cpp
@@ -50,30 +50,31 @@
       .number("threads", &threads, 1, 64, "threads in the pool")
       .flag("chatty", &chatty, "log more");
   if (auto code = reader.read(count, words)) return *code;
-  if (auto done = setVersionSpan(versionMs); !done) return failStart(done.error());
+  if (auto done = setVersionSpan(versionMs); !done) return reportStartFailure(done.error());
   settings.maxPending = static_cast<std::size_t>(maxPending);
   settings.blockMs = blockMs;
   startLog("proxy", settings.name, chatty);
 
   asio::io_context context;
   ProxyRouter edge(settings);
-  WebCalls calls;
-  OpenAnswers answers;
+  WebClient calls;
+  PendingResponses answers;
   WorkerCalls workerCalls;
-  Host host(edge, context, 10ms);
-  Hub hub(context, settings.address, [&](const std::string& from, Message message) { host.handle(from, message); });
+  NodeHost host(edge, context, 10ms);
+  PeerTransport hub(context, settings.address,
+                    [&](const std::string& from, Message message) { host.handle(from, message); });
 
   edge.journal.appended.connect([](const Event& event) {
     if (event.kind == "fresh" || event.kind == "stale") logInfo(event.kind + ": " + event.subject + ".");
   });
-  host.carry = [&](const std::string& to, Message&& message) {
+  host.sendMessage = [&](const std::string& to, Message&& message) {
     if (auto* order = std::get_if<WorkerOrder>(&message)) {
       WebCall call;
       call.method = "POST";
       call.url = "http://" + to + "/v1/orders";
       call.body = writeWorkerOrder(*order);
-      call.onceOnly = true;
-      call.wholeWait = 120s;
+      call.noResend = true;
+      call.totalTimeout = 120s;
       std::string sendId = order->orderId;
       if (order->sendDeadline != 0) {
         Duration left = fromNanoseconds(order->sendDeadline) - Clock::now();
@@ -82,7 +83,7 @@
               sendId, static_cast<int>(OrderOutcome::brokenBeforeSend), static_cast<int>(Code::workerBroke), 0, 0, 0};
           return asio::post(context, [&host, unsent] { host.handle("worker", unsent); });
         }
-        call.connectWait = std::min(call.connectWait, left);
+        call.connectTimeout = std::min(call.connectTimeout, left);
       }
       auto ended = std::make_shared<bool>(false);
       auto startCall = [&, call = std::move(call), sendId, ended]() mutable {
@@ -91,7 +92,7 @@
             [&, sendId, ended](const WebResult& result) {
               workerCalls.remove(sendId);
               if (*ended) return;
-              host.handle("worker", endOfCall(sendId, result));
+              host.handle("worker", workerEndOfCall(sendId, result));
             },
             [&, sendId, ended](const std::string& line) {
               if (*ended) return;
@@ -134,7 +135,7 @@
     }
   };
 
-  WebServer server(context, callerAddress, [&](WebAsk ask, std::shared_ptr<WebAnswer> answer) {
+  WebServer server(context, callerAddress, [&](WebRequest ask, std::shared_ptr<WebResponse> answer) {
     auto deny = [&](const Error& trouble) {
       CallerVerdict verdict;
       verdict.verdict = "not run";
@@ -148,7 +149,7 @@
       if (!order) return deny(order.error());
       order.value().key = ask.bearer;
       order.value().orderId =
-          settings.name + "/" + std::to_string(toNanoseconds(Clock::now())) + "/" + answers.freshName().substr(5);
+          settings.name + "/" + std::to_string(toNanoseconds(Clock::now())) + "/" + answers.newName().substr(5);
       answers.addAs(order.value().orderId, answer);
       return host.handle("caller", order.value());
     }
@@ -178,11 +179,11 @@
     deny(fault(Code::unknownPath, ask.path));
   });
 
-  if (auto done = hub.listen(); !done) return failStart(done.error());
-  if (auto done = server.open(); !done) return failStart(done.error());
+  if (auto done = hub.listen(); !done) return reportStartFailure(done.error());
+  if (auto done = server.open(); !done) return reportStartFailure(done.error());
   host.start();
   logInfo("Serving callers at " + callerAddress + ".");
-  runPool(context, static_cast<std::size_t>(threads), [&] {
+  runThreadPool(context, static_cast<std::size_t>(threads), [&] {
     DrainPlan plan;
     plan.startedAt = plan.refusesFrom = Clock::now();
     plan.endsAt = plan.startedAt + openOrdersMost;
--- a/tests/call_faults.cpp
+++ b/tests/call_faults.cpp
@@ -11,7 +11,7 @@
   return "HTTP/1.1 200 OK\r\n" + headers + "Transfer-Encoding: chunked\r\n\r\n" + size + "\r\n" + body +
          "\r\n0\r\n\r\n";
 }
-HttpCall once(HttpCall call) {
+HttpClientRequest once(HttpClientRequest call) {
   call.once = true;
   return call;
 }
@@ -29,9 +29,9 @@
         held->say(okay("own"));
       });
       auto first = bench.finish(bench.call(server, "/first"));
-      cr_assert(first->end.how == HttpHow::whole);
+      cr_assert(first->end.outcome == HttpCallOutcome::whole);
       auto second = bench.finish(once(bench.call(server, "/second", "POST", "body")));
-      cr_assert(second->end.how == HttpHow::whole, "%s", second->end.trouble.c_str());
+      cr_assert(second->end.outcome == HttpCallOutcome::whole, "%s", second->end.trouble.c_str());
       cr_assert_eq(second->body, "own");
       cr_assert_eq(bench.calls.connectionsOpened(), 2u, "the connection that said too much is not used again");
     }
@@ -62,7 +62,7 @@
       held->close();
     });
     auto seen = bench.finish(once(bench.call(server)));
-    cr_expect(seen->end.how == HttpHow::broken, "must be broken: %s", text.c_str());
+    cr_expect(seen->end.outcome == HttpCallOutcome::broken, "must be broken: %s", text.c_str());
     cr_expect_eq(seen->heads, 0, "no head of: %s", text.c_str());
     cr_expect_eq(seen->body, "", "no bytes of: %s", text.c_str());
   }
@@ -81,7 +81,7 @@
                                  {std::string("HTTP/1.1 200 OK\r\n\r\nuntil the close"), false}}) {
     text = said;
     auto seen = bench.finish(bench.call(server));
-    cr_assert(seen->end.how == HttpHow::whole);
+    cr_assert(seen->end.outcome == HttpCallOutcome::whole);
     cr_assert_eq(seen->head.delimited, delimited, "%s", said.c_str());
   }
 }
@@ -109,17 +109,17 @@
     bool leaseGood = true;
     int asked = 0;
     auto call = once(bench.call(server, "/order", "POST", "body"));
-    call.mayLeave = [&] { return ++asked, leaseGood; };
+    call.maySend = [&] { return ++asked, leaseGood; };
     auto seen = bench.start(call);
     leaseGood = false;
     cr_assert(bench.until([&] { return seen->ends > 0; }));
     bench.pass(20ms);
-    cr_expect(seen->end.how == HttpHow::unsent);
+    cr_expect(seen->end.outcome == HttpCallOutcome::unsent);
     cr_expect_eq(server.copies("/order"), 0u, "not a byte of it was written");
     cr_expect_geq(asked, 1);
     leaseGood = true;
     auto next = bench.finish(call);
-    cr_expect(next->end.how == HttpHow::whole);
+    cr_expect(next->end.outcome == HttpCallOutcome::whole);
     cr_expect_eq(server.copies("/order"), 1u);
   }
 }
@@ -135,12 +135,12 @@
     filling.back().async_connect(full.local_endpoint(), [](const asio::error_code&) {});
   }
   bench.pass(5ms);
-  HttpCall call;
+  HttpClientRequest call;
   call.address = "127.0.0.1:" + std::to_string(full.local_endpoint().port());
   call.target = "/order";
-  call.connectWait = 10s;
+  call.connectTimeout = 10s;
   bool leaseGood = true;
-  call.mayLeave = [&] { return leaseGood; };
+  call.maySend = [&] { return leaseGood; };
   auto seen = bench.start(call);
   bench.pass(20ms);
   cr_assert_eq(seen->ends, 0, "the connection hangs");
@@ -161,7 +161,7 @@
   accept();
   cr_assert(bench.until([&] { return seen->ends > 0; }, 9s));
   bench.pass(20ms);
-  cr_expect(seen->end.how == HttpHow::unsent);
+  cr_expect(seen->end.outcome == HttpCallOutcome::unsent);
   cr_expect_eq(got, "");
   asio::error_code ignored;
   full.close(ignored);
@@ -174,7 +174,7 @@
   });
   bench.finish(bench.call(server, "/first"));
   auto call = once(bench.call(server, "/order", "POST", "body"));
-  call.alone = true;
+  call.exclusiveConnection = true;
   cr_assert_eq(bench.finish(call)->body, "order");
   cr_assert_eq(bench.finish(call)->body, "order");
   cr_assert_eq(bench.finish(bench.call(server, "/second"))->body, "other");
@@ -194,11 +194,11 @@
         byReset ? held->reset() : held->close();
       });
       auto fresh = bench.finish(once(bench.call(server, "/second", "POST", "body")));
-      cr_assert(fresh->end.how == HttpHow::broken);
+      cr_assert(fresh->end.outcome == HttpCallOutcome::broken);
       cr_assert_not(fresh->end.forgotten, "a new connection cannot have been forgotten");
       bench.finish(bench.call(server, "/first"));
       auto kept = bench.finish(once(bench.call(server, "/second", "POST", "body")));
-      cr_assert(kept->end.how == HttpHow::broken, "it may have run");
+      cr_assert(kept->end.outcome == HttpCallOutcome::broken, "it may have run");
       if (!begun) cr_assert(kept->end.forgotten);
       if (begun && !byReset) cr_assert_not(kept->end.forgotten);
     }
@@ -225,11 +225,11 @@
   forgets = true;
   bench.pass(5ms);
   auto lost = bench.finish(once(bench.call(server, "/second", "POST", "body")));
-  cr_assert(lost->end.how == HttpHow::broken);
+  cr_assert(lost->end.outcome == HttpCallOutcome::broken);
   cr_assert(lost->end.forgotten);
   for (int count = 0; count < 4; ++count) {
     auto next = bench.finish(once(bench.call(server, "/third", "POST", "body")));
-    cr_expect(next->end.how == HttpHow::whole, "only one request is lost to them");
+    cr_expect(next->end.outcome == HttpCallOutcome::whole, "only one request is lost to them");
     cr_expect_eq(next->body, "own");
   }
 }
--- a/tests/call_fuzz.cpp
+++ b/tests/call_fuzz.cpp
@@ -93,10 +93,10 @@
     call.once = true;
     auto seen = bench.finish(call);
     bool chunked = text.find("chunked") != std::string::npos;
-    if (chunked && said + 1 == text.size()) said += seen->end.how == HttpHow::whole;
+    if (chunked && said + 1 == text.size()) said += seen->end.outcome == HttpCallOutcome::whole;
     bool full = said == text.size();
-    cr_expect_eq(seen->end.how == HttpHow::whole, full, "case %d: %zu of %zu bytes: %s", number, said, text.size(),
-                 text.substr(0, said).c_str());
+    cr_expect_eq(seen->end.outcome == HttpCallOutcome::whole, full, "case %d: %zu of %zu bytes: %s", number, said,
+                 text.size(), text.substr(0, said).c_str());
     cr_expect_leq(seen->heads, 1);
     cr_expect_eq(seen->ends, 1);
     if (full) cr_expect_eq(seen->body, expected, "case %d", number);
@@ -125,12 +125,12 @@
     });
     auto call = bench.call(server, "/first", "POST", "body");
     call.once = true;
-    call.wholeWait = 8ms;
+    call.totalTimeout = 8ms;
     auto first = bench.finish(call);
     cr_expect_leq(first->heads, 1);
     cr_expect_eq(first->ends, 1);
     if (first->heads == 0) cr_expect_eq(first->body, "", "case %d: bytes without a head", number);
-    if (first->end.how == HttpHow::whole) {
+    if (first->end.outcome == HttpCallOutcome::whole) {
       cr_expect_eq(first->heads, 1, "case %d", number);
       cr_expect(first->head.status >= 200 && first->head.status <= 599, "case %d", number);
       const auto* length = first->head.find("Content-Length");
@@ -140,8 +140,8 @@
       ++spoilt;
     }
     auto second = bench.finish(bench.call(server, "/second", "POST", "body"));
-    cr_expect(second->end.how == HttpHow::whole, "case %d: %s after %s", number, second->end.trouble.c_str(),
-              text.c_str());
+    cr_expect(second->end.outcome == HttpCallOutcome::whole, "case %d: %s after %s", number,
+              second->end.trouble.c_str(), text.c_str());
     cr_expect_eq(second->body, "own", "case %d after %s", number, text.c_str());
     cr_expect_eq(server.copies("/first"), 1u);
   }
--- a/tests/calls.cpp
+++ b/tests/calls.cpp
@@ -13,14 +13,14 @@
     if (byReset) return held->reset();
     held->close();
   });
-  cr_assert(bench.finish(bench.call(server, "/first"))->end.how == HttpHow::whole);
+  cr_assert(bench.finish(bench.call(server, "/first"))->end.outcome == HttpCallOutcome::whole);
   auto call = bench.call(server, "/second", method, body);
   call.once = true;
   auto seen = bench.finish(call);
   bench.pass(20ms);
   cr_assert_eq(seen->ends, 1);
   cr_assert_eq(server.copies("/second"), 1u, "one copy over all connections, not %zu", server.copies("/second"));
-  cr_assert(seen->end.how == HttpHow::broken);
+  cr_assert(seen->end.outcome == HttpCallOutcome::broken);
   cr_assert(!seen->end.trouble.empty());
   cr_assert_eq(seen->heads, 0);
   cr_assert_eq(bench.calls.connectionsOpened(), 1u, "the request went out on the kept connection");
@@ -60,7 +60,7 @@
   call.once = true;
   auto seen = bench.finish(call);
   bench.pass(20ms);
-  cr_assert(seen->end.how == HttpHow::broken);
+  cr_assert(seen->end.outcome == HttpCallOutcome::broken);
   cr_assert_eq(server.copies("/second"), 1u);
   cr_assert_eq(server.copies("some body"), 1u);
 }
@@ -71,12 +71,12 @@
   server.onPiece = [](const RawServer::Held& held) {
     if (held->got.find("/second") != std::string::npos) held->reset();
   };
-  cr_assert(bench.finish(bench.call(server, "/first"))->end.how == HttpHow::whole);
+  cr_assert(bench.finish(bench.call(server, "/first"))->end.outcome == HttpCallOutcome::whole);
   auto call = bench.call(server, "/second", "POST", std::string(8u << 20, 'x'));
   call.once = true;
   auto seen = bench.finish(call);
   bench.pass(20ms);
-  cr_assert(seen->end.how == HttpHow::broken);
+  cr_assert(seen->end.outcome == HttpCallOutcome::broken);
   cr_assert_eq(server.copies("/second"), 1u);
 }
 
@@ -88,7 +88,7 @@
   });
   bench.finish(bench.call(server, "/first"));
   auto seen = bench.finish(bench.call(server, "/second", "POST", "some body"));
-  cr_assert(seen->end.how == HttpHow::whole);
+  cr_assert(seen->end.outcome == HttpCallOutcome::whole);
   cr_assert_eq(server.copies("/second"), 2u);
 }
 
@@ -96,13 +96,13 @@
   for (bool byReset : {false, true}) {
     Bench bench;
     RawServer server(bench.io, [](const RawServer::Held& held, const std::string&) { held->say(okay("fine")); });
-    cr_assert(bench.finish(bench.call(server, "/first"))->end.how == HttpHow::whole);
+    cr_assert(bench.finish(bench.call(server, "/first"))->end.outcome == HttpCallOutcome::whole);
     byReset ? server.connections[0]->reset() : server.connections[0]->close();
     bench.pass(10ms);
     auto call = bench.call(server, "/second", "POST", "some body");
     call.once = true;
     auto seen = bench.finish(call);
-    cr_assert(seen->end.how == HttpHow::whole);
+    cr_assert(seen->end.outcome == HttpCallOutcome::whole);
     cr_assert_eq(seen->body, "fine");
     cr_assert_eq(server.copies("/second"), 1u);
     cr_assert_eq(bench.calls.connectionsOpened(), 2u);
@@ -113,14 +113,14 @@
   for (bool closes : {false, true}) {
     Bench bench;
     RawServer server(bench.io, [](const RawServer::Held& held, const std::string&) { held->say(okay("fine")); });
-    cr_assert(bench.finish(bench.call(server, "/first"))->end.how == HttpHow::whole);
+    cr_assert(bench.finish(bench.call(server, "/first"))->end.outcome == HttpCallOutcome::whole);
     server.connections[0]->say("HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n\r\n");
     if (closes) server.connections[0]->close();
     bench.pass(10ms);
     auto call = bench.call(server, "/second", "POST", "some body");
     call.once = true;
     auto seen = bench.finish(call);
-    cr_assert(seen->end.how == HttpHow::whole);
+    cr_assert(seen->end.outcome == HttpCallOutcome::whole);
     cr_assert_eq(seen->head.status, 200, "got %d", seen->head.status);
     cr_assert_eq(server.copies("/second"), 1u);
   }
@@ -133,10 +133,10 @@
     asio::ip::tcp::acceptor gone(bench.io, asio::ip::tcp::endpoint(asio::ip::address_v4::loopback(), 0));
     address = "127.0.0.1:" + std::to_string(gone.local_endpoint().port());
   }
-  HttpCall call;
+  HttpClientRequest call;
   call.address = address;
   auto seen = bench.finish(call);
-  cr_assert(seen->end.how == HttpHow::unsent);
+  cr_assert(seen->end.outcome == HttpCallOutcome::unsent);
   cr_assert(!seen->end.trouble.empty());
 
   // A listening socket with a full queue lets no further connection stand.
@@ -150,15 +150,15 @@
   }
   bench.pass(5ms);
   call.address = "127.0.0.1:" + std::to_string(full.local_endpoint().port());
-  call.connectWait = 40ms;
+  call.connectTimeout = 40ms;
   seen = bench.finish(call);
-  cr_assert(seen->end.how == HttpHow::unsent);
+  cr_assert(seen->end.outcome == HttpCallOutcome::unsent);
   cr_assert_eq(bench.calls.connectionsOpened(), 0u);
 }
 
 Test(calls, what_cannot_be_sent_ends_unsent_and_not_within_start) {
   Bench bench;
-  std::vector<HttpCall> wrong(5);
+  std::vector<HttpClientRequest> wrong(5);
   for (auto& call : wrong) call.address = "127.0.0.1:1";
   wrong[0].address = "localhost:80";
   wrong[1].target = "/a b";
@@ -169,7 +169,7 @@
     auto seen = bench.start(call);
     cr_assert_eq(seen->ends, 0);
     cr_assert(bench.until([&] { return seen->ends == 1; }));
-    cr_assert(seen->end.how == HttpHow::unsent);
+    cr_assert(seen->end.outcome == HttpCallOutcome::unsent);
   }
   auto dropped = bench.start(wrong[0]);
   bench.calls.drop(dropped->id);
@@ -221,7 +221,7 @@
         "X-Twice: a\r\nX-Twice: b\r\nContent-Encoding: gzip\r\nContent-Length: 4\r\n\r\n\x1f\x8b!!");
   });
   auto seen = bench.finish(bench.call(server));
-  cr_assert(seen->end.how == HttpHow::whole);
+  cr_assert(seen->end.outcome == HttpCallOutcome::whole);
   cr_assert_eq(seen->heads, 1);
   cr_assert_eq(seen->head.status, 302);
   HttpHeaders expected{{"Location", "/elsewhere"}, {"x-odd-Case", "One"},        {"X-Twice", "a"},
@@ -232,7 +232,7 @@
   cr_assert_null(seen->head.find("Link"));
   cr_assert_eq(seen->body, "\x1f\x8b!!");
   auto headOnly = bench.finish(bench.call(server, "/", "HEAD"));
-  cr_assert(headOnly->end.how == HttpHow::whole);
+  cr_assert(headOnly->end.outcome == HttpCallOutcome::whole);
   cr_assert_eq(*headOnly->head.find("content-length"), "99");
   cr_assert_eq(headOnly->body, "");
   cr_assert_eq(bench.calls.connectionsOpened(), 1u);
@@ -255,7 +255,7 @@
   }
   open->say("0\r\nX-Trailer: 1\r\n\r\n");
   cr_assert(bench.until([&] { return seen->ends == 1; }));
-  cr_assert(seen->end.how == HttpHow::whole);
+  cr_assert(seen->end.outcome == HttpCallOutcome::whole);
   cr_assert_eq(seen->heads, 1);
   cr_assert_null(seen->end.head.find("X-Trailer"));
 }
@@ -284,7 +284,7 @@
       auto call = bench.call(server, "/second");
       call.once = true;
       auto seen = bench.finish(call);
-      cr_assert(seen->end.how == HttpHow::broken, "must be broken: %s", text.c_str());
+      cr_assert(seen->end.outcome == HttpCallOutcome::broken, "must be broken: %s", text.c_str());
       cr_assert_eq(server.copies("/second"), 1u, "sent again after: %s", text.c_str());
     }
   }
@@ -297,7 +297,7 @@
     held->close();
   });
   auto seen = bench.finish(bench.call(server));
-  cr_assert(seen->end.how == HttpHow::whole);
+  cr_assert(seen->end.outcome == HttpCallOutcome::whole);
   cr_assert_eq(seen->body, "until the close");
 }
 
@@ -326,7 +326,7 @@
     auto held = std::make_shared<std::string>("the callbacks keep this");
     own = bench.calls.start(
         bench.call(server, where == "end" ? "/whole/own" : "/own"),
-        [&, held](const HttpHead&) {
+        [&, held](const HttpResponseHead&) {
           ++heads;
           leave("head");
           cr_assert_eq(held->size(), 23u);
@@ -336,13 +336,13 @@
           leave("bytes");
           cr_assert_eq(held->size(), 23u);
         },
-        [&, held](const HttpEnd&) {
+        [&, held](const HttpCallResult&) {
           ++ends;
           leave("end");
           cr_assert_eq(held->size(), 23u);
         });
     cr_assert(bench.until([&] { return next && next->ends == 1; }));
-    cr_assert(next->end.how == HttpHow::whole);
+    cr_assert(next->end.outcome == HttpCallOutcome::whole);
     cr_assert(bench.until([&] { return otherConnection->ended; }), "the dropped call's connection is closed");
     bench.pass(5ms);
     cr_assert_eq(heads, 1);
@@ -361,11 +361,11 @@
   });
   int callbacks = 0;
   {
-    HttpCalls calls(io);
+    HttpClient calls(io);
     for (int count = 0; count < 20; ++count) {
-      HttpCall call;
+      HttpClientRequest call;
       call.address = server.address();
-      auto id = calls.start(call, {}, {}, [&](const HttpEnd&) { ++callbacks; });
+      auto id = calls.start(call, {}, {}, [&](const HttpCallResult&) { ++callbacks; });
       for (int turn = 0; turn < count % 5; ++turn) io.poll_one();
       if (count % 2) calls.drop(id);
     }
@@ -402,7 +402,7 @@
     cr_assert(bench.until(
         [&] { return std::all_of(all.begin(), all.end(), [](const auto& each) { return each->ends == 1; }); }));
     for (int count = 0; count < 200; ++count) {
-      cr_assert(all[static_cast<std::size_t>(count)]->end.how == HttpHow::whole);
+      cr_assert(all[static_cast<std::size_t>(count)]->end.outcome == HttpCallOutcome::whole);
       cr_assert_eq(all[static_cast<std::size_t>(count)]->body, std::to_string(100 + count));
     }
   }
@@ -418,7 +418,7 @@
   for (int count = 0; count < 50; ++count) {
     auto call = bench.call(server, "/", count % 2 ? "POST" : "GET", count % 2 ? "body" : "");
     call.once = count % 3 == 0;
-    cr_assert(bench.finish(call)->end.how == HttpHow::whole);
+    cr_assert(bench.finish(call)->end.outcome == HttpCallOutcome::whole);
   }
   cr_assert_eq(bench.calls.connectionsOpened(), 1u);
   cr_assert_eq(server.connections.size(), 1u);
@@ -429,7 +429,8 @@
   Bench bench;
   std::string told = "Keep-Alive: max=9, Timeout=1\r\n";
   RawServer server(bench.io, [&](const RawServer::Held& held, const std::string&) { held->say(okay("fine", told)); });
-  for (int count = 0; count < 3; ++count) cr_assert(bench.finish(bench.call(server))->end.how == HttpHow::whole);
+  for (int count = 0; count < 3; ++count)
+    cr_assert(bench.finish(bench.call(server))->end.outcome == HttpCallOutcome::whole);
   cr_assert_eq(bench.calls.connectionsOpened(), 3u);
   told = "Keep-Alive: timeout=30\r\n";
   bench.finish(bench.call(server));
@@ -446,11 +447,11 @@
   bench.finish(bench.call(server, "/first"));
   for (std::string target : {"/silent", "/begun"}) {
     auto call = bench.call(server, target, "POST", "body");
-    call.wholeWait = 30ms;
+    call.totalTimeout = 30ms;
     call.once = true;
     auto from = Clock::now();
     auto seen = bench.finish(call);
-    cr_assert(seen->end.how == HttpHow::broken);
+    cr_assert(seen->end.outcome == HttpCallOutcome::broken);
     cr_assert_geq(toMilliseconds(Clock::now() - from), 29);
     cr_assert_lt(toMilliseconds(Clock::now() - from), 1000);
     cr_assert_eq(server.copies(target), 1u);
@@ -466,7 +467,7 @@
   for (int count = 0; count < 100; ++count) {
     auto call = bench.call(server, count % 3 ? "/close" : "/keep");
     if (count % 4 == 0) call.headers = {{"Connection", "close"}};
-    cr_assert(bench.finish(call)->end.how == HttpHow::whole);
+    cr_assert(bench.finish(call)->end.outcome == HttpCallOutcome::whole);
     auto dropped = bench.start(bench.call(server, "/dropped"));
     bench.io.poll_one();
     bench.calls.drop(dropped->id);
--- a/tests/freshness.cpp
+++ b/tests/freshness.cpp
@@ -307,8 +307,8 @@
   };
   Clocked node;
   asio::io_context context;
-  Host host(node, context, 20ms);
-  host.carry = [](const std::string&, Message&&) {};
+  NodeHost host(node, context, 20ms);
+  host.sendMessage = [](const std::string&, Message&&) {};
   std::atomic<bool> comes{false};
   TimePoint released{};
   std::thread late;
--- a/tests/fuzz_findings.cpp
+++ b/tests/fuzz_findings.cpp
@@ -25,10 +25,10 @@
   auto route = view.findRoute("r");
   cr_assert(route->timeout > 1h && route->targetLatency > 1h && route->gap > 1h);
   const auto& limits = view.callerLimits();
-  cr_assert(limits.headerWait > 1h);
-  cr_assert(limits.idleWait == Duration(0));
-  cr_assert_eq(limits.bodyBytes, 0u);
-  cr_assert_eq(limits.headerBytes, 16384u, "a number beyond all whole ones is as if it were not there");
+  cr_assert(limits.headerTimeout > 1h);
+  cr_assert(limits.idleTimeout == Duration(0));
+  cr_assert_eq(limits.maxBodyBytes, 0u);
+  cr_assert_eq(limits.maxHeaderBytes, 16384u, "a number beyond all whole ones is as if it were not there");
 }
 
 Test(fuzz_findings, numbers_of_a_report_that_do_not_fit_are_taken_as_far_as_they_go) {
--- a/tests/gate.cpp
+++ b/tests/gate.cpp
@@ -118,7 +118,7 @@
       {"huge chunk", post(chunked, "ffffffffffffffff\r\n"), 413},
   };
   std::atomic<int> handled{0};
-  Door door([&](GateRequest request, std::shared_ptr<GateAnswer> answer) {
+  Door door([&](HttpRequest request, std::shared_ptr<ResponseWriter> answer) {
     ++handled;
     echo(std::move(request), std::move(answer));
   });
@@ -148,8 +148,8 @@
 }
 
 Test(gate, hands_over_requests_as_they_came) {
-  GateRequest seen;
-  Door door([&](GateRequest request, std::shared_ptr<GateAnswer> answer) {
+  HttpRequest seen;
+  Door door([&](HttpRequest request, std::shared_ptr<ResponseWriter> answer) {
     seen = request;
     answerWhole(answer, "ok");
   });
@@ -184,7 +184,7 @@
 
 Test(gate, a_request_cut_at_any_byte_reaches_nobody) {
   std::atomic<int> handled{0};
-  Door door([&](GateRequest, std::shared_ptr<GateAnswer> answer) {
+  Door door([&](HttpRequest, std::shared_ptr<ResponseWriter> answer) {
     ++handled;
     answerWhole(answer, "ok");
   });
@@ -214,7 +214,7 @@
     body += part;
   }
   std::string seen;
-  Door door([&](GateRequest request, std::shared_ptr<GateAnswer> answer) {
+  Door door([&](HttpRequest request, std::shared_ptr<ResponseWriter> answer) {
     seen = request.body;
     answerWhole(answer, "ok");
   });
@@ -279,8 +279,8 @@
 }
 
 Test(gate, keeps_connections_and_says_for_how_long) {
-  GateLimits limits;
-  limits.idleWait = 2500ms;
+  HttpServerLimits limits;
+  limits.idleTimeout = 2500ms;
   Door door(echo, limits);
   Caller caller(door.port);
   for (int time = 0; time < 5; ++time) {
@@ -302,8 +302,8 @@
 }
 
 Test(gate, idle_connections_are_closed_without_a_word) {
-  GateLimits limits;
-  limits.idleWait = 100ms;
+  HttpServerLimits limits;
+  limits.idleTimeout = 100ms;
   Door door(echo, limits);
   Caller fresh(door.port), used(door.port), blank(door.port);
   blank.send("\r\n");
@@ -318,11 +318,11 @@
 }
 
 Test(gate, slow_heads_and_stalled_bodies_are_timed_out) {
-  GateLimits limits;
-  limits.headerWait = 120ms;
+  HttpServerLimits limits;
+  limits.headerTimeout = 120ms;
   std::atomic<int> handled{0};
   Door door(
-      [&](GateRequest, std::shared_ptr<GateAnswer> answer) {
+      [&](HttpRequest, std::shared_ptr<ResponseWriter> answer) {
         ++handled;
         answerWhole(answer, "ok");
       },
@@ -352,9 +352,9 @@
 
 Test(gate, limits_hold_for_requests_that_begin_later) {
   Door door(echo);
-  GateLimits limits;
-  limits.bodyBytes = 4;
-  limits.headerBytes = 100;
+  HttpServerLimits limits;
+  limits.maxBodyBytes = 4;
+  limits.maxHeaderBytes = 100;
   Caller caller(door.port);
   caller.send(post("Expect: 100-continue\r\nContent-Length: 5\r\n"));
   cr_assert_eq(statusOf(caller.until("\r\n\r\n")), 100, "the first request has begun");
@@ -428,7 +428,7 @@
     answer->end();
     answer->bytes("late");
     answer->end();
-    answer->cut();
+    answer->abort();
   });
   cr_assert_eq(caller.until("\r\n0\r\n\r\n"), "1\r\na\r\n14\r\n" + std::string(20, 'b') + "\r\n0\r\n\r\n");
   cr_assert(soon([&] { return door.exchanges() == 0; }));
@@ -437,7 +437,7 @@
 }
 
 Test(gate, answers_without_a_body_have_none) {
-  Door door([](GateRequest request, std::shared_ptr<GateAnswer> answer) {
+  Door door([](HttpRequest request, std::shared_ptr<ResponseWriter> answer) {
     int status = std::stoi(request.target.substr(1));
     answer->head(status, {}, status == 201 ? std::optional<std::size_t>() : 4);
     answer->bytes("body");
@@ -481,7 +481,7 @@
 Test(gate, a_cut_answer_never_looks_whole) {
   Kept kept;
   Door door(kept.handler());
-  auto cutAfter = [&](const std::string& request, Caller& caller, const std::function<void(GateAnswer&)>& action,
+  auto cutAfter = [&](const std::string& request, Caller& caller, const std::function<void(ResponseWriter&)>& action,
                       bool inOneTurn) {
     int before = kept.taken;
     caller.send(request);
@@ -489,7 +489,7 @@
     auto answer = kept.answers.back();
     door.run([&] {
       action(*answer);
-      if (inOneTurn) answer->cut();
+      if (inOneTurn) answer->abort();
     });
     std::string got;
     if (!inOneTurn) {
@@ -498,7 +498,7 @@
         if (!part || part->empty()) break;
         got += *part;
       }
-      door.run([&] { answer->cut(); });
+      door.run([&] { answer->abort(); });
     }
     got += caller.all();
     cr_assert(!caller.timedOut);
@@ -512,12 +512,12 @@
   for (bool inOneTurn : {true, false}) {
     Caller silent(door.port);
     cr_assert_eq(cutAfter(
-                     get, silent, [](GateAnswer&) {}, inOneTurn),
+                     get, silent, [](ResponseWriter&) {}, inOneTurn),
                  "", "nothing written");
     Caller chunks(door.port);
     auto got = cutAfter(
         get, chunks,
-        [](GateAnswer& answer) {
+        [](ResponseWriter& answer) {
           answer.head(200, {}, std::nullopt);
           answer.bytes("abc");
         },
@@ -526,7 +526,7 @@
     Caller filled(door.port);
     got = cutAfter(
         get, filled,
-        [](GateAnswer& answer) {
+        [](ResponseWriter& answer) {
           answer.head(200, {}, 3);
           answer.bytes("abc");
         },
@@ -535,17 +535,17 @@
     for (const auto& request : {get, head}) {
       Caller empty(door.port);
       got = cutAfter(
-          request, empty, [](GateAnswer& answer) { answer.head(200, {}, 0); }, inOneTurn);
+          request, empty, [](ResponseWriter& answer) { answer.head(200, {}, 0); }, inOneTurn);
       cr_assert(!has(got, "\r\n\r\n"), "got \"%s\"", got.c_str());
     }
     Caller none(door.port);
     got = cutAfter(
-        get, none, [](GateAnswer& answer) { answer.head(204, {}, std::nullopt); }, inOneTurn);
+        get, none, [](ResponseWriter& answer) { answer.head(204, {}, std::nullopt); }, inOneTurn);
     cr_assert(!has(got, "\r\n\r\n"), "got \"%s\"", got.c_str());
     Caller untilClose(door.port);
     cutAfter(
         old, untilClose,
-        [](GateAnswer& answer) {
+        [](ResponseWriter& answer) {
           answer.head(200, {}, std::nullopt);
           answer.bytes("abc");
         },
@@ -557,7 +557,7 @@
 }
 
 Test(gate, answers_that_do_not_keep_to_their_length_are_cut) {
-  Door door([](GateRequest request, std::shared_ptr<GateAnswer> answer) {
+  Door door([](HttpRequest request, std::shared_ptr<ResponseWriter> answer) {
     if (request.target == "/short") {
       answer->head(200, {}, 5);
       answer->bytes("abcd");
@@ -622,9 +622,9 @@
           answer->head(200, {}, 3);
           answer->bytes("abc");
           answer->end();
-          answer->cut();
+          answer->abort();
           cr_assert_eq(answer->unwritten(), 0u);
-          answer->onGone([&] { ++told; });
+          answer->onDisconnect([&] { ++told; });
         });
         cr_assert(soon([&] { return told == 1; }), "who asks late is told too");
         cr_assert_eq(door.connections(), 0u);
@@ -690,7 +690,7 @@
 }
 
 Test(gate, a_new_connection_without_a_request_does_not_hold_up_a_gate_that_leaves) {
-  GateLimits limits;
+  HttpServerLimits limits;
   limits.idleClose = 150ms;
   Door door(echo, limits);
   door.run([&] { door.gate.leave(); });
@@ -717,7 +717,7 @@
 
 Test(gate, leaving_closes_idle_connections_and_serves_the_rest) {
   Kept kept;
-  GateLimits limits;
+  HttpServerLimits limits;
   limits.idleClose = 150ms;
   Door door(kept.handler(), limits);
   Caller idle(door.port), busy(door.port), late(door.port);
@@ -775,9 +775,9 @@
 
 Test(gate, an_address_that_cannot_be_taken_is_told) {
   asio::io_context io;
-  Gate first(io, "127.0.0.1:0", echo);
+  HttpServer first(io, "127.0.0.1:0", echo);
   cr_assert(bool(first.open()));
-  Gate second(io, "127.0.0.1:" + std::to_string(first.port()), echo), third(io, "nowhere", echo);
+  HttpServer second(io, "127.0.0.1:" + std::to_string(first.port()), echo), third(io, "nowhere", echo);
   cr_assert_eq(static_cast<int>(second.open().error().code), static_cast<int>(Code::badProps));
   cr_assert_eq(static_cast<int>(third.open().error().code), static_cast<int>(Code::badProps));
 }
--- a/tests/gate_faults.cpp
+++ b/tests/gate_faults.cpp
@@ -53,8 +53,8 @@
   pid_t id{0};
   [[noreturn]] static void serve(int told) {
     asio::io_context io;
-    std::vector<std::shared_ptr<GateAnswer>> kept;
-    Gate gate(io, "127.0.0.1:0", [&kept](GateRequest, std::shared_ptr<GateAnswer> answer) {
+    std::vector<std::shared_ptr<ResponseWriter>> kept;
+    HttpServer gate(io, "127.0.0.1:0", [&kept](HttpRequest, std::shared_ptr<ResponseWriter> answer) {
       answer->head(200, {}, std::nullopt);
       answer->bytes("part");
       kept.push_back(std::move(answer));
@@ -85,12 +85,12 @@
 class OperatorDoor {
  public:
   OperatorDoor() {
-    Gate finder(io, "127.0.0.1:0", echo);
+    HttpServer finder(io, "127.0.0.1:0", echo);
     cr_assert(bool(finder.open()));
     port = finder.port();
     finder.close();
     server = std::make_unique<WebServer>(io, "127.0.0.1:" + std::to_string(port),
-                                         [this](WebAsk ask, std::shared_ptr<WebAnswer> answer) {
+                                         [this](WebRequest ask, std::shared_ptr<WebResponse> answer) {
                                            names[ask.path] = answers.add(std::move(answer));
                                            ++taken;
                                          });
@@ -111,7 +111,7 @@
   }
   asio::io_context io;
   asio::executor_work_guard<asio::io_context::executor_type> work{io.get_executor()};
-  OpenAnswers answers;
+  PendingResponses answers;
   std::map<std::string, std::string> names;
   std::unique_ptr<WebServer> server;
   std::atomic<int> taken{0};
@@ -235,8 +235,8 @@
 
 Test(gate_faults, a_kept_connection_lives_as_long_as_it_was_promised) {
   Kept kept;
-  GateLimits limits;
-  limits.idleWait = 2s;
+  HttpServerLimits limits;
+  limits.idleTimeout = 2s;
   Door door(kept.handler(), limits);
   Caller caller(door.port);
   caller.send(get);
@@ -246,7 +246,7 @@
     kept.answers[0]->bytes("a");
   });
   cr_assert(has(caller.until("\r\na\r\n"), "Keep-Alive: timeout=2\r\n"));
-  limits.idleWait = 100ms;
+  limits.idleTimeout = 100ms;
   door.run([&] {
     door.gate.setLimits(limits);
     kept.answers[0]->end();
@@ -258,8 +258,8 @@
 }
 
 Test(gate_faults, less_than_a_second_is_not_promised_as_one) {
-  GateLimits limits;
-  limits.idleWait = 400ms;
+  HttpServerLimits limits;
+  limits.idleTimeout = 400ms;
   Door door(echo, limits);
   Caller caller(door.port);
   caller.send(get);
@@ -287,7 +287,7 @@
 
 Test(gate_faults, a_client_that_does_not_read_is_cut_before_memory_runs_out_and_holds_up_nobody) {
   Kept kept;
-  GateLimits limits;
+  HttpServerLimits limits;
   limits.queuedBytes = 8 << 20;
   Door door(kept.handler(), limits);
   Caller idle(door.port), reading(door.port);
@@ -369,9 +369,9 @@
 }
 
 Test(gate_faults, a_request_whose_rest_came_during_a_freeze_is_taken_on_waking) {
-  GateLimits limits;
-  limits.headerWait = 50ms;
-  limits.idleWait = 50ms;
+  HttpServerLimits limits;
+  limits.headerTimeout = 50ms;
+  limits.idleTimeout = 50ms;
   Door door(echo, limits);
   for (const auto& input : {get, post("Content-Length: 5\r\n", "hello"),
                             post("Transfer-Encoding: chunked\r\n", "5\r\nhello\r\n0\r\n\r\n")}) {
@@ -391,7 +391,7 @@
 
 Test(gate_faults, a_body_cut_after_it_was_asked_for_reaches_nobody) {
   std::atomic<int> handled{0};
-  Door door([&](GateRequest request, std::shared_ptr<GateAnswer> answer) {
+  Door door([&](HttpRequest request, std::shared_ptr<ResponseWriter> answer) {
     ++handled;
     echo(std::move(request), std::move(answer));
   });
@@ -431,7 +431,7 @@
 
 Test(gate_faults, nothing_behind_a_refused_request_is_passed_on) {
   std::atomic<int> handled{0};
-  Door door([&](GateRequest request, std::shared_ptr<GateAnswer> answer) {
+  Door door([&](HttpRequest request, std::shared_ptr<ResponseWriter> answer) {
     ++handled;
     echo(std::move(request), std::move(answer));
   });
--- a/tests/gate_fixture.hpp
+++ b/tests/gate_fixture.hpp
@@ -13,7 +13,7 @@
 /// A gate on its own thread; everything that touches it goes through run.
 class Door {
  public:
-  explicit Door(GateHandler handler, GateLimits limits = {}) : gate(io, "127.0.0.1:0", std::move(handler)) {
+  explicit Door(HttpHandler handler, HttpServerLimits limits = {}) : gate(io, "127.0.0.1:0", std::move(handler)) {
     gate.setLimits(limits);
     cr_assert(bool(gate.open()));
     port = gate.port();
@@ -39,7 +39,7 @@
   }
   asio::io_context io;
   asio::executor_work_guard<asio::io_context::executor_type> work{io.get_executor()};
-  Gate gate;
+  HttpServer gate;
   unsigned short port{0};
   std::thread thread;
 };
@@ -120,12 +120,12 @@
   for (std::size_t at = 0; (at = text.find(part, at)) != std::string_view::npos; at += part.size()) ++found;
   return found;
 }
-inline void answerWhole(const std::shared_ptr<GateAnswer>& answer, std::string_view body, int status = 200) {
+inline void answerWhole(const std::shared_ptr<ResponseWriter>& answer, std::string_view body, int status = 200) {
   answer->head(status, {{"Content-Type", "text/plain"}}, body.size());
   answer->bytes(body);
   answer->end();
 }
-inline void echo(GateRequest request, std::shared_ptr<GateAnswer> answer) {
+inline void echo(HttpRequest request, std::shared_ptr<ResponseWriter> answer) {
   answerWhole(answer, request.method + " " + request.target + " [" + request.body + "]");
 }
 inline int statusOf(std::string_view text) {
@@ -139,11 +139,11 @@
 
 /// Keeps the exchanges it is handed, for the test to answer.
 struct Kept {
-  std::vector<std::shared_ptr<GateAnswer>> answers;
+  std::vector<std::shared_ptr<ResponseWriter>> answers;
   std::atomic<int> taken{0}, gone{0};
-  GateHandler handler() {
-    return [this](GateRequest, std::shared_ptr<GateAnswer> answer) {
-      answer->onGone([this, answer] { ++gone; });
+  HttpHandler handler() {
+    return [this](HttpRequest, std::shared_ptr<ResponseWriter> answer) {
+      answer->onDisconnect([this, answer] { ++gone; });
       answers.push_back(answer);
       ++taken;
     };
--- a/tests/leave_by.cpp
+++ b/tests/leave_by.cpp
@@ -10,9 +10,9 @@
   std::vector<Message> told;
   Exchanges exchanges{calls, "proxy-1",
                       [this](const std::string&, const Message& message) { told.push_back(message); }};
-  Gate gate{io, "127.0.0.1:0", [this](GateRequest request, std::shared_ptr<GateAnswer> answer) {
-              exchanges.handle(std::move(request), std::move(answer));
-            }};
+  HttpServer gate{io, "127.0.0.1:0", [this](HttpRequest request, std::shared_ptr<ResponseWriter> answer) {
+                    exchanges.handle(std::move(request), std::move(answer));
+                  }};
   RawServer worker{io, [](const RawServer::Held& held, const std::string&) { held->say(okay("well")); }};
   asio::ip::tcp::socket caller{io};
   int asked{0};
@@ -40,7 +40,7 @@
     order.deadlineMs = 4000;
     return order;
   }
-  void send(const WorkerOrder& order) { cr_assert(exchanges.carry(worker.address(), order)); }
+  void send(const WorkerOrder& order) { cr_assert(exchanges.sendMessage(worker.address(), order)); }
   std::size_t arrived() const { return worker.copies("X-Attempt-Id: a-" + std::to_string(asked) + "\r\n"); }
   void expectUnsent() {
     cr_assert(until([&] { return lastTold<WorkerEnd>() != nullptr; }), "the logic is told of the end");
--- a/tests/parts.cpp
+++ b/tests/parts.cpp
@@ -522,14 +522,14 @@
   std::thread thread;
 };
 WorkerEnd callCutWorker(const std::string& url) {
-  WebCalls calls;
+  WebClient calls;
   WebCall call;
   call.method = "POST";
   call.url = url;
   call.body = std::string(300000, 'x');
-  call.onceOnly = true;
-  call.wholeWait = 10s;
-  return endOfCall("send", callAndWait(calls, call));
+  call.noResend = true;
+  call.totalTimeout = 10s;
+  return workerEndOfCall("send", callAndWait(calls, call));
 }
 }  // namespace
 
--- a/tests/path_routes.cpp
+++ b/tests/path_routes.cpp
@@ -218,8 +218,8 @@
   cr_expect_eq(again.view.findTenant("asp")->priority.value_or(-1), 2);
   cr_assert_eq(again.view.stores().size(), 1u);
   cr_expect_eq(again.view.stores()[0].address, "10.0.0.9:80");
-  cr_expect_eq(again.view.callerLimits().bodyBytes, 2000u);
-  cr_expect(again.view.callerLimits().idleWait == 40ms);
+  cr_expect_eq(again.view.callerLimits().maxBodyBytes, 2000u);
+  cr_expect(again.view.callerLimits().idleTimeout == 40ms);
   cr_expect_eq(again.view.weightsOf("moss").value_or(""), "moss/3");
   cr_expect(again.view.policyOf("p").fetches({false, 5, 0, 0}));
   cr_expect_not(again.view.policyOf("p").fetches({false, 4, 0, 0}));
--- a/tests/proxy_bench.hpp
+++ b/tests/proxy_bench.hpp
@@ -78,16 +78,17 @@
     settings.fetchWithinRequest = settings.letOpenRequestsFinish = true;
     settings.minRetriesPerWindow = 10000;
     edge = std::make_unique<ProxyRouter>(settings);
-    host = std::make_unique<Host>(*edge, io, 20ms);
-    calls = std::make_unique<HttpCalls>(io);
+    host = std::make_unique<NodeHost>(*edge, io, 20ms);
+    calls = std::make_unique<HttpClient>(io);
     exchanges = std::make_unique<Exchanges>(
         *calls, "proxy-1", [this](const std::string& from, const Message& message) { host->handle(from, message); },
         [this] { return edge->fresh(Clock::now()); });
-    gate = std::make_unique<Gate>(io, "127.0.0.1:0", [this](GateRequest request, std::shared_ptr<GateAnswer> answer) {
-      exchanges->handle(std::move(request), std::move(answer));
-    });
-    host->carry = [this](const std::string& to, Message&& message) {
-      if (exchanges->carry(to, message)) return;
+    gate = std::make_unique<HttpServer>(io, "127.0.0.1:0",
+                                        [this](HttpRequest request, std::shared_ptr<ResponseWriter> answer) {
+                                          exchanges->handle(std::move(request), std::move(answer));
+                                        });
+    host->sendMessage = [this](const std::string& to, Message&& message) {
+      if (exchanges->sendMessage(to, message)) return;
       if (auto* ask = std::get_if<FeedAsk>(&message); ask && feeds)
         asio::post(io, [this, sentAt = ask->sentAt] {
           host->handle("agent:1", FeedReply{sentAt, 0, edge->configuration().index(), true});
@@ -185,10 +186,10 @@
 
   asio::io_context io;
   std::unique_ptr<ProxyRouter> edge;
-  std::unique_ptr<Host> host;
-  std::unique_ptr<HttpCalls> calls;
+  std::unique_ptr<NodeHost> host;
+  std::unique_ptr<HttpClient> calls;
   std::unique_ptr<Exchanges> exchanges;
-  std::unique_ptr<Gate> gate;
+  std::unique_ptr<HttpServer> gate;
   std::vector<std::unique_ptr<RawServer>> servers;
   Script script;
   std::size_t arrivals{0};
--- a/tests/proxy_fixture.hpp
+++ b/tests/proxy_fixture.hpp
@@ -143,7 +143,7 @@
     settings.readinessAddress = at(4);
     settings.bounds.grace = grace;
     process = std::make_unique<RoleProcess>(settings, runProxy);
-    hub = std::make_unique<Hub>(context, at(1), [this](const std::string& from, Message message) {
+    hub = std::make_unique<PeerTransport>(context, at(1), [this](const std::string& from, Message message) {
       if (auto* ask = std::get_if<FeedAsk>(&message)) feed(from, *ask);
     });
     cr_assert(bool(hub->listen()));
@@ -217,7 +217,7 @@
   std::vector<WorkerDoor> doors;
   asio::io_context context;
   asio::executor_work_guard<asio::io_context::executor_type> work;
-  std::unique_ptr<Hub> hub;
+  std::unique_ptr<PeerTransport> hub;
   std::thread thread;
   std::mutex lock;
   Configuration view;
--- a/tests/raw_server.hpp
+++ b/tests/raw_server.hpp
@@ -104,29 +104,30 @@
 struct Seen {
   std::uint64_t id{0};
   int heads{0}, ends{0};
-  HttpHead head;
+  HttpResponseHead head;
   std::string body;
   std::vector<std::string> pieces;
-  HttpEnd end;
+  HttpCallResult end;
 };
 
 struct Bench {
   asio::io_context io;
-  HttpCalls calls{io};
+  HttpClient calls{io};
 
-  HttpCall call(const RawServer& server, std::string target = "/", std::string method = "GET", std::string body = {}) {
-    HttpCall made;
+  HttpClientRequest call(const RawServer& server, std::string target = "/", std::string method = "GET",
+                         std::string body = {}) {
+    HttpClientRequest made;
     made.method = std::move(method);
     made.address = server.address();
     made.target = std::move(target);
     made.body = std::move(body);
     return made;
   }
-  std::shared_ptr<Seen> start(HttpCall made) {
+  std::shared_ptr<Seen> start(HttpClientRequest made) {
     auto seen = std::make_shared<Seen>();
     seen->id = calls.start(
         std::move(made),
-        [seen](const HttpHead& head) {
+        [seen](const HttpResponseHead& head) {
           ++seen->heads;
           seen->head = head;
         },
@@ -134,7 +135,7 @@
           seen->body += bytes;
           seen->pieces.emplace_back(bytes);
         },
-        [seen](const HttpEnd& end) {
+        [seen](const HttpCallResult& end) {
           ++seen->ends;
           seen->end = end;
         });
@@ -151,7 +152,7 @@
   void pass(Duration span) {
     until([] { return false; }, span);
   }
-  std::shared_ptr<Seen> finish(HttpCall made) {
+  std::shared_ptr<Seen> finish(HttpClientRequest made) {
     auto seen = start(std::move(made));
     cr_assert(until([&] { return seen->ends > 0; }), "the call must end");
     return seen;
