--- a/src/net/gate.cpp
+++ b/src/net/gate.cpp
@@ -72,7 +72,7 @@
 
 void HttpServer::Inner::queue(std::size_t bytes) {
   queuedBytes += bytes;
-  if (queuedBytes <= limits.queuedBytes || shedPosted) return;
+  if (queuedBytes <= limits.maxQueuedBytes || shedPosted) return;
   shedPosted = true;
   asio::post(io, [self = shared_from_this()] {
     self->shedPosted = false;
@@ -81,7 +81,7 @@
 }
 
 void HttpServer::Inner::shed() {
-  while (queuedBytes > limits.queuedBytes && !connections.empty()) {
+  while (queuedBytes > limits.maxQueuedBytes && !connections.empty()) {
     auto most = *std::max_element(connections.begin(), connections.end(), [](const auto& one, const auto& other) {
       return one->unwritten() < other->unwritten();
     });
--- a/tests/gate_faults.cpp
+++ b/tests/gate_faults.cpp
@@ -288,7 +288,7 @@
 Test(gate_faults, a_client_that_does_not_read_is_cut_before_memory_runs_out_and_holds_up_nobody) {
   Kept kept;
   HttpServerLimits limits;
-  limits.queuedBytes = 8 << 20;
+  limits.maxQueuedBytes = 8 << 20;
   Door door(kept.handler(), limits);
   Caller idle(door.port), reading(door.port);
   idle.send(get);
@@ -316,7 +316,7 @@
   }
   door.run([&] { kept.answers[1]->end(); });
   cr_assert_eq(reading.receive()->size(), 1u);
-  cr_assert_leq(most, limits.queuedBytes + 2 * part.size());
+  cr_assert_leq(most, limits.maxQueuedBytes + 2 * part.size());
   cr_assert_eq(kept.gone.load(), 1, "the one that does not read is told as gone");
   idle.all();
   cr_assert(idle.reset, "its answer does not look whole");
