--- a/src/model/state_dump.hpp
+++ b/src/model/state_dump.hpp
@@ -28,7 +28,7 @@
   };
   static std::vector<Mark> marks(const ReplicatedLog& log);
   /// What a replica's log rests on.
-  static const Snapshot& base(const ReplicatedLog& log) { return log.base; }
+  static const Snapshot& base(const ReplicatedLog& log) { return log.lastSnapshot; }
 };
 
 }  // namespace tt
