--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -7,16 +7,16 @@
 ClusterView::ClusterView(ReaderSettings readerSettings) : settings(std::move(readerSettings)) {}
 
 Strings ClusterView::coreAddresses(const Configuration& view) const {
-  std::set<std::string> addresses(toldAddresses.begin(), toldAddresses.end());
+  std::set<std::string> addresses(reportedAddresses.begin(), reportedAddresses.end());
   for (const auto& member : view.members()) addresses.insert(member.address);
-  if (addresses.empty() || outOfTouch)
+  if (addresses.empty() || wasStale)
     for (const auto& seed : settings.seeds) addresses.insert(seed);
   return Strings(addresses.begin(), addresses.end());
 }
 
 void ClusterView::ask(Effects& effects, Uint64 applied, const std::vector<CellVersion>& cells,
                       const Configuration& view) {
-  outOfTouch = !fresh(effects.now);
+  wasStale = !fresh(effects.now);
   if (!settings.defences.isEnabled(Defence::freshnessWeighed)) updateCompleteness(effects.now, view);
   auto addresses = coreAddresses(view);
   for (auto row = cores.begin(); row != cores.end();)
@@ -24,10 +24,10 @@
                                                                                        : std::next(row);
   for (const auto& address : addresses) {
     auto& core = cores[address];
-    while (core.asks.size() > 16) core.asks.erase(core.asks.begin());
-    core.asks[++askCount] = effects.now;
-    effects.send(address, LogEndRequest{askCount, settings.name, settings.zone, applied, cells, fresh(effects.now),
-                                        settings.relays, digest});
+    while (core.requestTimes.size() > 16) core.requestTimes.erase(core.requestTimes.begin());
+    core.requestTimes[++requestCount] = effects.now;
+    effects.send(address, LogEndRequest{requestCount, settings.name, settings.zone, applied, cells, fresh(effects.now),
+                                        settings.relays, listDigest});
   }
 }
 
@@ -36,92 +36,97 @@
   auto found = cores.find(from);
   if (found == cores.end()) return;
   auto& core = found->second;
-  auto asked = core.asks.find(reply.requestId);
-  if (asked == core.asks.end()) return;
-  TimePoint askedAt = asked->second;
-  core.asks.erase(core.asks.begin(), std::next(asked));
+  auto asked = core.requestTimes.find(reply.requestId);
+  if (asked == core.requestTimes.end()) return;
+  TimePoint requestedAt = asked->second;
+  core.requestTimes.erase(core.requestTimes.begin(), std::next(asked));
   if (reply.machineListKnown && reply.machineListAgeNs >= 0) {
-    TimePoint listedAt = askedAt - Duration(reply.machineListAgeNs);
-    if (reply.machineListDigest == digest && machineListKnown())
-      marksAskedAt = std::max(marksAskedAt, listedAt);
+    TimePoint listTime = requestedAt - Duration(reply.machineListAgeNs);
+    if (reply.machineListDigest == listDigest && machineListKnown())
+      listRequestedAt = std::max(listRequestedAt, listTime);
     else if (digestOfMachineList(reply.machines) == reply.machineListDigest)
-      offerMarks(reply.machines, listedAt);
+      offerMachineList(reply.machines, listTime);
   } else if (!reply.machineListKnown && machineListKnown()) {
-    effects.send(from, MarksMsg{(effects.now - marksAskedAt).count(), machineRows});
+    effects.send(from, MarksMsg{(effects.now - listRequestedAt).count(), machineList});
   }
-  if (!core.heard || askedAt >= core.askedAt) {
-    core.askedAt = askedAt;
+  if (!core.responded || requestedAt >= core.requestedAt) {
+    core.requestedAt = requestedAt;
     core.reply = reply;
     core.reply.machines.clear();
-    core.heard = true;
+    core.responded = true;
   }
-  learnFrom(effects, from, reply, askedAt);
+  mergeAnnouncementsFrom(effects, from, reply, requestedAt);
   highestCommit = std::max(highestCommit, reply.commit);
-  if (reply.commit >= toldCommit) {
-    toldCommit = reply.commit;
-    toldAddresses.clear();
-    for (const auto& member : reply.members) toldAddresses.push_back(member.address);
+  if (reply.commit >= reportedCommit) {
+    reportedCommit = reply.commit;
+    reportedAddresses.clear();
+    for (const auto& member : reply.members) reportedAddresses.push_back(member.address);
   }
-  watchRows = reply.watch;
+  upstreams = reply.watch;
   updateCompleteness(effects.now, view);
 }
 
-bool ClusterView::offerMarks(const std::vector<Machine>& machines, TimePoint askedAt) {
+bool ClusterView::offerMachineList(const std::vector<Machine>& machines, TimePoint requestedAt) {
   if (machines.empty()) return false;
-  if (machineListKnown() && askedAt <= marksAskedAt && settings.defences.isEnabled(Defence::listOrder)) return false;
-  marksAskedAt = askedAt;
+  if (machineListKnown() && requestedAt <= listRequestedAt && settings.defences.isEnabled(Defence::listOrder))
+    return false;
+  listRequestedAt = requestedAt;
   Uint64 newDigest = digestOfMachineList(machines);
-  if (newDigest == digest) return false;
-  digest = newDigest;
-  machineRows = machines;
+  if (newDigest == listDigest) return false;
+  listDigest = newDigest;
+  machineList = machines;
   return true;
 }
 
 std::string ClusterView::furthestCore(TimePoint now, Uint64 beyond) const {
   std::string best;
-  Uint64 most = beyond;
+  Uint64 maxCommit = beyond;
   for (const auto& [address, core] : cores)
-    if (core.heard && now - core.askedAt < 1s && core.reply.commit > most) {
-      most = core.reply.commit;
+    if (core.responded && now - core.requestedAt < 1s && core.reply.commit > maxCommit) {
+      maxCommit = core.reply.commit;
       best = address;
     }
   return best;
 }
 
-std::optional<Uint64> ClusterView::neededBy(const std::vector<const CoreRow*>& heard, std::size_t voters) const {
+std::optional<Uint64> ClusterView::requiredIndex(const std::vector<const CoreState*>& replies,
+                                                 std::size_t voters) const {
   std::size_t quorum = voters / 2 + 1;
-  if (heard.size() < voters - quorum + 1) return std::nullopt;
+  if (replies.size() < voters - quorum + 1) return std::nullopt;
   Uint64 highest = 0;
-  for (auto* core : heard) highest = std::max(highest, core->reply.term);
-  for (auto* core : heard)
+  for (auto* core : replies) highest = std::max(highest, core->reply.term);
+  for (auto* core : replies)
     if (core->reply.leads && core->reply.term == highest) return core->reply.commit;
   std::vector<Uint64> ends;
-  for (auto* core : heard) ends.push_back(core->reply.lastIndex);
+  for (auto* core : replies) ends.push_back(core->reply.lastIndex);
   std::sort(ends.rbegin(), ends.rend());
-  std::size_t silent = voters - heard.size();
+  /// Without a leader's commit index: the highest index that may be committed, if all voters that did not respond have
+  /// it.
+  std::size_t silent = voters - replies.size();
   return ends[quorum - silent - 1];
 }
 
-std::vector<const ClusterView::CoreRow*> ClusterView::heardOf(const std::vector<Member>& members) const {
-  std::vector<const CoreRow*> heard;
+std::vector<const ClusterView::CoreState*> ClusterView::newestReplies(const std::vector<Member>& members) const {
+  std::vector<const CoreState*> replies;
   for (const auto& member : members) {
     if (!member.votes) continue;
-    const CoreRow* newest = nullptr;
+    const CoreState* newest = nullptr;
     for (const auto& [address, core] : cores)
-      if (core.heard && core.reply.core == member.id && (!newest || core.askedAt > newest->askedAt)) newest = &core;
-    if (newest) heard.push_back(newest);
+      if (core.responded && core.reply.core == member.id && (!newest || core.requestedAt > newest->requestedAt))
+        newest = &core;
+    if (newest) replies.push_back(newest);
   }
-  std::sort(heard.begin(), heard.end(),
-            [](const CoreRow* one, const CoreRow* other) { return one->askedAt > other->askedAt; });
-  return heard;
+  std::sort(replies.begin(), replies.end(),
+            [](const CoreState* one, const CoreState* other) { return one->requestedAt > other->requestedAt; });
+  return replies;
 }
 
-TimePoint ClusterView::completeBy(const std::vector<const CoreRow*>& heard, std::size_t least, std::size_t voters,
-                                  Uint64 applied) const {
-  for (std::size_t number = least; number <= heard.size(); ++number) {
-    std::vector<const CoreRow*> newest(heard.begin(), heard.begin() + static_cast<std::ptrdiff_t>(number));
-    auto needed = neededBy(newest, voters);
-    if (needed && *needed <= applied) return newest.back()->askedAt;
+TimePoint ClusterView::completenessTime(const std::vector<const CoreState*>& replies, std::size_t minReplies,
+                                        std::size_t voters, Uint64 applied) const {
+  for (std::size_t used = minReplies; used <= replies.size(); ++used) {
+    std::vector<const CoreState*> newest(replies.begin(), replies.begin() + static_cast<std::ptrdiff_t>(used));
+    auto required = requiredIndex(newest, voters);
+    if (required && *required <= applied) return newest.back()->requestedAt;
   }
   return TimePoint{};
 }
@@ -135,15 +140,16 @@
   for (const auto& [model, item] : *models) timeline.observe(model, stringOr(item, "weights"), complete, view.index());
 }
 
-void ClusterView::learnFrom(Effects& effects, const std::string& from, const LogEndResponse& reply, TimePoint askedAt) {
-  timeline.mergeFrom(reply.namings, askedAt);
-  for (const auto& mine : timeline.newestWithKnownTime(effects.now))
-    if (forgot(reply, mine)) return effects.send(from, NamingsMsg{timeline.exportAll(effects.now)});
+void ClusterView::mergeAnnouncementsFrom(Effects& effects, const std::string& from, const LogEndResponse& reply,
+                                         TimePoint requestedAt) {
+  timeline.mergeFrom(reply.namings, requestedAt);
+  for (const auto& own : timeline.newestWithKnownTime(effects.now))
+    if (hasForgotten(reply, own)) return effects.send(from, NamingsMsg{timeline.exportAll(effects.now)});
 }
 
-bool ClusterView::forgot(const LogEndResponse& reply, const WeightsAnnouncement& newest) {
-  return std::any_of(reply.namings.begin(), reply.namings.end(), [&](const WeightsAnnouncement& naming) {
-    return naming.model == newest.model && naming.weights == newest.weights && naming.age < 0;
+bool ClusterView::hasForgotten(const LogEndResponse& reply, const WeightsAnnouncement& newest) {
+  return std::any_of(reply.namings.begin(), reply.namings.end(), [&](const WeightsAnnouncement& announcement) {
+    return announcement.model == newest.model && announcement.weights == newest.weights && announcement.age < 0;
   });
 }
 
@@ -151,16 +157,16 @@
   noteVersions(view);
   timeline.pruneExpired(now, timing.oldWeightsTimeout);
   if (!settings.defences.isEnabled(Defence::freshnessWeighed)) {
-    completeUntil = majorityUntil = view.members().empty() ? TimePoint{} : now;
+    completeUntil = majorityCompleteUntil = view.members().empty() ? TimePoint{} : now;
     return;
   }
   std::size_t voters = static_cast<std::size_t>(
       std::count_if(view.members().begin(), view.members().end(), [](const Member& member) { return member.votes; }));
   if (voters == 0) return;
   std::size_t quorum = voters / 2 + 1;
-  auto heard = heardOf(view.members());
-  completeUntil = std::max(completeUntil, completeBy(heard, voters - quorum + 1, voters, view.index()));
-  majorityUntil = std::max(majorityUntil, completeBy(heard, quorum, voters, view.index()));
+  auto replies = newestReplies(view.members());
+  completeUntil = std::max(completeUntil, completenessTime(replies, voters - quorum + 1, voters, view.index()));
+  majorityCompleteUntil = std::max(majorityCompleteUntil, completenessTime(replies, quorum, voters, view.index()));
 }
 
 }  // namespace tt
--- a/src/cluster/cluster_view.hpp
+++ b/src/cluster/cluster_view.hpp
@@ -6,84 +6,98 @@
 
 namespace tt {
 
-/// How one reader of the configuration (an agent, or a core that reads back to operators) is known to the cores.
+/// Settings of one reader of the replicated log: an agent, or a core that serves reads to operators.
 struct ReaderSettings {
   std::string name, address, zone;
+  /// Addresses of the cores to contact while none are known or the view is stale.
   Strings seeds;
-  /// Whether other agents may follow it.
+  /// Whether other agents may use it as an upstream.
   bool relays{true};
   Defences defences;
 };
 
-/// What a reader knows of the cores: who they are, how far they have got, up to which moment its own view is complete,
-/// and the newest list of machines. All is timed from before asking, on the reader's own steady clock.
+/// What a reader knows about the cores: who they are, their log ends, the time up to which the reader's own view is
+/// known to be complete, and the newest machine list. Times are those at which a request was sent, on the reader's own
+/// steady clock; as a response cannot be older than its request, they never make a view look fresher than it is.
 class ClusterView {
  public:
   explicit ClusterView(ReaderSettings readerSettings);
-  /// Asks every core known for its log's end.
+  /// Requests the log end of every known core. `applied` and `cells` report what this reader has.
   void ask(Effects& effects, Uint64 applied, const std::vector<CellVersion>& cells, const Configuration& view);
+  /// Handles a core's response; responses to unknown requests are ignored.
   void handle(Effects& effects, const std::string& from, const LogEndResponse& reply, const Configuration& view);
-  /// Looks again at how complete the view is, after it has moved on.
+  /// Recomputes the completeness time after the view or the responses have changed.
   void updateCompleteness(TimePoint now, const Configuration& view);
-  /// Takes a list of machines that was asked of the platform at this moment; an older or empty one is not taken.
-  bool offerMarks(const std::vector<Machine>& machines, TimePoint askedAt);
-  /// The moment up to which the view is known to be complete.
+  /// Accepts a machine list that was requested from the platform at this time, unless it is empty or not newer. Returns
+  /// whether the list changed.
+  bool offerMachineList(const std::vector<Machine>& machines, TimePoint requestedAt);
+  /// The time up to which the view is known to be complete.
   TimePoint completeAsOf() const { return completeUntil; }
-  /// The moment up to which the view is known to be complete by the word of more than half of the voters. Enough for
-  /// completeness is half of an even number; reading back takes a majority.
-  TimePoint majorityStamp() const { return majorityUntil; }
+  /// The time up to which the view is known to be complete by the responses of a majority of the voters. For
+  /// completeness half of an even number of voters is enough; operator reads need a majority.
+  TimePoint majorityCompleteAsOf() const { return majorityCompleteUntil; }
+  /// Whether the view is within the staleness bound.
   bool fresh(TimePoint now) const { return completeUntil != TimePoint{} && now < completeUntil + timing.maxStaleness; }
+  /// Addresses of all known cores; includes the seeds while no core is known or the view is stale.
   Strings coreAddresses(const Configuration& view) const;
-  /// The core that has lately told of the highest commit beyond an index; empty if none has.
+  /// The address of the core that recently reported the highest commit index above `beyond`; empty if there is none.
   std::string furthestCore(TimePoint now, Uint64 beyond) const;
+  /// The highest commit index that this reader has heard of.
   Uint64 knownCommit() const { return highestCommit; }
-  const Strings& watch() const { return watchRows; }
-  const std::vector<Machine>& machines() const { return machineRows; }
-  bool machineListKnown() const { return marksAskedAt != TimePoint{}; }
-  TimePoint machineListAt() const { return marksAskedAt; }
-  Uint64 machineListDigest() const { return digest; }
-  /// When weights were named. The view's own namings are noted at each weigh(); to be called besides after each entry,
-  /// while the view is known to be complete up to just before it.
+  /// The upstreams that a core assigned to this reader.
+  const Strings& watch() const { return upstreams; }
+  const std::vector<Machine>& machines() const { return machineList; }
+  bool machineListKnown() const { return listRequestedAt != TimePoint{}; }
+  TimePoint machineListAt() const { return listRequestedAt; }
+  Uint64 machineListDigest() const { return listDigest; }
+  /// Records the announcements of weights in the view. updateCompleteness() calls this; it must also be called after
+  /// each applied entry, while the view is known to be complete up to just before that entry.
   void noteVersions(const Configuration& view);
   const VersionTimeline& versions() const { return timeline; }
-  /// Learns when weights were named from a reader that remembers it.
-  void learnVersions(const std::vector<WeightsAnnouncement>& namings, TimePoint now) {
+  /// Merges announcement times from a reader that remembers them.
+  void mergeAnnouncements(const std::vector<WeightsAnnouncement>& namings, TimePoint now) {
     timeline.mergeFrom(namings, now);
   }
-  /// Settles namings of unknown moment once this process has run for longer than any old version may be used.
-  void settleVersions(TimePoint ownStart, TimePoint now) {
+  /// Resolves announcements of unknown time once this process has run for longer than old weights may be used.
+  void resolveAnnouncementTimes(TimePoint ownStart, TimePoint now) {
     timeline.resolveUnknownTimes(ownStart, now, timing.oldWeightsTimeout);
   }
-  /// Learns of a commit by another way than an answer of its own.
+  /// Records a commit index that was learned otherwise than from a log end response.
   void observeCommit(Uint64 commit) { highestCommit = std::max(highestCommit, commit); }
 
  private:
-  struct CoreRow {
-    std::map<Uint64, TimePoint> asks;
-    TimePoint askedAt{};
+  /// What this reader has heard from one core.
+  struct CoreState {
+    /// Open requests by id and when each was sent; when the request of `reply` was sent; the newest response.
+    std::map<Uint64, TimePoint> requestTimes;
+    TimePoint requestedAt{};
     LogEndResponse reply;
-    bool heard{false};
+    bool responded{false};
   };
   ReaderSettings settings;
-  std::map<std::string, CoreRow> cores;
-  Strings toldAddresses, watchRows;
-  std::vector<Machine> machineRows;
-  Uint64 digest{0}, askCount{0}, highestCommit{0}, toldCommit{0};
-  TimePoint marksAskedAt{}, completeUntil{}, majorityUntil{};
-  bool outOfTouch{true};
+  std::map<std::string, CoreState> cores;
+  Strings reportedAddresses, upstreams;
+  std::vector<Machine> machineList;
+  Uint64 listDigest{0}, requestCount{0}, highestCommit{0}, reportedCommit{0};
+  TimePoint listRequestedAt{}, completeUntil{}, majorityCompleteUntil{};
+  bool wasStale{true};
   VersionTimeline timeline;
-  /// Up to which index the view's namings are noted.
+  /// The index up to which announcements in the view have been recorded.
   Uint64 notedIndex{0};
-  /// What was heard of the voters, newest first.
-  std::vector<const CoreRow*> heardOf(const std::vector<Member>& members) const;
-  /// Takes the moments of namings from a core, and tells it those that it has forgotten.
-  void learnFrom(Effects& effects, const std::string& from, const LogEndResponse& reply, TimePoint askedAt);
-  static bool forgot(const LogEndResponse& reply, const WeightsAnnouncement& newest);
-  /// Up to which index a reader must have applied, by the word of some of the voters; none if these are too few.
-  std::optional<Uint64> neededBy(const std::vector<const CoreRow*>& heard, std::size_t voters) const;
-  /// When the oldest was asked of the newest words, at least so many, by which an index is complete.
-  TimePoint completeBy(const std::vector<const CoreRow*>& heard, std::size_t least, std::size_t voters,
-                       Uint64 applied) const;
+  /// The newest response of each voter that has responded, newest request first.
+  std::vector<const CoreState*> newestReplies(const std::vector<Member>& members) const;
+  /// Merges announcement times from a core, and sends the core those that it has lost.
+  void mergeAnnouncementsFrom(Effects& effects, const std::string& from, const LogEndResponse& reply,
+                              TimePoint requestedAt);
+  static bool hasForgotten(const LogEndResponse& reply, const WeightsAnnouncement& newest);
+  /// The index that a reader must have applied to be complete according to these responses of voters; no value if there
+  /// are too few.
+  std::optional<Uint64> requiredIndex(const std::vector<const CoreState*>& replies, std::size_t voters) const;
+  /// The latest time at which an applied index is known to have been complete. Uses the fewest newest responses (but at
+  /// least `least`) that prove it, and returns when the oldest of their requests was sent; TimePoint{} if they prove
+  /// nothing.
+  TimePoint completenessTime(const std::vector<const CoreState*>& replies, std::size_t minReplies, std::size_t voters,
+                             Uint64 applied) const;
 };
 
 }  // namespace tt
--- a/src/cluster/core.cpp
+++ b/src/cluster/core.cpp
@@ -4,39 +4,48 @@
 
 namespace tt {
 namespace {
-constexpr Duration missedEvery = 200ms;
-constexpr Duration watchKept = 2s;
-constexpr Duration watchSought = 250ms;
-constexpr Duration agentKept = 2s;
-constexpr Duration followerKept = 1s;
-constexpr Duration platformFirst = 600ms;
-constexpr Duration stallAfter = 800ms;
-constexpr std::size_t rootRanks = 4;
+/// How often at most a core requests missed cell updates.
+constexpr Duration missedRequestInterval = 200ms;
+/// How long an agent keeps its upstreams, and after how long new ones are selected if it has none.
+constexpr Duration upstreamsLifetime = 2s;
+constexpr Duration upstreamsRetryInterval = 250ms;
+/// How long after its last request an agent may still be selected as an upstream.
+constexpr Duration agentTimeout = 2s;
+/// How long after its last request for updates a subscriber is sent updates.
+constexpr Duration subscriberTimeout = 1s;
+/// How long a core that has just started waits for the platform's machine list before it responds to readers without
+/// it.
+constexpr Duration firstListTimeout = 600ms;
+/// How long the oldest write may wait for its sync before the disk counts as stalled; the core then gives up its
+/// duties.
+constexpr Duration syncStallTimeout = 800ms;
+/// The number of lowest-ranked peers that have no upstreams among the agents and get updates from the cores.
+constexpr std::size_t rootCount = 4;
 }  // namespace
 
-Strings selectUpstreams(const std::string& agent, const Strings& fellows, std::size_t most) {
+Strings selectUpstreams(const std::string& agent, const Strings& peers, std::size_t maxCount) {
   std::uint64_t ownRank = rendezvousHash("rank", agent);
   std::vector<std::pair<std::uint64_t, std::string>> lower;
-  for (const auto& fellow : fellows)
-    if (std::uint64_t rank = rendezvousHash("rank", fellow); fellow != agent && rank < ownRank)
-      lower.emplace_back(rank, fellow);
-  if (lower.size() < rootRanks) return {};
+  for (const auto& peer : peers)
+    if (std::uint64_t rank = rendezvousHash("rank", peer); peer != agent && rank < ownRank)
+      lower.emplace_back(rank, peer);
+  if (lower.size() < rootCount) return {};
   std::sort(lower.begin(), lower.end());
-  lower.resize(std::max(rootRanks, lower.size() * 3 / 4));
-  for (auto& [weight, fellow] : lower) weight = rendezvousHash(agent, fellow);
+  lower.resize(std::max(rootCount, lower.size() * 3 / 4));
+  for (auto& [score, peer] : lower) score = rendezvousHash(agent, peer);
   std::sort(lower.rbegin(), lower.rend());
-  Strings drawn;
-  for (std::size_t at = 0; at < lower.size() && at < most; ++at) drawn.push_back(lower[at].second);
-  return drawn;
+  Strings selected;
+  for (std::size_t at = 0; at < lower.size() && at < maxCount; ++at) selected.push_back(lower[at].second);
+  return selected;
 }
 
 Core::Core(CoreSettings coreSettings, const RecoveredState& recovered, std::mt19937_64& randomSource, TimePoint now)
-    : settings(std::move(coreSettings)), startedAt(now), membersMovedAt(now) {
+    : settings(std::move(coreSettings)), startedAt(now), membershipChangedAt(now) {
   std::string id = recovered.identity;
   if (id.empty()) {
-    char mark[20];
-    std::snprintf(mark, sizeof mark, "%08x", static_cast<unsigned>(randomSource()));
-    id = settings.name + "-" + mark;
+    char suffix[20];
+    std::snprintf(suffix, sizeof suffix, "%08x", static_cast<unsigned>(randomSource()));
+    id = settings.name + "-" + suffix;
   } else {
     idSynced = true;
   }
@@ -45,19 +54,19 @@
   clusterView = std::make_unique<ClusterView>(
       ReaderSettings{self.id, self.address, self.zone, settings.seeds, false, settings.defences});
   replicatedLog->restore(recovered, now);
-  noteCommit(now);
+  recordCommit(now);
   for (const auto& zone : settings.zones) cellFor(zone);
   for (const auto& [duty, vote] : recovered.votes)
     if (duty.rfind("cell/", 0) == 0) cellFor(duty.substr(5)).election.restore(vote, now);
   replicatedLog->onEntryApplied = [this](Effects& effects, const LogEntry& entry) {
     effects.note("applied", self.id, static_cast<std::int64_t>(entry.index));
     clusterView->noteVersions(replicatedLog->configuration());
-    if (entry.kind == static_cast<int>(EntryKind::members)) membersMovedAt = effects.now;
+    if (entry.kind == static_cast<int>(EntryKind::members)) membershipChangedAt = effects.now;
     if (entry.kind == static_cast<int>(EntryKind::whole)) return;
-    spread(effects, NewsMsg{replicatedLog->commit(), {entry}, {}});
+    broadcast(effects, NewsMsg{replicatedLog->commit(), {entry}, {}});
   };
   replicatedLog->membersChanged = [this](Effects& effects) {
-    membersMovedAt = effects.now;
+    membershipChangedAt = effects.now;
     for (auto& [zone, cell] : cells)
       cell->election.setVoters(replicatedLog->members(), replicatedLog->outgoingMembers());
   };
@@ -70,98 +79,100 @@
     cell->election.restore(Vote{}, startedAt);
     cell->election.setVoters(replicatedLog->members(), replicatedLog->outgoingMembers());
     cell->setMachines(machinesWithStores());
-    cell->allNews = &lastNews;
+    cell->allNews = &cellUpdates;
     cell->versions = &clusterView->versions();
-    cell->publish = [this](Effects& effects, const CellNews& news) { keepNews(effects, news, true); };
+    cell->publish = [this](Effects& effects, const CellNews& update) { handleCellUpdate(effects, update, true); };
   }
   return *cell;
 }
 
-void Core::spread(Effects& effects, const Message& message) {
-  for (const auto& [address, at] : followers)
-    if (effects.now - at < followerKept) effects.send(address, message);
+void Core::broadcast(Effects& effects, const Message& message) {
+  for (const auto& [address, at] : subscribers)
+    if (effects.now - at < subscriberTimeout) effects.send(address, message);
 }
 
-void Core::keepNews(Effects& effects, const CellNews& news, bool own) {
-  auto& kept = lastNews[news.zone];
-  if (!applyCellNews(kept, news)) return askMissed(effects, news);
-  spread(effects, news);
+void Core::handleCellUpdate(Effects& effects, const CellNews& update, bool own) {
+  auto& stored = cellUpdates[update.zone];
+  if (!applyCellNews(stored, update)) return requestMissedUpdates(effects, update);
+  broadcast(effects, update);
   if (!own) return;
   for (const auto& member : replicatedLog->members())
-    if (member.id != self.id) effects.send(member.address, news);
+    if (member.id != self.id) effects.send(member.address, update);
 }
 
-void Core::askMissed(Effects& effects, const CellNews& news) {
-  const auto& kept = lastNews[news.zone];
-  if (std::make_pair(news.term, news.sequence) <= std::make_pair(kept.term, kept.sequence) ||
-      effects.now - missedAt < missedEvery)
+void Core::requestMissedUpdates(Effects& effects, const CellNews& update) {
+  const auto& stored = cellUpdates[update.zone];
+  if (std::make_pair(update.term, update.sequence) <= std::make_pair(stored.term, stored.sequence) ||
+      effects.now - missedRequestedAt < missedRequestInterval)
     return;
-  missedAt = effects.now;
-  std::vector<CellVersion> marks;
-  for (const auto& [zone, row] : lastNews) marks.push_back(CellVersion{zone, row.term, row.sequence});
-  effects.send(news.holder, NewsAsk{self.address, replicatedLog->configuration().index(), marks});
+  missedRequestedAt = effects.now;
+  std::vector<CellVersion> cellVersions;
+  for (const auto& [zone, row] : cellUpdates) cellVersions.push_back(CellVersion{zone, row.term, row.sequence});
+  effects.send(update.holder, NewsAsk{self.address, replicatedLog->configuration().index(), cellVersions});
 }
 
-Strings Core::watchFor(const std::string& agent, TimePoint now) const {
-  Strings fellows;
+Strings Core::selectUpstreamsFor(const std::string& agent, TimePoint now) const {
+  Strings peers;
   for (const auto& [address, row] : agents)
-    if (row.relays && now - row.at < agentKept) fellows.push_back(address);
-  return selectUpstreams(agent, fellows, 3);
+    if (row.relays && now - row.at < agentTimeout) peers.push_back(address);
+  return selectUpstreams(agent, peers, 3);
 }
 
-void Core::onEnds(Effects& effects, const std::string& from, const LogEndRequest& ask) {
+void Core::onLogEndRequest(Effects& effects, const std::string& from, const LogEndRequest& request) {
   auto& row = agents[from];
-  row.id = ask.agent;
-  row.zone = ask.zone;
-  row.applied = ask.applied;
-  row.fresh = ask.fresh;
-  row.relays = ask.relays;
+  row.id = request.agent;
+  row.zone = request.zone;
+  row.applied = request.applied;
+  row.fresh = request.fresh;
+  row.relays = request.relays;
   row.at = effects.now;
-  for (const auto& mark : ask.cells)
-    if (auto cell = cells.find(mark.zone); cell != cells.end()) cell->second->recordAgentMark(from, mark, effects.now);
+  for (const auto& cellVersion : request.cells)
+    if (auto cell = cells.find(cellVersion.zone); cell != cells.end())
+      cell->second->recordAgentMark(from, cellVersion, effects.now);
   if (!replicatedLog->formed()) return;
-  if (!platformHeard && !settings.platformAddress.empty() && effects.now - startedAt < platformFirst) return;
-  if (ask.relays && effects.now - row.watchAt >= (row.watch.empty() ? watchSought : watchKept)) {
-    row.watch = watchFor(from, effects.now);
-    row.watchAt = effects.now;
+  if (!platformResponded && !settings.platformAddress.empty() && effects.now - startedAt < firstListTimeout) return;
+  if (request.relays &&
+      effects.now - row.upstreamsSelectedAt >= (row.upstreams.empty() ? upstreamsRetryInterval : upstreamsLifetime)) {
+    row.upstreams = selectUpstreamsFor(from, effects.now);
+    row.upstreamsSelectedAt = effects.now;
   }
-  LogEndResponse reply{ask.requestId,
+  LogEndResponse reply{request.requestId,
                        self.id,
                        replicatedLog->election.term(),
                        replicatedLog->hasCommittedInTerm(),
                        replicatedLog->lastSyncedIndex(),
                        replicatedLog->commit(),
                        replicatedLog->members(),
-                       ask.relays ? row.watch : Strings{},
+                       request.relays ? row.upstreams : Strings{},
                        clusterView->machineListKnown(),
                        0,
                        clusterView->machineListDigest(),
                        {},
                        clusterView->versions().exportRecent(effects.now, timing.oldWeightsTimeout, true)};
   if (reply.machineListKnown) reply.machineListAgeNs = (effects.now - clusterView->machineListAt()).count();
-  if (reply.machineListKnown && ask.machineListDigest != reply.machineListDigest)
+  if (reply.machineListKnown && request.machineListDigest != reply.machineListDigest)
     reply.machines = clusterView->machines();
   effects.send(from, reply);
 }
 
-void Core::onNewsAsk(Effects& effects, const std::string& from, const NewsAsk& ask) {
-  followers[from] = effects.now;
-  auto news = replicatedLog->newsAfter(ask.applied);
-  effects.send(from, news);
+void Core::onUpdateRequest(Effects& effects, const std::string& from, const NewsAsk& request) {
+  subscribers[from] = effects.now;
+  auto update = replicatedLog->updateAfter(request.applied);
+  effects.send(from, update);
   std::map<std::string, CellVersion> cellVersionsByZone;
-  for (const auto& mark : ask.cells) cellVersionsByZone[mark.zone] = mark;
-  for (const auto& [zone, kept] : lastNews) {
+  for (const auto& cellVersion : request.cells) cellVersionsByZone[cellVersion.zone] = cellVersion;
+  for (const auto& [zone, stored] : cellUpdates) {
     auto found = cellVersionsByZone.find(zone);
     if (found == cellVersionsByZone.end() ||
-        std::make_pair(found->second.term, found->second.sequence) < std::make_pair(kept.term, kept.sequence))
-      effects.send(from, kept);
+        std::make_pair(found->second.term, found->second.sequence) < std::make_pair(stored.term, stored.sequence))
+      effects.send(from, stored);
   }
 }
 
-void Core::takeMarks(Effects& effects) {
+void Core::applyMachineList(Effects& effects) {
   Uint64 services = digestOfServices();
-  if (cellDigest == clusterView->machineListDigest() && services == servicesDigest) return;
-  cellDigest = clusterView->machineListDigest();
+  if (appliedListDigest == clusterView->machineListDigest() && services == servicesDigest) return;
+  appliedListDigest = clusterView->machineListDigest();
   servicesDigest = services;
   auto machines = machinesWithStores();
   for (const auto& machine : machines) cellFor(machine.zone);
@@ -194,60 +205,60 @@
 }
 
 void Core::tick(Effects& effects) {
-  seekFleet(effects);
-  noteCommit(effects.now);
-  bool stalled = diskWait > stallAfter;
+  seekMembership(effects);
+  recordCommit(effects.now);
+  bool stalled = syncWait > syncStallTimeout;
   if (stalled != diskStalled) {
     diskStalled = stalled;
-    effects.note(stalled ? "disk stalled" : "disk well", self.id, toMilliseconds(diskWait));
+    effects.note(stalled ? "disk stalled" : "disk well", self.id, toMilliseconds(syncWait));
   }
-  bool mayCampaign = !diskStalled && leaveAt == TimePoint{};
+  bool mayCampaign = !diskStalled && leavingSince == TimePoint{};
   replicatedLog->election.mayCampaign = mayCampaign;
   for (auto& [zone, cell] : cells) cell->election.mayCampaign = mayCampaign;
   replicatedLog->tick(effects);
   clusterView->noteVersions(replicatedLog->configuration());
-  clusterView->settleVersions(startedAt, effects.now);
+  clusterView->resolveAnnouncementTimes(startedAt, effects.now);
   for (auto& [zone, cell] : cells) cell->tick(effects, replicatedLog->configuration());
-  bool lists = replicatedLog->leads(effects.now) || !clusterView->machineListKnown() ||
-               effects.now - clusterView->machineListAt() >= timing.maxListAge;
-  if (!settings.platformAddress.empty() && lists && effects.now - platformAt >= timing.listPollInterval) {
-    platformAt = effects.now;
+  bool requestsList = replicatedLog->leads(effects.now) || !clusterView->machineListKnown() ||
+                      effects.now - clusterView->machineListAt() >= timing.maxListAge;
+  if (!settings.platformAddress.empty() && requestsList && effects.now - listRequestedAt >= timing.listPollInterval) {
+    listRequestedAt = effects.now;
     effects.send(settings.platformAddress, MachinesAsk{toNanoseconds(effects.now)});
   }
-  if (replicatedLog->formed() && effects.now - endsAt >= timing.logEndPollInterval) {
-    askLogEnds(effects);
+  if (replicatedLog->formed() && effects.now - logEndsRequestedAt >= timing.logEndPollInterval) {
+    requestLogEnds(effects);
   }
-  settleReads(effects);
-  takeMarks(effects);
-  settleAsked(effects);
-  askReaders(effects);
-  askCopies(effects);
+  completeReads(effects);
+  applyMachineList(effects);
+  settleOpenChanges(effects);
+  requestReaders(effects);
+  requestReplicaCheck(effects);
   for (auto row = agents.begin(); row != agents.end();)
     row = effects.now - row->second.at > 10s ? agents.erase(row) : std::next(row);
-  for (auto row = followers.begin(); row != followers.end();)
-    row = effects.now - row->second > followerKept ? followers.erase(row) : std::next(row);
+  for (auto row = subscribers.begin(); row != subscribers.end();)
+    row = effects.now - row->second > subscriberTimeout ? subscribers.erase(row) : std::next(row);
 }
 
 bool Core::mayCommand(const ControlAsk& command, TimePoint now) const {
   return std::any_of(cells.begin(), cells.end(), [&](const auto& row) { return row.second->mayCommand(command, now); });
 }
 
-void Core::giveToCell(Effects& effects, const std::string& from, const std::string& zone, const Message& message) {
+void Core::forwardToCell(Effects& effects, const std::string& from, const std::string& zone, const Message& message) {
   if (auto cell = cells.find(zone); cell != cells.end()) cell->second->handle(effects, from, message);
 }
 
 void Core::handle(Effects& effects, const std::string& from, const Message& message) {
-  if (auto* ask = std::get_if<LogEndRequest>(&message)) {
-    onEnds(effects, from, *ask);
-  } else if (auto* news = std::get_if<NewsAsk>(&message)) {
-    onNewsAsk(effects, from, *news);
+  if (auto* request = std::get_if<LogEndRequest>(&message)) {
+    onLogEndRequest(effects, from, *request);
+  } else if (auto* update = std::get_if<NewsAsk>(&message)) {
+    onUpdateRequest(effects, from, *update);
   } else if (auto* cellNews = std::get_if<CellNews>(&message)) {
-    keepNews(effects, *cellNews, false);
+    handleCellUpdate(effects, *cellNews, false);
   } else if (std::holds_alternative<HelloRequest>(message)) {
     if (idSynced || replicatedLog->formed())
       effects.send(from, HelloResponse{self, replicatedLog->formed(), replicatedLog->members()});
   } else if (auto* reply = std::get_if<HelloResponse>(&message)) {
-    hellos[from] = *reply;
+    helloResponses[from] = *reply;
   } else if (auto* form = std::get_if<FormRequest>(&message)) {
     for (const auto& row : form->members)
       if (row.id == self.id && idSynced) replicatedLog->form(effects, form->members);
@@ -258,41 +269,42 @@
     else if (!leader.empty() && leader != self.address && from == join->self.address)
       effects.send(leader, message);
   } else if (auto* machines = std::get_if<MachinesReply>(&message)) {
-    platformHeard = true;
-    clusterView->offerMarks(machines->machines, fromNanoseconds(machines->askedAt));
-    takeMarks(effects);
-  } else if (auto* listed = std::get_if<MarksMsg>(&message)) {
-    if (listed->age >= 0) clusterView->offerMarks(listed->machines, effects.now - Duration(listed->age));
-    takeMarks(effects);
-  } else if (auto* named = std::get_if<NamingsMsg>(&message)) {
-    clusterView->learnVersions(named->namings, effects.now);
-  } else if (auto* ends = std::get_if<LogEndResponse>(&message)) {
-    clusterView->handle(effects, from, *ends, replicatedLog->configuration());
-    takeMarks(effects);
-    settleReads(effects);
+    platformResponded = true;
+    clusterView->offerMachineList(machines->machines, fromNanoseconds(machines->askedAt));
+    applyMachineList(effects);
+  } else if (auto* machineList = std::get_if<MarksMsg>(&message)) {
+    if (machineList->age >= 0)
+      clusterView->offerMachineList(machineList->machines, effects.now - Duration(machineList->age));
+    applyMachineList(effects);
+  } else if (auto* announcements = std::get_if<NamingsMsg>(&message)) {
+    clusterView->mergeAnnouncements(announcements->namings, effects.now);
+  } else if (auto* logEnds = std::get_if<LogEndResponse>(&message)) {
+    clusterView->handle(effects, from, *logEnds, replicatedLog->configuration());
+    applyMachineList(effects);
+    completeReads(effects);
   } else if (auto* readersAsk = std::get_if<ReadersRequest>(&message)) {
-    onReadersAsk(effects, from, *readersAsk);
+    onReadersRequest(effects, from, *readersAsk);
   } else if (auto* readersReply = std::get_if<ReadersResponse>(&message)) {
-    if (readersReply->roundId == copiesRound)
-      onCopiesReply(*readersReply);
+    if (readersReply->roundId == replicaCheckRound)
+      onReplicaCheckResponse(*readersReply);
     else
-      onReadersReply(effects, from, *readersReply);
+      onReadersResponse(effects, from, *readersReply);
   } else if (auto* operatorAsk = std::get_if<OperatorRequest>(&message)) {
-    onOperator(effects, from, *operatorAsk);
+    onOperatorRequest(effects, from, *operatorAsk);
   } else if (auto* read = std::get_if<ReadRequest>(&message)) {
-    onRead(effects, from, *read);
+    onReadRequest(effects, from, *read);
   } else if (auto* change = std::get_if<ChangeRequest>(&message)) {
     replicatedLog->proposeChange(effects, from, *change);
   } else if (auto* changeReply = std::get_if<ChangeResponse>(&message)) {
-    onChangeReply(effects, from, *changeReply);
+    onChangeResponse(effects, from, *changeReply);
   } else if (auto* lookup = std::get_if<LookupMsg>(&message)) {
-    giveToCell(effects, from, lookup->zone, message);
+    forwardToCell(effects, from, lookup->zone, message);
   } else if (auto* started = std::get_if<PrefillStarted>(&message)) {
-    giveToCell(effects, from, started->zone, message);
+    forwardToCell(effects, from, started->zone, message);
   } else if (auto* ended = std::get_if<PrefillEnded>(&message)) {
-    giveToCell(effects, from, ended->zone, message);
+    forwardToCell(effects, from, ended->zone, message);
   } else if (auto* watch = std::get_if<WatchMsg>(&message)) {
-    giveToCell(effects, from, watch->zone, message);
+    forwardToCell(effects, from, watch->zone, message);
   } else if (auto* report = std::get_if<Report>(&message)) {
     for (auto& [zone, cell] : cells)
       if (cell->cacheNodes().count(report->worker)) cell->handle(effects, from, message);
@@ -318,11 +330,11 @@
 }
 
 void Core::resign(Effects& effects) {
-  if (leaveAt != TimePoint{}) return;
-  leaveAt = effects.now;
+  if (leavingSince != TimePoint{}) return;
+  leavingSince = effects.now;
   for (auto& [zone, cell] : cells) cell->election.resign(effects);
   replicatedLog->leave(effects);
-  askCopies(effects);
+  requestReplicaCheck(effects);
 }
 
 }  // namespace tt
--- a/src/cluster/core.hpp
+++ b/src/cluster/core.hpp
@@ -5,64 +5,75 @@
 
 namespace tt {
 
+/// Settings of one core.
 struct CoreSettings {
   std::string name, address, zone, platformAddress;
+  /// Addresses of the cores that may bootstrap the fleet and that a new core contacts first.
   std::vector<std::string> seeds;
   std::vector<std::string> zones;
+  /// Upper bound of the configuration's size and of the entries not yet committed, in bytes.
   std::size_t maxRecordBytes{1 << 20};
-  /// Whether this core may take part in forming a new fleet; one that comes back empty may not.
+  /// Whether this core may take part in bootstrapping a new fleet. A core that comes back with an empty disk may not.
   bool mayForm{true};
   CellSettings cell;
   Defences defences;
 };
 
-/// What a core does: one voice in the replicated log, one cell for each locality, the root of the news tree, the
-/// operators' door.
+/// A core of the control plane: a replica of the log, one cell for each zone, the root of the update relays, and the
+/// entry point of the operators.
 class Core : public Node {
  public:
-  /// Marks the round in which a core that leaves asks who holds what it holds.
-  static constexpr Uint64 copiesRound = ~Uint64{0};
+  /// The round id with which a core that shuts down asks the others whether they have its log.
+  static constexpr Uint64 replicaCheckRound = ~Uint64{0};
   Core(CoreSettings coreSettings, const RecoveredState& recovered, std::mt19937_64& randomSource, TimePoint now);
   void handle(Effects& effects, const std::string& from, const Message& message) override;
   void tick(Effects& effects) override;
-  /// Gives up all duties, for a clean stop: the lead goes to a fellow that has the whole log, and this core counts for
-  /// no further copy of a change.
+  /// Prepares a clean shutdown: gives up all duties, hands the leadership to a peer that has the whole log, and
+  /// acknowledges no further entries.
   void resign(Effects& effects);
-  /// Whether all that this core has synced is on as many other cores' disks as a change must rest on.
+  /// Whether all that this core has synced is stored on enough other cores' disks for this core to shut down.
   bool safeToStop() const;
+  /// This core's replica of the log.
   const ReplicatedLog& consensusLog() const { return *replicatedLog; }
   const std::map<std::string, std::unique_ptr<Cell>>& cellsByZone() const { return cells; }
-  /// Everything an operator may want to see, as JSON text.
+  /// The state of this core for operators, as JSON text.
   std::string condition(TimePoint now) const;
-  /// The host's word on how long the oldest write has waited for its sync.
-  void reportSyncWait(Duration span) { diskWait = span; }
+  /// Called by the host with how long the oldest write has been waiting for its sync.
+  void reportSyncWait(Duration duration) { syncWait = duration; }
   const std::string& id() const { return self.id; }
-  /// Whether a command to a worker may still leave at this moment.
+  /// Whether a command to a worker may still be sent now.
   bool mayCommand(const ControlAsk& command, TimePoint now) const;
-  /// Whether this core's view of the configuration is fresh, as an agent's is. What is read back to an operator takes
-  /// more: see ReadRequest and settleReads().
+  /// Whether this core's view of the configuration is fresh, in the sense in which an agent's view is. Reads by
+  /// operators need more: see ReadRequest and completeReads().
   bool readsConfirmed(TimePoint now) const { return clusterView->fresh(now); }
 
  private:
-  struct AgentRow {
+  /// What this core knows about an agent, or about another core that requests its log end.
+  struct AgentState {
     std::string id, zone;
-    /// Whom it was last told to watch, and when that was drawn.
-    Strings watch;
-    TimePoint watchAt{};
+    /// The upstreams last assigned to it, and when they were selected.
+    Strings upstreams;
+    TimePoint upstreamsSelectedAt{};
     std::uint64_t applied{0};
     bool fresh{false}, relays{true};
     TimePoint at{};
   };
-  struct Asked {
+  /// An operator's configuration change for which the response is open.
+  struct OpenChange {
+    /// `from`, `requestId`: the operator's request. `leaderAddress`: the leader that committed the change.
     std::string from, requestId, leaderAddress;
-    TimePoint at{}, agreedAt{};
+    /// When the request arrived, and when this core learned that the change was committed.
+    TimePoint at{}, committedAt{};
+    /// The revision that the change made, and the commit index and term at which it was known to be committed.
     std::uint64_t revision{0}, index{0}, term{0};
-    OperatorRequest ask;
+    OperatorRequest request;
+    /// The commit index that this core knew before any copy of this change can have been sent.
     Uint64 seen{0};
-    bool agreed{false};
+    bool committed{false};
+    /// When it was last sent to the leader; TimePoint{} if it was not.
     TimePoint sentAt{};
   };
-  /// A read of the configuration that waits until this core knows all that was agreed before it was asked for.
+  /// An operator's read that waits until this core knows all entries that were committed before it arrived.
   struct PendingRead {
     std::string from, requestId;
     TimePoint at{};
@@ -71,80 +82,93 @@
   Member self;
   std::unique_ptr<ReplicatedLog> replicatedLog;
   std::map<std::string, std::unique_ptr<Cell>> cells;
-  std::map<std::string, AgentRow> agents;
-  std::map<std::string, TimePoint> followers;
-  std::map<std::string, CellNews> lastNews;
+  std::map<std::string, AgentState> agents;
+  /// Addresses that requested updates, and when they last did.
+  std::map<std::string, TimePoint> subscribers;
+  /// The newest update of each zone's cell.
+  std::map<std::string, CellNews> cellUpdates;
   std::unique_ptr<ClusterView> clusterView;
-  /// One round of asking all cores which readers they know, for all acknowledgements that wait.
+  /// One round of requests to all cores for the readers that they know, for all open acknowledgements.
   struct ReadersRound {
     std::uint64_t id{0}, index{0}, term{0};
     TimePoint at{};
-    std::set<std::string> having, answered;
+    /// Ids of the cores that have the entry; addresses of the cores that responded.
+    std::set<std::string> coresWithEntry, respondedAddresses;
     std::map<std::string, std::uint64_t> appliedByReader;
   };
-  ReadersRound round;
-  TimePoint missedAt{};
-  Uint64 cellDigest{0}, servicesDigest{0};
-  std::map<std::string, HelloResponse> hellos;
-  std::map<std::string, Asked> asked;
+  ReadersRound readersRound;
+  TimePoint missedRequestedAt{};
+  Uint64 appliedListDigest{0}, servicesDigest{0};
+  std::map<std::string, HelloResponse> helloResponses;
+  std::map<std::string, OpenChange> openChanges;
   std::deque<PendingRead> pendingReads;
-  TimePoint helloAt{}, platformAt{}, joinAt{}, startedAt{}, idSavedAt{}, endsAt{};
-  /// When this core last started, or took in or applied a change of members.
-  TimePoint membersMovedAt{};
-  /// Since when this core leaves, when it last asked who holds what it holds, and who does.
-  TimePoint leaveAt{}, copiesAt{};
-  std::set<std::string> copyHolders;
-  bool idSynced{false}, diskStalled{false}, platformHeard{false};
-  Duration diskWait{};
-  std::uint64_t askCount{0};
-  /// From when on this core's log was agreed up to an index, as far back as a copy of a change may lie unread.
-  std::deque<std::pair<TimePoint, Uint64>> commitsSeen;
+  TimePoint helloSentAt{}, listRequestedAt{}, joinSentAt{}, startedAt{}, idSavedAt{}, logEndsRequestedAt{};
+  /// When this core last started, or received or applied a membership change.
+  TimePoint membershipChangedAt{};
+  /// When this core began to shut down, when it last asked which cores have its log, and the ids of those that have.
+  TimePoint leavingSince{}, replicaCheckSentAt{};
+  std::set<std::string> replicaHolders;
+  bool idSynced{false}, diskStalled{false}, platformResponded{false};
+  Duration syncWait{};
+  std::uint64_t requestCount{0};
+  /// Times since which commit indexes have been known, as far back as a copy of a change may be unread.
+  std::deque<std::pair<TimePoint, Uint64>> commitHistory;
 
+  /// The cell of a zone; created if it does not exist.
   Cell& cellFor(const std::string& zone);
-  void seekFleet(Effects& effects);
-  void considerForming(Effects& effects);
-  void onEnds(Effects& effects, const std::string& from, const LogEndRequest& ask);
-  void onNewsAsk(Effects& effects, const std::string& from, const NewsAsk& ask);
-  void onOperator(Effects& effects, const std::string& from, const OperatorRequest& ask);
-  void onChangeReply(Effects& effects, const std::string& from, const ChangeResponse& reply);
-  void settleAsked(Effects& effects);
+  /// Contacts the seeds and requests to join while this core is not a member that hears its leader.
+  void seekMembership(Effects& effects);
+  /// Bootstraps the fleet if all seeds are reachable, none belongs to a fleet and this core has the lowest id.
+  void tryForming(Effects& effects);
+  void onLogEndRequest(Effects& effects, const std::string& from, const LogEndRequest& request);
+  void onUpdateRequest(Effects& effects, const std::string& from, const NewsAsk& request);
+  void onOperatorRequest(Effects& effects, const std::string& from, const OperatorRequest& request);
+  void onChangeResponse(Effects& effects, const std::string& from, const ChangeResponse& reply);
+  /// Responds to changes that are done or have timed out, and forwards those that are not yet at the leader.
+  void settleOpenChanges(Effects& effects);
   /// Tells the operator that a change is in force.
-  void confirm(Effects& effects, const Asked& row);
-  /// Hands an ask to whoever leads.
-  void passOn(Effects& effects, const std::string& name, Asked& row);
-  /// A name that no other life of this core gives to an ask.
-  std::string freshAskName();
-  void noteCommit(TimePoint now);
-  /// The commit that this core knew of before any copy of a change that it reads now can have been sent.
-  Uint64 seenBefore(TimePoint now);
-  /// Whether every reader that may still be fresh is known to have a change. Sound only if this core's members are
-  /// those under which the change was agreed, and readers that know earlier members only have gone stale.
-  bool readersHave(const Asked& row, TimePoint now) const;
-  void askReaders(Effects& effects);
-  void askCopies(Effects& effects);
-  void onCopiesReply(const ReadersResponse& reply);
-  /// Names the readers heard lately. A core that started less than a readers' wait ago has forgotten whom it answered
-  /// before, so it does not count among those that have the entry.
-  void onReadersAsk(Effects& effects, const std::string& from, const ReadersRequest& ask);
-  void onReadersReply(Effects& effects, const std::string& from, const ReadersResponse& reply);
-  void onRead(Effects& effects, const std::string& from, const ReadRequest& ask);
-  /// Confirms the reads that a majority, asked after they came, shows to be complete; turns away those that wait long.
-  void settleReads(Effects& effects);
-  void askLogEnds(Effects& effects);
-  void takeMarks(Effects& effects);
-  /// Gives what concerns a worker or a store to the cell that has it, if this core knows that cell.
-  void giveToCell(Effects& effects, const std::string& from, const std::string& zone, const Message& message);
-  /// Tells apart configurations whose stores or engine services differ.
+  void acknowledge(Effects& effects, const OpenChange& row);
+  /// Sends a change to the leader.
+  void forwardToLeader(Effects& effects, const std::string& requestId, OpenChange& row);
+  /// A request id that is unique across restarts of this core.
+  std::string newRequestId();
+  /// Records the present commit index in the history.
+  void recordCommit(TimePoint now);
+  /// The commit index that this core knew before any copy of a change that it reads now can have been sent.
+  Uint64 commitBeforeOldestCopy(TimePoint now);
+  /// Whether every reader whose view may still be fresh is known to have applied a change. This is sound only if this
+  /// core's members are those under which the change was committed, and if readers that know only earlier members have
+  /// become stale.
+  bool readersHaveApplied(const OpenChange& row, TimePoint now) const;
+  void requestReaders(Effects& effects);
+  void requestReplicaCheck(Effects& effects);
+  void onReplicaCheckResponse(const ReadersResponse& reply);
+  /// Responds with the readers heard recently. A core that started less than readerAckTimeout ago no longer knows whom
+  /// it answered before, so it does not count among those that have the entry.
+  void onReadersRequest(Effects& effects, const std::string& from, const ReadersRequest& request);
+  void onReadersResponse(Effects& effects, const std::string& from, const ReadersResponse& reply);
+  void onReadRequest(Effects& effects, const std::string& from, const ReadRequest& request);
+  /// Responds to the reads for which a majority, asked after they arrived, proves the view complete; rejects those that
+  /// have waited too long.
+  void completeReads(Effects& effects);
+  void requestLogEnds(Effects& effects);
+  void applyMachineList(Effects& effects);
+  /// Passes a message about a worker or a store to its zone's cell, if this core has that cell.
+  void forwardToCell(Effects& effects, const std::string& from, const std::string& zone, const Message& message);
+  /// A digest of the stores and the engine services in the configuration, to detect changes.
   Uint64 digestOfServices() const;
   std::vector<Machine> machinesWithStores() const;
-  void spread(Effects& effects, const Message& message);
-  void keepNews(Effects& effects, const CellNews& news, bool own);
-  void askMissed(Effects& effects, const CellNews& news);
-  Strings watchFor(const std::string& agent, TimePoint now) const;
+  /// Sends a message to all subscribers.
+  void broadcast(Effects& effects, const Message& message);
+  /// Keeps a cell update that is newer, and passes it on; `own` marks one from this core's own cell.
+  void handleCellUpdate(Effects& effects, const CellNews& update, bool own);
+  /// Requests the full state from a cell's lease holder after an update that does not follow the last one.
+  void requestMissedUpdates(Effects& effects, const CellNews& update);
+  Strings selectUpstreamsFor(const std::string& agent, TimePoint now) const;
 };
 
-/// Whose news a daemon follows: its few lower-ranked fellows that rendezvous hashing names. As rank depends on the
-/// name alone, no two views of the fleet can make a ring.
-Strings selectUpstreams(const std::string& agent, const Strings& fellows, std::size_t most);
+/// Selects up to `most` upstreams of an agent by rendezvous hashing, among the peers with a lower rank. As the rank
+/// depends on the name only, the upstreams cannot form a cycle, even if agents know different sets of peers.
+Strings selectUpstreams(const std::string& agent, const Strings& peers, std::size_t maxCount);
 
 }  // namespace tt
--- a/src/cluster/core_operators.cpp
+++ b/src/cluster/core_operators.cpp
@@ -4,17 +4,23 @@
 
 namespace tt {
 namespace {
-constexpr Duration agentKept = 2s;
-constexpr Duration readersEvery = 50ms;
-constexpr Duration operatorWait = 6s;
-constexpr Duration passAgain = 700ms;
-/// How long a copy of a change may lie unread before a core, but for the time that the core stands still.
-constexpr Duration copyLife = operatorWait;
-constexpr std::size_t mostAsked = 1024;
+/// How long after its last request an agent counts among those that are reported to have a change.
+constexpr Duration agentTimeout = 2s;
+/// How often all cores are asked for their readers while acknowledgements wait.
+constexpr Duration readersRequestInterval = 50ms;
+/// How long a change may take to be committed before the operator gets a response without a result.
+constexpr Duration operatorTimeout = 6s;
+/// After how long without a response a change is sent to the leader again.
+constexpr Duration forwardRetryInterval = 700ms;
+/// How long a copy of a change may remain unread before it reaches a core, not counting the time during which the core
+/// itself is paused.
+constexpr Duration maxCopyAge = operatorTimeout;
+constexpr std::size_t maxOpenChanges = 1024;
 }  // namespace
 
 namespace {
-std::string touchedBy(const std::string& body) {
+/// Lists the configuration items that a change sets, or removes (with `-`), for the journal.
+std::string describeTouchedItems(const std::string& body) {
   auto read = parseJson(body);
   std::string text;
   if (!read || !read.value().is<JsonObject>()) return text;
@@ -29,143 +35,148 @@
 }
 }  // namespace
 
-void Core::onOperator(Effects& effects, const std::string& from, const OperatorRequest& ask) {
-  if (asked.size() >= mostAsked) {
-    effects.send(from, OperatorResponse{ask.requestId, static_cast<int>(Code::changesFull), "changes",
+void Core::onOperatorRequest(Effects& effects, const std::string& from, const OperatorRequest& request) {
+  if (openChanges.size() >= maxOpenChanges) {
+    effects.send(from, OperatorResponse{request.requestId, static_cast<int>(Code::changesFull), "changes",
                                         codeText(Code::changesFull), 0, 0});
     return;
   }
-  Asked row;
+  OpenChange row;
   row.from = from;
-  row.requestId = ask.requestId;
+  row.requestId = request.requestId;
   row.at = effects.now;
-  row.ask = ask;
-  row.seen = seenBefore(effects.now);
-  if (row.ask.changeId.empty()) row.ask.changeId = freshAskName();
-  asked[freshAskName()] = row;
-  settleAsked(effects);
+  row.request = request;
+  row.seen = commitBeforeOldestCopy(effects.now);
+  if (row.request.changeId.empty()) row.request.changeId = newRequestId();
+  openChanges[newRequestId()] = row;
+  settleOpenChanges(effects);
 }
 
-std::string Core::freshAskName() {
-  return self.id + "/" + std::to_string(startedAt.time_since_epoch().count()) + "/" + std::to_string(++askCount);
+std::string Core::newRequestId() {
+  return self.id + "/" + std::to_string(startedAt.time_since_epoch().count()) + "/" + std::to_string(++requestCount);
 }
 
-void Core::noteCommit(TimePoint now) {
-  if (commitsSeen.empty() || commitsSeen.back().second != replicatedLog->commit())
-    commitsSeen.emplace_back(now, replicatedLog->commit());
-  (void)seenBefore(now);
+void Core::recordCommit(TimePoint now) {
+  if (commitHistory.empty() || commitHistory.back().second != replicatedLog->commit())
+    commitHistory.emplace_back(now, replicatedLog->commit());
+  (void)commitBeforeOldestCopy(now);
 }
 
-Uint64 Core::seenBefore(TimePoint now) {
-  while (commitsSeen.size() > 1 && commitsSeen[1].first <= now - copyLife) commitsSeen.pop_front();
-  return commitsSeen.front().second;
+Uint64 Core::commitBeforeOldestCopy(TimePoint now) {
+  while (commitHistory.size() > 1 && commitHistory[1].first <= now - maxCopyAge) commitHistory.pop_front();
+  return commitHistory.front().second;
 }
 
-void Core::onChangeReply(Effects& effects, const std::string& from, const ChangeResponse& reply) {
-  auto found = asked.find(reply.requestId);
-  if (found == asked.end()) return;
+void Core::onChangeResponse(Effects& effects, const std::string& from, const ChangeResponse& reply) {
+  auto found = openChanges.find(reply.requestId);
+  if (found == openChanges.end()) return;
   auto& row = found->second;
   auto code = static_cast<Code>(reply.code);
   if (code == Code::changeTaken) {
-    if (!row.agreed) row.agreedAt = effects.now;
-    row.agreed = true;
+    if (!row.committed) row.committedAt = effects.now;
+    row.committed = true;
     row.revision = reply.revision;
     row.index = reply.index;
     row.term = reply.term;
     row.leaderAddress = from;
-    settleAsked(effects);
+    settleOpenChanges(effects);
     return;
   }
-  if (row.agreed || code == Code::notLeading || code == Code::changeUnsure) return;
+  if (row.committed || code == Code::notLeading || code == Code::changeUnsure) return;
   effects.send(row.from, OperatorResponse{row.requestId, reply.code, reply.subject, reply.text, reply.revision, 0});
-  asked.erase(found);
+  openChanges.erase(found);
 }
 
-void Core::confirm(Effects& effects, const Asked& row) {
-  std::uint64_t reached = 0;
+void Core::acknowledge(Effects& effects, const OpenChange& row) {
+  std::uint64_t agentsReached = 0;
   for (const auto& [address, agent] : agents)
-    reached += agent.relays && effects.now - agent.at < agentKept && agent.applied >= row.index;
-  effects.note("change acked", row.ask.changeId, static_cast<std::int64_t>(row.index));
-  effects.note("ack wait ms", row.ask.changeId, toMilliseconds(effects.now - row.agreedAt));
-  effects.note("change in force", row.ask.changeId + " touches" + touchedBy(row.ask.body),
+    agentsReached += agent.relays && effects.now - agent.at < agentTimeout && agent.applied >= row.index;
+  effects.note("change acked", row.request.changeId, static_cast<std::int64_t>(row.index));
+  effects.note("ack wait ms", row.request.changeId, toMilliseconds(effects.now - row.committedAt));
+  effects.note("change in force", row.request.changeId + " touches" + describeTouchedItems(row.request.body),
                static_cast<std::int64_t>(row.revision));
-  effects.send(
-      row.from,
-      OperatorResponse{
-          row.requestId, static_cast<int>(Code::changeTaken), {}, codeText(Code::changeTaken), row.revision, reached});
+  effects.send(row.from, OperatorResponse{row.requestId,
+                                          static_cast<int>(Code::changeTaken),
+                                          {},
+                                          codeText(Code::changeTaken),
+                                          row.revision,
+                                          agentsReached});
 }
 
-void Core::passOn(Effects& effects, const std::string& name, Asked& row) {
+void Core::forwardToLeader(Effects& effects, const std::string& requestId, OpenChange& row) {
   std::string leader = replicatedLog->leads(effects.now) ? self.address : replicatedLog->leaderAddress();
   if (leader.empty() || (leader == self.address && !replicatedLog->leads(effects.now))) return;
   row.sentAt = effects.now;
-  effects.send(leader, ChangeRequest{name, row.ask.body, row.ask.whole, row.ask.ifRevision, row.ask.changeId,
-                                     row.ask.sinceRevision, row.ask.changeFormat, row.ask.toRevision, row.seen});
+  effects.send(leader, ChangeRequest{requestId, row.request.body, row.request.whole, row.request.ifRevision,
+                                     row.request.changeId, row.request.sinceRevision, row.request.changeFormat,
+                                     row.request.toRevision, row.seen});
 }
 
-void Core::settleAsked(Effects& effects) {
-  for (auto found = asked.begin(); found != asked.end();) {
+void Core::settleOpenChanges(Effects& effects) {
+  for (auto found = openChanges.begin(); found != openChanges.end();) {
     auto& row = found->second;
-    bool settled =
-        row.agreed && (readersHave(row, effects.now) || effects.now - row.agreedAt >= timing.readerAckTimeout ||
-                       !settings.defences.isEnabled(Defence::ackWaits));
-    bool late = !row.agreed && effects.now - row.at >= operatorWait;
+    bool settled = row.committed &&
+                   (readersHaveApplied(row, effects.now) || effects.now - row.committedAt >= timing.readerAckTimeout ||
+                    !settings.defences.isEnabled(Defence::ackWaits));
+    bool timedOut = !row.committed && effects.now - row.at >= operatorTimeout;
     if (settled) {
-      confirm(effects, row);
-    } else if (late) {
+      acknowledge(effects, row);
+    } else if (timedOut) {
       Code code = row.sentAt == TimePoint{} ? Code::notLeading : Code::changeUnsure;
       effects.send(row.from, OperatorResponse{row.requestId, static_cast<int>(code), "accord", codeText(code), 0, 0});
-    } else if (!row.agreed && (row.sentAt == TimePoint{} || effects.now - row.sentAt >= passAgain)) {
-      passOn(effects, found->first, row);
+    } else if (!row.committed && (row.sentAt == TimePoint{} || effects.now - row.sentAt >= forwardRetryInterval)) {
+      forwardToLeader(effects, found->first, row);
     }
-    found = settled || late ? asked.erase(found) : std::next(found);
+    found = settled || timedOut ? openChanges.erase(found) : std::next(found);
   }
 }
 
-bool Core::readersHave(const Asked& row, TimePoint now) const {
-  if (now - membersMovedAt < timing.readerAckTimeout || replicatedLog->commit() < row.index ||
-      replicatedLog->memberChangePending())
+bool Core::readersHaveApplied(const OpenChange& row, TimePoint now) const {
+  if (now - membershipChangedAt < timing.readerAckTimeout || replicatedLog->commit() < row.index ||
+      replicatedLog->membershipChangePending())
     return false;
-  if (row.term != replicatedLog->election.term() || round.index < row.index ||
-      round.having.size() < replicatedLog->election.quorum() || !round.answered.count(row.leaderAddress))
+  if (row.term != replicatedLog->election.term() || readersRound.index < row.index ||
+      readersRound.coresWithEntry.size() < replicatedLog->election.quorum() ||
+      !readersRound.respondedAddresses.count(row.leaderAddress))
     return false;
-  for (const auto& [address, applied] : round.appliedByReader)
+  for (const auto& [address, applied] : readersRound.appliedByReader)
     if (applied < row.index) return false;
   return true;
 }
 
-void Core::askReaders(Effects& effects) {
-  if (effects.now - round.at < readersEvery) return;
-  const Asked* furthest = nullptr;
-  for (const auto& [requestId, row] : asked)
-    if (row.agreed && (!furthest || row.index > furthest->index)) furthest = &row;
-  if (!furthest) return;
-  round = ReadersRound{round.id + 1, furthest->index, furthest->term, effects.now, {}, {}, {}};
+void Core::requestReaders(Effects& effects) {
+  if (effects.now - readersRound.at < readersRequestInterval) return;
+  const OpenChange* latest = nullptr;
+  for (const auto& [requestId, row] : openChanges)
+    if (row.committed && (!latest || row.index > latest->index)) latest = &row;
+  if (!latest) return;
+  readersRound = ReadersRound{readersRound.id + 1, latest->index, latest->term, effects.now, {}, {}, {}};
   for (const auto& member : replicatedLog->members())
-    effects.send(member.address, ReadersRequest{round.id, round.index, round.term});
+    effects.send(member.address, ReadersRequest{readersRound.id, readersRound.index, readersRound.term});
 }
 
-void Core::onReadersAsk(Effects& effects, const std::string& from, const ReadersRequest& ask) {
+void Core::onReadersRequest(Effects& effects, const std::string& from, const ReadersRequest& request) {
   bool knowsReaders = effects.now - startedAt >= timing.readerAckTimeout;
-  ReadersResponse reply{ask.roundId, self.id, knowsReaders && replicatedLog->hasSynced(ask.index, ask.term), {}};
+  ReadersResponse reply{
+      request.roundId, self.id, knowsReaders && replicatedLog->hasSynced(request.index, request.term), {}};
   for (const auto& [address, row] : agents)
     if (effects.now - row.at < timing.readerAckTimeout)
       reply.readers.push_back(Reader{address, row.applied, (effects.now - row.at).count()});
   effects.send(from, reply);
 }
 
-void Core::onReadersReply(Effects& effects, const std::string& from, const ReadersResponse& reply) {
-  if (reply.roundId != round.id) return;
-  bool votes = false;
-  for (const auto& member : replicatedLog->members()) votes = votes || (member.id == reply.core && member.votes);
-  if (!votes) return;
-  round.answered.insert(from);
-  if (reply.has) round.having.insert(reply.core);
+void Core::onReadersResponse(Effects& effects, const std::string& from, const ReadersResponse& reply) {
+  if (reply.roundId != readersRound.id) return;
+  bool isVoter = false;
+  for (const auto& member : replicatedLog->members()) isVoter = isVoter || (member.id == reply.core && member.votes);
+  if (!isVoter) return;
+  readersRound.respondedAddresses.insert(from);
+  if (reply.has) readersRound.coresWithEntry.insert(reply.core);
   for (const auto& reader : reply.readers) {
-    auto& applied = round.appliedByReader[reader.address];
+    auto& applied = readersRound.appliedByReader[reader.address];
     applied = std::max(applied, reader.applied);
   }
-  settleAsked(effects);
+  settleOpenChanges(effects);
 }
 
 }  // namespace tt
--- a/src/cluster/core_reads.cpp
+++ b/src/cluster/core_reads.cpp
@@ -2,40 +2,41 @@
 
 namespace tt {
 namespace {
-/// How long a read waits for a majority; those who ask go on to another core after a second of silence.
-constexpr Duration readMost = 800ms;
-/// How often a majority is asked anew while reads wait.
-constexpr Duration readAgain = 20ms;
-constexpr std::size_t mostReads = 256;
+/// How long a read waits for a majority. Clients try another core after a second without a response, so this must be
+/// shorter.
+constexpr Duration readTimeout = 800ms;
+/// How often the log ends are requested again while reads wait.
+constexpr Duration readRetryInterval = 20ms;
+constexpr std::size_t maxPendingReads = 256;
 }  // namespace
 
-void Core::askLogEnds(Effects& effects) {
-  endsAt = effects.now;
+void Core::requestLogEnds(Effects& effects) {
+  logEndsRequestedAt = effects.now;
   clusterView->ask(effects, replicatedLog->configuration().index(), {}, replicatedLog->configuration());
 }
 
-void Core::onRead(Effects& effects, const std::string& from, const ReadRequest& ask) {
-  if (pendingReads.size() >= mostReads || !replicatedLog->formed()) {
-    effects.send(from, ReadResponse{ask.requestId, false, 0, 0});
+void Core::onReadRequest(Effects& effects, const std::string& from, const ReadRequest& request) {
+  if (pendingReads.size() >= maxPendingReads || !replicatedLog->formed()) {
+    effects.send(from, ReadResponse{request.requestId, false, 0, 0});
     return;
   }
-  pendingReads.push_back(PendingRead{from, ask.requestId, effects.now});
-  settleReads(effects);
+  pendingReads.push_back(PendingRead{from, request.requestId, effects.now});
+  completeReads(effects);
 }
 
-void Core::settleReads(Effects& effects) {
+void Core::completeReads(Effects& effects) {
   if (pendingReads.empty()) return;
   const auto& view = replicatedLog->configuration();
   clusterView->updateCompleteness(effects.now, view);
   while (!pendingReads.empty()) {
     const auto& read = pendingReads.front();
-    bool confirmed = clusterView->majorityStamp() >= read.at;
-    if (!confirmed && effects.now - read.at < readMost) break;
+    bool confirmed = clusterView->majorityCompleteAsOf() >= read.at;
+    if (!confirmed && effects.now - read.at < readTimeout) break;
     effects.send(read.from, ReadResponse{read.requestId, confirmed, view.revision(), view.index()});
     pendingReads.pop_front();
   }
-  bool asksAgain = !pendingReads.empty() && effects.now - endsAt >= readAgain;
-  if (asksAgain) askLogEnds(effects);
+  bool retryDue = !pendingReads.empty() && effects.now - logEndsRequestedAt >= readRetryInterval;
+  if (retryDue) requestLogEnds(effects);
 }
 
 }  // namespace tt
--- a/src/cluster/core_report.cpp
+++ b/src/cluster/core_report.cpp
@@ -3,18 +3,18 @@
 namespace tt {
 
 std::string Core::condition(TimePoint now) const {
-  JsonObject whole;
-  whole["core"] = Json(self.id);
-  whole["locality"] = Json(self.zone);
-  whole["formed"] = Json(replicatedLog->formed());
-  whole["diskStalled"] = Json(diskStalled);
-  whole["confirmed"] = Json(readsConfirmed(now));
-  whole["listAgeMs"] = jsonNumber(
+  JsonObject report;
+  report["core"] = Json(self.id);
+  report["locality"] = Json(self.zone);
+  report["formed"] = Json(replicatedLog->formed());
+  report["diskStalled"] = Json(diskStalled);
+  report["confirmed"] = Json(readsConfirmed(now));
+  report["listAgeMs"] = jsonNumber(
       clusterView->machineListKnown() ? static_cast<double>(toMilliseconds(now - clusterView->machineListAt())) : -1);
-  whole["revision"] = jsonNumber(static_cast<double>(replicatedLog->configuration().revision()));
-  whole["commit"] = jsonNumber(static_cast<double>(replicatedLog->commit()));
-  whole["logEnd"] = jsonNumber(static_cast<double>(replicatedLog->logEnd()));
-  whole["pendingChanges"] = jsonNumber(static_cast<double>(replicatedLog->pendingChanges() + asked.size()));
+  report["revision"] = jsonNumber(static_cast<double>(replicatedLog->configuration().revision()));
+  report["commit"] = jsonNumber(static_cast<double>(replicatedLog->commit()));
+  report["logEnd"] = jsonNumber(static_cast<double>(replicatedLog->logEnd()));
+  report["pendingChanges"] = jsonNumber(static_cast<double>(replicatedLog->pendingChanges() + openChanges.size()));
   JsonArray memberRows;
   for (const auto& member : replicatedLog->members()) {
     JsonObject row;
@@ -24,19 +24,19 @@
     row["votes"] = Json(member.votes);
     memberRows.push_back(Json(row));
   }
-  whole["members"] = Json(memberRows);
+  report["members"] = Json(memberRows);
   JsonObject duties;
-  auto duty = [&](const Election& election) {
+  auto addDuty = [&](const Election& election) {
     JsonObject row;
     row["term"] = jsonNumber(static_cast<double>(election.term()));
     row["holder"] = Json(election.holder());
     row["here"] = Json(election.holdsLease(now));
     duties[election.duty()] = Json(row);
   };
-  duty(replicatedLog->election);
+  addDuty(replicatedLog->election);
   JsonObject workers;
   for (const auto& [zone, cell] : cells) {
-    duty(cell->election);
+    addDuty(cell->election);
     if (!cell->election.holdsLease(now)) continue;
     for (const auto& [name, keeper] : cell->cacheNodes()) {
       JsonObject row;
@@ -53,8 +53,8 @@
       workers[name] = Json(row);
     }
   }
-  whole["duties"] = Json(duties);
-  whole["workers"] = Json(workers);
+  report["duties"] = Json(duties);
+  report["workers"] = Json(workers);
   JsonObject agentRows;
   for (const auto& [address, agent] : agents) {
     if (!agent.relays) continue;
@@ -66,11 +66,11 @@
     row["heardMs"] = jsonNumber(static_cast<double>(toMilliseconds(now - agent.at)));
     agentRows[agent.id] = Json(row);
   }
-  whole["agents"] = Json(agentRows);
+  report["agents"] = Json(agentRows);
   JsonObject counters;
   for (const auto& [kind, count] : journal.counts()) counters[kind] = jsonNumber(static_cast<double>(count));
-  whole["counters"] = Json(counters);
-  return Json(whole).serialize(true);
+  report["counters"] = Json(counters);
+  return Json(report).serialize(true);
 }
 
 }  // namespace tt
--- a/src/consensus/change_requests.cpp
+++ b/src/consensus/change_requests.cpp
@@ -4,28 +4,30 @@
 
 namespace tt {
 namespace {
-constexpr std::size_t mostWaiters = 512;
-constexpr std::size_t longestReason = 120;
+/// The number of responses that may wait for their entries; more changes are rejected as overload.
+constexpr std::size_t maxPendingResponses = 512;
+/// Limit of the subject and of the text of a refusal in the log, in bytes.
+constexpr std::size_t maxReasonBytes = 120;
 }  // namespace
 
-void ReplicatedLog::respond(Effects& effects, const std::string& from, const ChangeRequest& ask, Code code,
+void ReplicatedLog::respond(Effects& effects, const std::string& from, const ChangeRequest& request, Code code,
                             std::string subject) {
   effects.send(from,
-               ChangeResponse{ask.requestId, static_cast<int>(code), std::move(subject), codeText(code), 0, 0, 0});
+               ChangeResponse{request.requestId, static_cast<int>(code), std::move(subject), codeText(code), 0, 0, 0});
 }
 
-void ReplicatedLog::respondOnceAgreed(Effects& effects, const std::string& from, ChangeResponse response,
-                                      std::uint64_t index) {
+void ReplicatedLog::respondOnceCommitted(Effects& effects, const std::string& from, ChangeResponse response,
+                                         std::uint64_t index) {
   if (index <= commitIndex) {
     response.index = commitIndex;
     response.term = termAt(commitIndex);
     effects.send(from, std::move(response));
     return;
   }
-  bool waits = std::any_of(waiters.begin(), waiters.end(), [&](const Waiter& row) {
+  bool alreadyWaiting = std::any_of(waiters.begin(), waiters.end(), [&](const PendingResponse& row) {
     return row.from == from && row.response.requestId == response.requestId && row.index == index;
   });
-  if (!waits) waiters.push_back(Waiter{from, index, std::move(response)});
+  if (!alreadyWaiting) waiters.push_back(PendingResponse{from, index, std::move(response)});
 }
 
 std::uint64_t ReplicatedLog::indexOfChange(const std::string& changeId) const {
@@ -34,82 +36,90 @@
   return 0;
 }
 
-bool ReplicatedLog::respondFromMemory(Effects& effects, const std::string& from, const ChangeRequest& ask) {
-  ChangeResponse taken{ask.requestId, static_cast<int>(Code::changeTaken), {}, codeText(Code::changeTaken), 0, 0, 0};
-  if (auto revision = head.revisionOfChange(ask.changeId); revision && defences.isEnabled(Defence::changeIdOnce)) {
-    taken.revision = *revision;
-    respondOnceAgreed(effects, from, taken, indexOfChange(ask.changeId));
+bool ReplicatedLog::respondIfKnown(Effects& effects, const std::string& from, const ChangeRequest& request) {
+  ChangeResponse accepted{
+      request.requestId, static_cast<int>(Code::changeTaken), {}, codeText(Code::changeTaken), 0, 0, 0};
+  if (auto revision = head.revisionOfChange(request.changeId); revision && defences.isEnabled(Defence::changeIdOnce)) {
+    accepted.revision = *revision;
+    respondOnceCommitted(effects, from, accepted, indexOfChange(request.changeId));
     return true;
   }
-  if (static_cast<ChangeFormat>(ask.changeFormat) == ChangeFormat::weights && head.hasWeights(ask.body)) {
-    taken.revision = head.revision();
-    respondOnceAgreed(effects, from, taken, logEnd());
+  if (static_cast<ChangeFormat>(request.changeFormat) == ChangeFormat::weights && head.hasWeights(request.body)) {
+    accepted.revision = head.revision();
+    respondOnceCommitted(effects, from, accepted, logEnd());
     return true;
   }
-  if (const auto* refusal = head.refusedAfter(ask.changeId, ask.seen)) {
-    respondOnceAgreed(
+  if (const auto* refusal = head.refusedAfter(request.changeId, request.seen)) {
+    respondOnceCommitted(
         effects, from,
-        ChangeResponse{ask.requestId, refusal->code, refusal->subject, refusal->text, refusal->revision, 0, 0},
+        ChangeResponse{request.requestId, refusal->code, refusal->subject, refusal->text, refusal->revision, 0, 0},
         refusal->index);
     return true;
   }
-  bool mayBeTaken = ask.toRevision > 0 && static_cast<std::uint64_t>(ask.toRevision) <= head.forgottenRevision();
-  bool mayBeRefused = ask.seen < head.refusalsForgotten();
-  if (mayBeTaken || mayBeRefused) respond(effects, from, ask, Code::changeUnsure, "changeId");
-  return mayBeTaken || mayBeRefused;
+  bool mayBeAccepted =
+      request.toRevision > 0 && static_cast<std::uint64_t>(request.toRevision) <= head.forgottenRevision();
+  bool mayBeRefused = request.seen < head.refusalsForgotten();
+  if (mayBeAccepted || mayBeRefused) respond(effects, from, request, Code::changeUnsure, "changeId");
+  return mayBeAccepted || mayBeRefused;
 }
 
-Result<std::string> ReplicatedLog::judge(const ChangeRequest& ask) const {
-  if (ask.sinceRevision > 0 && head.forgottenRevision() > static_cast<std::uint64_t>(ask.sinceRevision))
+Result<std::string> ReplicatedLog::validateChange(const ChangeRequest& request) const {
+  if (request.sinceRevision > 0 && head.forgottenRevision() > static_cast<std::uint64_t>(request.sinceRevision))
     return fault(Code::changeForgotten, "changeId");
-  if (ask.ifRevision >= 0 && static_cast<std::uint64_t>(ask.ifRevision) != head.revision())
+  if (request.ifRevision >= 0 && static_cast<std::uint64_t>(request.ifRevision) != head.revision())
     return fault(Code::staleRevision, "ifRevision");
-  if (ask.toRevision > 0 && static_cast<std::uint64_t>(ask.toRevision) <= head.revision())
+  if (request.toRevision > 0 && static_cast<std::uint64_t>(request.toRevision) <= head.revision())
     return fault(Code::revisionOld, "revision");
-  auto patch =
-      head.preparePatch(ask.body, ask.whole ? ChangeFormat::whole : static_cast<ChangeFormat>(ask.changeFormat));
-  if (patch && head.bytes() + patch.value().size() > room) return fault(Code::blueprintLarge, "body");
+  auto patch = head.preparePatch(request.body,
+                                 request.whole ? ChangeFormat::whole : static_cast<ChangeFormat>(request.changeFormat));
+  if (patch && head.bytes() + patch.value().size() > capacityBytes) return fault(Code::blueprintLarge, "body");
   return patch;
 }
 
-void ReplicatedLog::refuse(Effects& effects, const std::string& from, const ChangeRequest& ask, const Error& reason) {
+void ReplicatedLog::refuse(Effects& effects, const std::string& from, const ChangeRequest& request,
+                           const Error& reason) {
   std::string text = reason.text.empty() ? codeText(reason.code) : reason.text;
-  Refusal refusal{ask.changeId,
+  Refusal refusal{request.changeId,
                   logEnd() + 1,
                   static_cast<int>(reason.code),
-                  reason.subject.substr(0, longestReason),
-                  text.substr(0, longestReason),
+                  reason.subject.substr(0, maxReasonBytes),
+                  text.substr(0, maxReasonBytes),
                   head.revision()};
   append(effects, EntryKind::refusal, encodeRefusal(refusal), {});
-  respondOnceAgreed(effects, from,
-                    ChangeResponse{ask.requestId, refusal.code, refusal.subject, refusal.text, refusal.revision, 0, 0},
-                    refusal.index);
+  respondOnceCommitted(
+      effects, from,
+      ChangeResponse{request.requestId, refusal.code, refusal.subject, refusal.text, refusal.revision, 0, 0},
+      refusal.index);
 }
 
-void ReplicatedLog::proposeChange(Effects& effects, const std::string& from, const ChangeRequest& ask) {
-  if (!election.holdsLease(effects.now)) return respond(effects, from, ask, Code::notLeading, "accord");
-  if (respondFromMemory(effects, from, ask)) return;
-  if (waiters.size() >= mostWaiters) return respond(effects, from, ask, Code::changesFull, "changes");
-  bool weights = static_cast<ChangeFormat>(ask.changeFormat) == ChangeFormat::weights;
-  if (weights && head.revision() == 0) return respond(effects, from, ask, Code::notLeading, "revision");
-  auto patch = judge(ask);
-  if (patch && bytesAfter(commitIndex) + patch.value().size() > room)
-    return respond(effects, from, ask, Code::changesFull, "changes");
+void ReplicatedLog::proposeChange(Effects& effects, const std::string& from, const ChangeRequest& request) {
+  if (!election.holdsLease(effects.now)) return respond(effects, from, request, Code::notLeading, "accord");
+  if (respondIfKnown(effects, from, request)) return;
+  if (waiters.size() >= maxPendingResponses) return respond(effects, from, request, Code::changesFull, "changes");
+  bool weights = static_cast<ChangeFormat>(request.changeFormat) == ChangeFormat::weights;
+  if (weights && head.revision() == 0) return respond(effects, from, request, Code::notLeading, "revision");
+  auto patch = validateChange(request);
+  if (patch && bytesAfter(commitIndex) + patch.value().size() > capacityBytes)
+    return respond(effects, from, request, Code::changesFull, "changes");
   if (patch) {
-    std::uint64_t revision = ask.toRevision > 0   ? static_cast<std::uint64_t>(ask.toRevision)
-                             : ask.toRevision < 0 ? head.revision()
-                                                  : 0;
-    append(effects, EntryKind::change, patch.value(), weights ? std::string() : ask.changeId, revision);
-    respondOnceAgreed(
-        effects, from,
-        ChangeResponse{
-            ask.requestId, static_cast<int>(Code::changeTaken), {}, codeText(Code::changeTaken), head.revision(), 0, 0},
-        logEnd());
+    std::uint64_t revision = request.toRevision > 0   ? static_cast<std::uint64_t>(request.toRevision)
+                             : request.toRevision < 0 ? head.revision()
+                                                      : 0;
+    append(effects, EntryKind::change, patch.value(), weights ? std::string() : request.changeId, revision);
+    respondOnceCommitted(effects, from,
+                         ChangeResponse{request.requestId,
+                                        static_cast<int>(Code::changeTaken),
+                                        {},
+                                        codeText(Code::changeTaken),
+                                        head.revision(),
+                                        0,
+                                        0},
+                         logEnd());
   } else {
-    refuse(effects, from, ask, patch.error());
+    refuse(effects, from, request, patch.error());
   }
-  sendAll(effects);
-  advance(effects);
+  sendToAll(effects);
+  advanceCommit(effects);
 }
 
 }  // namespace tt
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -4,8 +4,8 @@
 
 namespace tt {
 namespace {
-/// What stands in a heartbeat for the time of sending when its holder gives up: to all alike, to the successor that it
-/// names, and to those who let that one go first.
+/// Values of a heartbeat's send time with which a holder that gives up its duty releases the voters: when no successor
+/// is named, for the named successor, and for the voters that must let the successor campaign first.
 constexpr std::int64_t releasedToAll = -1, releasedToSuccessor = -2, releasedToOther = -3;
 
 Strings voterIds(const std::vector<Member>& members) {
@@ -20,11 +20,11 @@
 void Timing::setMembershipTimeouts(Duration contact, Duration catchUp, std::size_t lossBudget) {
   memberRemovalTimeout = 2 * contact;
   minVoters = 2 * lossBudget + 1;
-  successorWait = std::min(contact / 3, catchUp / 4);
-  strangerWait = catchUp / 3;
-  suspectAfter = successorWait / 2;
+  sameNameReplaceTimeout = std::min(contact / 3, catchUp / 4);
+  otherNameReplaceTimeout = catchUp / 3;
+  suspectTimeout = sameNameReplaceTimeout / 2;
   joinInterval = catchUp / 16;
-  learnerGone = 2 * contact;
+  learnerRemovalTimeout = 2 * contact;
 }
 
 const StateMachine<Election, Effects&>::Actions& Election::actions() {
@@ -34,11 +34,11 @@
   return table;
 }
 
-Election::Election(std::string duty, std::string self, Duration waitBeforeStanding, Defences defencesGiven)
+Election::Election(std::string duty, std::string self, Duration initialCampaignDelay, Defences initialDefences)
     : dutyName(std::move(duty)),
       selfId(std::move(self)),
-      eagerness(waitBeforeStanding),
-      defences(defencesGiven),
+      campaignDelay(initialCampaignDelay),
+      defences(initialDefences),
       walk("election", actions(), "idle") {}
 
 void Election::restore(const Vote& saved, TimePoint now) {
@@ -60,7 +60,7 @@
   if (auto others = voterIds(outgoing); !others.empty() && others != voterSets.front()) voterSets.push_back(others);
 }
 
-void Election::toOthers(Effects& effects, const Message& message) {
+void Election::broadcast(Effects& effects, const Message& message) {
   for (const auto& [id, address] : addressById)
     if (id != selfId) effects.send(address, message);
 }
@@ -105,13 +105,13 @@
   if (!started) {
     started = true;
     campaignAt =
-        effects.now + timing.minElectionTimeout + eagerness + std::chrono::milliseconds(effects.randomBelow(300));
+        effects.now + timing.minElectionTimeout + campaignDelay + std::chrono::milliseconds(effects.randomBelow(300));
   }
   if (walk.in("holding")) {
     if (!voter() || !mayCampaign) {
       resign(effects);
     } else if (effects.now >= lastHeartbeatAt + timing.heartbeatInterval) {
-      sendHolds(effects);
+      sendHeartbeats(effects);
     }
     return;
   }
@@ -128,7 +128,7 @@
   votesRequestedAt = effects.now;
   grants = {selfId};
   auto end = logEnd ? logEnd() : std::make_pair<std::uint64_t, std::uint64_t>(0, 0);
-  toOthers(effects, VoteRequest{dutyName, vote.term + 1, selfId, true, end.first, end.second});
+  broadcast(effects, VoteRequest{dutyName, vote.term + 1, selfId, true, end.first, end.second});
   if (elected()) walk.dispatch(*this, "granted", effects);
 }
 
@@ -138,14 +138,14 @@
   vote = Vote{vote.term + 1, selfId};
   std::uint64_t askedTerm = vote.term;
   TimePoint savedAt = effects.now;
-  votesRequestedAt = effects.now + timing.slowDiskMost;
+  votesRequestedAt = effects.now + timing.maxSyncAllowance;
   effects.save(voteRecord(dutyName, vote), [this, askedTerm, savedAt](Effects& later) {
     lastSyncDuration = later.now - savedAt;
     if (!walk.in("asking") || vote.term != askedTerm) return;
     votesRequestedAt = later.now;
     grants.insert(selfId);
     auto end = logEnd ? logEnd() : std::make_pair<std::uint64_t, std::uint64_t>(0, 0);
-    toOthers(later, VoteRequest{dutyName, vote.term, selfId, false, end.first, end.second});
+    broadcast(later, VoteRequest{dutyName, vote.term, selfId, false, end.first, end.second});
     if (elected()) walk.dispatch(*this, "granted", later);
   });
 }
@@ -154,7 +154,7 @@
   renewals.clear();
   knownHolder = selfId;
   effects.note("duty won", dutyName, static_cast<std::int64_t>(vote.term));
-  sendHolds(effects);
+  sendHeartbeats(effects);
   if (changed) changed(effects, true);
 }
 
@@ -171,13 +171,14 @@
 }
 
 void Election::waitAgain(Effects& effects) {
-  auto spread = 400 + 4 * static_cast<std::uint64_t>(toMilliseconds(syncAllowance()));
-  campaignAt = effects.now + eagerness + std::chrono::milliseconds(100 + effects.randomBelow(spread));
+  /// Random, so that candidates do not split the vote again; longer if syncing a vote takes longer.
+  auto randomMs = 400 + 4 * static_cast<std::uint64_t>(toMilliseconds(syncAllowance()));
+  campaignAt = effects.now + campaignDelay + std::chrono::milliseconds(100 + effects.randomBelow(randomMs));
 }
 
-void Election::sendHolds(Effects& effects) {
+void Election::sendHeartbeats(Effects& effects) {
   lastHeartbeatAt = effects.now;
-  toOthers(effects, Heartbeat{dutyName, vote.term, selfId, toNanoseconds(effects.now)});
+  broadcast(effects, Heartbeat{dutyName, vote.term, selfId, toNanoseconds(effects.now)});
 }
 
 void Election::resign(Effects& effects, const std::string& successor) {
@@ -197,84 +198,85 @@
   walk.dispatch(*this, "higher", effects);
 }
 
-void Election::onAsk(Effects& effects, const std::string& from, const VoteRequest& ask) {
-  bool bound =
-      effects.now < voteBlockedUntil && knownHolder != ask.candidate && defences.isEnabled(Defence::promiseBinds);
-  bool granted = ask.term > vote.term ||
-                 (!ask.probe && ask.term == vote.term && (vote.votedFor.empty() || vote.votedFor == ask.candidate));
-  if (holdsLease(effects.now) || bound) granted = false;
+void Election::onVoteRequest(Effects& effects, const std::string& from, const VoteRequest& request) {
+  bool blocked =
+      effects.now < voteBlockedUntil && knownHolder != request.candidate && defences.isEnabled(Defence::promiseBinds);
+  bool granted = request.term > vote.term || (!request.probe && request.term == vote.term &&
+                                              (vote.votedFor.empty() || vote.votedFor == request.candidate));
+  if (holdsLease(effects.now) || blocked) granted = false;
   if (granted && logEnd) {
     auto end = logEnd();
-    granted = std::make_pair(ask.lastTerm, ask.lastIndex) >= end;
+    granted = std::make_pair(request.lastTerm, request.lastIndex) >= end;
   }
-  if (ask.probe || !granted) {
-    effects.send(from,
-                 VoteResponse{dutyName, std::max(vote.term, ask.probe ? 0 : vote.term), selfId, ask.probe, granted});
+  if (request.probe || !granted) {
+    effects.send(from, VoteResponse{dutyName, std::max(vote.term, request.probe ? 0 : vote.term), selfId, request.probe,
+                                    granted});
     return;
   }
-  observeTerm(effects, ask.term);
-  vote = Vote{ask.term, ask.candidate};
-  campaignAt = std::max(campaignAt, effects.now + 2 * timing.voteTimeout + syncAllowance() + eagerness +
+  observeTerm(effects, request.term);
+  vote = Vote{request.term, request.candidate};
+  campaignAt = std::max(campaignAt, effects.now + 2 * timing.voteTimeout + syncAllowance() + campaignDelay +
                                         std::chrono::milliseconds(effects.randomBelow(300)));
   if (!defences.isEnabled(Defence::syncBeforeVote)) {
-    effects.send(from, VoteResponse{dutyName, ask.term, selfId, false, true});
+    effects.send(from, VoteResponse{dutyName, request.term, selfId, false, true});
     effects.save(voteRecord(dutyName, vote));
     return;
   }
-  effects.save(voteRecord(dutyName, vote), [this, from, ask, savedAt = effects.now](Effects& later) {
+  effects.save(voteRecord(dutyName, vote), [this, from, request, savedAt = effects.now](Effects& later) {
     lastSyncDuration = later.now - savedAt;
-    if (vote.term != ask.term || vote.votedFor != ask.candidate) return;
-    later.send(from, VoteResponse{dutyName, ask.term, selfId, false, true});
+    if (vote.term != request.term || vote.votedFor != request.candidate) return;
+    later.send(from, VoteResponse{dutyName, request.term, selfId, false, true});
   });
 }
 
 void Election::onRelease(Effects& effects, std::int64_t release) {
   voteBlockedUntil = effects.now;
   knownHolder.clear();
-  campaignAt = effects.now + eagerness + std::chrono::milliseconds(effects.randomBelow(100));
+  campaignAt = effects.now + campaignDelay + std::chrono::milliseconds(effects.randomBelow(100));
   if (release == releasedToOther) campaignAt += 2 * timing.voteTimeout + syncAllowance();
   if (release == releasedToSuccessor && voter() && mayCampaign) walk.dispatch(*this, "named", effects);
 }
 
-void Election::onHold(Effects& effects, const std::string& from, const Heartbeat& hold) {
-  if (hold.term < vote.term) {
-    effects.send(from, HeartbeatResponse{dutyName, vote.term, selfId, hold.sentAt, false});
+void Election::onHeartbeat(Effects& effects, const std::string& from, const Heartbeat& heartbeat) {
+  if (heartbeat.term < vote.term) {
+    effects.send(from, HeartbeatResponse{dutyName, vote.term, selfId, heartbeat.sentAt, false});
     return;
   }
-  observeTerm(effects, hold.term);
-  if (hold.sentAt < 0) {
-    if (knownHolder == hold.holder) onRelease(effects, hold.sentAt);
+  observeTerm(effects, heartbeat.term);
+  if (heartbeat.sentAt < 0) {
+    if (knownHolder == heartbeat.holder) onRelease(effects, heartbeat.sentAt);
     return;
   }
-  knownHolder = hold.holder;
+  knownHolder = heartbeat.holder;
   voteBlockedUntil = effects.now + timing.minElectionTimeout;
-  campaignAt = voteBlockedUntil + eagerness + std::chrono::milliseconds(effects.randomBelow(300));
+  campaignAt = voteBlockedUntil + campaignDelay + std::chrono::milliseconds(effects.randomBelow(300));
   walk.dispatch(*this, "held", effects);
-  effects.send(from, HeartbeatResponse{dutyName, hold.term, selfId, hold.sentAt, true});
+  effects.send(from, HeartbeatResponse{dutyName, heartbeat.term, selfId, heartbeat.sentAt, true});
 }
 
 void Election::handle(Effects& effects, const std::string& from, const Message& message) {
-  if (auto* ask = std::get_if<VoteRequest>(&message)) {
-    onAsk(effects, from, *ask);
+  if (auto* request = std::get_if<VoteRequest>(&message)) {
+    onVoteRequest(effects, from, *request);
   } else if (auto* reply = std::get_if<VoteResponse>(&message)) {
     if (reply->term > vote.term && !reply->granted) {
       observeTerm(effects, reply->term);
       return;
     }
     if (!reply->granted || !addressById.count(reply->voter)) return;
-    bool fits =
+    bool expected =
         (reply->probe && walk.in("probing")) || (!reply->probe && walk.in("asking") && reply->term == vote.term);
-    if (!fits) return;
+    if (!expected) return;
     grants.insert(reply->voter);
     if (elected() && grants.count(selfId)) walk.dispatch(*this, "granted", effects);
-  } else if (auto* hold = std::get_if<Heartbeat>(&message)) {
-    onHold(effects, from, *hold);
-  } else if (auto* kept = std::get_if<HeartbeatResponse>(&message)) {
-    if (kept->term > vote.term) {
-      observeTerm(effects, kept->term);
-    } else if (kept->granted && kept->term == vote.term && won() && kept->sentAt >= 0) {
-      auto& renewal = renewals[kept->voter];
-      renewal = std::max(renewal, fromNanoseconds(kept->sentAt));
+  } else if (auto* heartbeat = std::get_if<Heartbeat>(&message)) {
+    onHeartbeat(effects, from, *heartbeat);
+  } else if (auto* acknowledgement = std::get_if<HeartbeatResponse>(&message)) {
+    if (acknowledgement->term > vote.term) {
+      observeTerm(effects, acknowledgement->term);
+    } else if (acknowledgement->granted && acknowledgement->term == vote.term && won() &&
+               acknowledgement->sentAt >= 0) {
+      auto& renewal = renewals[acknowledgement->voter];
+      renewal = std::max(renewal, fromNanoseconds(acknowledgement->sentAt));
     }
   }
 }
--- a/src/consensus/members.hpp
+++ b/src/consensus/members.hpp
@@ -3,9 +3,9 @@
 
 namespace tt {
 
-/// A list of members as the body of a log entry of kind `members`.
+/// Encodes members as the body of a log entry of kind `members`.
 std::string encodeMembers(const std::vector<Member>& rows);
-/// The reverse of encodeMembers(); empty if the body cannot be read.
+/// Decodes the body of a log entry of kind `members`; returns an empty list if it cannot be decoded.
 std::vector<Member> decodeMembers(const std::string& body);
 
 }  // namespace tt
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -5,18 +5,19 @@
 
 namespace tt {
 namespace {
-std::vector<Member> without(const std::vector<Member>& rows, const std::string& id) {
-  std::vector<Member> left;
+std::vector<Member> withoutMember(const std::vector<Member>& rows, const std::string& id) {
+  std::vector<Member> rest;
   for (const auto& row : rows)
-    if (row.id != id) left.push_back(row);
-  return left;
+    if (row.id != id) rest.push_back(row);
+  return rest;
 }
 
-bool sameVoters(const std::vector<Member>& some, const std::vector<Member>& others) {
+/// Whether both lists have the same voters, compared by id.
+bool sameVoters(const std::vector<Member>& one, const std::vector<Member>& other) {
   std::set<std::string> ids, otherIds;
-  for (const auto& member : some)
+  for (const auto& member : one)
     if (member.votes) ids.insert(member.id);
-  for (const auto& member : others)
+  for (const auto& member : other)
     if (member.votes) otherIds.insert(member.id);
   return ids == otherIds;
 }
@@ -44,7 +45,7 @@
   return 0;
 }
 
-void ReplicatedLog::readMembers(Effects* effects) {
+void ReplicatedLog::reloadMembers(Effects* effects) {
   std::uint64_t newest = newestMembersIndex();
   currentMembers = membersBefore(logEnd() + 1);
   previousMembers.clear();
@@ -63,127 +64,129 @@
   return rows;
 }
 
-bool ReplicatedLog::memberChangePending() const { return newestMembersIndex() > commitIndex; }
+bool ReplicatedLog::membershipChangePending() const { return newestMembersIndex() > commitIndex; }
 
-bool ReplicatedLog::mayChangeMembers(TimePoint now) const {
-  return election.holdsLease(now) && !memberChangePending() && hasCommittedInTerm();
+bool ReplicatedLog::canChangeMembers(TimePoint now) const {
+  return election.holdsLease(now) && !membershipChangePending() && hasCommittedInTerm();
 }
 
-bool ReplicatedLog::heardWithin(const Member& member, Duration span, TimePoint now) const {
-  return member.id == selfRow.id || now - lastHeard(member) < span;
+bool ReplicatedLog::contactedWithin(const Member& member, Duration duration, TimePoint now) const {
+  return member.id == selfMember.id || now - lastContact(member) < duration;
 }
 
-TimePoint ReplicatedLog::lastHeard(const Member& member) const {
+TimePoint ReplicatedLog::lastContact(const Member& member) const {
   auto heard = lastContactAt.find(member.id);
   return heard == lastContactAt.end() ? TimePoint{} : heard->second;
 }
 
-void ReplicatedLog::setMembers(Effects& effects, std::vector<Member> rows) {
+void ReplicatedLog::proposeMembers(Effects& effects, std::vector<Member> rows) {
   append(effects, EntryKind::members, encodeMembers(rows), {});
-  sendAll(effects);
-  advance(effects);
+  sendToAll(effects);
+  advanceCommit(effects);
 }
 
-bool ReplicatedLog::settleMembers(Effects& effects) {
+bool ReplicatedLog::finalizeMembership(Effects& effects) {
   std::uint64_t newest = newestMembersIndex();
   if (newest == 0) return false;
-  auto before = membersBefore(newest);
-  if (before.empty() || sameVoters(before, currentMembers)) return false;
-  effects.note("members settle", selfRow.id, static_cast<std::int64_t>(newest));
-  setMembers(effects, currentMembers);
+  auto previous = membersBefore(newest);
+  if (previous.empty() || sameVoters(previous, currentMembers)) return false;
+  effects.note("members settle", selfMember.id, static_cast<std::int64_t>(newest));
+  proposeMembers(effects, currentMembers);
   return true;
 }
 
-void ReplicatedLog::onJoin(Effects& effects, const JoinRequest& ask) {
-  if (!mayChangeMembers(effects.now)) return;
+void ReplicatedLog::onJoinRequest(Effects& effects, const JoinRequest& request) {
+  if (!canChangeMembers(effects.now)) return;
   auto rows = currentMembers;
   for (auto& row : rows) {
-    if (row.id != ask.self.id) continue;
-    if (row.address == ask.self.address) return;
-    row.address = ask.self.address;
+    if (row.id != request.self.id) continue;
+    if (row.address == request.self.address) return;
+    row.address = request.self.address;
     effects.note("core moved", row.id);
-    return setMembers(effects, rows);
+    return proposeMembers(effects, rows);
   }
-  Member learner = ask.self;
+  Member learner = request.self;
   learner.votes = false;
   rows.erase(std::remove_if(rows.begin(), rows.end(),
                             [&](const Member& row) {
                               if (row.votes) return false;
-                              bool sameName = row.name == learner.name;
+                              bool nameMatches = row.name == learner.name;
                               return row.address == learner.address ||
-                                     (sameName && !heardWithin(row, timing.successorWait, effects.now));
+                                     (nameMatches && !contactedWithin(row, timing.sameNameReplaceTimeout, effects.now));
                             }),
              rows.end());
   rows.push_back(learner);
   lastContactAt[learner.id] = learnerSince[learner.id] = effects.now;
   effects.note("core joins", learner.id);
-  setMembers(effects, rows);
+  proposeMembers(effects, rows);
 }
 
-void ReplicatedLog::mendMembers(Effects& effects) {
-  if (!mayChangeMembers(effects.now) || settleMembers(effects)) return;
+void ReplicatedLog::repairMembership(Effects& effects) {
+  if (!canChangeMembers(effects.now) || finalizeMembership(effects)) return;
   auto rows = currentMembers;
   for (const auto& member : rows)
-    if (!member.votes && (dropLearner(effects, member) || promote(effects, member))) return;
+    if (!member.votes && (removeLearner(effects, member) || promote(effects, member))) return;
 }
 
-bool ReplicatedLog::dropLearner(Effects& effects, const Member& learner) {
-  if (heardWithin(learner, timing.learnerGone, effects.now)) return false;
+bool ReplicatedLog::removeLearner(Effects& effects, const Member& learner) {
+  if (contactedWithin(learner, timing.learnerRemovalTimeout, effects.now)) return false;
   effects.note("learner dropped", learner.id);
-  setMembers(effects, without(currentMembers, learner.id));
+  proposeMembers(effects, withoutMember(currentMembers, learner.id));
   return true;
 }
 
-std::optional<std::string> ReplicatedLog::placeFor(const Member& learner, TimePoint now) const {
-  const Member* namesake = nullptr;
+std::optional<std::string> ReplicatedLog::voterToReplace(const Member& learner, TimePoint now) const {
+  const Member* matchingName = nullptr;
   const Member* silent = nullptr;
   for (const auto& member : currentMembers) {
-    if (!member.votes || member.id == selfRow.id) continue;
+    if (!member.votes || member.id == selfMember.id) continue;
     if (member.address == learner.address) return member.id;
-    if (member.name == learner.name && (!namesake || !heardWithin(member, timing.successorWait, now)))
-      namesake = &member;
-    bool longer = !silent || lastHeard(member) < lastHeard(*silent);
-    if (!heardWithin(member, timing.suspectAfter, now) && longer) silent = &member;
+    if (member.name == learner.name && (!matchingName || !contactedWithin(member, timing.sameNameReplaceTimeout, now)))
+      matchingName = &member;
+    bool silentLongest = !silent || lastContact(member) < lastContact(*silent);
+    if (!contactedWithin(member, timing.suspectTimeout, now) && silentLongest) silent = &member;
   }
-  if (learner.name == selfRow.name) return std::nullopt;
-  const Member* replaced = namesake ? namesake : silent;
-  if (!replaced && now < firstKnown(learner) + timing.suspectAfter) return std::nullopt;
+  if (learner.name == selfMember.name) return std::nullopt;
+  const Member* replaced = matchingName ? matchingName : silent;
+  if (!replaced && now < learnerKnownSince(learner) + timing.suspectTimeout) return std::nullopt;
   if (!replaced) return std::string();
-  if (heardWithin(*replaced, namesake ? timing.successorWait : timing.strangerWait, now)) return std::nullopt;
+  if (contactedWithin(*replaced, matchingName ? timing.sameNameReplaceTimeout : timing.otherNameReplaceTimeout, now))
+    return std::nullopt;
   return replaced->id;
 }
 
-TimePoint ReplicatedLog::firstKnown(const Member& learner) const {
+TimePoint ReplicatedLog::learnerKnownSince(const Member& learner) const {
   auto since = learnerSince.find(learner.id);
   return since == learnerSince.end() ? TimePoint{} : since->second;
 }
 
 bool ReplicatedLog::promote(Effects& effects, const Member& learner) {
   std::uint64_t matched = followers[learner.id].matched;
-  if (matched == 0 || matched < commitIndex || !heardWithin(learner, timing.successorWait, effects.now)) return false;
-  auto replaced = placeFor(learner, effects.now);
+  if (matched == 0 || matched < commitIndex || !contactedWithin(learner, timing.sameNameReplaceTimeout, effects.now))
+    return false;
+  auto replaced = voterToReplace(learner, effects.now);
   if (!replaced) return false;
-  auto rows = without(currentMembers, *replaced);
+  auto rows = withoutMember(currentMembers, *replaced);
   for (auto& row : rows)
     if (row.id == learner.id) row.votes = true;
   effects.note("core votes", learner.id);
   if (!replaced->empty()) effects.note("core replaced", *replaced);
-  setMembers(effects, rows);
+  proposeMembers(effects, rows);
   return true;
 }
 
-void ReplicatedLog::dropGone(Effects& effects) {
-  if (timing.memberRemovalTimeout == Duration(0) || !mayChangeMembers(effects.now)) return;
+void ReplicatedLog::removeSilentVoter(Effects& effects) {
+  if (timing.memberRemovalTimeout == Duration(0) || !canChangeMembers(effects.now)) return;
   std::size_t voters = 0;
-  std::string gone;
+  std::string silentId;
   for (const auto& member : currentMembers) {
     if (!member.votes) continue;
     ++voters;
-    if (gone.empty() && !heardWithin(member, timing.memberRemovalTimeout, effects.now)) gone = member.id;
+    if (silentId.empty() && !contactedWithin(member, timing.memberRemovalTimeout, effects.now)) silentId = member.id;
   }
-  if (gone.empty() || voters <= timing.minVoters) return;
-  effects.note("core replaced", gone);
-  setMembers(effects, without(currentMembers, gone));
+  if (silentId.empty() || voters <= timing.minVoters) return;
+  effects.note("core replaced", silentId);
+  proposeMembers(effects, withoutMember(currentMembers, silentId));
 }
 
 }  // namespace tt
--- a/src/consensus/replicated_log.cpp
+++ b/src/consensus/replicated_log.cpp
@@ -6,21 +6,23 @@
 
 namespace tt {
 namespace {
-constexpr std::size_t entriesPerMessage = 128;
-constexpr std::size_t bytesPerMessage = 512 * 1024;
-constexpr Duration appendAgain = 150ms;
+/// Limits of one append request; a single larger entry is sent alone.
+constexpr std::size_t maxEntriesPerMessage = 128;
+constexpr std::size_t maxBytesPerMessage = 512 * 1024;
+/// How often a follower is sent an append request without new entries.
+constexpr Duration appendRetryInterval = 150ms;
 }  // namespace
 
-ReplicatedLog::ReplicatedLog(Member self, std::size_t maxRecordBytes, Defences defencesGiven)
-    : election("accord", self.id, 0ms, defencesGiven),
-      selfRow(std::move(self)),
-      room(maxRecordBytes),
-      defences(defencesGiven) {
+ReplicatedLog::ReplicatedLog(Member self, std::size_t maxRecordBytes, Defences initialDefences)
+    : election("accord", self.id, 0ms, initialDefences),
+      selfMember(std::move(self)),
+      capacityBytes(maxRecordBytes),
+      defences(initialDefences) {
   election.logEnd = [this] {
     std::uint64_t end = std::max(syncedIndex, lastSnapshot.index);
     return std::make_pair(termAt(end), end);
   };
-  election.changed = [this](Effects& effects, bool won) { whenLeads(effects, won); };
+  election.changed = [this](Effects& effects, bool won) { onLeadershipChanged(effects, won); };
 }
 
 void ReplicatedLog::restore(const RecoveredState& recovered, TimePoint now) {
@@ -34,7 +36,7 @@
   syncedIndex = logEnd();
   auto vote = recovered.votes.find("accord");
   election.restore(vote == recovered.votes.end() ? Vote{} : vote->second, now);
-  readMembers(nullptr);
+  reloadMembers(nullptr);
 }
 
 std::uint64_t ReplicatedLog::logEnd() const { return log.empty() ? lastSnapshot.index : log.back().index; }
@@ -62,7 +64,7 @@
 
 bool ReplicatedLog::hasCommittedInTerm() const { return election.won() && termAt(commitIndex) == election.term(); }
 
-void ReplicatedLog::store(Effects& effects, const LogEntry& entry) {
+void ReplicatedLog::storeEntry(Effects& effects, const LogEntry& entry) {
   log.push_back(entry);
   logBytes += entry.body.size();
   std::uint64_t index = entry.index, term = entry.term;
@@ -73,39 +75,40 @@
       return;
     syncedIndex = index;
     if (election.won())
-      advance(later);
+      advanceCommit(later);
     else
-      tellSynced(later);
+      reportSynced(later);
   });
-  if (entry.kind == static_cast<int>(EntryKind::members)) readMembers(&effects);
+  if (entry.kind == static_cast<int>(EntryKind::members)) reloadMembers(&effects);
 }
 
-void ReplicatedLog::tellSynced(Effects& effects) {
+void ReplicatedLog::reportSynced(Effects& effects) {
   if (leaving || appendSender.empty() || verifiedTerm != election.term() || verifiedEnd == 0) return;
+  /// Entries that were synced together are acknowledged by one response: it replaces one that is still in this batch.
   if (!effects.sends.empty() && effects.sends.back().first == appendSender)
     if (auto* last = std::get_if<AppendResponse>(&effects.sends.back().second); last && last->matched)
       effects.sends.pop_back();
-  answerAppend(effects, appendSender, std::min(syncedIndex, verifiedEnd));
+  sendAppendResponse(effects, appendSender, std::min(syncedIndex, verifiedEnd));
 }
 
-void ReplicatedLog::answerAppend(Effects& effects, const std::string& to, std::uint64_t index) {
-  effects.send(to, AppendResponse{election.term(), selfRow.id, true, index, verifiedEnd, lastAppendRound});
+void ReplicatedLog::sendAppendResponse(Effects& effects, const std::string& to, std::uint64_t index) {
+  effects.send(to, AppendResponse{election.term(), selfMember.id, true, index, verifiedEnd, lastAppendRound});
 }
 
 void ReplicatedLog::append(Effects& effects, EntryKind kind, std::string body, std::string changeId,
                            std::uint64_t revision) {
   LogEntry entry{logEnd() + 1, election.term(), static_cast<int>(kind), std::move(body), std::move(changeId), revision};
   head.apply(entry);
-  store(effects, entry);
+  storeEntry(effects, entry);
 }
 
 void ReplicatedLog::form(Effects& effects, const std::vector<Member>& firstMembers) {
   if (formed()) return;
-  store(effects, LogEntry{1, 0, static_cast<int>(EntryKind::members), encodeMembers(firstMembers), {}});
-  effects.note("formed", selfRow.id, static_cast<std::int64_t>(firstMembers.size()));
+  storeEntry(effects, LogEntry{1, 0, static_cast<int>(EntryKind::members), encodeMembers(firstMembers), {}});
+  effects.note("formed", selfMember.id, static_cast<std::int64_t>(firstMembers.size()));
 }
 
-void ReplicatedLog::whenLeads(Effects& effects, bool won) {
+void ReplicatedLog::onLeadershipChanged(Effects& effects, bool won) {
   followers.clear();
   if (!won) {
     for (const auto& waiter : waiters)
@@ -122,23 +125,24 @@
     learnerSince[member.id] = effects.now;
   }
   append(effects, EntryKind::empty, {}, {});
-  sendAll(effects);
+  sendToAll(effects);
 }
 
-void ReplicatedLog::sendTo(Effects& effects, const Member& member, bool again) {
+void ReplicatedLog::sendAppend(Effects& effects, const Member& member, bool again) {
   auto& follower = followers[member.id];
   if (follower.next == 0) follower.next = logEnd() + 1;
   if (follower.pending && !again) return;
   if (sendSnapshot(effects, member, follower)) return;
   follower.sentAt = effects.now;
-  AppendRequest message{election.term(), selfRow.id, follower.next - 1, termAt(follower.next - 1),
-                        commitIndex,     {},         ++follower.round};
+  AppendRequest message{election.term(), selfMember.id, follower.next - 1, termAt(follower.next - 1), commitIndex, {},
+                        ++follower.round};
   std::size_t bytes = 0;
+  /// Unacknowledged entries are not sent again; the request then only checks the connection and what was received.
   std::uint64_t last = follower.pending ? 0 : logEnd();
-  for (std::uint64_t index = follower.next; index <= last && message.entries.size() < entriesPerMessage; ++index) {
+  for (std::uint64_t index = follower.next; index <= last && message.entries.size() < maxEntriesPerMessage; ++index) {
     const auto* entry = entryAt(index);
     bytes += entry->body.size();
-    if (!message.entries.empty() && bytes > bytesPerMessage) break;
+    if (!message.entries.empty() && bytes > maxBytesPerMessage) break;
     message.entries.push_back(*entry);
   }
   if (!message.entries.empty()) {
@@ -149,18 +153,20 @@
   effects.send(member.address, std::move(message));
 }
 
-void ReplicatedLog::sendAll(Effects& effects) {
+void ReplicatedLog::sendToAll(Effects& effects) {
   if (!election.won()) return;
   for (const auto& member : replicas())
-    if (member.id != selfRow.id) sendTo(effects, member, false);
+    if (member.id != selfMember.id) sendAppend(effects, member, false);
 }
 
-std::uint64_t ReplicatedLog::agreedAmong(const std::vector<Member>& voters) const {
+std::uint64_t ReplicatedLog::quorumIndex(const std::vector<Member>& voters) const {
   std::vector<std::uint64_t> ends;
   for (const auto& member : voters) {
     if (!member.votes) continue;
     auto follower = followers.find(member.id);
-    ends.push_back(member.id == selfRow.id ? syncedIndex : follower == followers.end() ? 0 : follower->second.matched);
+    ends.push_back(member.id == selfMember.id    ? syncedIndex
+                   : follower == followers.end() ? 0
+                                                 : follower->second.matched);
   }
   std::size_t quorum = ends.size() / 2 + 1;
   if (!defences.isEnabled(Defence::commitByThree)) quorum = std::min<std::size_t>(quorum, 2);
@@ -169,12 +175,13 @@
   return ends[quorum - 1];
 }
 
-void ReplicatedLog::advance(Effects& effects) {
-  std::uint64_t agreed = agreedAmong(currentMembers);
-  if (!previousMembers.empty()) agreed = std::min(agreed, agreedAmong(previousMembers));
-  if (agreed <= commitIndex || termAt(agreed) != election.term()) return;
-  applyUpTo(effects, agreed);
-  if (memberChangePending() || !settleMembers(effects)) sendAll(effects);
+void ReplicatedLog::advanceCommit(Effects& effects) {
+  std::uint64_t committable = quorumIndex(currentMembers);
+  if (!previousMembers.empty()) committable = std::min(committable, quorumIndex(previousMembers));
+  /// Only an entry of the leader's own term proves that all earlier entries stay committed (Raft, section 5.4.2).
+  if (committable <= commitIndex || termAt(committable) != election.term()) return;
+  applyUpTo(effects, committable);
+  if (membershipChangePending() || !finalizeMembership(effects)) sendToAll(effects);
 }
 
 void ReplicatedLog::applyUpTo(Effects& effects, std::uint64_t index) {
@@ -185,16 +192,16 @@
     LogEntry entry = *found;
     ++commitIndex;
     applied.apply(entry);
-    if (entry.kind == static_cast<int>(EntryKind::members)) readMembers(&effects);
+    if (entry.kind == static_cast<int>(EntryKind::members)) reloadMembers(&effects);
     if (onEntryApplied) onEntryApplied(effects, entry);
   }
   auto waiting = std::move(waiters);
   waiters.clear();
-  for (auto& waiter : waiting) respondOnceAgreed(effects, waiter.from, std::move(waiter.response), waiter.index);
-  trim(effects);
+  for (auto& waiter : waiting) respondOnceCommitted(effects, waiter.from, std::move(waiter.response), waiter.index);
+  compactLog(effects);
 }
 
-NewsMsg ReplicatedLog::newsAfter(std::uint64_t index, std::size_t most) const {
+NewsMsg ReplicatedLog::updateAfter(std::uint64_t index, std::size_t most) const {
   NewsMsg news;
   news.commit = commitIndex;
   if (index < lastSnapshot.index) {
@@ -208,7 +215,7 @@
 
 void ReplicatedLog::onAppend(Effects& effects, const std::string& from, const AppendRequest& message) {
   if (message.term < election.term()) {
-    effects.send(from, AppendResponse{election.term(), selfRow.id, false, syncedIndex});
+    effects.send(from, AppendResponse{election.term(), selfMember.id, false, syncedIndex});
     return;
   }
   election.observeTerm(effects, message.term);
@@ -217,8 +224,9 @@
   lastAppendRound = message.round;
   if (message.prevIndex > logEnd() ||
       (message.prevIndex >= lastSnapshot.index && termAt(message.prevIndex) != message.prevTerm)) {
+    /// From where the leader should send: this log's end or, if the log conflicts, its commit index.
     std::uint64_t hint = message.prevIndex > logEnd() ? logEnd() : commitIndex;
-    effects.send(from, AppendResponse{election.term(), selfRow.id, false, hint});
+    effects.send(from, AppendResponse{election.term(), selfMember.id, false, hint});
     return;
   }
   if (message.commit > commitIndex) applyUpTo(effects, std::min(message.commit, message.prevIndex));
@@ -226,8 +234,8 @@
   for (const auto& entry : message.entries) {
     last = entry.index;
     if (entry.index <= lastSnapshot.index) continue;
-    if (auto* mine = entryAt(entry.index)) {
-      if (mine->term == entry.term) continue;
+    if (auto* own = entryAt(entry.index)) {
+      if (own->term == entry.term) continue;
       if (entry.index <= commitIndex) return;
       while (!log.empty() && log.back().index >= entry.index) {
         logBytes -= std::min(logBytes, log.back().body.size());
@@ -235,21 +243,22 @@
       }
       syncedIndex = std::min(syncedIndex, logEnd());
       effects.save(cutRecord(entry.index));
-      readMembers(&effects);
+      reloadMembers(&effects);
     }
     if (entry.index != logEnd() + 1) return;
-    store(effects, entry);
+    storeEntry(effects, entry);
   }
-  std::uint64_t shared = std::min(last, logEnd());
-  verifiedEnd = verifiedTerm == message.term ? std::max(verifiedEnd, shared) : shared;
+  std::uint64_t matchedEnd = std::min(last, logEnd());
+  verifiedEnd = verifiedTerm == message.term ? std::max(verifiedEnd, matchedEnd) : matchedEnd;
   verifiedTerm = message.term;
-  if (message.commit > commitIndex) applyUpTo(effects, std::min(message.commit, shared));
+  if (message.commit > commitIndex) applyUpTo(effects, std::min(message.commit, matchedEnd));
   appendSender = from;
   if (leaving) return;
-  if (shared <= syncedIndex || message.entries.empty()) answerAppend(effects, from, std::min(syncedIndex, verifiedEnd));
+  if (matchedEnd <= syncedIndex || message.entries.empty())
+    sendAppendResponse(effects, from, std::min(syncedIndex, verifiedEnd));
 }
 
-void ReplicatedLog::onReply(Effects& effects, const AppendResponse& reply) {
+void ReplicatedLog::onAppendResponse(Effects& effects, const AppendResponse& reply) {
   if (reply.term > election.term()) {
     election.observeTerm(effects, reply.term);
     return;
@@ -260,6 +269,7 @@
   if (reply.matched) {
     follower.matched = std::max(follower.matched, reply.index);
     follower.next = std::max(follower.next, follower.matched + 1);
+    /// A response to the last request that has not received all entries shows that earlier requests were lost.
     bool lost = reply.round == follower.round && reply.received < follower.sentEnd;
     if (lost) follower.next = std::max(follower.next, reply.received + 1);
     if (lost || follower.matched >= follower.sentEnd) follower.pending = false;
@@ -269,33 +279,33 @@
     follower.pending = false;
     follower.next = std::max<std::uint64_t>(1, std::min(follower.next - 1, reply.index + 1));
   }
-  advance(effects);
+  advanceCommit(effects);
   auto rows = replicas();
   auto from = std::find_if(rows.begin(), rows.end(), [&](const Member& row) { return row.id == reply.voter; });
   if (from == rows.end()) return;
-  if (follower.next <= logEnd() || follower.sentCommit < commitIndex) sendTo(effects, *from, false);
-  if (!from->votes) mendMembers(effects);
+  if (follower.next <= logEnd() || follower.sentCommit < commitIndex) sendAppend(effects, *from, false);
+  if (!from->votes) repairMembership(effects);
 }
 
-void ReplicatedLog::countOwnPause(TimePoint now) {
+void ReplicatedLog::excludeOwnPause(TimePoint now) {
   Duration pause = lastActiveAt == TimePoint{} ? Duration(0) : now - lastActiveAt;
   lastActiveAt = now;
-  if (pause <= timing.suspectAfter) return;
+  if (pause <= timing.suspectTimeout) return;
   for (auto& [id, heard] : lastContactAt) heard += pause;
 }
 
 void ReplicatedLog::tick(Effects& effects) {
-  countOwnPause(effects.now);
+  excludeOwnPause(effects.now);
   election.tick(effects);
   if (!election.won()) return;
   for (const auto& member : replicas()) {
-    if (member.id == selfRow.id) continue;
+    if (member.id == selfMember.id) continue;
     auto& follower = followers[member.id];
-    if (follower.transfer || effects.now - follower.sentAt >= appendAgain) sendTo(effects, member, true);
+    if (follower.transfer || effects.now - follower.sentAt >= appendRetryInterval) sendAppend(effects, member, true);
   }
-  advance(effects);
-  mendMembers(effects);
-  dropGone(effects);
+  advanceCommit(effects);
+  repairMembership(effects);
+  removeSilentVoter(effects);
 }
 
 void ReplicatedLog::leave(Effects& effects) {
@@ -303,7 +313,8 @@
   std::string successor;
   std::uint64_t most = 0;
   for (const auto& member : currentMembers) {
-    if (!member.votes || member.id == selfRow.id || !heardWithin(member, timing.suspectAfter, effects.now)) continue;
+    if (!member.votes || member.id == selfMember.id || !contactedWithin(member, timing.suspectTimeout, effects.now))
+      continue;
     if (std::uint64_t matched = followers[member.id].matched; matched > most) {
       most = matched;
       successor = member.id;
@@ -313,19 +324,20 @@
 }
 
 void ReplicatedLog::handle(Effects& effects, const std::string& from, const Message& message) {
-  countOwnPause(effects.now);
-  if (auto* kept = std::get_if<HeartbeatResponse>(&message); kept && kept->granted && kept->term == election.term())
-    lastContactAt[kept->voter] = effects.now;
+  excludeOwnPause(effects.now);
+  if (auto* acknowledgement = std::get_if<HeartbeatResponse>(&message);
+      acknowledgement && acknowledgement->granted && acknowledgement->term == election.term())
+    lastContactAt[acknowledgement->voter] = effects.now;
   if (auto* append = std::get_if<AppendRequest>(&message))
     onAppend(effects, from, *append);
   else if (auto* reply = std::get_if<AppendResponse>(&message))
-    onReply(effects, *reply);
+    onAppendResponse(effects, *reply);
   else if (auto* snapshot = std::get_if<InstallSnapshot>(&message))
     onInstallSnapshot(effects, from, *snapshot);
   else if (auto* response = std::get_if<InstallSnapshotResponse>(&message))
     onSnapshotResponse(effects, *response);
   else if (auto* join = std::get_if<JoinRequest>(&message))
-    onJoin(effects, *join);
+    onJoinRequest(effects, *join);
   else
     election.handle(effects, from, message);
 }
--- a/src/consensus/snapshot.cpp
+++ b/src/consensus/snapshot.cpp
@@ -4,21 +4,22 @@
 
 namespace tt {
 namespace {
-constexpr std::size_t entriesBeforeSnapshot = 1024;
-/// How long a follower may be silent and still have entries kept for it.
-constexpr Duration keptFor = 5s;
+/// The number of committed entries after which a snapshot is taken.
+constexpr std::size_t snapshotEntryThreshold = 1024;
+/// How long a follower may be silent before entries are no longer kept for it.
+constexpr Duration followerRetention = 5s;
 }  // namespace
 
-void ReplicatedLog::trim(Effects& effects) {
-  std::uint64_t done = commitIndex - lastSnapshot.index;
-  if (done < entriesBeforeSnapshot && bytesAfter(lastSnapshot.index) < room / 4) return;
-  if (done == 0) return;
-  Snapshot made = applied.snapshot();
-  if (made.index != commitIndex) return;
-  effects.save(snapshotRecord(made));
-  effects.note("capture", selfRow.id, static_cast<std::int64_t>(made.index));
-  lastSnapshot = made;
-  dropEntriesBefore(firstNeeded(effects.now));
+void ReplicatedLog::compactLog(Effects& effects) {
+  std::uint64_t uncompacted = commitIndex - lastSnapshot.index;
+  if (uncompacted < snapshotEntryThreshold && bytesAfter(lastSnapshot.index) < capacityBytes / 4) return;
+  if (uncompacted == 0) return;
+  Snapshot newSnapshot = applied.snapshot();
+  if (newSnapshot.index != commitIndex) return;
+  effects.save(snapshotRecord(newSnapshot));
+  effects.note("capture", selfMember.id, static_cast<std::int64_t>(newSnapshot.index));
+  lastSnapshot = newSnapshot;
+  dropEntriesBefore(firstNeededIndex(effects.now));
 }
 
 std::size_t ReplicatedLog::bytesAfter(std::uint64_t index) const {
@@ -27,12 +28,12 @@
   return bytes;
 }
 
-std::uint64_t ReplicatedLog::firstNeeded(TimePoint now) const {
+std::uint64_t ReplicatedLog::firstNeededIndex(TimePoint now) const {
   std::uint64_t needed = lastSnapshot.index + 1;
   if (!election.won()) return needed;
   for (const auto& [id, follower] : followers) {
     auto heard = lastContactAt.find(id);
-    if (heard == lastContactAt.end() || now - heard->second > keptFor) continue;
+    if (heard == lastContactAt.end() || now - heard->second > followerRetention) continue;
     if (follower.transfer)
       needed = std::min(needed, follower.transfer->image().index);
     else if (follower.matched > 0)
@@ -42,12 +43,12 @@
 }
 
 void ReplicatedLog::dropEntriesBefore(std::uint64_t index) {
-  std::size_t kept = 0;
+  std::size_t keptBytes = 0;
   std::uint64_t first = lastSnapshot.index + 1;
   for (auto entry = log.rbegin(); entry != log.rend() && entry->index >= index; ++entry) {
     if (entry->index > lastSnapshot.index) continue;
-    kept += entry->body.size();
-    if (kept > room / 2) break;
+    keptBytes += entry->body.size();
+    if (keptBytes > capacityBytes / 2) break;
     first = entry->index;
   }
   log.erase(std::remove_if(log.begin(), log.end(), [&](const LogEntry& entry) { return entry.index < first; }),
@@ -67,16 +68,16 @@
   }
   if (!follower.transfer) {
     if (reachesBackTo(follower.next)) return false;
-    auto image = newestImage.lock();
-    if (!image || image->index != lastSnapshot.index) image = imageOf(lastSnapshot);
-    newestImage = image;
+    auto image = cachedImage.lock();
+    if (!image || image->index != lastSnapshot.index) image = makeSnapshotImage(lastSnapshot);
+    cachedImage = image;
     follower.transfer.emplace(image);
     follower.pending = false;
   }
-  auto message = follower.transfer->due(effects.now);
+  auto message = follower.transfer->nextMessage(effects.now);
   if (!message) return true;
   message->term = election.term();
-  message->leader = selfRow.id;
+  message->leader = selfMember.id;
   follower.sentAt = effects.now;
   effects.send(member.address, std::move(*message));
   return true;
@@ -90,7 +91,7 @@
   if (found == followers.end() || !found->second.transfer) return;
   found->second.transfer->handle(response, effects.now);
   for (const auto& member : currentMembers)
-    if (member.id == response.voter) sendTo(effects, member, false);
+    if (member.id == response.voter) sendAppend(effects, member, false);
 }
 
 void ReplicatedLog::onInstallSnapshot(Effects& effects, const std::string& from, const InstallSnapshot& message) {
@@ -98,40 +99,41 @@
   election.observeTerm(effects, message.term);
   if (election.won()) return;
   if (message.index <= commitIndex) {
-    effects.send(from, AppendResponse{election.term(), selfRow.id, true, std::min(syncedIndex, commitIndex)});
+    effects.send(from, AppendResponse{election.term(), selfMember.id, true, std::min(syncedIndex, commitIndex)});
     return;
   }
-  if (message.total > 4 * room)
-    return effects.note("snapshot too large", selfRow.id, static_cast<std::int64_t>(message.total));
-  Uint64 held = receiver.handle(message, 4 * room);
-  auto whole = receiver.finished();
-  if (held == message.total && !whole) held = 0;
-  effects.send(from, InstallSnapshotResponse{election.term(), selfRow.id, message.digest, held, message.attempt});
-  if (whole) installWhole(effects, from, *whole);
+  if (message.total > 4 * capacityBytes)
+    return effects.note("snapshot too large", selfMember.id, static_cast<std::int64_t>(message.total));
+  Uint64 received = snapshotReceiver.handle(message, 4 * capacityBytes);
+  auto completeSnapshot = snapshotReceiver.takeCompleteSnapshot();
+  if (received == message.total && !completeSnapshot) received = 0;
+  effects.send(from,
+               InstallSnapshotResponse{election.term(), selfMember.id, message.digest, received, message.attempt});
+  if (completeSnapshot) installCompleteSnapshot(effects, from, *completeSnapshot);
 }
 
-void ReplicatedLog::installWhole(Effects& effects, const std::string& from, const Snapshot& snapshot) {
-  bool agrees = termAt(snapshot.index) == snapshot.term && snapshot.index <= logEnd();
+void ReplicatedLog::installCompleteSnapshot(Effects& effects, const std::string& from, const Snapshot& snapshot) {
+  bool tailMatches = termAt(snapshot.index) == snapshot.term && snapshot.index <= logEnd();
   lastSnapshot = snapshot;
   std::vector<LogEntry> rest;
-  if (agrees)
+  if (tailMatches)
     for (auto& entry : log)
       if (entry.index > lastSnapshot.index) rest.push_back(std::move(entry));
   log = std::move(rest);
   logBytes = 0;
   for (const auto& entry : log) logBytes += entry.body.size();
-  if (!agrees) syncedIndex = 0;
+  if (!tailMatches) syncedIndex = 0;
   (void)applied.adopt(lastSnapshot);
   commitIndex = lastSnapshot.index;
   std::uint64_t index = lastSnapshot.index;
-  effects.save(agrees ? snapshotRecord(lastSnapshot) : installedRecord(lastSnapshot),
+  effects.save(tailMatches ? snapshotRecord(lastSnapshot) : installedRecord(lastSnapshot),
                [this, from, index](Effects& later) {
                  if (lastSnapshot.index != index) return;
                  syncedIndex = std::max(syncedIndex, index);
-                 later.send(from, AppendResponse{election.term(), selfRow.id, true, index});
+                 later.send(from, AppendResponse{election.term(), selfMember.id, true, index});
                });
-  readMembers(&effects);
-  effects.note("caught up by capture", selfRow.id, static_cast<std::int64_t>(index));
+  reloadMembers(&effects);
+  effects.note("caught up by capture", selfMember.id, static_cast<std::int64_t>(index));
   if (onEntryApplied)
     onEntryApplied(effects,
                    LogEntry{lastSnapshot.index, lastSnapshot.term, static_cast<int>(EntryKind::whole), {}, {}});
--- a/src/consensus/snapshot_transfer.cpp
+++ b/src/consensus/snapshot_transfer.cpp
@@ -4,7 +4,7 @@
 
 namespace tt {
 
-std::shared_ptr<const SnapshotImage> imageOf(const Snapshot& snapshot) {
+std::shared_ptr<const SnapshotImage> makeSnapshotImage(const Snapshot& snapshot) {
   auto image = std::make_shared<SnapshotImage>();
   image->index = snapshot.index;
   image->term = snapshot.term;
@@ -13,9 +13,9 @@
   return image;
 }
 
-std::optional<InstallSnapshot> SnapshotSender::due(TimePoint now) {
-  if (waiting && now - sentAt < pause) return std::nullopt;
-  if (waiting) pause = std::min(2 * pause, mostPause);
+std::optional<InstallSnapshot> SnapshotSender::nextMessage(TimePoint now) {
+  if (awaitingResponse && now - sentAt < retryDelay) return std::nullopt;
+  if (awaitingResponse) retryDelay = std::min(2 * retryDelay, maxRetryDelay);
   InstallSnapshot message;
   message.index = image_->index;
   message.snapshotTerm = image_->term;
@@ -23,8 +23,8 @@
   message.total = image_->bytes.size();
   message.offset = acknowledgedBytes;
   message.attempt = ++attempt;
-  if (!waiting) message.bytes = image_->bytes.substr(acknowledgedBytes, pieceBytes);
-  waiting = true;
+  if (!awaitingResponse) message.bytes = image_->bytes.substr(acknowledgedBytes, maxChunkBytes);
+  awaitingResponse = true;
   sentAt = now;
   return message;
 }
@@ -33,28 +33,28 @@
   if (response.digest != image_->digest || response.offset > image_->bytes.size()) return;
   bool further = response.offset > acknowledgedBytes;
   if (!further && response.attempt != attempt) return;
-  if (further) pause = std::clamp<Duration>(4 * (now - sentAt), leastPause, mostPause);
+  if (further) retryDelay = std::clamp<Duration>(4 * (now - sentAt), minRetryDelay, maxRetryDelay);
   acknowledgedBytes = response.offset;
-  waiting = whole();
-  if (whole()) sentAt = now;
+  awaitingResponse = allAcknowledged();
+  if (allAcknowledged()) sentAt = now;
 }
 
-Uint64 SnapshotReceiver::handle(const InstallSnapshot& piece, std::size_t mostBytes) {
-  bool same = piece.index == index && piece.snapshotTerm == term && piece.digest == digest && piece.total == total;
+Uint64 SnapshotReceiver::handle(const InstallSnapshot& chunk, std::size_t maxBytes) {
+  bool same = chunk.index == index && chunk.snapshotTerm == term && chunk.digest == digest && chunk.total == total;
   if (!same) {
     *this = SnapshotReceiver();
-    if (piece.total > mostBytes) return 0;
-    index = piece.index;
-    term = piece.snapshotTerm;
-    digest = piece.digest;
-    total = piece.total;
+    if (chunk.total > maxBytes) return 0;
+    index = chunk.index;
+    term = chunk.snapshotTerm;
+    digest = chunk.digest;
+    total = chunk.total;
   }
-  bool fits = piece.offset == bytes.size() && piece.bytes.size() <= total - bytes.size();
-  if (fits) bytes += piece.bytes;
+  bool fits = chunk.offset == bytes.size() && chunk.bytes.size() <= total - bytes.size();
+  if (fits) bytes += chunk.bytes;
   return bytes.size();
 }
 
-std::optional<Snapshot> SnapshotReceiver::finished() {
+std::optional<Snapshot> SnapshotReceiver::takeCompleteSnapshot() {
   if (total == 0 || bytes.size() < total) return std::nullopt;
   auto snapshot = decodeSnapshot(bytes);
   bool sound =
--- a/src/consensus/snapshot_transfer.hpp
+++ b/src/consensus/snapshot_transfer.hpp
@@ -3,43 +3,47 @@
 
 namespace tt {
 
-/// A snapshot as it is sent: its bytes, and the digest that tells it from any other.
+/// An encoded snapshot, identified by the SHA-256 digest of its bytes.
 struct SnapshotImage {
   Uint64 index{0}, term{0};
   std::string bytes, digest;
 };
-std::shared_ptr<const SnapshotImage> imageOf(const Snapshot& snapshot);
+std::shared_ptr<const SnapshotImage> makeSnapshotImage(const Snapshot& snapshot);
 
-/// The leader's side of a snapshot's way to one follower. One piece is under way at a time. If its acknowledgement
-/// stays out, the follower is asked what it has, after a pause that grows, and only what it lacks is sent again.
+/// The leader's side of a snapshot transfer to one follower. One chunk is in flight at a time. If it is not
+/// acknowledged in time, the sender asks the follower how many bytes it has, with a growing delay, and sends only what
+/// is missing.
 class SnapshotSender {
  public:
-  static constexpr std::size_t pieceBytes = 128 * 1024;
+  static constexpr std::size_t maxChunkBytes = 128 * 1024;
   explicit SnapshotSender(std::shared_ptr<const SnapshotImage> sentImage) : image_(std::move(sentImage)) {}
   const SnapshotImage& image() const { return *image_; }
-  /// The message that is due, if any; the leader fills in who it is.
-  std::optional<InstallSnapshot> due(TimePoint now);
+  /// The next message to send, if one is due; the caller fills in the term and the leader.
+  std::optional<InstallSnapshot> nextMessage(TimePoint now);
   void handle(const InstallSnapshotResponse& response, TimePoint now);
   Uint64 acknowledged() const { return acknowledgedBytes; }
 
  private:
   std::shared_ptr<const SnapshotImage> image_;
   Uint64 acknowledgedBytes{0}, attempt{0};
-  bool waiting{false};
+  bool awaitingResponse{false};
   TimePoint sentAt{};
-  Duration pause{leastPause};
-  static constexpr Duration leastPause = 300ms, mostPause = 2400ms;
-  bool whole() const { return acknowledgedBytes == image_->bytes.size(); }
+  Duration retryDelay{minRetryDelay};
+  static constexpr Duration minRetryDelay = 300ms, maxRetryDelay = 2400ms;
+  bool allAcknowledged() const { return acknowledgedBytes == image_->bytes.size(); }
 };
 
-/// The follower's side: the pieces of one snapshot so far. Nothing of it counts before it is whole and its digest fits.
+/// The follower's side of a snapshot transfer. It collects chunks; the snapshot counts only when it is complete and its
+/// digest matches.
 class SnapshotReceiver {
  public:
-  /// Takes a piece that follows on what is here. Returns how many bytes of this snapshot are here.
-  Uint64 handle(const InstallSnapshot& piece, std::size_t mostBytes);
-  /// The snapshot, once it is whole and sound; one that is not sound is given up.
-  std::optional<Snapshot> finished();
-  std::size_t heldBytes() const { return bytes.size(); }
+  /// Appends a chunk if it continues the received bytes; a chunk of another snapshot starts anew. Snapshots larger than
+  /// `maxBytes` are ignored. Returns the number of bytes received of this snapshot.
+  Uint64 handle(const InstallSnapshot& chunk, std::size_t maxBytes);
+  /// Returns the snapshot once it is complete and valid, and discards the received bytes; an invalid snapshot is
+  /// discarded too.
+  std::optional<Snapshot> takeCompleteSnapshot();
+  std::size_t receivedBytes() const { return bytes.size(); }
 
  private:
   Uint64 index{0}, term{0}, total{0};
--- a/src/consensus/timing_check.cpp
+++ b/src/consensus/timing_check.cpp
@@ -3,42 +3,49 @@
 namespace tt {
 namespace {
 /// How long a core remembers a reader that it no longer hears (see Core::tick).
-constexpr Duration readerKept = 10s;
-/// How long an agent waits for news that it knows to exist before it asks a core for them (see Agent::tick).
-constexpr Duration newsWait = 150ms;
+constexpr Duration readerRetention = 10s;
+/// How long an agent waits for an update that it knows to exist before it requests it from a core (see Agent::tick).
+constexpr Duration updateRequestDelay = 150ms;
 
+/// A condition, and the text that names it in the error. Capitalized names in the texts are settings. The others are
+/// limits in Timing: holdEvery is heartbeatInterval, promise is minElectionTimeout, voteWait is voteTimeout, roundEvery
+/// is logEndPollInterval, feedEvery is feedPollInterval, freshFor is maxStaleness, readersWait is readerAckTimeout,
+/// listEvery is listPollInterval, listOld is maxListAge, commandRest is commandHoldoff, memberGone is
+/// memberRemovalTimeout, and votersLeast is minVoters.
 struct Inequality {
   const char* text;
   bool holds;
 };
 }  // namespace
 
-Result<void> checkTiming(const Timing& spans, const TimingBounds& bounds) {
-  Duration newsLate = spans.logEndPollInterval + newsWait + spans.feedPollInterval;
+Result<void> checkTiming(const Timing& durations, const TimingBounds& bounds) {
+  /// The longest time from the commit of a change until a reader that is reachable has it.
+  Duration maxUpdateDelay = durations.logEndPollInterval + updateRequestDelay + durations.feedPollInterval;
   bool revokes = bounds.revoke.has_value();
   const Inequality inequalities[] = {
       {"holdEvery > 0 and 3 holdEvery < lease",
-       spans.heartbeatInterval > Duration(0) && 3 * spans.heartbeatInterval < spans.lease},
-      {"lease < promise", spans.lease < spans.minElectionTimeout},
-      {"voteWait < promise", spans.voteTimeout < spans.minElectionTimeout},
+       durations.heartbeatInterval > Duration(0) && 3 * durations.heartbeatInterval < durations.lease},
+      {"lease < promise", durations.lease < durations.minElectionTimeout},
+      {"voteWait < promise", durations.voteTimeout < durations.minElectionTimeout},
       {"2 roundEvery + 2 feedEvery <= freshFor",
-       2 * spans.logEndPollInterval + 2 * spans.feedPollInterval <= spans.maxStaleness},
-      {"roundEvery < readersWait", spans.logEndPollInterval < spans.readerAckTimeout},
-      {"feedEvery < readersWait", spans.feedPollInterval < spans.readerAckTimeout},
-      {"readersWait < time for which readers are remembered", spans.readerAckTimeout < readerKept},
-      {"2 readersWait <= AckMs", 2 * spans.readerAckTimeout <= bounds.acknowledge},
-      {"roundEvery + wait for news + feedEvery < ConfigApplyMs", newsLate < bounds.configApply},
-      {"freshFor < RevokeMs", !revokes || spans.maxStaleness < *bounds.revoke},
+       2 * durations.logEndPollInterval + 2 * durations.feedPollInterval <= durations.maxStaleness},
+      {"roundEvery < readersWait", durations.logEndPollInterval < durations.readerAckTimeout},
+      {"feedEvery < readersWait", durations.feedPollInterval < durations.readerAckTimeout},
+      {"readersWait < time for which readers are remembered", durations.readerAckTimeout < readerRetention},
+      {"2 readersWait <= AckMs", 2 * durations.readerAckTimeout <= bounds.acknowledge},
+      {"roundEvery + wait for news + feedEvery < ConfigApplyMs", maxUpdateDelay < bounds.configApply},
+      {"freshFor < RevokeMs", !revokes || durations.maxStaleness < *bounds.revoke},
       {"listEvery <= listOld and listOld + listEvery < DrainMs",
-       spans.listPollInterval <= spans.maxListAge && spans.maxListAge + spans.listPollInterval < bounds.drain},
-      {"commandRest >= LeaseMs", spans.commandHoldoff >= bounds.commandLease},
+       durations.listPollInterval <= durations.maxListAge &&
+           durations.maxListAge + durations.listPollInterval < bounds.drain},
+      {"commandRest >= LeaseMs", durations.commandHoldoff >= bounds.commandLease},
       {"memberGone > promise",
-       spans.memberRemovalTimeout == Duration(0) || spans.memberRemovalTimeout > spans.minElectionTimeout},
+       durations.memberRemovalTimeout == Duration(0) || durations.memberRemovalTimeout > durations.minElectionTimeout},
       {"last start of a roll-out < last use of old weights < unbegun orders dropped < VersionMs",
-       spans.rolloutStartTimeout() < spans.oldWeightsOrderTimeout &&
-           spans.oldWeightsOrderTimeout < spans.unstartedOrderTimeout &&
-           spans.unstartedOrderTimeout < spans.oldWeightsTimeout},
-      {"votersLeast >= 1", spans.minVoters >= 1},
+       durations.rolloutStartTimeout() < durations.oldWeightsOrderTimeout &&
+           durations.oldWeightsOrderTimeout < durations.unstartedOrderTimeout &&
+           durations.unstartedOrderTimeout < durations.oldWeightsTimeout},
+      {"votersLeast >= 1", durations.minVoters >= 1},
   };
   for (const auto& inequality : inequalities)
     if (!inequality.holds) return fault(Code::badProps, "Bounds", std::string("does not hold: ") + inequality.text);
--- a/src/consensus/timing_check.hpp
+++ b/src/consensus/timing_check.hpp
@@ -3,22 +3,22 @@
 
 namespace tt {
 
-/// What a site promises in spans, as far as the fleet's own spans have to fit into it.
+/// The time limits from the settings of a deployment with which the limits in Timing must be compatible.
 struct TimingBounds {
-  /// How long after its acknowledgement a revocation holds everywhere, if the site promises that.
+  /// How long after its acknowledgement a key revocation takes effect everywhere; empty if this is not promised.
   std::optional<Duration> revoke;
-  /// How long after its acknowledgement a change holds on all machines in touch.
+  /// How long after its acknowledgement a configuration change takes effect on all reachable machines.
   Duration configApply{2s};
-  /// How long a proper change may take to be acknowledged.
+  /// How long the acknowledgement of a valid configuration change may take.
   Duration acknowledge{4s};
-  /// How long after the platform's list shows it a leaving worker may still get orders.
+  /// How long after the machine list shows a worker as leaving it may still receive requests.
   Duration drain{3s};
-  /// The least span between the last command of one holder and the first of the next.
+  /// The minimum time between the last command of one lease holder and the first command of the next.
   Duration commandLease{3s};
 };
 
-/// Checks that the spans fit together and into what the site promises; a fault names the first inequality that is
-/// broken.
-Result<void> checkTiming(const Timing& spans, const TimingBounds& bounds);
+/// Checks that the time limits are compatible with each other and with the bounds. The error names the first inequality
+/// that does not hold.
+Result<void> checkTiming(const Timing& durations, const TimingBounds& bounds);
 
 }  // namespace tt
--- a/tests/core_bench.hpp
+++ b/tests/core_bench.hpp
@@ -6,39 +6,45 @@
 #include "core.hpp"
 #include "timing_kept.hpp"
 
-/// Control processes driven by hand: their mail, their disks and their clock are the test's.
+/// A test harness for control processes on a simulated clock, network and disks.
 namespace tt {
 
-struct CoreBench {
-  struct Mail {
+/// Several cores in one process. step() advances the clock, delivers messages, syncs disks and ticks every core.
+struct CoreHarness {
+  struct Envelope {
     std::string from, to;
     Message message;
   };
   struct Machine {
+    /// `name`: key in `machines`; `nodeName`: the name that the core itself uses.
     std::string name, address, nodeName;
     std::unique_ptr<Core> core;
     RecoveredState disk;
     std::vector<Effects::Save> syncing;
     TimePoint syncedAt{};
     bool alive{false}, mayForm{false};
-    std::uint64_t life{0};
+    /// Counts starts and stops, so that messages to an earlier process are dropped.
+    std::uint64_t incarnation{0};
   };
-  TimingGuard kept;
+  TimingGuard timingGuard;
   TimePoint now{std::chrono::hours(3)};
   std::mt19937_64 randomSource;
   std::map<std::string, Machine> machines;
-  std::multimap<TimePoint, std::pair<std::uint64_t, Mail>> due;
-  std::set<std::string> cutOff;
-  /// What the next process to start is told.
+  std::multimap<TimePoint, std::pair<std::uint64_t, Envelope>> due;
+  /// Names of the machines that neither send nor receive.
+  std::set<std::string> isolated;
+  /// The seeds in the settings of the next process that is started.
   Strings seeds{"core-1:1", "core-2:1", "core-3:1"};
+  /// Responses to operators, by request id.
   std::map<std::string, OperatorResponse> replies;
+  /// How often each kind of journal event occurred, and when it last did.
   std::map<std::string, int> notes;
   std::map<std::string, TimePoint> lastNote;
-  /// Told after each step, for what must hold all the time.
-  std::function<void()> watch;
-  int askCount{0};
+  /// Called after each step, to check invariants.
+  std::function<void()> afterStep;
+  int requestCount{0};
 
-  explicit CoreBench(std::uint64_t seed = 1, int count = 5) : randomSource(seed) {
+  explicit CoreHarness(std::uint64_t seed = 1, int count = 5) : randomSource(seed) {
     timing.memberRemovalTimeout = 6s;
     timing.minVoters = 3;
     for (int at = 1; at <= count; ++at) {
@@ -46,7 +52,7 @@
       addMachine(name, name);
     }
   }
-  /// A machine that is off and has an empty disk.
+  /// Adds a machine that is powered off and has an empty disk.
   void addMachine(const std::string& name, const std::string& nodeName) {
     auto& machine = machines[name];
     machine.name = name;
@@ -57,7 +63,7 @@
     auto& machine = machines.at(name);
     cr_assert_not(machine.alive);
     machine.alive = true;
-    ++machine.life;
+    ++machine.incarnation;
     CoreSettings settings;
     settings.name = machine.nodeName;
     settings.address = machine.address;
@@ -76,7 +82,7 @@
   void stop(const std::string& name) {
     auto& machine = machines.at(name);
     machine.alive = false;
-    ++machine.life;
+    ++machine.incarnation;
     machine.syncing.clear();
     machine.core.reset();
   }
@@ -90,8 +96,9 @@
     return nullptr;
   }
   bool cut(const std::string& one, const std::string& other) const {
-    return one != other && (cutOff.count(one) || cutOff.count(other));
+    return one != other && (isolated.count(one) || isolated.count(other));
   }
+  /// Runs an action on a core and carries out its effects.
   void with(Machine& machine, const std::function<void(Effects&, Core&)>& action) {
     Effects effects{now, randomSource, machine.core->journal, {}, {}};
     action(effects, *machine.core);
@@ -100,10 +107,10 @@
         auto& reply = std::get<OperatorResponse>(message);
         replies[reply.requestId] = reply;
       } else if (to == machine.address) {
-        due.emplace(now, std::make_pair(machine.life, Mail{machine.address, to, std::move(message)}));
+        due.emplace(now, std::make_pair(machine.incarnation, Envelope{machine.address, to, std::move(message)}));
       } else if (auto* other = at(to)) {
         due.emplace(now + std::chrono::milliseconds(1 + randomSource() % 8),
-                    std::make_pair(other->life, Mail{machine.address, to, std::move(message)}));
+                    std::make_pair(other->incarnation, Envelope{machine.address, to, std::move(message)}));
       }
     }
     for (auto& save : effects.saves) machine.syncing.push_back(std::move(save));
@@ -122,14 +129,14 @@
   void step() {
     now += 5ms;
     while (!due.empty() && due.begin()->first <= now) {
-      auto [life, mail] = std::move(due.begin()->second);
+      auto [incarnation, envelope] = std::move(due.begin()->second);
       due.erase(due.begin());
-      auto* receiver = at(mail.to);
-      const auto* sender = at(mail.from);
+      auto* receiver = at(envelope.to);
+      const auto* sender = at(envelope.from);
       if (!receiver) continue;
       auto& machine = *receiver;
-      if (!machine.alive || machine.life != life || (sender && cut(sender->name, machine.name))) continue;
-      with(machine, [&, from = mail.from, message = std::move(mail.message)](Effects& effects, Core& core) {
+      if (!machine.alive || machine.incarnation != incarnation || (sender && cut(sender->name, machine.name))) continue;
+      with(machine, [&, from = envelope.from, message = std::move(envelope.message)](Effects& effects, Core& core) {
         core.handle(effects, from, message);
       });
     }
@@ -138,13 +145,13 @@
       with(machine, [](Effects& effects, Core& core) { core.tick(effects); });
       sync(machine);
     }
-    if (watch) watch();
+    if (afterStep) afterStep();
   }
-  void run(Duration span) {
-    for (TimePoint until = now + span; now < until;) step();
+  void run(Duration duration) {
+    for (TimePoint until = now + duration; now < until;) step();
   }
-  bool runUntil(const std::function<bool()>& reached, Duration most) {
-    for (TimePoint until = now + most; now < until && !reached();) step();
+  bool runUntil(const std::function<bool()>& reached, Duration timeout) {
+    for (TimePoint until = now + timeout; now < until && !reached();) step();
     return reached();
   }
   std::vector<Member> membersOf(const std::string& name) const {
@@ -165,6 +172,7 @@
       if (machine.alive && machine.core->consensusLog().leads(now)) return name;
     return {};
   }
+  /// Whether each of these cores knows all of them, and nobody else, as voters.
   bool allVote(const Strings& names) const {
     for (const auto& name : names) {
       if (!machines.at(name).alive || !formed(name) || votersAt(name) != names.size()) return false;
@@ -173,6 +181,7 @@
     }
     return true;
   }
+  /// A running core that is not the leader.
   std::string follower() const {
     for (const auto& [name, machine] : machines)
       if (machine.alive && name != leader() && formed(name)) return name;
@@ -185,14 +194,15 @@
   }
   void formAll() {
     for (const auto& name : names()) start(name, true);
-    cr_assert(runUntil([&] { return allVote(names()) && !leader().empty(); }, 40s), "%s", told().c_str());
+    cr_assert(runUntil([&] { return allVote(names()) && !leader().empty(); }, 40s), "%s", describe().c_str());
   }
-  void formFour() {
+  void formFourCores() {
     for (const char* name : {"core-1", "core-2", "core-3", "core-4"}) start(name, true);
     cr_assert(runUntil([&] { return allVote({"core-1", "core-2", "core-3", "core-4"}) && !leader().empty(); }, 20s));
   }
+  /// Sends a configuration change to a core; returns the request id.
   std::string ask(const std::string& name, const std::string& changeName) {
-    std::string requestId = "ask-" + std::to_string(++askCount);
+    std::string requestId = "ask-" + std::to_string(++requestCount);
     OperatorRequest change;
     change.requestId = requestId;
     change.body = R"({"weights":{")" + changeName + R"(":{"model":"moss"}}})";
@@ -205,7 +215,8 @@
     auto found = replies.find(requestId);
     return found != replies.end() && found->second.code == static_cast<int>(Code::changeTaken);
   }
-  std::string told() const {
+  /// The state of all running cores, for failure messages.
+  std::string describe() const {
     std::string text;
     for (const auto& [name, machine] : machines) {
       if (!machine.alive) continue;
--- a/tests/log_fleet.hpp
+++ b/tests/log_fleet.hpp
@@ -8,7 +8,8 @@
 
 namespace tt {
 
-/// Replicas of the log over links with a rate and a delay, and disks whose syncs take a while, all on simulated time.
+/// Three replicas of the log on simulated time, with links that have a data rate and a delay, and disks that take a
+/// while to sync.
 class LogFleet {
  public:
   struct Machine {
@@ -18,17 +19,19 @@
     std::unique_ptr<ReplicatedLog> log;
     std::vector<Effects::Save> waiting, syncing;
     TimePoint syncedAt{};
-    std::uint64_t life{0};
-    Duration syncSpan{2ms};
-    /// How often each entry was written, the most records that waited for the disk, and their bytes.
+    /// Counts starts and stops, so that messages to an earlier process are dropped.
+    std::uint64_t incarnation{0};
+    Duration syncDuration{2ms};
+    /// How often each entry was written, by index and term. Below: the maximum size of the records that waited for the
+    /// disk, the number of snapshot records, the size of all records, and the maximum size of the log in memory.
     std::map<std::pair<std::uint64_t, std::uint64_t>, int> entryWrites;
-    std::size_t mostWaitingBytes{0}, snapshotWrites{0}, ringBytes{0}, mostLogBytes{0};
+    std::size_t maxWaitingBytes{0}, snapshotWrites{0}, ringBytes{0}, maxLogBytes{0};
   };
   struct Link {
     double bytesPerSecond{10e6};
     Duration delay{1ms};
     TimePoint busyUntil{};
-    std::size_t queued{0}, mostQueued{0}, total{0}, messages{0};
+    std::size_t queued{0}, maxQueued{0}, total{0}, messages{0};
     bool up{true};
   };
   TimePoint now{std::chrono::hours(9)};
@@ -53,13 +56,13 @@
   }
   void start(const std::string& id) {
     auto& machine = machines.at(id);
-    ++machine.life;
+    ++machine.incarnation;
     machine.log = std::make_unique<ReplicatedLog>(machine.self, room);
     machine.log->restore(machine.disk, now);
   }
   void stop(const std::string& id) {
     auto& machine = machines.at(id);
-    ++machine.life;
+    ++machine.incarnation;
     machine.log.reset();
     machine.waiting.clear();
     machine.syncing.clear();
@@ -69,6 +72,7 @@
       if (machine.log && machine.log->leads(now)) return id;
     return {};
   }
+  /// Sends one change to the leader; returns false if there is none.
   bool change() {
     auto id = leader();
     if (id.empty()) return false;
@@ -98,23 +102,24 @@
       std::size_t bytes = 0;
       if (steps % 16 == 0) {
         for (const auto& entry : machine.log->entries()) bytes += entry.body.size();
-        machine.mostLogBytes = std::max(machine.mostLogBytes, bytes);
+        machine.maxLogBytes = std::max(machine.maxLogBytes, bytes);
       }
     }
   }
-  void run(Duration span) {
-    for (TimePoint until = now + span; now < until;) step();
+  void run(Duration duration) {
+    for (TimePoint until = now + duration; now < until;) step();
   }
-  bool runUntil(const std::function<bool()>& reached, Duration most) {
-    for (TimePoint until = now + most; now < until && !reached();) step();
+  bool runUntil(const std::function<bool()>& reached, Duration timeout) {
+    for (TimePoint until = now + timeout; now < until && !reached();) step();
     return reached();
   }
-  void formed() {
+  /// Starts all replicas and waits for a leader.
+  void startAll() {
     for (const char* id : {"a", "b", "c"}) start(id);
     cr_assert(runUntil([&] { return !leader().empty(); }, 20s));
     cr_assert(runUntil([&] { return machines.at("c").log->commit() > 1; }, 20s));
   }
-  /// Makes changes as fast as they are agreed.
+  /// Makes this number of changes as fast as they are committed.
   void makeChanges(std::uint64_t many) {
     std::uint64_t last = changes + many;
     while (changes < last) {
@@ -124,10 +129,11 @@
     }
     cr_assert(runUntil([&] { return !leader().empty() && machines.at(leader()).log->pendingChanges() == 0; }, 20s));
   }
+  /// The number of entries that a replica wrote to disk more than once.
   std::size_t entriesWrittenTwice(const std::string& id) const {
-    std::size_t twice = 0;
-    for (const auto& [entry, times] : machines.at(id).entryWrites) twice += times > 1;
-    return twice;
+    std::size_t writtenTwice = 0;
+    for (const auto& [entry, times] : machines.at(id).entryWrites) writtenTwice += times > 1;
+    return writtenTwice;
   }
 
  private:
@@ -150,7 +156,7 @@
       machine.waiting.push_back(std::move(save));
     }
     for (const auto& save : machine.waiting) bytes += save.record.bytes.size();
-    machine.mostWaitingBytes = std::max(machine.mostWaitingBytes, bytes);
+    machine.maxWaitingBytes = std::max(machine.maxWaitingBytes, bytes);
   }
   void post(Machine& from, const std::string& to, Message message) {
     if (to == "operator") {
@@ -166,15 +172,15 @@
         std::max(link.busyUntil, now) +
         std::chrono::microseconds(static_cast<std::int64_t>(1e6 * static_cast<double>(bytes) / link.bytesPerSecond));
     link.queued += bytes;
-    link.mostQueued = std::max(link.mostQueued, link.queued);
+    link.maxQueued = std::max(link.maxQueued, link.queued);
     link.total += bytes;
     ++link.messages;
-    due.emplace(link.busyUntil + link.delay, [this, id, bytes, sender = from.self, life = machines.at(id).life,
-                                              message = std::move(message)] {
-      auto& way = links[{sender.id, id}];
-      way.queued -= bytes;
+    due.emplace(link.busyUntil + link.delay, [this, id, bytes, sender = from.self,
+                                              incarnation = machines.at(id).incarnation, message = std::move(message)] {
+      auto& usedLink = links[{sender.id, id}];
+      usedLink.queued -= bytes;
       auto& machine = machines.at(id);
-      if (!machine.log || machine.life != life || !way.up) return;
+      if (!machine.log || machine.incarnation != incarnation || !usedLink.up) return;
       with(machine, [&](Effects& effects, ReplicatedLog& log) { log.handle(effects, sender.address, message); });
     });
   }
@@ -191,7 +197,7 @@
     if (machine.syncing.empty() && !machine.waiting.empty()) {
       machine.syncing = std::move(machine.waiting);
       machine.waiting.clear();
-      machine.syncedAt = now + machine.syncSpan;
+      machine.syncedAt = now + machine.syncDuration;
     }
   }
 
