--- a/tests/membership.cpp
+++ b/tests/membership.cpp
@@ -4,15 +4,16 @@
 using namespace tt;
 
 namespace {
-/// The control machines of one deployment, and what its settings tell.
+/// The control machines of one deployment and its settings.
 struct Deployment {
   int count;
   std::size_t budget;
   Duration contact, catchUp;
 };
-const Deployment small{4, 1, 3s, 4s}, grownFive{5, 2, 4s, 6s}, grownEight{8, 2, 4s, 6s};
-const std::vector<Deployment> deployments{small, grownFive, grownEight};
+const Deployment fourCores{4, 1, 3s, 4s}, fiveCores{5, 2, 4s, 6s}, eightCores{8, 2, 4s, 6s};
+const std::vector<Deployment> deployments{fourCores, fiveCores, eightCores};
 
+/// How the core that replaces a lost one relates to it.
 enum class Successor { sameAddress, sameName, otherName };
 const std::vector<Successor> successors{Successor::sameAddress, Successor::sameName, Successor::otherName};
 const char* nameOf(Successor kind) {
@@ -21,23 +22,25 @@
                                         : "of another name";
 }
 
-struct DeploymentBench : CoreBench {
+struct DeploymentHarness : CoreHarness {
   Deployment deployment;
   int spares{0};
-  Strings acked;
-  DeploymentBench(const Deployment& which, std::uint64_t seed) : CoreBench(seed, which.count), deployment(which) {
+  Strings acknowledgedChanges;
+  DeploymentHarness(const Deployment& which, std::uint64_t seed) : CoreHarness(seed, which.count), deployment(which) {
     timing.setMembershipTimeouts(which.contact, which.catchUp, which.budget);
     formAll();
     run(1s);
   }
-  Strings living() const {
+  /// The names of the running machines.
+  Strings running() const {
     Strings rows;
     for (const auto& [name, machine] : machines)
       if (machine.alive) rows.push_back(name);
     return rows;
   }
-  std::string drawLiving(const Strings& except = {}) {
-    auto rows = living();
+  /// A random running machine.
+  std::string pickRunning(const Strings& except = {}) {
+    auto rows = running();
     rows.erase(std::remove_if(rows.begin(), rows.end(),
                               [&](const std::string& name) {
                                 return std::find(except.begin(), except.end(), name) != except.end();
@@ -45,50 +48,53 @@
                rows.end());
     return rows[randomSource() % rows.size()];
   }
-  /// Three of those that live, as the list that a successor's settings are written from still shows them.
-  void drawSeeds() {
+  /// Sets the seeds to three random running machines, as the settings of a replacement would list them.
+  void pickSeeds() {
     Strings drawn;
-    while (drawn.size() < 3) drawn.push_back(drawLiving(drawn));
+    while (drawn.size() < 3) drawn.push_back(pickRunning(drawn));
     seeds.clear();
     for (const auto& name : drawn) seeds.push_back(machines.at(name).address);
   }
-  /// A machine goes for good; returns the empty one that is started in its stead.
-  std::string replace(const std::string& gone, Successor kind) {
-    drawSeeds();
-    wipe(gone);
-    std::string name = gone;
+  /// Removes a machine for good and starts an empty one in its place; returns the name of the new one.
+  std::string replace(const std::string& lostCore, Successor kind) {
+    pickSeeds();
+    wipe(lostCore);
+    std::string name = lostCore;
     if (kind != Successor::sameAddress) {
       name = "spare-" + std::to_string(++spares);
-      addMachine(name, kind == Successor::sameName ? machines.at(gone).nodeName : name);
-      machines.erase(gone);
+      addMachine(name, kind == Successor::sameName ? machines.at(lostCore).nodeName : name);
+      machines.erase(lostCore);
     }
     start(name, false);
     return name;
   }
-  std::size_t votersNow() const {
-    auto who = leader();
-    return who.empty() ? 0 : votersAt(who);
+  std::size_t voterCount() const {
+    auto leaderName = leader();
+    return leaderName.empty() ? 0 : votersAt(leaderName);
   }
-  void change(const std::string& name, const std::string& askedOf = {}) {
-    auto requestId = ask(askedOf.empty() ? leader() : askedOf, name);
-    cr_assert(runUntil([&] { return acknowledged(requestId); }, 20s), "%s:%s", name.c_str(), told().c_str());
-    acked.push_back(name);
+  /// Makes a change and waits for its acknowledgement.
+  void change(const std::string& name, const std::string& target = {}) {
+    auto requestId = ask(target.empty() ? leader() : target, name);
+    cr_assert(runUntil([&] { return acknowledged(requestId); }, 20s), "%s:%s", name.c_str(), describe().c_str());
+    acknowledgedChanges.push_back(name);
   }
-  /// All processes die at once, with what they have not synced; some never come back.
+  /// Stops all processes at once, losing what is not synced, and restarts all but the lost ones.
   void powerLossWithout(const Strings& lost) {
-    auto rows = living();
+    auto rows = running();
     for (const auto& name : rows) stop(name);
     due.clear();
     run(std::chrono::milliseconds(randomSource() % 900));
     for (const auto& name : rows)
       if (std::find(lost.begin(), lost.end(), name) == lost.end()) start(name, false);
   }
+  /// Expects that there is a leader and that it has every acknowledged change.
   void expectAllKept(const std::string& when) {
     bool leads = runUntil([&] { return !leader().empty(); }, 20s);
-    cr_expect(leads, "%s: no majority:%s", when.c_str(), told().c_str());
+    cr_expect(leads, "%s: no leader was elected:%s", when.c_str(), describe().c_str());
     if (!leads) return;
-    change("probe-" + std::to_string(++askCount));
-    for (const auto& name : acked) cr_expect(has(leader(), name), "%s: %s is lost", when.c_str(), name.c_str());
+    change("probe-" + std::to_string(++requestCount));
+    for (const auto& name : acknowledgedChanges)
+      cr_expect(has(leader(), name), "%s: %s is lost", when.c_str(), name.c_str());
   }
   std::string label(Successor kind, std::uint64_t seed) const {
     return std::to_string(deployment.count) + " machines, successor " + nameOf(kind) + ", seed " + std::to_string(seed);
@@ -99,214 +105,219 @@
 Test(membership, a_replacement_never_raises_the_number_of_voters) {
   for (const auto& deployment : deployments)
     for (auto kind : {Successor::sameAddress, Successor::sameName}) {
-      DeploymentBench bench(deployment, 1);
+      DeploymentHarness harness(deployment, 1);
       std::size_t most = 0;
-      bench.watch = [&] { most = std::max(most, bench.votersNow()); };
-      auto gone = bench.follower();
-      bench.replace(gone, kind);
-      bench.run(3 * deployment.catchUp);
-      bench.watch = nullptr;
-      cr_expect_eq(most, static_cast<std::size_t>(deployment.count), "%s: %zu voters in passing",
-                   bench.label(kind, 1).c_str(), most);
-      cr_expect(bench.allVote(bench.names()), "%s:%s", bench.label(kind, 1).c_str(), bench.told().c_str());
+      harness.afterStep = [&] { most = std::max(most, harness.voterCount()); };
+      auto lostCore = harness.follower();
+      harness.replace(lostCore, kind);
+      harness.run(3 * deployment.catchUp);
+      harness.afterStep = nullptr;
+      cr_expect_eq(most, static_cast<std::size_t>(deployment.count), "%s: %zu voters at one time",
+                   harness.label(kind, 1).c_str(), most);
+      cr_expect(harness.allVote(harness.names()), "%s:%s", harness.label(kind, 1).c_str(), harness.describe().c_str());
     }
 }
 
-Test(membership, a_replacement_is_done_within_the_time_that_a_new_machine_has) {
+Test(membership, a_replacement_is_done_within_the_catch_up_time) {
   for (const auto& deployment : deployments)
     for (auto kind : successors)
       for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-        DeploymentBench bench(deployment, seed);
-        auto gone = bench.drawLiving();
-        bench.replace(gone, kind);
-        TimePoint startedAt = bench.now;
-        bool done = bench.runUntil([&] { return bench.allVote(bench.names()); }, 3 * deployment.catchUp);
-        auto took = toMilliseconds(bench.now - startedAt);
-        cr_log_info("%s: %lld ms", bench.label(kind, seed).c_str(), static_cast<long long>(took));
-        cr_expect(done && took <= toMilliseconds(deployment.catchUp), "%s: %lld ms%s", bench.label(kind, seed).c_str(),
-                  static_cast<long long>(took), done ? "" : bench.told().c_str());
+        DeploymentHarness harness(deployment, seed);
+        auto lostCore = harness.pickRunning();
+        harness.replace(lostCore, kind);
+        TimePoint startedAt = harness.now;
+        bool done = harness.runUntil([&] { return harness.allVote(harness.names()); }, 3 * deployment.catchUp);
+        auto took = toMilliseconds(harness.now - startedAt);
+        cr_log_info("%s: %lld ms", harness.label(kind, seed).c_str(), static_cast<long long>(took));
+        cr_expect(done && took <= toMilliseconds(deployment.catchUp), "%s: %lld ms%s",
+                  harness.label(kind, seed).c_str(), static_cast<long long>(took),
+                  done ? "" : harness.describe().c_str());
       }
 }
 
-Test(membership, a_second_loss_is_borne_once_the_successor_has_had_its_time) {
+Test(membership, a_second_loss_is_survived_after_the_catch_up_time_of_the_successor) {
   for (const auto& deployment : deployments)
     for (auto kind : successors)
       for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-        DeploymentBench bench(deployment, seed);
-        for (std::size_t at = 0; at < deployment.budget; ++at) bench.replace(bench.drawLiving(), kind);
-        bench.run(deployment.catchUp);
-        if (!bench.leader().empty()) bench.change("before");
+        DeploymentHarness harness(deployment, seed);
+        for (std::size_t at = 0; at < deployment.budget; ++at) harness.replace(harness.pickRunning(), kind);
+        harness.run(deployment.catchUp);
+        if (!harness.leader().empty()) harness.change("before");
         Strings lost;
         while (lost.size() < deployment.budget)
-          lost.push_back(lost.empty() && !bench.leader().empty() ? bench.leader() : bench.drawLiving(lost));
-        bench.powerLossWithout(lost);
-        bench.expectAllKept(bench.label(kind, seed));
+          lost.push_back(lost.empty() && !harness.leader().empty() ? harness.leader() : harness.pickRunning(lost));
+        harness.powerLossWithout(lost);
+        harness.expectAllKept(harness.label(kind, seed));
       }
 }
 
-Test(membership, losses_one_after_another_are_borne_for_as_long_as_each_is_repaired) {
+Test(membership, successive_losses_are_survived_if_each_is_repaired) {
   for (const auto& deployment : deployments)
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-      DeploymentBench bench(deployment, seed);
+      DeploymentHarness harness(deployment, seed);
       for (int round = 0; round < 6; ++round) {
-        auto kind = successors[bench.randomSource() % successors.size()];
-        for (std::size_t at = 0; at < deployment.budget; ++at) bench.replace(bench.drawLiving(), kind);
-        bench.run(deployment.catchUp);
-        bench.change("round-" + std::to_string(round), bench.drawLiving());
+        auto kind = successors[harness.randomSource() % successors.size()];
+        for (std::size_t at = 0; at < deployment.budget; ++at) harness.replace(harness.pickRunning(), kind);
+        harness.run(deployment.catchUp);
+        harness.change("round-" + std::to_string(round), harness.pickRunning());
       }
-      bench.expectAllKept(bench.label(Successor::sameName, seed));
+      harness.expectAllKept(harness.label(Successor::sameName, seed));
     }
 }
 
-Test(membership, a_repair_that_the_leader_calls_done_holds_without_the_leader) {
+Test(membership, a_repair_that_the_leader_reports_as_done_survives_the_loss_of_the_leader) {
   for (const auto& deployment : deployments)
     for (auto kind : successors)
       for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-        DeploymentBench bench(deployment, seed);
-        bench.replace(bench.follower(), kind);
+        DeploymentHarness harness(deployment, seed);
+        harness.replace(harness.follower(), kind);
         auto done = [&] {
-          auto who = bench.leader();
-          if (who.empty()) return false;
-          const auto& log = bench.machines.at(who).core->consensusLog();
-          if (log.commit() != log.logEnd() || bench.votersAt(who) != bench.names().size()) return false;
-          for (const auto& name : bench.names())
-            if (!bench.votes(who, bench.machines.at(name).core->id())) return false;
+          auto leaderName = harness.leader();
+          if (leaderName.empty()) return false;
+          const auto& log = harness.machines.at(leaderName).core->consensusLog();
+          if (log.commit() != log.logEnd() || harness.votersAt(leaderName) != harness.names().size()) return false;
+          for (const auto& name : harness.names())
+            if (!harness.votes(leaderName, harness.machines.at(name).core->id())) return false;
           return true;
         };
-        cr_assert(bench.runUntil(done, 30s), "%s:%s", bench.label(kind, seed).c_str(), bench.told().c_str());
-        Strings lost{bench.leader()};
-        while (lost.size() < deployment.budget) lost.push_back(bench.drawLiving(lost));
-        bench.powerLossWithout(lost);
-        bench.expectAllKept(bench.label(kind, seed));
+        cr_assert(harness.runUntil(done, 30s), "%s:%s", harness.label(kind, seed).c_str(), harness.describe().c_str());
+        Strings lost{harness.leader()};
+        while (lost.size() < deployment.budget) lost.push_back(harness.pickRunning(lost));
+        harness.powerLossWithout(lost);
+        harness.expectAllKept(harness.label(kind, seed));
       }
 }
 
 Test(membership, a_successor_that_is_itself_lost_leaves_a_majority) {
   for (const auto& deployment : deployments)
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-      DeploymentBench bench(deployment, seed);
+      DeploymentHarness harness(deployment, seed);
       auto kind = successors[seed % successors.size()];
-      bench.change("first");
-      auto successor = bench.replace(bench.follower(), kind);
-      bench.run(std::chrono::milliseconds(bench.randomSource() %
-                                          static_cast<std::uint64_t>(toMilliseconds(deployment.catchUp))));
-      bench.replace(successor, kind);
-      bench.run(std::chrono::milliseconds(bench.randomSource() % 400));
-      bench.change("second", bench.drawLiving());
-      bench.run(2 * deployment.catchUp);
-      bench.expectAllKept(bench.label(kind, seed));
-      bench.run(deployment.catchUp);
-      cr_expect(bench.allVote(bench.names()), "%s:%s", bench.label(kind, seed).c_str(), bench.told().c_str());
+      harness.change("first");
+      auto successor = harness.replace(harness.follower(), kind);
+      harness.run(std::chrono::milliseconds(harness.randomSource() %
+                                            static_cast<std::uint64_t>(toMilliseconds(deployment.catchUp))));
+      harness.replace(successor, kind);
+      harness.run(std::chrono::milliseconds(harness.randomSource() % 400));
+      harness.change("second", harness.pickRunning());
+      harness.run(2 * deployment.catchUp);
+      harness.expectAllKept(harness.label(kind, seed));
+      harness.run(deployment.catchUp);
+      cr_expect(harness.allVote(harness.names()), "%s:%s", harness.label(kind, seed).c_str(),
+                harness.describe().c_str());
     }
 }
 
-Test(membership, a_replacement_during_a_loss_of_power_of_all_leaves_a_majority) {
+Test(membership, a_replacement_during_a_power_loss_of_all_machines_leaves_a_majority) {
   for (const auto& deployment : deployments)
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-      DeploymentBench bench(deployment, seed);
+      DeploymentHarness harness(deployment, seed);
       auto kind = successors[seed % successors.size()];
-      bench.change("first");
-      for (std::size_t at = 0; at < deployment.budget; ++at) bench.replace(bench.drawLiving(), kind);
-      bench.run(std::chrono::milliseconds(bench.randomSource() % 1500));
-      bench.powerLossWithout({});
-      bench.run(std::chrono::milliseconds(bench.randomSource() % 1500));
-      bench.powerLossWithout({});
-      bench.expectAllKept(bench.label(kind, seed));
-      bench.run(deployment.catchUp);
-      cr_expect(bench.allVote(bench.names()), "%s:%s", bench.label(kind, seed).c_str(), bench.told().c_str());
+      harness.change("first");
+      for (std::size_t at = 0; at < deployment.budget; ++at) harness.replace(harness.pickRunning(), kind);
+      harness.run(std::chrono::milliseconds(harness.randomSource() % 1500));
+      harness.powerLossWithout({});
+      harness.run(std::chrono::milliseconds(harness.randomSource() % 1500));
+      harness.powerLossWithout({});
+      harness.expectAllKept(harness.label(kind, seed));
+      harness.run(deployment.catchUp);
+      cr_expect(harness.allVote(harness.names()), "%s:%s", harness.label(kind, seed).c_str(),
+                harness.describe().c_str());
     }
 }
 
-Test(membership, as_many_as_may_be_lost_at_once_go_for_good_and_the_rest_goes_on) {
+Test(membership, a_permanent_loss_of_the_whole_fault_budget_is_survived) {
   for (const auto& deployment : deployments)
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-      DeploymentBench bench(deployment, seed);
-      bench.change("first", bench.drawLiving());
+      DeploymentHarness harness(deployment, seed);
+      harness.change("first", harness.pickRunning());
       Strings lost;
-      while (lost.size() < deployment.budget) lost.push_back(bench.drawLiving(lost));
+      while (lost.size() < deployment.budget) lost.push_back(harness.pickRunning(lost));
       if (seed % 2) {
-        for (const auto& name : lost) bench.stop(name);
+        for (const auto& name : lost) harness.stop(name);
       } else {
-        bench.powerLossWithout(lost);
+        harness.powerLossWithout(lost);
       }
-      bench.change("second", bench.drawLiving());
-      bench.run(timing.memberRemovalTimeout + 1s);
-      bench.powerLossWithout({});
-      bench.expectAllKept(bench.label(Successor::sameAddress, seed));
+      harness.change("second", harness.pickRunning());
+      harness.run(timing.memberRemovalTimeout + 1s);
+      harness.powerLossWithout({});
+      harness.expectAllKept(harness.label(Successor::sameAddress, seed));
     }
 }
 
-Test(membership, one_taken_out_comes_back_with_its_disk_and_votes_within_the_time_that_it_has) {
+Test(membership, a_removed_voter_that_returns_with_its_disk_votes_within_the_catch_up_time) {
   for (const auto& deployment : deployments)
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-      DeploymentBench bench(deployment, seed);
-      auto away = bench.drawLiving();
+      DeploymentHarness harness(deployment, seed);
+      auto absent = harness.pickRunning();
       if (seed % 2)
-        bench.cutOff = {away};
+        harness.isolated = {absent};
       else
-        bench.stop(away);
-      bench.run(20s);
-      bench.change("meanwhile");
-      bench.cutOff.clear();
-      if (seed % 2 == 0) bench.start(away, false);
-      TimePoint backAt = bench.now;
-      bool back = bench.runUntil([&] { return bench.allVote(bench.names()); }, 3 * deployment.catchUp);
-      cr_expect(back && bench.now - backAt <= deployment.catchUp, "%s: %lld ms%s",
-                bench.label(Successor::sameAddress, seed).c_str(),
-                static_cast<long long>(toMilliseconds(bench.now - backAt)), back ? "" : bench.told().c_str());
+        harness.stop(absent);
+      harness.run(20s);
+      harness.change("meanwhile");
+      harness.isolated.clear();
+      if (seed % 2 == 0) harness.start(absent, false);
+      TimePoint returnedAt = harness.now;
+      bool back = harness.runUntil([&] { return harness.allVote(harness.names()); }, 3 * deployment.catchUp);
+      cr_expect(back && harness.now - returnedAt <= deployment.catchUp, "%s: %lld ms%s",
+                harness.label(Successor::sameAddress, seed).c_str(),
+                static_cast<long long>(toMilliseconds(harness.now - returnedAt)),
+                back ? "" : harness.describe().c_str());
     }
 }
 
-Test(membership, a_leader_that_leaves_hands_the_lead_over_at_once) {
+Test(membership, a_leader_that_shuts_down_transfers_the_leadership_at_once) {
   std::vector<std::int64_t> gaps;
   for (const auto& deployment : deployments)
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-      DeploymentBench bench(deployment, seed);
-      auto leaves = bench.leader();
-      bench.with(bench.machines.at(leaves), [](Effects& effects, Core& core) { core.resign(effects); });
-      TimePoint leftAt = bench.now;
-      cr_assert(bench.runUntil(
+      DeploymentHarness harness(deployment, seed);
+      auto leavingCore = harness.leader();
+      harness.with(harness.machines.at(leavingCore), [](Effects& effects, Core& core) { core.resign(effects); });
+      TimePoint resignedAt = harness.now;
+      cr_assert(harness.runUntil(
           [&] {
-            auto who = bench.leader();
-            return !who.empty() && who != leaves && bench.machines.at(who).core->consensusLog().hasCommittedInTerm();
+            auto leaderName = harness.leader();
+            return !leaderName.empty() && leaderName != leavingCore &&
+                   harness.machines.at(leaderName).core->consensusLog().hasCommittedInTerm();
           },
           20s));
-      gaps.push_back(toMilliseconds(bench.now - leftAt));
+      gaps.push_back(toMilliseconds(harness.now - resignedAt));
     }
   std::sort(gaps.begin(), gaps.end());
-  cr_log_info("hand-over: median %lld ms, most %lld ms of %zu", static_cast<long long>(gaps[gaps.size() / 2]),
-              static_cast<long long>(gaps.back()), gaps.size());
-  cr_expect(gaps.back() <= 100, "the longest gap was %lld ms", static_cast<long long>(gaps.back()));
+  cr_log_info("leadership transfer: median %lld ms, maximum %lld ms of %zu",
+              static_cast<long long>(gaps[gaps.size() / 2]), static_cast<long long>(gaps.back()), gaps.size());
+  cr_expect(gaps.back() <= 100, "the longest time without a leader was %lld ms", static_cast<long long>(gaps.back()));
 }
 
-Test(membership, one_that_leaves_waits_until_what_it_holds_rests_on_enough_other_disks) {
-  for (const auto& deployment : {grownFive, small}) {
-    DeploymentBench bench(deployment, 3);
-    auto leaves = bench.follower();
+Test(membership, a_core_that_shuts_down_waits_until_enough_other_disks_have_its_log) {
+  for (const auto& deployment : {fiveCores, fourCores}) {
+    DeploymentHarness harness(deployment, 3);
+    auto leavingCore = harness.follower();
     std::size_t quorum = static_cast<std::size_t>(deployment.count) / 2 + 1;
-    std::size_t away = static_cast<std::size_t>(deployment.count) - quorum;
-    Strings kept{leaves, bench.leader()};
-    while (bench.cutOff.size() < away) bench.cutOff.insert(bench.drawLiving(kept));
-    bench.change("on-a-bare-majority", bench.leader());
-    auto& core = *bench.machines.at(leaves).core;
-    bench.with(bench.machines.at(leaves), [](Effects& effects, Core& leaving) { leaving.resign(effects); });
-    bench.run(1s);
-    bool enough = quorum - 1 >= timing.copiesLeast();
+    std::size_t absent = static_cast<std::size_t>(deployment.count) - quorum;
+    Strings excluded{leavingCore, harness.leader()};
+    while (harness.isolated.size() < absent) harness.isolated.insert(harness.pickRunning(excluded));
+    harness.change("on-a-bare-majority", harness.leader());
+    auto& core = *harness.machines.at(leavingCore).core;
+    harness.with(harness.machines.at(leavingCore), [](Effects& effects, Core& leaving) { leaving.resign(effects); });
+    harness.run(1s);
+    bool enough = quorum - 1 >= timing.minReplicas();
     cr_expect_eq(core.safeToStop(), enough, "%d machines", deployment.count);
-    auto requestId = bench.ask(bench.leader(), "after");
-    bench.run(2s);
-    cr_expect_not(bench.acknowledged(requestId), "one that leaves counts for no copy");
-    bench.cutOff.clear();
-    bench.run(500ms);
+    auto requestId = harness.ask(harness.leader(), "after");
+    harness.run(2s);
+    cr_expect_not(harness.acknowledged(requestId), "a core that shuts down must not acknowledge entries");
+    harness.isolated.clear();
+    harness.run(500ms);
     cr_expect(core.safeToStop(), "%d machines", deployment.count);
-    cr_expect(bench.runUntil([&] { return bench.acknowledged(requestId); }, 10s));
+    cr_expect(harness.runUntil([&] { return harness.acknowledged(requestId); }, 10s));
   }
 }
 
 namespace {
-/// One replica's log, whose fellows are played by hand.
-struct HandDrivenLog {
-  TimingGuard kept;
+/// One replica whose peers are simulated by the test.
+struct ReplicaHarness {
+  TimingGuard timingGuard;
   TimePoint now{std::chrono::hours(3)};
   std::mt19937_64 randomSource{7};
   Journal journal;
@@ -314,7 +325,7 @@
   ReplicatedLog log;
   std::vector<std::pair<std::string, Message>> sent;
 
-  HandDrivenLog(const std::string& id, const std::vector<std::vector<Member>>& membersInOrder)
+  ReplicaHarness(const std::string& id, const std::vector<std::vector<Member>>& membersInOrder)
       : self(member(id)), log(self, 1 << 20) {
     RecoveredState disk;
     disk.identity = id;
@@ -337,14 +348,14 @@
     for (auto& save : effects.saves)
       if (save.then) with(save.then);
   }
-  void tick(Duration span) {
-    for (TimePoint until = now + span; now < until; now += 10ms) with([&](Effects& effects) { log.tick(effects); });
+  void tick(Duration duration) {
+    for (TimePoint until = now + duration; now < until; now += 10ms) with([&](Effects& effects) { log.tick(effects); });
   }
   void handle(const std::string& from, const Message& message) {
     with([&](Effects& effects) { log.handle(effects, from + ":1", message); });
   }
-  /// Stands, with these granting each ballot, and says whether it wins.
-  bool stands(const Strings& granting) {
+  /// Campaigns, with these voters granting each vote, and returns whether it is elected.
+  bool winsElection(const Strings& granting) {
     for (int round = 0; round < 400 && !log.election.won(); ++round) {
       tick(10ms);
       bool probing = log.election.state() == "probing", asking = log.election.state() == "asking";
@@ -356,113 +367,115 @@
   void acknowledge(const std::string& id, Uint64 index) {
     handle(id, AppendResponse{log.election.term(), id, true, index});
   }
-  void renew(const std::string& id) {
+  void renewLease(const std::string& id) {
     handle(id, HeartbeatResponse{"accord", log.election.term(), id, toNanoseconds(now), true});
   }
 };
-const std::vector<Member> before = HandDrivenLog::voters({"a", "b", "c", "d", "f"});
-const std::vector<Member> after = HandDrivenLog::voters({"a", "b", "c", "e", "f"});
+const std::vector<Member> votersBefore = ReplicaHarness::voters({"a", "b", "c", "d", "f"});
+const std::vector<Member> votersAfter = ReplicaHarness::voters({"a", "b", "c", "e", "f"});
 }  // namespace
 
-Test(membership, no_two_lead_in_one_term_while_a_replacement_is_passing) {
-  HandDrivenLog ahead("a", {before, after}), behind("f", {before});
-  cr_expect(behind.stands({"c", "d"}), "three of the five of before");
-  cr_expect_not(ahead.stands({"b", "e"}), "three of the five of after, none of whom the others need");
-  HandDrivenLog joint("a", {before, after});
-  cr_expect(joint.stands({"b", "c", "e"}), "three of before and of after");
+Test(membership, no_term_has_two_leaders_during_a_membership_change) {
+  ReplicaHarness ahead("a", {votersBefore, votersAfter}), behind("f", {votersBefore});
+  cr_expect(behind.winsElection({"c", "d"}), "three of the five previous voters");
+  cr_expect_not(ahead.winsElection({"b", "e"}), "three of the five new voters, but only two of the previous ones");
+  ReplicaHarness joint("a", {votersBefore, votersAfter});
+  cr_expect(joint.winsElection({"b", "c", "e"}), "a majority of the previous and of the new voters");
 }
 
-Test(membership, a_lease_rests_on_both_majorities_while_a_replacement_is_passing) {
-  HandDrivenLog log("a", {before, after});
-  cr_assert(log.stands({"b", "c", "d", "e", "f"}));
+Test(membership, a_lease_needs_both_majorities_during_a_membership_change) {
+  ReplicaHarness log("a", {votersBefore, votersAfter});
+  cr_assert(log.winsElection({"b", "c", "d", "e", "f"}));
   log.tick(2s);
-  for (const char* id : {"b", "e"}) log.renew(id);
-  cr_expect_not(log.log.leads(log.now), "three of after, two of before");
-  log.renew("d");
+  for (const char* id : {"b", "e"}) log.renewLease(id);
+  cr_expect_not(log.log.leads(log.now), "three new voters, but only two previous ones");
+  log.renewLease("d");
   cr_expect(log.log.leads(log.now));
 }
 
-Test(membership, what_follows_a_passing_replacement_is_agreed_by_both_majorities) {
-  HandDrivenLog log("a", {before, after});
-  cr_assert(log.stands({"b", "c", "d", "e", "f"}));
+Test(membership, entries_after_a_pending_membership_change_need_both_majorities) {
+  ReplicaHarness log("a", {votersBefore, votersAfter});
+  cr_assert(log.winsElection({"b", "c", "d", "e", "f"}));
   for (const char* id : {"b", "e"}) log.acknowledge(id, 3);
   for (const char* id : {"c", "d"}) log.acknowledge(id, 2);
   cr_expect_eq(log.log.commit(), 0u,
-               "of before only two have an entry of this term: a leader of three others might write over all of it");
+               "only two of the previous voters have an entry of this term: a leader elected by the other three could "
+               "overwrite it");
   log.acknowledge("d", 3);
   cr_expect_eq(log.log.commit(), 3u);
 }
 
-Test(membership, what_precedes_a_passing_change_of_members_is_agreed_by_both_majorities) {
-  HandDrivenLog log("a", {HandDrivenLog::voters({"a", "b", "c", "d"})});
+Test(membership, entries_before_a_pending_membership_change_need_both_majorities) {
+  ReplicaHarness log("a", {ReplicaHarness::voters({"a", "b", "c", "d"})});
   timing.setMembershipTimeouts(3s, 4s, 1);
-  cr_assert(log.stands({"b", "c", "d"}));
+  cr_assert(log.winsElection({"b", "c", "d"}));
   for (const char* id : {"b", "c", "d"}) log.acknowledge(id, 2);
   cr_assert_eq(log.log.commit(), 2u);
   ChangeRequest change;
   change.requestId = change.changeId = "x";
   change.body = R"({"weights":{"x":{"model":"moss"}}})";
   change.ifRevision = -1;
-  for (const char* id : {"b", "c", "d"}) log.renew(id);
+  for (const char* id : {"b", "c", "d"}) log.renewLease(id);
   log.with([&](Effects& effects) { log.log.proposeChange(effects, "operator", change); });
   cr_assert_eq(log.log.logEnd(), 3u);
   for (int round = 0; round < 100 && log.log.members().size() == 4; ++round) {
     log.tick(100ms);
     for (const char* id : {"b", "c"}) {
-      log.renew(id);
+      log.renewLease(id);
       log.acknowledge(id, 2);
     }
   }
-  cr_assert_eq(log.log.members().size(), 3u, "d is taken out");
+  cr_assert_eq(log.log.members().size(), 3u, "d is removed");
   log.acknowledge("b", 4);
-  cr_expect_eq(log.log.commit(), 2u, "the change is on two of the four of before");
+  cr_expect_eq(log.log.commit(), 2u, "only two of the four previous voters have the change");
   log.acknowledge("c", 4);
   cr_expect_geq(log.log.commit(), 4u);
 }
 
-Test(membership, a_leader_that_stood_still_takes_nobody_for_silent) {
-  HandDrivenLog log("a", {HandDrivenLog::voters({"a", "b", "c", "d"})});
+Test(membership, a_paused_leader_does_not_count_its_pause_as_silence_of_others) {
+  ReplicaHarness log("a", {ReplicaHarness::voters({"a", "b", "c", "d"})});
   timing.setMembershipTimeouts(3s, 4s, 1);
-  cr_assert(log.stands({"b", "c", "d"}));
+  cr_assert(log.winsElection({"b", "c", "d"}));
   for (const char* id : {"b", "c", "d"}) log.acknowledge(id, 2);
   log.tick(20ms);
   log.now += timing.memberRemovalTimeout + 200ms;
-  for (const char* id : {"b", "c"}) log.renew(id);
+  for (const char* id : {"b", "c"}) log.renewLease(id);
   log.tick(20ms);
   cr_expect(log.log.leads(log.now));
-  cr_expect_eq(log.log.members().size(), 4u, "b and c answered, and d's silence was not listened to");
+  cr_expect_eq(log.log.members().size(), 4u,
+               "b and c answered, and the leader's own pause must not count as silence of d");
 }
 
-Test(membership, one_that_does_not_know_yet_that_it_votes_grants_a_ballot) {
-  auto rows = HandDrivenLog::voters({"a", "b", "c"});
-  rows.push_back(HandDrivenLog::member("e"));
+Test(membership, a_learner_that_does_not_know_of_its_promotion_grants_a_vote) {
+  auto rows = ReplicaHarness::voters({"a", "b", "c"});
+  rows.push_back(ReplicaHarness::member("e"));
   rows.back().votes = false;
-  HandDrivenLog log("e", {rows});
+  ReplicaHarness log("e", {rows});
   log.tick(2s);
   log.handle("a", VoteRequest{"accord", 5, "a", false, 1, 2});
   bool granted = false;
   for (const auto& [to, message] : log.sent)
     if (auto* reply = std::get_if<VoteResponse>(&message)) granted = granted || (to == "a:1" && reply->granted);
-  cr_expect(granted, "whoever asks knows who votes; the log and the term decide");
+  cr_expect(granted, "the candidate knows the voters; only log and term decide");
 }
 
-Test(membership, after_a_restart_a_settled_replacement_needs_none_of_the_voters_of_before) {
-  auto other = HandDrivenLog::voters({"a", "g", "h", "e", "f"});
-  HandDrivenLog settled("a", {before, other, other}), passing("a", {before, other});
-  cr_expect(settled.stands({"g", "e"}));
-  cr_expect_not(passing.stands({"g", "e"}));
+Test(membership, after_a_restart_a_finalized_replacement_needs_no_previous_voters) {
+  auto other = ReplicaHarness::voters({"a", "g", "h", "e", "f"});
+  ReplicaHarness settled("a", {votersBefore, other, other}), passing("a", {votersBefore, other});
+  cr_expect(settled.winsElection({"g", "e"}));
+  cr_expect_not(passing.winsElection({"g", "e"}));
 }
 
-Test(membership, a_learner_that_lacks_an_agreed_entry_gets_no_vote) {
-  auto rows = HandDrivenLog::voters({"a", "b", "c", "d"});
-  rows.push_back(HandDrivenLog::member("e"));
+Test(membership, a_learner_that_lacks_a_committed_entry_is_not_promoted) {
+  auto rows = ReplicaHarness::voters({"a", "b", "c", "d"});
+  rows.push_back(ReplicaHarness::member("e"));
   rows.back().votes = false;
-  HandDrivenLog log("a", {rows});
-  cr_assert(log.stands({"b", "c", "d"}));
+  ReplicaHarness log("a", {rows});
+  cr_assert(log.winsElection({"b", "c", "d"}));
   for (const char* id : {"b", "c", "d"}) log.acknowledge(id, 2);
   cr_assert_eq(log.log.commit(), 2u);
   auto votes = [&] {
-    for (const char* id : {"b", "c", "d"}) log.renew(id);
+    for (const char* id : {"b", "c", "d"}) log.renewLease(id);
     for (const auto& row : log.log.members())
       if (row.id == "e") return row.votes;
     return false;
@@ -471,7 +484,7 @@
     log.tick(10ms);
     for (const char* id : {"b", "c", "d"}) log.acknowledge(id, 2);
     log.acknowledge("e", 1);
-    cr_assert_not(votes(), "it lacks entry 2");
+    cr_assert_not(votes(), "the learner lacks committed entry 2");
   }
   for (int round = 0; round < 100; ++round) {
     log.tick(10ms);
@@ -482,8 +495,8 @@
 }
 
 namespace {
-/// Whether a reader that has applied entry 1 only, which names the voters of before, calls itself fresh after hearing
-/// some of them, when the replacement at entry 2 is on some disks.
+/// Whether a reader calls itself fresh that has applied only entry 1, with the previous voters, and hears some of them
+/// while the membership change at entry 2 is on some disks.
 bool freshInOldView(const std::vector<Member>& voters, unsigned holding, unsigned heard, bool oldLeader) {
   TimePoint now{std::chrono::hours(3)};
   std::mt19937_64 randomSource{1};
@@ -512,10 +525,10 @@
 }
 }  // namespace
 
-Test(membership, a_reader_that_knows_only_the_voters_of_before_is_not_fresh_once_others_vote) {
+Test(membership, a_reader_that_knows_only_the_previous_voters_is_not_fresh_once_others_vote) {
   int fresh = 0;
   for (const Strings& ids : {Strings{"a", "b", "c", "d"}, Strings{"a", "b", "c", "d", "f"}}) {
-    auto voters = HandDrivenLog::voters(ids);
+    auto voters = ReplicaHarness::voters(ids);
     unsigned all = 1u << voters.size();
     for (unsigned holding = 0; holding < all; ++holding)
       for (unsigned heard = 0; heard < all; ++heard)
@@ -523,8 +536,8 @@
           bool agreed = 2u * static_cast<unsigned>(__builtin_popcount(holding)) > voters.size();
           bool called = freshInOldView(voters, holding, heard, oldLeader);
           fresh += called;
-          if (agreed) cr_expect_not(called, "%zu voters, on %x, heard %x", voters.size(), holding, heard);
+          if (agreed) cr_expect_not(called, "%zu voters, entry on %x, heard %x", voters.size(), holding, heard);
         }
   }
-  cr_expect(fresh > 0, "before that it may be");
+  cr_expect(fresh > 0, "the reader was never fresh, so the test proves nothing");
 }
--- a/tests/snapshots.cpp
+++ b/tests/snapshots.cpp
@@ -33,13 +33,14 @@
   return entries;
 }
 
-/// One replica by hand: what it sends is kept, and its disk syncs when told to.
+/// One replica driven by the test: its messages are collected, and its disk syncs when sync() is called.
 struct Replica {
   TimePoint now{std::chrono::hours(5)};
   std::mt19937_64 randomSource{3};
   Journal journal;
   RecoveredState disk;
   std::unique_ptr<ReplicatedLog> log;
+  /// Records that are not synced yet.
   std::vector<Effects::Save> waiting;
   std::vector<std::pair<std::string, Message>> sent;
   Member self;
@@ -64,8 +65,8 @@
   void handle(const std::string& from, const Message& message) {
     with([&](Effects& effects) { log->handle(effects, from, message); });
   }
-  void tick(Duration span) {
-    now += span;
+  void tick(Duration duration) {
+    now += duration;
     with([&](Effects& effects) { log->tick(effects); });
   }
   void sync() {
@@ -84,7 +85,7 @@
       if (auto* kind = std::get_if<Kind>(&message)) found.push_back(*kind);
     return found;
   }
-  /// Whether a real vote for this candidate was written down or promised.
+  /// Whether a vote (not a probe vote) for this candidate was saved or sent.
   bool votedFor(const std::string& candidate) {
     sync();
     auto vote = disk.votes.find("accord");
@@ -93,7 +94,8 @@
       if (response.granted) return true;
     return false;
   }
-  void lead() {
+  /// Runs an election in which b and c grant their votes.
+  void becomeLeader() {
     for (int round = 0; round < 400 && !log->election.won(); ++round) {
       tick(20ms);
       for (const char* other : {"b", "c"}) {
@@ -106,9 +108,9 @@
       }
     }
     cr_assert(log->election.won());
-    renew();
+    renewLease();
   }
-  void renew() {
+  void renewLease() {
     for (const char* other : {"b", "c"})
       handle(std::string(other) + ":1",
              HeartbeatResponse{"accord", log->election.term(), other, toNanoseconds(now), true});
@@ -127,7 +129,7 @@
   std::uint64_t changes{0};
 };
 
-RecoveredState heldWith(std::vector<LogEntry> entries, std::optional<Snapshot> snapshot = std::nullopt) {
+RecoveredState recoveredWith(std::vector<LogEntry> entries, std::optional<Snapshot> snapshot = std::nullopt) {
   RecoveredState held;
   held.identity = "a";
   held.entries = std::move(entries);
@@ -135,15 +137,17 @@
   return held;
 }
 
+/// Entries up to `agreed` of term 1, then entries of a term 2 that was never committed.
 std::vector<LogEntry> withConflictingTail(std::uint64_t agreed, std::uint64_t last) {
   auto entries = entriesUpTo(agreed, 1);
   for (std::uint64_t index = agreed + 1; index <= last; ++index) entries.push_back(changeEntry(index, 2));
   return entries;
 }
 
+/// Sends a whole snapshot to a replica without loss.
 void deliver(Replica& replica, std::uint64_t term, const Snapshot& snapshot) {
-  SnapshotSender sender(imageOf(snapshot));
-  while (auto piece = sender.due(replica.now)) {
+  SnapshotSender sender(makeSnapshotImage(snapshot));
+  while (auto piece = sender.nextMessage(replica.now)) {
     piece->term = term;
     piece->leader = "b";
     replica.handle("b:1", *piece);
@@ -153,8 +157,8 @@
 
 }  // namespace
 
-Test(snapshot_install, a_stop_between_any_two_records_leaves_the_old_log_or_the_snapshot) {
-  Replica replica(heldWith(withConflictingTail(10, 15)));
+Test(snapshot_install, a_crash_between_any_two_records_leaves_the_old_log_or_the_snapshot) {
+  Replica replica(recoveredWith(withConflictingTail(10, 15)));
   deliver(replica, 3, snapshotOf(entriesUpTo(20, 3)));
   cr_assert_not(replica.waiting.empty());
   RecoveredState disk = replica.disk;
@@ -162,13 +166,13 @@
     if (stop > 0) cr_assert(disk.applyRecord(replica.waiting[stop - 1].record));
     bool whole = disk.snapshot && disk.snapshot->index == 20 && disk.entries.empty();
     bool old = !disk.snapshot && disk.entries.size() == 15;
-    cr_expect(whole || old, "after %d of %d records the replica holds %d entries and no snapshot",
-              static_cast<int>(stop), static_cast<int>(replica.waiting.size()), static_cast<int>(disk.entries.size()));
+    cr_expect(whole || old, "after %d of %d records the replica has %d entries and no snapshot", static_cast<int>(stop),
+              static_cast<int>(replica.waiting.size()), static_cast<int>(disk.entries.size()));
   }
 }
 
 Test(snapshot_install, a_tail_that_conflicts_is_gone_after_a_restart) {
-  Replica replica(heldWith(withConflictingTail(10, 30)));
+  Replica replica(recoveredWith(withConflictingTail(10, 30)));
   deliver(replica, 3, snapshotOf(entriesUpTo(20, 3)));
   replica.sync();
   replica.restart();
@@ -177,8 +181,8 @@
   cr_expect(replica.log->hasSynced(20, 3));
 }
 
-Test(snapshot_install, a_tail_that_agrees_is_kept_after_a_restart) {
-  Replica replica(heldWith(entriesUpTo(30, 1)));
+Test(snapshot_install, a_tail_that_matches_is_kept_after_a_restart) {
+  Replica replica(recoveredWith(entriesUpTo(30, 1)));
   deliver(replica, 3, snapshotOf(entriesUpTo(20, 1)));
   replica.sync();
   replica.restart();
@@ -187,7 +191,7 @@
 }
 
 Test(snapshot_install, a_voter_whose_snapshot_is_not_yet_synced_votes_for_no_older_log) {
-  Replica replica(heldWith(withConflictingTail(10, 15)));
+  Replica replica(recoveredWith(withConflictingTail(10, 15)));
   deliver(replica, 3, snapshotOf(entriesUpTo(20, 3)));
   replica.now += 10s;
   replica.handle("c:1", VoteRequest{"accord", 9, "c", false, 1, 1});
@@ -195,7 +199,7 @@
 }
 
 Test(snapshot_install, a_snapshot_is_acknowledged_only_once_it_is_synced) {
-  Replica replica(heldWith(withConflictingTail(10, 15)));
+  Replica replica(recoveredWith(withConflictingTail(10, 15)));
   deliver(replica, 3, snapshotOf(entriesUpTo(20, 3)));
   for (const auto& response : replica.sentOf<AppendResponse>()) cr_expect_lt(response.index, 20u);
   cr_expect_not(replica.log->hasSynced(20, 3));
@@ -206,31 +210,31 @@
 }
 
 namespace {
-/// A leader whose own disk is behind what the two others have synced, past a snapshot of its own.
+/// A leader that has taken a snapshot of entries that the two followers have synced but its own disk has not.
 Replica leaderWithSlowDisk() {
-  Replica replica(heldWith({membersEntry()}), three[0], 8192);
-  replica.lead();
+  Replica replica(recoveredWith({membersEntry()}), three[0], 8192);
+  replica.becomeLeader();
   replica.sync();
   for (int number = 0; number < 12; ++number) {
-    replica.renew();
+    replica.renewLease();
     replica.change(400);
   }
   for (const char* other : {"b", "c"}) replica.acknowledge(other, replica.log->logEnd());
   cr_assert_eq(replica.log->commit(), replica.log->logEnd());
   cr_assert_lt(replica.log->lastSyncedIndex(), replica.log->commit());
-  cr_assert_eq(replica.journal.counts().count("capture"), 1u, "the leader has trimmed its log");
+  cr_assert_eq(replica.journal.counts().count("capture"), 1u, "the leader has compacted its log");
   return replica;
 }
 }  // namespace
 
-Test(snapshot_trim, a_leader_that_trimmed_past_its_own_disk_votes_for_no_older_log) {
+Test(snapshot_trim, a_leader_that_compacted_past_its_own_disk_votes_for_no_older_log) {
   Replica replica = leaderWithSlowDisk();
   replica.now += 10s;
   replica.handle("c:1", VoteRequest{"accord", 9, "c", false, 1, 1});
   cr_expect_not(replica.votedFor("c"));
 }
 
-Test(snapshot_trim, a_trimmed_log_counts_as_synced_once_its_snapshot_is) {
+Test(snapshot_trim, a_compacted_log_counts_as_synced_once_its_snapshot_is) {
   Replica replica = leaderWithSlowDisk();
   replica.sync();
   cr_expect_eq(replica.log->lastSyncedIndex(), replica.log->commit());
@@ -247,107 +251,109 @@
   return snapshot;
 }
 
-struct Way {
-  std::uint64_t pieces{0}, payload{0}, mostUnderWay{0};
+/// Counts of one snapshot transfer: chunks with data, their bytes in total, and the size of the largest.
+struct TransferResult {
+  std::uint64_t pieces{0}, payload{0}, largestChunk{0};
   bool arrived{false};
 };
 
-/// Sends one snapshot over a way that loses, repeats and reorders, to a follower that at times forgets what it had.
-Way sendOver(std::uint64_t seed, int lossPerCent, int forgetPerMille) {
+/// Transfers a snapshot over a link that loses, duplicates and reorders messages, to a follower that at times loses
+/// what it has received.
+TransferResult sendOverLossyLink(std::uint64_t seed, int lossPerCent, int forgetPerMille) {
   std::mt19937_64 randomSource(seed);
   TimePoint now{std::chrono::hours(1)};
   Snapshot snapshot = largeSnapshot(700000, seed);
-  SnapshotSender sender(imageOf(snapshot));
+  SnapshotSender sender(makeSnapshotImage(snapshot));
   SnapshotReceiver receiver;
-  std::multimap<TimePoint, InstallSnapshot> there;
-  std::multimap<TimePoint, InstallSnapshotResponse> back;
-  Way way;
-  auto drawn = [&](int share) { return static_cast<int>(randomSource() % 100) < share; };
+  std::multimap<TimePoint, InstallSnapshot> toReceiver;
+  std::multimap<TimePoint, InstallSnapshotResponse> toSender;
+  TransferResult transfer;
+  auto chance = [&](int share) { return static_cast<int>(randomSource() % 100) < share; };
   auto arrival = [&] { return now + std::chrono::milliseconds(1 + randomSource() % 60); };
-  for (TimePoint end = now + 600s; now < end && !way.arrived; now += 5ms) {
-    if (auto piece = sender.due(now)) {
-      way.pieces += !piece->bytes.empty();
-      way.payload += piece->bytes.size();
-      for (int copies = drawn(lossPerCent) ? 0 : drawn(10) ? 2 : 1; copies > 0; --copies)
-        there.emplace(arrival(), *piece);
+  for (TimePoint end = now + 600s; now < end && !transfer.arrived; now += 5ms) {
+    if (auto piece = sender.nextMessage(now)) {
+      transfer.pieces += !piece->bytes.empty();
+      transfer.payload += piece->bytes.size();
+      for (int copies = chance(lossPerCent) ? 0 : chance(10) ? 2 : 1; copies > 0; --copies)
+        toReceiver.emplace(arrival(), *piece);
     }
-    while (!there.empty() && there.begin()->first <= now) {
-      InstallSnapshot piece = there.begin()->second;
-      there.erase(there.begin());
+    while (!toReceiver.empty() && toReceiver.begin()->first <= now) {
+      InstallSnapshot piece = toReceiver.begin()->second;
+      toReceiver.erase(toReceiver.begin());
       if (static_cast<int>(randomSource() % 1000) < forgetPerMille) receiver = SnapshotReceiver();
       Uint64 held = receiver.handle(piece, 1 << 22);
-      way.mostUnderWay = std::max<std::uint64_t>(way.mostUnderWay, piece.bytes.size());
-      if (auto whole = receiver.finished()) {
+      transfer.largestChunk = std::max<std::uint64_t>(transfer.largestChunk, piece.bytes.size());
+      if (auto whole = receiver.takeCompleteSnapshot()) {
         cr_assert_eq(whole->configuration, snapshot.configuration);
         cr_assert_eq(whole->index, snapshot.index);
-        way.arrived = true;
+        transfer.arrived = true;
       }
       InstallSnapshotResponse response;
       response.digest = piece.digest;
       response.offset = held;
       response.attempt = piece.attempt;
-      if (!drawn(lossPerCent)) back.emplace(arrival(), response);
+      if (!chance(lossPerCent)) toSender.emplace(arrival(), response);
     }
-    while (!back.empty() && back.begin()->first <= now) {
-      sender.handle(back.begin()->second, now);
-      back.erase(back.begin());
+    while (!toSender.empty() && toSender.begin()->first <= now) {
+      sender.handle(toSender.begin()->second, now);
+      toSender.erase(toSender.begin());
     }
   }
-  return way;
+  return transfer;
 }
 
 }  // namespace
 
-Test(snapshot_pieces, arrive_whole_over_a_way_that_loses_repeats_and_reorders) {
+Test(snapshot_pieces, arrive_complete_over_a_link_that_loses_duplicates_and_reorders) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
-    Way way = sendOver(seed, 25, 5);
-    cr_assert(way.arrived, "seed %d", static_cast<int>(seed));
-    cr_assert_leq(way.mostUnderWay, SnapshotSender::pieceBytes);
+    TransferResult transfer = sendOverLossyLink(seed, 25, 5);
+    cr_assert(transfer.arrived, "seed %d", static_cast<int>(seed));
+    cr_assert_leq(transfer.largestChunk, SnapshotSender::maxChunkBytes);
   }
 }
 
-Test(snapshot_pieces, on_a_sound_way_each_byte_is_sent_once) {
+Test(snapshot_pieces, on_a_reliable_link_each_byte_is_sent_once) {
   Snapshot snapshot = largeSnapshot(700000);
-  SnapshotSender sender(imageOf(snapshot));
+  SnapshotSender sender(makeSnapshotImage(snapshot));
   SnapshotReceiver receiver;
   TimePoint now{std::chrono::hours(1)};
   std::size_t payload = 0;
   std::optional<Snapshot> whole;
-  while (auto piece = sender.due(now)) {
+  while (auto piece = sender.nextMessage(now)) {
     payload += piece->bytes.size();
-    cr_assert_not(sender.due(now).has_value(), "one piece is under way at a time");
+    cr_assert_not(sender.nextMessage(now).has_value(), "one chunk is in flight at a time");
     InstallSnapshotResponse response;
     response.digest = piece->digest;
     response.attempt = piece->attempt;
     response.offset = receiver.handle(*piece, 1 << 22);
-    whole = receiver.finished();
+    whole = receiver.takeCompleteSnapshot();
     sender.handle(response, now += 30ms);
   }
   cr_assert(whole.has_value());
   cr_expect_eq(payload, sender.image().bytes.size());
 }
 
-Test(snapshot_pieces, a_piece_that_is_long_on_its_way_is_asked_after_and_not_sent_again) {
-  SnapshotSender sender(imageOf(largeSnapshot(700000)));
+Test(snapshot_pieces, an_unacknowledged_chunk_is_probed_and_not_sent_again) {
+  SnapshotSender sender(makeSnapshotImage(largeSnapshot(700000)));
   TimePoint now{std::chrono::hours(1)};
-  std::size_t payload = sender.due(now)->bytes.size(), questions = 0;
+  std::size_t payload = sender.nextMessage(now)->bytes.size(), requests = 0;
   for (int step = 0; step < 10000; ++step) {
     now += 1ms;
-    if (auto message = sender.due(now)) {
+    if (auto message = sender.nextMessage(now)) {
       payload += message->bytes.size();
-      ++questions;
+      ++requests;
     }
   }
-  cr_expect_eq(payload, SnapshotSender::pieceBytes);
-  cr_expect_leq(questions, 7u, "the pauses grow");
+  cr_expect_eq(payload, SnapshotSender::maxChunkBytes);
+  cr_expect_leq(requests, 7u, "the retry delay must grow");
 }
 
-Test(snapshot_pieces, another_leader_with_the_same_snapshot_goes_on_where_the_first_stopped) {
-  auto image = imageOf(largeSnapshot(700000));
+Test(snapshot_pieces, another_leader_with_the_same_snapshot_resumes_the_transfer) {
+  auto image = makeSnapshotImage(largeSnapshot(700000));
   SnapshotReceiver receiver;
   TimePoint now{std::chrono::hours(1)};
   auto pass = [&](SnapshotSender& sender) {
-    auto piece = sender.due(now);
+    auto piece = sender.nextMessage(now);
     InstallSnapshotResponse response;
     response.digest = piece->digest;
     response.attempt = piece->attempt;
@@ -356,46 +362,46 @@
   };
   SnapshotSender first(image);
   for (int pieces = 0; pieces < 4; ++pieces) pass(first);
-  SnapshotSender second(imageOf(largeSnapshot(700000)));
+  SnapshotSender second(makeSnapshotImage(largeSnapshot(700000)));
   pass(second);
-  cr_expect_eq(second.acknowledged(), 4 * SnapshotSender::pieceBytes);
-  SnapshotSender other(imageOf(largeSnapshot(700000, 2)));
+  cr_expect_eq(second.acknowledged(), 4 * SnapshotSender::maxChunkBytes);
+  SnapshotSender other(makeSnapshotImage(largeSnapshot(700000, 2)));
   pass(other);
-  cr_expect_eq(other.acknowledged(), SnapshotSender::pieceBytes, "another snapshot begins from its start");
+  cr_expect_eq(other.acknowledged(), SnapshotSender::maxChunkBytes, "another snapshot must start from the beginning");
 }
 
-Test(snapshot_pieces, one_that_is_bent_or_too_large_is_not_taken) {
-  auto image = imageOf(largeSnapshot(200000));
+Test(snapshot_pieces, a_corrupt_or_oversized_snapshot_is_rejected) {
+  auto image = makeSnapshotImage(largeSnapshot(200000));
   SnapshotSender sender(image);
   SnapshotReceiver receiver;
   TimePoint now{std::chrono::hours(1)};
-  auto piece = sender.due(now);
+  auto piece = sender.nextMessage(now);
   cr_expect_eq(receiver.handle(*piece, 100000), 0u);
-  cr_expect_eq(receiver.heldBytes(), 0u);
+  cr_expect_eq(receiver.receivedBytes(), 0u);
   piece->bytes[77] ^= 1;
-  cr_expect_eq(receiver.handle(*piece, 1 << 22), SnapshotSender::pieceBytes);
+  cr_expect_eq(receiver.handle(*piece, 1 << 22), SnapshotSender::maxChunkBytes);
   InstallSnapshot rest = *piece;
-  rest.offset = SnapshotSender::pieceBytes;
-  rest.bytes = image->bytes.substr(SnapshotSender::pieceBytes);
+  rest.offset = SnapshotSender::maxChunkBytes;
+  rest.bytes = image->bytes.substr(SnapshotSender::maxChunkBytes);
   receiver.handle(rest, 1 << 22);
-  cr_expect_not(receiver.finished().has_value(), "its digest does not fit");
-  cr_expect_eq(receiver.heldBytes(), 0u);
+  cr_expect_not(receiver.takeCompleteSnapshot().has_value(), "the digest does not match");
+  cr_expect_eq(receiver.receivedBytes(), 0u);
 }
 
-Test(append_window, entries_under_way_are_not_sent_again_while_the_disk_is_slow) {
-  Replica leader(heldWith({membersEntry()}));
-  leader.lead();
+Test(append_window, entries_in_flight_are_not_sent_again_while_the_disk_is_slow) {
+  Replica leader(recoveredWith({membersEntry()}));
+  leader.becomeLeader();
   leader.sync();
   for (const char* other : {"b", "c"}) leader.acknowledge(other, leader.log->logEnd());
-  leader.renew();
+  leader.renewLease();
   leader.change(400);
   leader.sync();
   leader.sent.clear();
   for (int step = 0; step < 100; ++step) {
-    leader.renew();
+    leader.renewLease();
     leader.tick(20ms);
     for (const auto& request : leader.sentOf<AppendRequest>()) {
-      cr_assert(request.entries.empty(), "a slow disk is sent what it has");
+      cr_assert(request.entries.empty(), "entries that were received must not be sent again");
       for (const char* other : {"b", "c"})
         leader.handle(std::string(other) + ":1",
                       AppendResponse{leader.log->election.term(), other, true, request.prevIndex, leader.log->logEnd(),
@@ -406,25 +412,25 @@
 }
 
 Test(append_window, entries_that_were_lost_are_sent_again) {
-  Replica leader(heldWith({membersEntry()}));
-  leader.lead();
+  Replica leader(recoveredWith({membersEntry()}));
+  leader.becomeLeader();
   leader.sync();
   for (const char* other : {"b", "c"}) leader.acknowledge(other, leader.log->logEnd());
   leader.change(400);
   leader.sent.clear();
   leader.tick(200ms);
-  auto questions = leader.sentOf<AppendRequest>();
-  cr_assert_not(questions.empty());
+  auto requests = leader.sentOf<AppendRequest>();
+  cr_assert_not(requests.empty());
   leader.sent.clear();
-  leader.handle("b:1", AppendResponse{leader.log->election.term(), "b", true, questions[0].prevIndex,
-                                      questions[0].prevIndex, questions[0].round});
+  leader.handle("b:1", AppendResponse{leader.log->election.term(), "b", true, requests[0].prevIndex,
+                                      requests[0].prevIndex, requests[0].round});
   auto again = leader.sentOf<AppendRequest>();
   cr_assert_eq(again.size(), 1u);
   cr_expect_eq(again[0].entries.size(), 1u);
 }
 
 Test(append_window, a_repeated_entry_is_written_once) {
-  Replica follower(heldWith({membersEntry()}));
+  Replica follower(recoveredWith({membersEntry()}));
   AppendRequest request{3, "b", 1, 1, 1, {changeEntry(2, 3), changeEntry(3, 3)}, 1};
   for (int copy = 0; copy < 20; ++copy) follower.handle("b:1", request);
   std::size_t entries = 0;
@@ -433,7 +439,7 @@
 }
 
 Test(append_window, entries_synced_together_are_acknowledged_once) {
-  Replica follower(heldWith({membersEntry()}));
+  Replica follower(recoveredWith({membersEntry()}));
   follower.handle("b:1", Heartbeat{"accord", 3, "b", 1});
   AppendRequest request{3, "b", 1, 1, 1, {}, 1};
   for (std::uint64_t index = 2; index <= 100; ++index) request.entries.push_back(changeEntry(index, 3));
@@ -447,6 +453,7 @@
 
 namespace {
 
+/// Files of a ring log in memory.
 class MemoryFiles : public RingFiles {
  public:
   explicit MemoryFiles(std::size_t bytes) : rows(4, std::string(bytes, '\0')) {}
@@ -461,8 +468,8 @@
   std::vector<std::string> rows;
 };
 
-/// What a ring holds after thousands of changes with the longest ids, and a configuration near the most that is taken.
-RecoveredState heldAtTheBounds(std::size_t room) {
+/// The state after thousands of changes with ids of maximum length and a configuration close to the size limit.
+RecoveredState recoveredAtCapacity(std::size_t room) {
   std::vector<LogEntry> entries{membersEntry()};
   for (std::uint64_t index = 2; index <= 4200; ++index) {
     auto entry = changeEntry(index, 1, index % 8 == 0 ? room / 640 : 4);
@@ -470,21 +477,22 @@
     entry.changeId = std::to_string(index) + std::string(128 - std::to_string(index).size(), 'i');
     entries.push_back(entry);
   }
-  return heldWith({}, snapshotOf(entries));
+  return recoveredWith({}, snapshotOf(entries));
 }
 
-/// Gives a replica large changes until it takes no more, then lets its disk write all at once, again and again.
-void fillToTheBounds(std::size_t fileBytes, bool agreed) {
+/// Sends a replica large changes until it rejects them, then lets its disk write everything at once, repeatedly. Guards
+/// against a checkpoint that does not fit into one file of the ring, which would stop the process.
+void fillToCapacity(std::size_t fileBytes, bool agreed) {
   std::size_t room = fileBytes / 4;
   MemoryFiles files(fileBytes);
   auto ring = std::move(Ring::open(files).value());
-  Replica replica(heldAtTheBounds(room), three[0], room);
+  Replica replica(recoveredAtCapacity(room), three[0], room);
   cr_assert(bool(ring->append(replica.disk.records())));
-  replica.lead();
+  replica.becomeLeader();
   replica.changes = 100000;
   int refused = 0;
   for (int round = 0; round < 60; ++round) {
-    replica.renew();
+    replica.renewLease();
     std::size_t bytes = room / 3 - static_cast<std::size_t>(round % 7) * room / 24;
     ChangeRequest request;
     request.requestId = request.changeId = "large " + std::to_string(round);
@@ -506,17 +514,17 @@
     if (agreed)
       for (const char* other : {"b", "c"}) replica.acknowledge(other, replica.log->logEnd());
   }
-  cr_expect_gt(refused, 0, "the bound was never reached");
+  cr_expect_gt(refused, 0, "the limit was never reached");
 }
 
 }  // namespace
 
-Test(checkpoint_fits, large_changes_that_nobody_agrees_to_are_refused_before_they_outgrow_a_file) {
-  fillToTheBounds(4u << 20, false);
-  fillToTheBounds(3u << 20, false);
+Test(checkpoint_fits, large_uncommitted_changes_are_rejected_before_they_outgrow_a_file) {
+  fillToCapacity(4u << 20, false);
+  fillToCapacity(3u << 20, false);
 }
 
-Test(checkpoint_fits, large_changes_that_are_agreed_leave_room_for_each_checkpoint) {
-  fillToTheBounds(4u << 20, true);
-  fillToTheBounds(3u << 20, true);
+Test(checkpoint_fits, large_committed_changes_leave_room_for_each_checkpoint) {
+  fillToCapacity(4u << 20, true);
+  fillToCapacity(3u << 20, true);
 }
--- a/tests/timing_kept.hpp
+++ b/tests/timing_kept.hpp
@@ -3,10 +3,10 @@
 
 namespace tt {
 
-/// Puts the process's spans back at the end of a test that sets them.
+/// Restores the global `timing` at the end of a test that changes it.
 struct TimingGuard {
-  Timing old = timing;
-  ~TimingGuard() { timing = old; }
+  Timing original = timing;
+  ~TimingGuard() { timing = original; }
 };
 
 }  // namespace tt
