--- a/src/routing/drain_plan.hpp
+++ b/src/routing/drain_plan.hpp
@@ -3,23 +3,24 @@
 
 namespace tt {
 
-/// How a process that was told to stop ends in order. Clients are led away from it only some time after it has said
-/// that it is not ready, so it serves on until then; from then on it takes only what is sure to be over before its end;
-/// and what is unfinished at its end gets a final answer before the process exits. Times are of the steady clock.
+/// The schedule by which a process drains after it was told to stop. Load balancers stop sending clients to it only
+/// some time after it reports that it is not ready, so until then it accepts every request. From then on it accepts
+/// only requests that are sure to end before it does. Requests that are open at the end get a final response before the
+/// process exits. Times are of the steady clock.
 struct DrainPlan {
   TimePoint startedAt{};
-  /// Until here every request is taken.
+  /// Until this time every request is accepted.
   TimePoint refusesFrom{};
-  /// Here whatever is unfinished gets its final answer.
+  /// At this time all open requests get their final response.
   TimePoint endsAt{};
-  /// The process exits here at the latest, so that the last answers have time to leave.
+  /// The process exits at this time at the latest. What lies between leaves the final responses time to be sent.
   TimePoint exitsBy{};
 
-  /// Whether a request may be taken that is given up at its own deadline; Moment::max() if it has none.
-  bool takes(TimePoint now, TimePoint deadline) const { return now < refusesFrom || deadline <= endsAt; }
+  /// Whether a request with this deadline may be accepted; TimePoint::max() if it has none.
+  bool accepts(TimePoint now, TimePoint deadline) const { return now < refusesFrom || deadline <= endsAt; }
 };
 
-/// The plan for a process that is told to stop now and killed after the grace.
+/// The plan for a process that is told to stop now and is killed after the grace period.
 DrainPlan planDrain(TimePoint now, Duration grace);
 
 }  // namespace tt
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -1,16 +1,18 @@
-/// A proxy's messages and ticks, and the way of its orders through the chart.
+/// Handles a proxy's messages and ticks, and drives its requests through the state chart "order".
 #include "edge.hpp"
 
 #include <algorithm>
 
 namespace tt {
 namespace {
-/// How long a worker is avoided after it broke off, or turned an order away.
-constexpr Duration shunFor = 2s, deniedShunFor = 200ms;
-constexpr Duration staleMost = 2500ms;
-constexpr std::size_t savedMost = 20000;
-/// A worker ends an order at its deadline itself; its word is waited for a little longer.
-constexpr Duration deadlineSlack = 300ms;
+/// How long a worker is not selected after its connection broke, and after it denied a request.
+constexpr Duration ejectionPeriod = 2s, denialHoldoff = 200ms;
+/// How long a proxy may be stale before it ends its open requests.
+constexpr Duration maxStaleTime = 2500ms;
+/// How many saved prefixes are remembered. If there are more, all are forgotten; at worst some are saved again.
+constexpr std::size_t maxRememberedSaves = 20000;
+/// A worker ends a request at its deadline by itself. Its final status is waited for a little longer.
+constexpr Duration deadlineGrace = 300ms;
 }  // namespace
 
 const ProxyRouter::Actions& ProxyRouter::actions() {
@@ -27,17 +29,18 @@
   return table;
 }
 
-ProxyRouter::ProxyRouter(ProxyRouterSettings edgeSettings) : settings(std::move(edgeSettings)) {
+ProxyRouter::ProxyRouter(ProxyRouterSettings routerSettings) : settings(std::move(routerSettings)) {
   if (auto policy = Policy::read(settings.routePolicy)) routePolicy = policy.value();
 }
 
-bool ProxyRouter::fresh(TimePoint now) const { return now < freshUntil && view.index() >= needed; }
+bool ProxyRouter::fresh(TimePoint now) const { return now < freshUntil && config.index() >= requiredIndex; }
 
+/// Workers of plain services count only where no cell knows an engine worker.
 bool ProxyRouter::ready(TimePoint now) const {
-  if (!fresh(now) || view.revision() == 0) return false;
+  if (!fresh(now) || config.revision() == 0) return false;
   bool anyEngine = false, engineAlive = false, plainAlive = false;
-  for (const auto& [zone, news] : cells)
-    for (const auto& worker : news.workers) {
+  for (const auto& [zone, cell] : cells)
+    for (const auto& worker : cell.workers) {
       if (worker.kind == "store") continue;
       bool engine = worker.kind == "language";
       anyEngine = anyEngine || engine;
@@ -47,214 +50,220 @@
   return anyEngine ? engineAlive : plainAlive;
 }
 
-const WorkerView* ProxyRouter::workerView(const std::string& name) const {
-  for (const auto& [zone, news] : cells)
-    for (const auto& worker : news.workers)
+const WorkerView* ProxyRouter::findWorker(const std::string& name) const {
+  for (const auto& [zone, cell] : cells)
+    for (const auto& worker : cell.workers)
       if (worker.name == name) return &worker;
   return nullptr;
 }
 
 void ProxyRouter::dispatch(Effects& effects, const std::string& orderId, const std::string& event) {
-  auto found = orders.find(orderId);
-  if (found == orders.end()) return;
-  auto& order = *found->second;
-  order.walk->dispatch(*this, event, effects, order);
-  if (order.walk->in("again")) order.walk->dispatch(*this, order.retryAsked ? "retry" : "giveUp", effects, order);
-  if (!order.walk->in("ended")) return;
-  freeWorker(effects, order);
-  orderBySend.erase(order.sendId);
-  orders.erase(orderId);
+  auto found = requests.find(orderId);
+  if (found == requests.end()) return;
+  auto& request = *found->second;
+  request.stateMachine->dispatch(*this, event, effects, request);
+  if (request.stateMachine->in("again"))
+    request.stateMachine->dispatch(*this, request.retryRequested ? "retry" : "giveUp", effects, request);
+  if (!request.stateMachine->in("ended")) return;
+  freeWorker(effects, request);
+  orderIdByAttempt.erase(request.attemptId);
+  requests.erase(orderId);
 }
 
-bool ProxyRouter::stillGood(const Order& order, TimePoint now) const {
+bool ProxyRouter::isPlanValid(const Request& request, TimePoint now) const {
   if (!settings.defences.isEnabled(Defence::drawnAgain)) return true;
-  const auto* worker = workerView(order.plan.worker);
-  if (!worker || !worker->alive || worker->held || !staying.count(worker->name)) return false;
-  if (order.route.app) return true;
-  return worker->weights == order.plan.weights && mayBegin(order.plan.model, order.plan.weights, now);
+  const auto* worker = findWorker(request.plan.worker);
+  if (!worker || !worker->alive || worker->held || !schedulable.count(worker->name)) return false;
+  if (request.route.app) return true;
+  return worker->weights == request.plan.weights && mayStartOn(request.plan.model, request.plan.weights, now);
 }
 
-void ProxyRouter::sendOrRedraw(Effects& effects, const std::string& orderId, const std::string& event) {
-  auto found = orders.find(orderId);
-  if (found == orders.end()) return;
+void ProxyRouter::sendOrReselect(Effects& effects, const std::string& orderId, const std::string& event) {
+  auto found = requests.find(orderId);
+  if (found == requests.end()) return;
   if (!fresh(effects.now)) {
-    denyOrUnknown(effects, *found->second, Code::staleEdge);
+    endNotRunOrUnknown(effects, *found->second, Code::staleEdge);
     return dispatch(effects, orderId, "callerGone");
   }
-  bool good = stillGood(*found->second, effects.now);
-  if (!good) effects.note("drawn again", orderId + " " + found->second->plan.worker);
-  dispatch(effects, orderId, good ? event : "outdated");
-  if (!good) servePending(effects);
+  bool valid = isPlanValid(*found->second, effects.now);
+  if (!valid) effects.note("drawn again", orderId + " " + found->second->plan.worker);
+  dispatch(effects, orderId, valid ? event : "outdated");
+  if (!valid) servePending(effects);
 }
 
-void ProxyRouter::sendOrder(Effects& effects, Order& order) {
-  ++order.tries;
-  order.sendId = order.ask.orderId + "." + std::to_string(order.tries);
-  order.heardAt = effects.now;
-  orderBySend[order.sendId] = order.ask.orderId;
-  effects.note("order sent", order.sendId + " " + order.plan.worker);
-  WorkerOrder sent{order.sendId,
-                   order.plan.model,
-                   order.plan.weights,
-                   order.plan.salt,
-                   order.ask.parts,
-                   order.plan.hashes,
-                   order.ask.maxTokens,
+void ProxyRouter::sendOrder(Effects& effects, Request& request) {
+  ++request.attempts;
+  request.attemptId = request.submitted.orderId + "." + std::to_string(request.attempts);
+  request.lastActivityAt = effects.now;
+  orderIdByAttempt[request.attemptId] = request.submitted.orderId;
+  effects.note("order sent", request.attemptId + " " + request.plan.worker);
+  WorkerOrder sent{request.attemptId,
+                   request.plan.model,
+                   request.plan.weights,
+                   request.plan.salt,
+                   request.submitted.parts,
+                   request.plan.hashes,
+                   request.submitted.maxTokens,
                    false,
                    {},
                    {},
-                   order.tenant,
-                   order.route.app,
-                   order.ask.params,
-                   order.ask.orderId,
-                   order.plan.worker,
-                   order.plan.sinkAddress,
-                   order.urgency,
+                   request.tenant,
+                   request.route.app,
+                   request.submitted.params,
+                   request.submitted.orderId,
+                   request.plan.worker,
+                   request.plan.sinkAddress,
+                   request.urgency,
                    0,
-                   order.lastPiece,
-                   !order.ask.repeatable};
-  if (TimePoint end = endOfWeights(order.plan.model, order.plan.weights, timing.oldWeightsOrderTimeout);
+                   request.lastPiece,
+                   !request.submitted.repeatable};
+  if (TimePoint end = weightsUseEndsAt(request.plan.model, request.plan.weights, timing.oldWeightsOrderTimeout);
       end != TimePoint::max())
     sent.sendDeadline = toNanoseconds(end);
-  if (order.route.matchesPath()) {
-    sent.deadlineMs = std::max<std::int64_t>(1, toMilliseconds(order.deadline - effects.now));
-    if (order.plan.source) sent.sourceAddress = order.plan.source->address;
-    order.sentAt = effects.now;
-    if (!order.plan.sinkAddress.empty()) {
-      if (savedAt.size() > savedMost) savedAt.clear();
-      savedAt[order.plan.hashes.back()] = effects.now;
+  if (request.route.matchesPath()) {
+    sent.deadlineMs = std::max<std::int64_t>(1, toMilliseconds(request.deadline - effects.now));
+    if (request.plan.source) sent.sourceAddress = request.plan.source->address;
+    request.sentAt = effects.now;
+    if (!request.plan.sinkAddress.empty()) {
+      if (prefixSavedAt.size() > maxRememberedSaves) prefixSavedAt.clear();
+      prefixSavedAt[request.plan.hashes.back()] = effects.now;
     }
-    locals[order.plan.worker].unread += order.plan.unread;
-    order.unreadCounted = true;
-    if (!order.plan.model.empty())
-      effects.send(settings.agentAddress, PrefillStarted{order.sendId, order.plan.zone, order.plan.worker,
-                                                         order.plan.hashes, order.plan.unread});
+    workerStats[request.plan.worker].tokensToPrefill += request.plan.tokensToPrefill;
+    request.prefillCounted = true;
+    if (!request.plan.model.empty())
+      effects.send(settings.agentAddress, PrefillStarted{request.attemptId, request.plan.zone, request.plan.worker,
+                                                         request.plan.hashes, request.plan.tokensToPrefill});
   }
-  effects.send(order.plan.address, std::move(sent));
+  effects.send(request.plan.address, std::move(sent));
 }
 
-std::optional<Code> ProxyRouter::endOfAll(TimePoint now) const {
-  if (cutOff(now)) return Code::staleEdge;
+std::optional<Code> ProxyRouter::endReasonForAll(TimePoint now) const {
+  if (isCutOff(now)) return Code::staleEdge;
   if (drainPlan && now >= drainPlan->endsAt && settings.defences.isEnabled(Defence::drainAnswers))
     return Code::stopping;
   return std::nullopt;
 }
 
-bool ProxyRouter::cutOff(TimePoint now) const {
-  return !settings.letOpenRequestsFinish && freshUntil != TimePoint{} && now - freshUntil > staleMost &&
+bool ProxyRouter::isCutOff(TimePoint now) const {
+  return !settings.letOpenRequestsFinish && freshUntil != TimePoint{} && now - freshUntil > maxStaleTime &&
          settings.defences.isEnabled(Defence::staleEndsStreams);
 }
 
-void ProxyRouter::revokeOpen(Effects& effects) {
+void ProxyRouter::revokeOpenRequests(Effects& effects) {
   if (!settings.defences.isEnabled(Defence::revokeEndsStreams) || settings.letOpenRequestsFinish) return;
   std::vector<std::string> revoked;
-  for (const auto& [orderId, order] : orders)
-    if (!view.findKey(order->keyHash)) revoked.push_back(orderId);
+  for (const auto& [orderId, request] : requests)
+    if (!config.findKey(request->keyHash)) revoked.push_back(orderId);
   for (const auto& orderId : revoked) dispatch(effects, orderId, "revoked");
 }
 
-void ProxyRouter::noteVersions() {
-  const auto* models = view.findSection("models");
+/// Until `completeAsOf` the configuration was known to be complete, so weights first seen now were announced later.
+void ProxyRouter::recordCurrentWeights() {
+  const auto* models = config.findSection("models");
   if (!models) return;
-  std::optional<TimePoint> complete;
-  if (freshUntil != TimePoint{}) complete = freshUntil - timing.maxStaleness;
-  for (const auto& [model, item] : *models) versions.observe(model, stringOr(item, "weights"), complete, view.index());
+  std::optional<TimePoint> completeAsOf;
+  if (freshUntil != TimePoint{}) completeAsOf = freshUntil - timing.maxStaleness;
+  for (const auto& [model, item] : *models)
+    weightsTimeline.observe(model, stringOr(item, "weights"), completeAsOf, config.index());
 }
 
-TimePoint ProxyRouter::endOfWeights(const std::string& model, const std::string& weights, Duration span) const {
+TimePoint ProxyRouter::weightsUseEndsAt(const std::string& model, const std::string& weights, Duration period) const {
   if (model.empty() || weights.empty() || !settings.defences.isEnabled(Defence::oldWeightsEnd)) return TimePoint::max();
   if (settings.defences.isEnabled(Defence::endFromFirstNewer))
-    return endOfUse(versions.supersededAt(model, weights), span);
-  return versions.isNewest(model, weights) ? TimePoint::max() : endOfUse(versions.newestAt(model), span);
+    return endOfUse(weightsTimeline.supersededAt(model, weights), period);
+  return weightsTimeline.isNewest(model, weights) ? TimePoint::max()
+                                                  : endOfUse(weightsTimeline.newestAt(model), period);
 }
 
-bool ProxyRouter::mayBegin(const std::string& model, const std::string& weights, TimePoint now) const {
-  return now < endOfWeights(model, weights, timing.oldWeightsOrderTimeout);
+bool ProxyRouter::mayStartOn(const std::string& model, const std::string& weights, TimePoint now) const {
+  return now < weightsUseEndsAt(model, weights, timing.oldWeightsOrderTimeout);
 }
 
-bool ProxyRouter::beginsTooLate(const Order& order, TimePoint now) const {
-  return order.walk->in("sent") && settings.defences.isEnabled(Defence::unbegunDropped) &&
-         now >= endOfWeights(order.plan.model, order.plan.weights, timing.unstartedOrderTimeout);
+bool ProxyRouter::isUnstartedPastWeightsEnd(const Request& request, TimePoint now) const {
+  return request.stateMachine->in("sent") && settings.defences.isEnabled(Defence::unbegunDropped) &&
+         now >= weightsUseEndsAt(request.plan.model, request.plan.weights, timing.unstartedOrderTimeout);
 }
 
-void ProxyRouter::setNews(Effects& effects) {
-  effects.note("edge applied", settings.name, static_cast<std::int64_t>(view.index()));
-  feedAt = TimePoint{};
-  revokeOpen(effects);
+void ProxyRouter::onConfigurationChanged(Effects& effects) {
+  effects.note("edge applied", settings.name, static_cast<std::int64_t>(config.index()));
+  /// The next tick polls at once, so that the agent learns without delay what is applied here.
+  lastFeedPollAt = TimePoint{};
+  revokeOpenRequests(effects);
   servePending(effects);
 }
 
 void ProxyRouter::tick(Effects& effects) {
-  if (effects.now - feedAt >= timing.feedPollInterval) {
-    feedAt = effects.now;
-    versions.pruneExpired(effects.now, timing.oldWeightsTimeout);
+  if (effects.now - lastFeedPollAt >= timing.feedPollInterval) {
+    lastFeedPollAt = effects.now;
+    weightsTimeline.pruneExpired(effects.now, timing.oldWeightsTimeout);
     std::vector<CellVersion> rows;
-    for (const auto& [zone, news] : cells) rows.push_back(CellVersion{zone, news.term, news.sequence});
-    effects.send(settings.agentAddress, FeedAsk{toNanoseconds(effects.now), view.index(), rows, machineListDigest});
-    for (auto* moments : {&admittedAt, &retriedAt, &doneAt})
-      while (!moments->empty() && effects.now - moments->front() > settings.retryBudgetWindow) moments->pop_front();
+    for (const auto& [zone, cell] : cells) rows.push_back(CellVersion{zone, cell.term, cell.sequence});
+    effects.send(settings.agentAddress, FeedAsk{toNanoseconds(effects.now), config.index(), rows, machineListDigest});
+    for (auto* times : {&admissionTimes, &retryTimes, &completionTimes})
+      while (!times->empty() && effects.now - times->front() > settings.retryBudgetWindow) times->pop_front();
   }
   std::vector<std::string> ids;
-  for (const auto& [orderId, order] : orders) ids.push_back(orderId);
+  for (const auto& [orderId, request] : requests) ids.push_back(orderId);
   if (fresh(effects.now) != wasFresh) {
     wasFresh = !wasFresh;
     effects.note(wasFresh ? "fresh" : "stale", settings.name);
   }
-  auto endReason = endOfAll(effects.now);
+  auto endCode = endReasonForAll(effects.now);
   for (const auto& orderId : ids) {
-    auto found = orders.find(orderId);
-    if (found == orders.end()) continue;
-    auto& order = *found->second;
-    if (endReason) {
-      if (*endReason == Code::stopping) effects.note("given up on leaving", orderId + " " + order.walk->state());
-      order.lastCode = *endReason;
+    auto found = requests.find(orderId);
+    if (found == requests.end()) continue;
+    auto& request = *found->second;
+    if (endCode) {
+      if (*endCode == Code::stopping)
+        effects.note("given up on leaving", orderId + " " + request.stateMachine->state());
+      request.lastCode = *endCode;
       dispatch(effects, orderId, "revoked");
       continue;
     }
-    if (order.walk->in("lookup") && effects.now - order.lookupAt >= settings.lookupTimeout &&
+    if (request.stateMachine->in("lookup") && effects.now - request.lookupStartedAt >= settings.lookupTimeout &&
         settings.defences.isEnabled(Defence::lookupExpires))
-      settleLookup(effects, order);
-    else if (beginsTooLate(order, effects.now)) {
-      effects.note("unbegun dropped", orderId + " " + order.plan.worker);
+      finishLookup(effects, request);
+    else if (isUnstartedPastWeightsEnd(request, effects.now)) {
+      effects.note("unbegun dropped", orderId + " " + request.plan.worker);
       dispatch(effects, orderId, "silent");
-    } else if (order.route.matchesPath() && !order.walk->in("pending")) {
-      if (effects.now >= order.deadline + deadlineSlack) dispatch(effects, orderId, "silent");
-    } else if (order.walk->in("sent") && effects.now - order.heardAt >= settings.firstByteTimeout)
+    } else if (request.route.matchesPath() && !request.stateMachine->in("pending")) {
+      if (effects.now >= request.deadline + deadlineGrace) dispatch(effects, orderId, "silent");
+    } else if (request.stateMachine->in("sent") && effects.now - request.lastActivityAt >= settings.firstByteTimeout)
       dispatch(effects, orderId, "silent");
-    else if (order.walk->in("streaming") && effects.now - order.heardAt >= settings.chunkTimeout)
+    else if (request.stateMachine->in("streaming") && effects.now - request.lastActivityAt >= settings.chunkTimeout)
       dispatch(effects, orderId, "silent");
   }
-  std::vector<std::string> overdue;
-  for (const auto& [moveId, move] : moves)
-    if (effects.now >= move.deadline) overdue.push_back(moveId);
-  for (const auto& moveId : overdue) settleMove(effects, moveId, false);
+  std::vector<std::string> expired;
+  for (const auto& [transferId, transfer] : transfers)
+    if (effects.now >= transfer.deadline) expired.push_back(transferId);
+  for (const auto& transferId : expired) finishTransfer(effects, transferId, false);
   servePending(effects);
 }
 
-ProxyRouter::Order* ProxyRouter::orderSentAs(const std::string& sendId) {
-  auto sent = orderBySend.find(sendId);
-  return sent == orderBySend.end() ? nullptr : orders.at(sent->second).get();
+ProxyRouter::Request* ProxyRouter::requestOfAttempt(const std::string& attemptId) {
+  auto sent = orderIdByAttempt.find(attemptId);
+  return sent == orderIdByAttempt.end() ? nullptr : requests.at(sent->second).get();
 }
 
 void ProxyRouter::onWorkerChunk(Effects& effects, const WorkerChunk& chunk) {
-  auto* order = orderSentAs(chunk.orderId);
-  if (!order) return;
-  order->chunk = chunk.text;
-  if (!chunk.piece.empty()) order->lastPiece = chunk.piece;
-  bool late = cutOff(effects.now);
-  if (late) order->lastCode = Code::staleEdge;
-  std::string orderId = order->ask.orderId;
+  auto* request = requestOfAttempt(chunk.orderId);
+  if (!request) return;
+  request->chunk = chunk.text;
+  if (!chunk.piece.empty()) request->lastPiece = chunk.piece;
+  bool late = isCutOff(effects.now);
+  if (late) request->lastCode = Code::staleEdge;
+  std::string orderId = request->submitted.orderId;
   dispatch(effects, orderId, late ? "revoked" : "chunk");
 }
 
-const char* ProxyRouter::eventOf(const Order& order, OrderOutcome outcome) const {
-  bool goesOn = order.walk->in("streaming") && order.route.resumable;
-  bool brokeOff =
+const char* ProxyRouter::chartEventFor(const Request& request, OrderOutcome outcome) const {
+  bool canResume = request.stateMachine->in("streaming") && request.route.resumable;
+  bool connectionBroke =
       outcome == OrderOutcome::broken || outcome == OrderOutcome::denied || outcome == OrderOutcome::brokenBeforeSend;
-  if (outcome == OrderOutcome::broken && order.walk->in("streaming") &&
+  if (outcome == OrderOutcome::broken && request.stateMachine->in("streaming") &&
       !settings.defences.isEnabled(Defence::retryBeforeBytes))
     return "brokenAnew";
-  if (goesOn && brokeOff) return "cut";
+  if (canResume && connectionBroke) return "cut";
   switch (outcome) {
     case OrderOutcome::done:
       return "finished";
@@ -273,109 +282,109 @@
 
 void ProxyRouter::onWorkerEnd(Effects& effects, const WorkerEnd& end) {
   auto outcome = static_cast<OrderOutcome>(end.outcome);
-  if (auto move = moveBySend.find(end.orderId); move != moveBySend.end()) {
-    std::string moveId = move->second;
-    if (outcome != OrderOutcome::done) settleMove(effects, moveId, false);
+  if (auto transfer = transferIdByCommand.find(end.orderId); transfer != transferIdByCommand.end()) {
+    std::string transferId = transfer->second;
+    if (outcome != OrderOutcome::done) finishTransfer(effects, transferId, false);
     return;
   }
-  auto* order = orderSentAs(end.orderId);
-  if (!order) return;
-  order->end = end;
-  eject(*order, outcome, effects.now);
+  auto* request = requestOfAttempt(end.orderId);
+  if (!request) return;
+  request->attemptEnd = end;
+  eject(*request, outcome, effects.now);
   if (outcome == OrderOutcome::denied)
     effects.note(std::string("turned away ") + codeName(static_cast<Code>(end.code)), end.orderId);
-  std::string orderId = order->ask.orderId;
-  dispatch(effects, orderId, eventOf(*order, outcome));
+  std::string orderId = request->submitted.orderId;
+  dispatch(effects, orderId, chartEventFor(*request, outcome));
   servePending(effects);
 }
 
-void ProxyRouter::eject(const Order& order, OrderOutcome outcome, TimePoint now) {
-  auto& local = locals[order.plan.worker];
+void ProxyRouter::eject(const Request& request, OrderOutcome outcome, TimePoint now) {
+  auto& stats = workerStats[request.plan.worker];
   if (outcome == OrderOutcome::denied) {
-    local.shunUntil = now + deniedShunFor;
+    stats.ejectedUntil = now + denialHoldoff;
     return;
   }
-  bool brokeOff = outcome == OrderOutcome::brokenBeforeSend || outcome == OrderOutcome::broken;
-  bool plain = order.route.matchesPath() && order.plan.model.empty();
-  int spans = brokeOff ? 1 : 0;
-  if (plain) spans = local.outliers.note(brokeOff || outcome == OrderOutcome::failed);
-  if (spans > 0) local.shunUntil = now + spans * shunFor;
+  bool connectionBroke = outcome == OrderOutcome::brokenBeforeSend || outcome == OrderOutcome::broken;
+  bool plain = request.route.matchesPath() && request.plan.model.empty();
+  int periods = connectionBroke ? 1 : 0;
+  if (plain) periods = stats.outliers.recordResult(connectionBroke || outcome == OrderOutcome::failed);
+  if (periods > 0) stats.ejectedUntil = now + periods * ejectionPeriod;
 }
 
 void ProxyRouter::onWorkerLoad(const WorkerLoad& load, TimePoint now) {
-  const auto* order = orderSentAs(load.orderId);
-  if (!order) return;
-  auto& local = locals[order->plan.worker];
-  local.running = load.running;
-  local.waiting = load.waiting;
-  local.loadAt = now;
+  const auto* request = requestOfAttempt(load.orderId);
+  if (!request) return;
+  auto& stats = workerStats[request->plan.worker];
+  stats.running = load.running;
+  stats.waiting = load.waiting;
+  stats.loadReportedAt = now;
 }
 
-void ProxyRouter::onFeed(const FeedReply& feed, TimePoint now) {
-  agentHeard = now;
-  versions.mergeFrom(feed.namings, fromNanoseconds(feed.sentAt));
+void ProxyRouter::onFeedReply(const FeedReply& feed, TimePoint now) {
+  lastFeedReplyAt = now;
+  weightsTimeline.mergeFrom(feed.namings, fromNanoseconds(feed.sentAt));
   if (!feed.known) return;
   TimePoint until = fromNanoseconds(feed.sentAt) - Duration(feed.age) + timing.maxStaleness;
   if (feed.age < 0 || until <= freshUntil) return;
-  if (view.index() >= feed.needed) {
+  if (config.index() >= feed.needed) {
     freshUntil = until;
-    needed = feed.needed;
+    requiredIndex = feed.needed;
   }
 }
 
-void ProxyRouter::onNews(Effects& effects, const NewsMsg& news) {
-  Uint64 before = view.index();
-  for (const auto& snapshot : news.snapshots)
-    if (snapshot.index > view.index() && view.adopt(snapshot)) noteVersions();
-  for (const auto& entry : news.entries) {
-    if (entry.index != view.index() + 1) continue;
-    view.apply(entry);
-    noteVersions();
+void ProxyRouter::onConfigurationUpdate(Effects& effects, const NewsMsg& update) {
+  Uint64 before = config.index();
+  for (const auto& snapshot : update.snapshots)
+    if (snapshot.index > config.index() && config.adopt(snapshot)) recordCurrentWeights();
+  for (const auto& entry : update.entries) {
+    if (entry.index != config.index() + 1) continue;
+    config.apply(entry);
+    recordCurrentWeights();
   }
-  if (view.index() != before) setNews(effects);
+  if (config.index() != before) onConfigurationChanged(effects);
 }
 
-void ProxyRouter::onCellNews(Effects& effects, const CellNews& news) {
-  auto& kept = cells[news.zone];
-  if (!applyCellNews(kept, news)) return;
-  newsAt[kept.zone] = effects.now;
-  for (const auto& worker : kept.workers) {
-    auto& local = locals[worker.name];
-    local.sentSinceNews = 0;
+void ProxyRouter::onCellUpdate(Effects& effects, const CellNews& update) {
+  auto& cell = cells[update.zone];
+  if (!applyCellNews(cell, update)) return;
+  cellUpdateAt[cell.zone] = effects.now;
+  for (const auto& worker : cell.workers) {
+    auto& stats = workerStats[worker.name];
+    stats.sentSinceUpdate = 0;
     if (worker.service.empty()) continue;
-    local.running = worker.running;
-    local.waiting = worker.waiting;
-    local.loadAt = effects.now;
+    stats.running = worker.running;
+    stats.waiting = worker.waiting;
+    stats.loadReportedAt = effects.now;
   }
   servePending(effects);
 }
 
-void ProxyRouter::onMarks(const MarksMsg& marks, TimePoint now) {
-  TimePoint listedAt = now - Duration(marks.age);
+void ProxyRouter::onMachineList(const MarksMsg& list, TimePoint now) {
+  TimePoint listedAt = now - Duration(list.age);
   bool older = machineListDigest && listedAt < machineListAt && settings.defences.isEnabled(Defence::listOrder);
-  if (marks.age < 0 || marks.machines.empty() || older) return;
+  if (list.age < 0 || list.machines.empty() || older) return;
   machineListAt = listedAt;
-  machineListDigest = digestOfMachineList(marks.machines);
-  staying.clear();
-  for (const auto& machine : marks.machines)
-    if (!machine.leaving) staying.insert(machine.name);
+  machineListDigest = digestOfMachineList(list.machines);
+  schedulable.clear();
+  for (const auto& machine : list.machines)
+    if (!machine.leaving) schedulable.insert(machine.name);
 }
 
 void ProxyRouter::onLookupReply(Effects& effects, const LookupReply& reply) {
-  auto row = orderByLookup.find(reply.lookupId);
-  if (row == orderByLookup.end()) return;
+  auto row = orderIdByLookup.find(reply.lookupId);
+  if (row == orderIdByLookup.end()) return;
   std::string orderId = row->second;
-  orderByLookup.erase(row);
-  auto found = orders.find(orderId);
-  if (found == orders.end() || !found->second->walk->in("lookup")) return;
-  auto& order = *found->second;
-  if (effects.now - order.lookupAt < settings.lookupTimeout) order.replies[reply.keeper] = reply;
-  if (order.replies.size() == order.plan.candidates.size()) settleLookup(effects, order);
+  orderIdByLookup.erase(row);
+  auto found = requests.find(orderId);
+  if (found == requests.end() || !found->second->stateMachine->in("lookup")) return;
+  auto& request = *found->second;
+  if (effects.now - request.lookupStartedAt < settings.lookupTimeout) request.replies[reply.keeper] = reply;
+  if (request.replies.size() == request.plan.candidates.size()) finishLookup(effects, request);
 }
 
 void ProxyRouter::handle(Effects& effects, const std::string& from, const Message& message) {
-  if (auto* ask = std::get_if<CallerOrder>(&message)) {
-    admit(effects, *ask);
+  if (auto* submitted = std::get_if<CallerOrder>(&message)) {
+    admit(effects, *submitted);
   } else if (auto* gone = std::get_if<CallerGone>(&message)) {
     effects.note("caller gone", gone->orderId);
     dispatch(effects, gone->orderId, "callerGone");
@@ -386,24 +395,24 @@
   } else if (auto* load = std::get_if<WorkerLoad>(&message)) {
     onWorkerLoad(*load, effects.now);
   } else if (from == settings.agentAddress) {
-    takeFromAgent(effects, message);
+    handleFromAgent(effects, message);
   }
 }
 
-void ProxyRouter::takeFromAgent(Effects& effects, const Message& message) {
+void ProxyRouter::handleFromAgent(Effects& effects, const Message& message) {
   if (auto* feed = std::get_if<FeedReply>(&message)) {
-    onFeed(*feed, effects.now);
+    onFeedReply(*feed, effects.now);
   } else if (auto* news = std::get_if<NewsMsg>(&message)) {
-    onNews(effects, *news);
+    onConfigurationUpdate(effects, *news);
   } else if (auto* cellNews = std::get_if<CellNews>(&message)) {
-    onCellNews(effects, *cellNews);
+    onCellUpdate(effects, *cellNews);
   } else if (auto* marks = std::get_if<MarksMsg>(&message)) {
-    onMarks(*marks, effects.now);
+    onMachineList(*marks, effects.now);
   } else if (auto* reply = std::get_if<LookupReply>(&message)) {
     onLookupReply(effects, *reply);
   } else if (auto* done = std::get_if<TransferDone>(&message)) {
-    auto move = moveBySend.find(done->moveId);
-    if (move != moveBySend.end()) settleMove(effects, std::string(move->second), done->success);
+    auto transfer = transferIdByCommand.find(done->moveId);
+    if (transfer != transferIdByCommand.end()) finishTransfer(effects, std::string(transfer->second), done->success);
   }
 }
 
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -6,270 +6,358 @@
 #include "placement_cost.hpp"
 #include "plain_placement.hpp"
 
+/// The request router of a proxy: it admits client requests, selects a worker for each, decides whether a cached
+/// prefix is fetched, and follows every request to its final status.
 namespace tt {
 
 struct ProxyRouterSettings {
   std::string name, address, zone, agentAddress;
+  /// Whether cached prefixes may be fetched from other workers and stores at all.
   bool fetching{true};
+  /// How many requests may wait for a worker.
   std::size_t maxPending{64};
+  /// How long a request may wait for a worker.
   Duration pendingTimeout{1500ms};
+  /// How long a worker may take to its first chunk, and then between two chunks. Requests on path routes have a
+  /// deadline instead.
   Duration firstByteTimeout{10s};
   Duration chunkTimeout{5s};
+  /// Milliseconds that a worker takes to compute one block that it has not cached, about.
   double blockMs{4};
+  /// Retries that are allowed for each admitted request within the retry windows.
   double retryBudgetRatio{0.1};
+  /// How long a cell may take to answer a lookup; a later reply is a miss.
   Duration lookupTimeout{200ms};
-  /// A source rides on the caller's own order; moves are no orders of their own.
+  /// The worker fetches a prefix itself, from the source that the request to it names. Otherwise the blocks are copied
+  /// by a separate transfer command before the request is sent.
   bool fetchWithinRequest{false};
-  /// Orders under way go on when their key is revoked or this proxy is cut off; only new ones are denied.
+  /// Open requests go on when their key is revoked or this proxy loses its updates; only new ones are denied.
   bool letOpenRequestsFinish{false};
-  /// The policy of routes that name none.
+  /// The fetch policy of path routes that name none.
   std::string routePolicy;
-  /// Prompt tokens that a worker reads in a millisecond, about.
+  /// Prompt tokens that a worker prefills in a millisecond, about.
   double tokensPerMs{100};
-  /// How much of the orders is denied at most when workers are too late for the aims of all.
+  /// The largest share of requests that is shed while responses start later than the target latency; 0 sheds none.
   double maxShedRatio{0};
-  /// Repeat tries that one proxy may always have within the retry span.
+  /// Retries that a proxy may always make within a retry window, however few requests it has admitted.
   double minRetriesPerWindow{1};
+  /// The retry budget must hold within each of these two windows; the shorter one limits bursts.
   Duration retryBudgetWindow{5s}, retryBurstWindow{1s};
   Defences defences;
 };
 
-/// What a proxy means to do with an order, as data, before any of it is done.
-struct Plan {
+/// What a proxy has decided for one attempt of a request: the worker, and where a cached prefix is fetched from.
+struct RoutingPlan {
   std::string worker, address, zone, model, weights, salt;
+  /// One hash for each block of the prompt; on path routes a block is a part of the prompt, and the last part, which no
+  /// other request shares, has no hash once a lookup is planned.
   Hashes hashes;
+  /// Leading blocks that the worker has, by its Bloom filter.
   std::size_t localHits{0};
+  /// A worker or store whose cell is asked what it has of the prompt.
   struct Candidate {
     std::string name, address, zone;
     bool store{false};
-    std::size_t guessedHits{0};
-    double busyness{0}, speed{0};
-    /// Its place among the workers that may be drawn for the prompt.
+    /// Leading blocks that it has, by its Bloom filter.
+    std::size_t estimatedHits{0};
+    /// Requests there for each slot, and the measured speed of the link to the target.
+    double busyness{0}, blocksPerSecond{0};
+    /// Its place among the workers that may be selected for the prompt; the first is the preferred one.
     int rank{0};
     std::string service{};
   };
   std::vector<Candidate> candidates;
   std::optional<Candidate> source;
-  /// Tokens of each of a prompt's parts; how many the worker is known to keep, and where it should save them.
+  /// Tokens of each part of the prompt.
   std::vector<int> tokens;
+  /// The store to which the worker should save the prefix; empty if none.
   std::string sinkAddress;
-  int unread{0};
-  /// What a move would bring, and what of it the exact index has confirmed; the same but in control runs.
-  std::size_t wantedHits{0}, confirmedHits{0};
+  /// Prompt tokens that the worker has neither cached nor fetches.
+  int tokensToPrefill{0};
+  /// Leading blocks that a transfer would bring, and how many of them the exact index has confirmed. They differ only
+  /// in negative controls.
+  std::size_t plannedHits{0}, confirmedHits{0};
 };
 
-/// The logic of a proxy: admits, plans and carries out orders. It speaks to callers as "caller", to its agent and to
-/// workers by address.
+/// The routing logic of a proxy. It addresses clients as "caller", and its agent and the workers by their addresses.
 class ProxyRouter : public Node {
  public:
-  explicit ProxyRouter(ProxyRouterSettings edgeSettings);
+  explicit ProxyRouter(ProxyRouterSettings routerSettings);
   void handle(Effects& effects, const std::string& from, const Message& message) override;
   void tick(Effects& effects) override;
+  /// The state of this proxy as JSON, for operators.
   std::string condition(TimePoint now) const;
+  /// Whether the configuration is known to be complete up to a time not older than the freshness bound.
   bool fresh(TimePoint now) const;
-  /// Whether orders can be taken: fresh, something declared, some worker known to live.
+  /// Whether requests can be served: the configuration is fresh and not empty, and some worker is alive. Where there
+  /// are engine workers, one of these must be alive.
   bool ready(TimePoint now) const;
-  const Configuration& configuration() const { return view; }
-  std::size_t openOrders() const { return orders.size(); }
-  /// Told to stop: takes only the orders that the plan allows, and ends what is left when the plan says so.
+  const Configuration& configuration() const { return config; }
+  std::size_t openOrders() const { return requests.size(); }
+  /// Starts a drain: from now on only the requests that the plan accepts are admitted, and what is open at the plan's
+  /// end is ended.
   void drain(const DrainPlan& plan) { drainPlan = plan; }
 
  private:
-  struct Order {
-    CallerOrder ask;
+  /// A client's request from its admission to its final status.
+  struct Request {
+    CallerOrder submitted;
     std::string keyHash, tenant;
     RouteView route;
     Policy policy;
-    Plan plan;
-    std::string sendId, moveId;
-    std::set<std::string> tried;
-    int tries{0}, movedBlocks{0};
-    bool mayHaveRun{false}, counted{false}, retryAsked{false};
-    TimePoint takenAt{}, heardAt{}, lookupAt{}, deadline{};
+    RoutingPlan plan;
+    std::string attemptId, transferId;
+    /// Workers that are not selected again for this request.
+    std::set<std::string> triedWorkers;
+    /// Attempts so far, and blocks that a separate transfer brought to the worker.
+    int attempts{0}, transferredBlocks{0};
+    /// A worker may have run the request; it is counted as open at its worker; the last action asked for a retry.
+    bool mayHaveRun{false}, countedOpen{false}, retryRequested{false};
+    TimePoint pendingSince{}, lastActivityAt{}, lookupStartedAt{}, deadline{};
+    /// The service drawn from the route's split, and the id of the last event that the client got, from which another
+    /// worker can resume the stream.
     std::string service, lastPiece;
-    int priority{5}, urgency{5}, unsent{0};
-    bool unreadCounted{false}, began{false};
+    /// `unsentAttempts` counts the attempts whose connection broke before the request was sent.
+    int priority{5}, urgency{5}, unsentAttempts{0};
+    /// Its tokens are counted as not yet prefilled at its worker; the client has a chunk of the response.
+    bool prefillCounted{false}, responseStarted{false};
     TimePoint sentAt{};
+    /// Replies to the lookup under way, by worker or store.
     std::map<std::string, LookupReply> replies;
+    /// Why the request is not served yet: the code that the client gets if it ends now.
     Code lastCode{Code::noWorker};
-    WorkerEnd end;
+    WorkerEnd attemptEnd;
     std::string chunk;
-    std::unique_ptr<StateMachine<ProxyRouter, Effects&, Order&>> walk;
+    std::unique_ptr<StateMachine<ProxyRouter, Effects&, Request&>> stateMachine;
   };
-  struct Move {
-    std::string target, sendId;
+  /// Blocks that are being copied to a worker, and the requests that wait for them.
+  struct Transfer {
+    std::string target, commandId;
     std::set<std::string> orderIds;
     TimePoint deadline{};
   };
-  struct WorkerLocal {
+  /// What this proxy knows of a worker from its own traffic and from the load reported to it.
+  struct WorkerStats {
+    /// Requests that this proxy has open there, and those sent since the cell's last update.
     int open{0};
-    int sentSinceNews{0};
-    TimePoint shunUntil{};
-    /// Prompt tokens sent from here and not yet read there, and the load it last told of.
-    int unread{0}, running{0}, waiting{0};
-    TimePoint loadAt{};
-    /// For workers of plain services, where one that fails is left out for longer each time.
+    int sentSinceUpdate{0};
+    /// The worker is not selected before this time.
+    TimePoint ejectedUntil{};
+    /// Prompt tokens sent from here and not yet prefilled, and the requests running and waiting there by the worker's
+    /// own last report.
+    int tokensToPrefill{0}, running{0}, waiting{0};
+    TimePoint loadReportedAt{};
+    /// Used for workers of plain services only: a worker that goes on failing is ejected for longer each time.
     OutlierRecord outliers;
   };
   ProxyRouterSettings settings;
-  Configuration view;
+  Configuration config;
+  /// The newest state of each cell and when it was updated, by zone.
   std::map<std::string, CellNews> cells;
-  std::map<std::string, TimePoint> newsAt;
+  std::map<std::string, TimePoint> cellUpdateAt;
   Uint64 machineListDigest{0};
   TimePoint machineListAt{};
-  /// Listed by the platform and not marked as leaving: only these are drawn.
-  std::set<std::string> staying;
-  std::map<std::string, std::unique_ptr<Order>> orders;
+  /// Workers that the platform lists and does not mark as leaving. Only these are selected.
+  std::set<std::string> schedulable;
+  std::map<std::string, std::unique_ptr<Request>> requests;
+  /// Ids of the requests that wait for a worker.
   std::deque<std::string> pending;
-  std::map<std::string, std::string> orderBySend, orderByLookup;
-  std::map<std::string, Move> moves;
-  std::map<std::string, std::string> moveBySend;
-  std::map<std::string, WorkerLocal> locals;
-  std::uint64_t needed{0}, idCount{0};
-  TimePoint freshUntil{}, feedAt{}, agentHeard{};
-  /// When orders were admitted and tried again within the longer span that the budget looks at.
-  std::deque<TimePoint> admittedAt, retriedAt;
-  /// Orders that ended well lately: the timing that a caller sent away may count on.
-  std::deque<TimePoint> doneAt;
+  std::map<std::string, std::string> orderIdByAttempt, orderIdByLookup;
+  std::map<std::string, Transfer> transfers;
+  std::map<std::string, std::string> transferIdByCommand;
+  std::map<std::string, WorkerStats> workerStats;
+  /// The configuration index without which this proxy is not fresh, and the counter from which ids are made.
+  std::uint64_t requiredIndex{0}, lastId{0};
+  TimePoint freshUntil{}, lastFeedPollAt{}, lastFeedReplyAt{};
+  /// When requests were admitted and retried within the longer window of the retry budget.
+  std::deque<TimePoint> admissionTimes, retryTimes;
+  /// When requests were completed within that window. The delay told to a denied client is estimated from their rate.
+  std::deque<TimePoint> completionTimes;
   std::map<std::string, int> openByTenant;
-  /// The priorities that orders had so far.
-  std::set<int> priorities;
-  /// The shortest aim of any prompt so far; 0 before the first.
-  double tightestAimMs{0};
-  /// When each model's weights were named, so until when work may begin on older ones.
-  VersionTimeline versions;
+  /// The priorities of the requests so far.
+  std::set<int> knownPriorities;
+  /// The shortest target latency of any prompt so far; 0 before the first.
+  double minLatencyTargetMs{0};
+  /// When each weights version was announced, and so until when requests may start on older ones.
+  VersionTimeline weightsTimeline;
   Policy routePolicy;
-  /// Localities whose index has not answered of late: not asked again before this moment.
-  std::map<std::string, TimePoint> indexSilent;
-  /// Prompts' prefixes that were saved to a store from here, not to be saved again before its index can show them.
-  std::unordered_map<BlockHash, TimePoint, BlockHashHasher> savedAt;
-  /// How much later than their own reading first pieces come, lately, and the prompt tokens of an order in the mean.
-  double delayMs{0}, meanUnread{0};
-  TimePoint delayAt{};
+  /// Zones whose cell did not answer a lookup: they are not asked again before this time.
+  std::map<std::string, TimePoint> lookupHoldoffUntil;
+  /// Prefixes that a worker was told to save to a store. They are not saved again before the store's index can show
+  /// them.
+  std::unordered_map<BlockHash, TimePoint, BlockHashHasher> prefixSavedAt;
+  /// Moving averages: how much later than its own prefill takes a response starts, and the tokens to prefill of a
+  /// request.
+  double queueingDelayMs{0}, meanTokensToPrefill{0};
+  TimePoint queueingDelayAt{};
   bool wasFresh{false};
   std::optional<DrainPlan> drainPlan;
 
-  using Actions = StateMachine<ProxyRouter, Effects&, Order&>::Actions;
+  /// The actions of the state chart "order", each under the name that the chart has for it.
+  using Actions = StateMachine<ProxyRouter, Effects&, Request&>::Actions;
   static const Actions& actions();
-  void sendOrder(Effects& effects, Order& order);
-  void sendLookup(Effects& effects, Order& order);
-  void sendMove(Effects& effects, Order& order);
-  void dropMove(Effects& effects, Order& order);
-  void freeWorker(Effects& effects, Order& order);
-  void passChunk(Effects& effects, Order& order);
-  void endDone(Effects& effects, Order& order);
-  void endFailed(Effects& effects, Order& order);
-  void endBroken(Effects& effects, Order& order);
-  void endSilent(Effects& effects, Order& order);
-  void endRevoked(Effects& effects, Order& order);
-  void denyLate(Effects& effects, Order& order);
-  void denyKey(Effects& effects, Order& order);
-  void dropOrder(Effects& effects, Order& order);
-  void weighUnsent(Effects& effects, Order& order);
-  void weighBroken(Effects& effects, Order& order);
-  void weighResume(Effects& effects, Order& order);
-  void redraw(Effects& effects, Order& order);
-  void drawAgain(Effects& effects, Order& order);
+  void sendOrder(Effects& effects, Request& request);
+  void sendLookup(Effects& effects, Request& request);
+  /// Starts a transfer of the confirmed prefix to the selected worker, or joins one that is under way.
+  void sendMove(Effects& effects, Request& request);
+  void dropMove(Effects& effects, Request& request);
+  void freeWorker(Effects& effects, Request& request);
+  void passChunk(Effects& effects, Request& request);
+  void endDone(Effects& effects, Request& request);
+  void endFailed(Effects& effects, Request& request);
+  void endBroken(Effects& effects, Request& request);
+  void endSilent(Effects& effects, Request& request);
+  void endRevoked(Effects& effects, Request& request);
+  void denyLate(Effects& effects, Request& request);
+  void denyKey(Effects& effects, Request& request);
+  void dropOrder(Effects& effects, Request& request);
+  /// Decides on a retry after an attempt that did not run: the worker denied it, or it was never sent.
+  void weighUnsent(Effects& effects, Request& request);
+  /// Decides on a retry after an attempt that may have run: it was sent and ended without a response.
+  void weighBroken(Effects& effects, Request& request);
+  /// Decides whether a stream that broke is resumed at another worker.
+  void weighResume(Effects& effects, Request& request);
+  /// Queues a request for a retry; its time in the queue begins anew.
+  void redraw(Effects& effects, Request& request);
+  /// Queues a request whose plan is no longer valid; its time in the queue goes on.
+  void drawAgain(Effects& effects, Request& request);
 
-  void takeFromAgent(Effects& effects, const Message& message);
+  void handleFromAgent(Effects& effects, const Message& message);
   void onWorkerChunk(Effects& effects, const WorkerChunk& chunk);
   void onWorkerEnd(Effects& effects, const WorkerEnd& end);
   void onWorkerLoad(const WorkerLoad& load, TimePoint now);
-  void onFeed(const FeedReply& feed, TimePoint now);
-  void onNews(Effects& effects, const NewsMsg& news);
-  void onCellNews(Effects& effects, const CellNews& news);
-  void onMarks(const MarksMsg& marks, TimePoint now);
+  void onFeedReply(const FeedReply& feed, TimePoint now);
+  void onConfigurationUpdate(Effects& effects, const NewsMsg& update);
+  void onCellUpdate(Effects& effects, const CellNews& update);
+  void onMachineList(const MarksMsg& list, TimePoint now);
   void onLookupReply(Effects& effects, const LookupReply& reply);
-  /// The order that was sent to a worker under this id; null if it is over or was sent again since.
-  Order* orderSentAs(const std::string& sendId);
-  /// The event of the order chart that a worker's end of an order is.
-  const char* eventOf(const Order& order, OrderOutcome outcome) const;
+  /// The request whose current attempt has this id; null if the request is over or has another attempt since.
+  Request* requestOfAttempt(const std::string& attemptId);
+  /// The event of the chart "order" that stands for the end of an attempt.
+  const char* chartEventFor(const Request& request, OrderOutcome outcome) const;
 
-  void admit(Effects& effects, const CallerOrder& ask);
-  void accept(Effects& effects, std::unique_ptr<Order> order);
+  /// Denies a new request or accepts it.
+  void admit(Effects& effects, const CallerOrder& submitted);
+  void accept(Effects& effects, std::unique_ptr<Request> request);
+  /// Gives an event to a request's state machine, and removes the request if that ended it.
   void dispatch(Effects& effects, const std::string& orderId, const std::string& event);
-  bool drawWorker(Effects& effects, Order& order);
-  void drawSources(Order& order, TimePoint now);
-  bool drawByPrefix(Effects& effects, Order& order);
-  /// Whether a service's workers keep no blocks and carry no weights.
-  bool isPlain(const std::string& service) const;
-  /// Whether the platform lists a worker as staying.
-  bool mayBeDrawn(const WorkerView& worker) const;
-  bool drawPlain(Effects& effects, Order& order);
+  /// Makes a plan with a worker for the request. False if there is none now; `lastCode` then says why.
+  bool selectWorker(Effects& effects, Request& request);
+  /// Fills the plan's candidates: those whose cells are asked what they have of the prompt.
+  void selectSources(Request& request, TimePoint now);
+  /// selectWorker for engine workers on a path route: the preferred worker for the prompt's prefix, unless its load
+  /// makes another one cheaper.
+  bool selectByPrefix(Effects& effects, Request& request);
+  /// Whether the service's workers cache no blocks and have no weights.
+  bool isPlainService(const std::string& service) const;
+  /// Whether the platform lists the worker and does not mark it as leaving.
+  bool isSchedulable(const WorkerView& worker) const;
+  bool selectPlainWorker(Effects& effects, Request& request);
   PlainCandidate plainCandidate(const WorkerView& worker, TimePoint now) const;
-  /// Leaves a worker out for a while for how an order ended there.
-  void eject(const Order& order, OrderOutcome outcome, TimePoint now);
-  void drawRideSources(Order& order, TimePoint now);
-  bool settleRide(Effects& effects, Order& order);
-  /// Tokens of a prompt's leading parts.
-  static int tokensOf(const Plan& plan, std::size_t parts);
-  /// Tokens that a candidate's cell confirmed, and those that it keeps or is about to keep.
-  static int keptTokens(const Order& order, const Plan::Candidate& candidate);
-  static int soonKeptTokens(const Order& order, const Plan::Candidate& candidate);
-  double transferMsBetween(const Order& order, const Plan::Candidate& source, const Plan::Candidate& target,
-                           int tokens) const;
-  /// The one that has most of a prompt beyond what the target has, and its confirmed tokens; nobody where that is not
-  /// worth a fetch.
+  /// Ejects a worker for a time if the end of an attempt there calls for it.
+  void eject(const Request& request, OrderOutcome outcome, TimePoint now);
+  /// selectSources on a path route: adds one store to the candidates and removes those whose cell does not answer.
+  void selectFetchCandidates(Request& request, TimePoint now);
+  /// Places a request of a path route by the replies to its lookup: worker, source, store to save to, urgency. True if
+  /// a prefix is fetched. If the request is shed, `lastCode` is pendingFull.
+  bool finishFetchLookup(Effects& effects, Request& request);
+  /// Tokens of the leading parts of a prompt.
+  static int countTokens(const RoutingPlan& plan, std::size_t parts);
+  /// Leading tokens that the candidate has by its cell's reply; the second counts also those being prefilled there.
+  static int cachedTokens(const Request& request, const RoutingPlan::Candidate& candidate);
+  static int cachedOrPendingTokens(const Request& request, const RoutingPlan::Candidate& candidate);
+  double transferMsBetween(const Request& request, const RoutingPlan::Candidate& source,
+                           const RoutingPlan::Candidate& target, int tokens) const;
+  /// The candidate from which the target would fetch a prefix, and the confirmed tokens that it has; null where no
+  /// candidate has enough more than the target.
   struct Source {
-    const Plan::Candidate* candidate{nullptr};
+    const RoutingPlan::Candidate* candidate{nullptr};
     int tokens{0};
   };
-  Source sourceFor(const Order& order, const Plan::Candidate& target, int own, TimePoint now) const;
-  /// A prompt at one of the workers that were asked, with what that costs.
+  Source bestSourceFor(const Request& request, const RoutingPlan::Candidate& target, int targetTokens,
+                       TimePoint now) const;
+  /// One way to place a request: a worker, a source for it, and what the cost is computed from.
   struct Placement {
-    const Plan::Candidate* target{nullptr};
+    const RoutingPlan::Candidate* target{nullptr};
     Source source;
-    PlacementFacts facts;
+    PlacementInputs inputs;
   };
-  Placement placementAt(const Order& order, const Plan::Candidate& target, int heldAnywhere, TimePoint now) const;
-  /// Nothing where no worker is among the candidates.
-  std::optional<Placement> cheapestPlacement(const Order& order, TimePoint now) const;
-  void placeAt(Effects& effects, Order& order, const Placement& placement);
-  double loadOf(const std::string& worker, TimePoint now) const;
-  void countOpen(Order& order);
-  bool savesTo(const std::string& store, const BlockHash& prefix, TimePoint now);
-  void noteDelay(const Order& order, TimePoint now);
-  bool sheds(Effects& effects, const Order& order);
-  static bool overdue(const Order& order, TimePoint now) { return order.route.matchesPath() && now >= order.deadline; }
-  /// Whether an order is ended for its proxy's sake, not for its key's.
-  static bool endsWithProxy(const Order& order) {
-    return order.lastCode == Code::staleEdge || order.lastCode == Code::stopping;
+  Placement evaluatePlacement(const Request& request, const RoutingPlan::Candidate& target, int bestCachedTokens,
+                              TimePoint now) const;
+  /// Nothing if no worker is among the candidates.
+  std::optional<Placement> cheapestPlacement(const Request& request, TimePoint now) const;
+  void applyPlacement(Effects& effects, Request& request, const Placement& placement);
+  /// Milliseconds that a new request would wait at a worker, from this proxy's own traffic and the reported load.
+  double estimateLoadMs(const std::string& worker, TimePoint now) const;
+  void countAsOpen(Request& request);
+  /// Whether a prefix is within the share of prefixes that the store takes, and was not sent to it just now.
+  bool shouldSaveTo(const std::string& store, const BlockHash& prefix, TimePoint now);
+  void recordQueueingDelay(const Request& request, TimePoint now);
+  bool shouldShed(Effects& effects, const Request& request);
+  /// Only requests on path routes have a deadline.
+  static bool isPastDeadline(const Request& request, TimePoint now) {
+    return request.route.matchesPath() && now >= request.deadline;
   }
-  /// The prompt was read, or will not be read there any more.
-  void readDone(Effects& effects, Order& order, bool read);
-  int mostTriesOf(const Order& order) const;
-  Duration pendingMostOf(const Order& order) const;
-  void settleLookup(Effects& effects, Order& order);
-  void settleMove(Effects& effects, const std::string& moveId, bool success);
+  /// Whether a request is ended because of the state of this proxy and not because of its key.
+  static bool endedByProxy(const Request& request) {
+    return request.lastCode == Code::staleEdge || request.lastCode == Code::stopping;
+  }
+  /// Ends the count of a request's tokens as not yet prefilled. `completed` is false if the worker will not prefill
+  /// them any more.
+  void finishPrefill(Effects& effects, Request& request, bool completed);
+  int maxAttemptsFor(const Request& request) const;
+  Duration pendingTimeoutFor(const Request& request) const;
+  /// Decides with the replies that came, and sends the request or starts a transfer.
+  void finishLookup(Effects& effects, Request& request);
+  /// Lets all requests that wait for a transfer go on, with or without the blocks.
+  void finishTransfer(Effects& effects, const std::string& transferId, bool success);
+  /// Selects workers for the pending requests, those of the tenant with the fewest open requests first.
   void servePending(Effects& effects);
-  void verdict(Effects& effects, Order& order, const std::string& word, Code code, const std::string& subject = {});
-  void denyOrUnknown(Effects& effects, Order& order, Code code, const std::string& subject = {});
-  void revokeOpen(Effects& effects);
-  void setNews(Effects& effects);
-  const WorkerView* workerView(const std::string& name) const;
-  int busyOf(const WorkerView& worker, TimePoint now) const;
-  bool mayRetry(TimePoint now) const;
-  /// When a use of weights ends that may go on for `span` after newer ones were named.
-  TimePoint endOfWeights(const std::string& model, const std::string& weights, Duration span) const;
-  /// Whether an order may still be sent to a worker with these weights of this model.
-  bool mayBegin(const std::string& model, const std::string& weights, TimePoint now) const;
-  /// Whether an order waits at a worker whose weights' use is over, so that it must not begin there any more.
-  bool beginsTooLate(const Order& order, TimePoint now) const;
-  void noteVersions();
-  int comeBackMs(Effects& effects, Code code) const;
-  bool makeRoom(Effects& effects, const std::string& tenant);
-  bool stillGood(const Order& order, TimePoint now) const;
-  bool cutOff(TimePoint now) const;
-  /// Whether this process may end before an order is over that is given up at its deadline.
-  bool mayEndBefore(TimePoint deadline, TimePoint now) const;
-  /// Why all open orders have to end now, if they have to.
-  std::optional<Code> endOfAll(TimePoint now) const;
-  void sendOrRedraw(Effects& effects, const std::string& orderId, const std::string& event);
+  void sendFinalStatus(Effects& effects, Request& request, const std::string& outcome, Code code,
+                       const std::string& subject = {});
+  /// Reports "unknown" if a worker may have run the request and "not run" otherwise.
+  void endNotRunOrUnknown(Effects& effects, Request& request, Code code, const std::string& subject = {});
+  /// Ends the open requests whose key is gone, unless open requests may finish.
+  void revokeOpenRequests(Effects& effects);
+  void onConfigurationChanged(Effects& effects);
+  /// Null if no cell knows the worker.
+  const WorkerView* findWorker(const std::string& name) const;
+  /// Requests at a worker: its cell's count plus what was sent since, or this proxy's own count if the cell is not
+  /// heard.
+  int estimateRunning(const WorkerView& worker, TimePoint now) const;
+  bool retryBudgetAllows(TimePoint now) const;
+  /// When the use of a weights version ends that may go on for `period` after a newer one was announced.
+  TimePoint weightsUseEndsAt(const std::string& model, const std::string& weights, Duration period) const;
+  /// Whether a request may still be sent to a worker with this weights version.
+  bool mayStartOn(const std::string& model, const std::string& weights, TimePoint now) const;
+  /// Whether a request was sent and has no response yet, while the use of its worker's weights is over: it must not
+  /// start there any more.
+  bool isUnstartedPastWeightsEnd(const Request& request, TimePoint now) const;
+  void recordCurrentWeights();
+  /// After how many milliseconds a denied client should come back. Part of it is random, so that clients that were
+  /// denied together do not come back together.
+  int retryDelayMs(Effects& effects, Code code) const;
+  /// Makes room in a full queue for a tenant that has less than its even share of it: ends the newest pending request
+  /// of the tenant that has the most. False if there is no such request.
+  bool displacePending(Effects& effects, const std::string& tenant);
+  /// Whether the planned worker can still take the request.
+  bool isPlanValid(const Request& request, TimePoint now) const;
+  /// Whether this proxy has been stale for so long that it ends its streams.
+  bool isCutOff(TimePoint now) const;
+  /// Whether this process may stop before a request with this deadline is over.
+  bool mayStopBefore(TimePoint deadline, TimePoint now) const;
+  /// Why all open requests have to end now; nothing if they may go on.
+  std::optional<Code> endReasonForAll(TimePoint now) const;
+  /// Dispatches the event, which sends the request or starts a transfer, if the plan is still valid; otherwise queues
+  /// the request again.
+  void sendOrReselect(Effects& effects, const std::string& orderId, const std::string& event);
+  /// Measured blocks per second of a link.
   double linkSpeed(const std::string& source, const std::string& target) const;
 };
 
-/// Whether these transfer modes may stand together in one order.
+/// Checks that the transfer modes of a request are known and may be combined.
 Result<void> checkTransferModes(const Strings& modes);
+/// How many of a lookup's hits are set before the first that is not.
 std::size_t prefixHits(const std::vector<int>& hits);
 
 }  // namespace tt
--- a/src/routing/edge_admission.cpp
+++ b/src/routing/edge_admission.cpp
@@ -1,45 +1,49 @@
-/// Which orders are let in, whose turn it is, and when those turned away may come back.
+/// Admits or denies requests, decides which pending request is served next, and when a denied client may come back.
 #include "edge.hpp"
 
 #include <algorithm>
 
 namespace tt {
 namespace {
-constexpr std::size_t mostPriorities = 64;
+/// How many different priorities are remembered; bounds their memory.
+constexpr std::size_t maxKnownPriorities = 64;
+/// How long a request is pending while no worker could take it even if it had a free slot.
+constexpr Duration noWorkerTimeout = 500ms;
 }  // namespace
 
-int ProxyRouter::comeBackMs(Effects& effects, Code code) const {
-  int least = 300;
+int ProxyRouter::retryDelayMs(Effects& effects, Code code) const {
+  int minDelayMs = 300;
   if (code == Code::staleEdge) {
-    least = settings.fetchWithinRequest ? 1200 : 500;
+    minDelayMs = settings.fetchWithinRequest ? 1200 : 500;
   } else if (code == Code::stopping) {
-    least = 200;
+    minDelayMs = 200;
   } else if (code == Code::pendingFull) {
-    double timing = std::max(
-        1.0, static_cast<double>(doneAt.size()) / std::chrono::duration<double>(settings.retryBudgetWindow).count());
-    least = static_cast<int>(std::clamp(1000.0 * static_cast<double>(pending.size()) / timing, 300.0, 5000.0));
+    double completionsPerSecond = std::max(1.0, static_cast<double>(completionTimes.size()) /
+                                                    std::chrono::duration<double>(settings.retryBudgetWindow).count());
+    minDelayMs = static_cast<int>(
+        std::clamp(1000.0 * static_cast<double>(pending.size()) / completionsPerSecond, 300.0, 5000.0));
   } else if (code == Code::noWorker) {
-    bool held = false;
-    for (const auto& [zone, news] : cells)
-      for (const auto& worker : news.workers) held = held || (worker.held && worker.alive);
-    least = held ? 1500 : 1000;
+    bool anyWithheld = false;
+    for (const auto& [zone, cell] : cells)
+      for (const auto& worker : cell.workers) anyWithheld = anyWithheld || (worker.held && worker.alive);
+    minDelayMs = anyWithheld ? 1500 : 1000;
   } else if (code == Code::retryBudget) {
-    least = 1000;
+    minDelayMs = 1000;
   }
-  return least + static_cast<int>(effects.randomBelow(static_cast<std::uint64_t>(std::max(least, 700))));
+  return minDelayMs + static_cast<int>(effects.randomBelow(static_cast<std::uint64_t>(std::max(minDelayMs, 700))));
 }
 
-bool ProxyRouter::makeRoom(Effects& effects, const std::string& tenant) {
+bool ProxyRouter::displacePending(Effects& effects, const std::string& tenant) {
   std::map<std::string, std::size_t> pendingByTenant{{tenant, 0}};
   for (const auto& orderId : pending)
-    if (auto found = orders.find(orderId); found != orders.end()) ++pendingByTenant[found->second->tenant];
-  auto greediest = std::max_element(pendingByTenant.begin(), pendingByTenant.end(),
-                                    [](const auto& one, const auto& other) { return one.second < other.second; });
+    if (auto found = requests.find(orderId); found != requests.end()) ++pendingByTenant[found->second->tenant];
+  auto largest = std::max_element(pendingByTenant.begin(), pendingByTenant.end(),
+                                  [](const auto& one, const auto& other) { return one.second < other.second; });
   std::size_t share = settings.maxPending / pendingByTenant.size();
-  if (pendingByTenant[tenant] >= share || greediest->second <= share) return false;
+  if (pendingByTenant[tenant] >= share || largest->second <= share) return false;
   for (auto row = pending.rbegin(); row != pending.rend(); ++row) {
-    auto found = orders.find(*row);
-    if (found == orders.end() || found->second->tenant != greediest->first) continue;
+    auto found = requests.find(*row);
+    if (found == requests.end() || found->second->tenant != largest->first) continue;
     std::string orderId = *row;
     pending.erase(std::next(row).base());
     found->second->lastCode = Code::pendingFull;
@@ -50,140 +54,144 @@
   return false;
 }
 
-void ProxyRouter::admit(Effects& effects, const CallerOrder& ask) {
-  auto order = std::make_unique<Order>();
-  order->ask = ask;
-  order->takenAt = effects.now;
+void ProxyRouter::admit(Effects& effects, const CallerOrder& submitted) {
+  auto request = std::make_unique<Request>();
+  request->submitted = submitted;
+  request->pendingSince = effects.now;
   auto deny = [&](Code code, const std::string& subject = {}, const std::string& text = {}) {
-    CallerVerdict said;
-    said.orderId = ask.orderId;
-    said.verdict = "not run";
-    said.code = static_cast<int>(code);
-    said.subject = subject;
-    said.text = text.empty() ? codeText(code) : text;
-    if (codeStatus(code) == 503) said.retryAfterMs = comeBackMs(effects, code);
-    effects.note("denied", ask.orderId, static_cast<int>(code));
-    effects.send("caller", said);
+    CallerVerdict status;
+    status.orderId = submitted.orderId;
+    status.verdict = "not run";
+    status.code = static_cast<int>(code);
+    status.subject = subject;
+    status.text = text.empty() ? codeText(code) : text;
+    if (codeStatus(code) == 503) status.retryAfterMs = retryDelayMs(effects, code);
+    effects.note("denied", submitted.orderId, static_cast<int>(code));
+    effects.send("caller", status);
   };
   if (!fresh(effects.now)) return deny(Code::staleEdge);
-  const RouteView* pathRoute = ask.path.empty() ? nullptr : view.routeFor(ask.host, ask.path);
-  if (!ask.path.empty() && !pathRoute) return deny(Code::unknownRoute, "path");
-  order->keyHash = sha256Hex(ask.key);
-  auto key = view.findKey(order->keyHash);
-  bool open = pathRoute && (pathRoute->open || !view.requiresKeys());
+  const RouteView* pathRoute = submitted.path.empty() ? nullptr : config.routeFor(submitted.host, submitted.path);
+  if (!submitted.path.empty() && !pathRoute) return deny(Code::unknownRoute, "path");
+  request->keyHash = sha256Hex(submitted.key);
+  auto key = config.findKey(request->keyHash);
+  bool open = pathRoute && (pathRoute->open || !config.requiresKeys());
   if (!key && !open) return deny(Code::keyDenied, "authorization");
-  if (key) order->tenant = key->tenant;
+  if (key) request->tenant = key->tenant;
   if (pathRoute) {
-    order->ask.route = pathRoute->name;
-    order->ask.repeatable = pathRoute->repeat == RetryMode::safe || pathRoute->resumable;
-    order->priority = pathRoute->priority;
+    request->submitted.route = pathRoute->name;
+    request->submitted.repeatable = pathRoute->repeat == RetryMode::safe || pathRoute->resumable;
+    request->priority = pathRoute->priority;
     if (key)
-      if (auto tenant = view.findTenant(order->tenant); tenant && tenant->priority) order->priority = *tenant->priority;
-    order->urgency = order->priority;
-    if (priorities.size() < mostPriorities) priorities.insert(order->priority);
-    if (!ask.model.empty() && pathRoute->targetLatency > Duration(0)) {
-      double aimMs = std::chrono::duration<double, std::milli>(pathRoute->targetLatency).count();
-      tightestAimMs = tightestAimMs > 0 ? std::min(tightestAimMs, aimMs) : aimMs;
+      if (auto tenant = config.findTenant(request->tenant); tenant && tenant->priority)
+        request->priority = *tenant->priority;
+    request->urgency = request->priority;
+    if (knownPriorities.size() < maxKnownPriorities) knownPriorities.insert(request->priority);
+    if (!submitted.model.empty() && pathRoute->targetLatency > Duration(0)) {
+      double targetLatencyMs = std::chrono::duration<double, std::milli>(pathRoute->targetLatency).count();
+      minLatencyTargetMs = minLatencyTargetMs > 0 ? std::min(minLatencyTargetMs, targetLatencyMs) : targetLatencyMs;
     }
-    Duration wait = ask.deadlineMs > 0 ? Duration(std::chrono::milliseconds(ask.deadlineMs)) : Duration(120s);
-    if (pathRoute->timeout > Duration(0)) wait = std::min(wait, pathRoute->timeout);
-    order->deadline = effects.now + wait;
-    if (mayEndBefore(order->deadline, effects.now)) return deny(Code::stopping);
-    double sum = 0;
-    for (const auto& [service, weight] : pathRoute->split) sum += weight;
-    double drawn = static_cast<double>(effects.randomBelow(1000000)) / 1000000 * sum;
+    Duration timeout =
+        submitted.deadlineMs > 0 ? Duration(std::chrono::milliseconds(submitted.deadlineMs)) : Duration(120s);
+    if (pathRoute->timeout > Duration(0)) timeout = std::min(timeout, pathRoute->timeout);
+    request->deadline = effects.now + timeout;
+    if (mayStopBefore(request->deadline, effects.now)) return deny(Code::stopping);
+    double totalWeight = 0;
+    for (const auto& [service, weight] : pathRoute->split) totalWeight += weight;
+    double draw = static_cast<double>(effects.randomBelow(1000000)) / 1000000 * totalWeight;
     for (const auto& [service, weight] : pathRoute->split) {
-      order->service = service;
-      if (drawn < weight) break;
-      drawn -= weight;
+      request->service = service;
+      if (draw < weight) break;
+      draw -= weight;
     }
-    order->route = *pathRoute;
-    order->policy = pathRoute->policy.empty() ? routePolicy : view.policyOf(pathRoute->policy);
-    if (pending.size() >= settings.maxPending && !makeRoom(effects, order->tenant))
+    request->route = *pathRoute;
+    request->policy = pathRoute->policy.empty() ? routePolicy : config.policyOf(pathRoute->policy);
+    if (pending.size() >= settings.maxPending && !displacePending(effects, request->tenant))
       return deny(Code::pendingFull, "pending");
-    return accept(effects, std::move(order));
+    return accept(effects, std::move(request));
   }
-  if (mayEndBefore(TimePoint::max(), effects.now)) return deny(Code::stopping);
-  auto route = view.findRoute(ask.route);
+  if (mayStopBefore(TimePoint::max(), effects.now)) return deny(Code::stopping);
+  auto route = config.findRoute(submitted.route);
   if (!route || route->matchesPath()) return deny(Code::unknownRoute, "route");
-  if (!view.knowsModel(ask.model)) return deny(Code::unknownModel, "model");
-  if (route->model != ask.model) return deny(Code::badField, "model", "this route serves model " + route->model);
-  if (!route->tenants.empty() && !route->tenants.count(order->tenant)) return deny(Code::unknownTenant, "route");
-  if (!ask.tenant.empty() && ask.tenant != order->tenant) return deny(Code::unknownTenant, "tenant");
-  if (auto modes = checkTransferModes(ask.modes); !modes)
+  if (!config.knowsModel(submitted.model)) return deny(Code::unknownModel, "model");
+  if (route->model != submitted.model) return deny(Code::badField, "model", "this route serves model " + route->model);
+  if (!route->tenants.empty() && !route->tenants.count(request->tenant)) return deny(Code::unknownTenant, "route");
+  if (!submitted.tenant.empty() && submitted.tenant != request->tenant) return deny(Code::unknownTenant, "tenant");
+  if (auto modes = checkTransferModes(submitted.modes); !modes)
     return deny(modes.error().code, modes.error().subject, modes.error().text);
-  if (pending.size() >= settings.maxPending && !makeRoom(effects, order->tenant))
+  if (pending.size() >= settings.maxPending && !displacePending(effects, request->tenant))
     return deny(Code::pendingFull, "pending");
-  order->route = *route;
-  order->policy = view.policyOf(route->policy);
-  accept(effects, std::move(order));
+  request->route = *route;
+  request->policy = config.policyOf(route->policy);
+  accept(effects, std::move(request));
 }
 
-void ProxyRouter::accept(Effects& effects, std::unique_ptr<Order> order) {
-  std::string orderId = order->ask.orderId;
-  order->walk = std::make_unique<StateMachine<ProxyRouter, Effects&, Order&>>("order", actions(), "pending");
-  admittedAt.push_back(effects.now);
+void ProxyRouter::accept(Effects& effects, std::unique_ptr<Request> request) {
+  std::string orderId = request->submitted.orderId;
+  request->stateMachine =
+      std::make_unique<StateMachine<ProxyRouter, Effects&, Request&>>("order", actions(), "pending");
+  admissionTimes.push_back(effects.now);
   effects.note("admitted", orderId);
-  orders[orderId] = std::move(order);
+  requests[orderId] = std::move(request);
   pending.push_back(orderId);
   servePending(effects);
 }
 
-Duration ProxyRouter::pendingMostOf(const Order& order) const {
-  if (!order.route.matchesPath() || order.route.targetLatency <= Duration(0)) return settings.pendingTimeout;
-  return std::min(settings.pendingTimeout, order.route.targetLatency / 5);
+Duration ProxyRouter::pendingTimeoutFor(const Request& request) const {
+  if (!request.route.matchesPath() || request.route.targetLatency <= Duration(0)) return settings.pendingTimeout;
+  return std::min(settings.pendingTimeout, request.route.targetLatency / 5);
 }
 
 void ProxyRouter::servePending(Effects& effects) {
   std::map<std::string, std::deque<std::string>> byTenant;
   for (const auto& orderId : pending)
-    if (auto found = orders.find(orderId); found != orders.end() && found->second->walk->in("pending"))
+    if (auto found = requests.find(orderId); found != requests.end() && found->second->stateMachine->in("pending"))
       byTenant[found->second->tenant].push_back(orderId);
   pending.clear();
-  std::deque<std::string> left;
-  auto openOf = [&](const std::string& tenant) {
+  std::deque<std::string> remaining;
+  auto openCountOf = [&](const std::string& tenant) {
     auto open = openByTenant.find(tenant);
     return open == openByTenant.end() ? 0 : open->second;
   };
   while (!byTenant.empty()) {
     auto next = std::min_element(byTenant.begin(), byTenant.end(), [&](const auto& one, const auto& other) {
-      return openOf(one.first) < openOf(other.first);
+      return openCountOf(one.first) < openCountOf(other.first);
     });
     std::string orderId = next->second.front();
     next->second.pop_front();
     if (next->second.empty()) byTenant.erase(next);
-    auto found = orders.find(orderId);
-    if (found == orders.end()) continue;
-    auto& order = *found->second;
-    if (effects.now - order.takenAt >= pendingMostOf(order) || overdue(order, effects.now) || !fresh(effects.now)) {
-      if (!fresh(effects.now)) order.lastCode = Code::staleEdge;
+    auto found = requests.find(orderId);
+    if (found == requests.end()) continue;
+    auto& request = *found->second;
+    if (effects.now - request.pendingSince >= pendingTimeoutFor(request) || isPastDeadline(request, effects.now) ||
+        !fresh(effects.now)) {
+      if (!fresh(effects.now)) request.lastCode = Code::staleEdge;
       dispatch(effects, orderId, "late");
       continue;
     }
-    if (order.tries > 0 && !mayRetry(effects.now)) {
-      order.lastCode = Code::retryBudget;
-      left.push_back(orderId);
+    if (request.attempts > 0 && !retryBudgetAllows(effects.now)) {
+      request.lastCode = Code::retryBudget;
+      remaining.push_back(orderId);
       continue;
     }
-    if (!drawWorker(effects, order)) {
-      if (order.lastCode == Code::noWorker && effects.now - order.takenAt > 500ms)
+    if (!selectWorker(effects, request)) {
+      if (request.lastCode == Code::noWorker && effects.now - request.pendingSince > noWorkerTimeout)
         dispatch(effects, orderId, "late");
       else
-        left.push_back(orderId);
+        remaining.push_back(orderId);
       continue;
     }
-    if (order.tries > 0) {
-      retriedAt.push_back(effects.now);
-      effects.note("retry", orderId, order.tries);
+    if (request.attempts > 0) {
+      retryTimes.push_back(effects.now);
+      effects.note("retry", orderId, request.attempts);
     }
-    drawSources(order, effects.now);
-    dispatch(effects, orderId, order.plan.candidates.empty() ? "drawn" : "wantMove");
+    selectSources(request, effects.now);
+    dispatch(effects, orderId, request.plan.candidates.empty() ? "drawn" : "wantMove");
   }
-  pending.insert(pending.end(), left.begin(), left.end());
+  pending.insert(pending.end(), remaining.begin(), remaining.end());
 }
 
-bool ProxyRouter::mayEndBefore(TimePoint deadline, TimePoint now) const {
-  return drainPlan && !drainPlan->takes(now, deadline) && settings.defences.isEnabled(Defence::drainRefuses);
+bool ProxyRouter::mayStopBefore(TimePoint deadline, TimePoint now) const {
+  return drainPlan && !drainPlan->accepts(now, deadline) && settings.defences.isEnabled(Defence::drainRefuses);
 }
 
 }  // namespace tt
--- a/src/routing/edge_outcomes.cpp
+++ b/src/routing/edge_outcomes.cpp
@@ -1,157 +1,169 @@
-/// What becomes of an order: its verdict, and whether it is tried again.
+/// What follows the end of an attempt: a retry or the request's final status.
 #include "edge.hpp"
 
 #include <algorithm>
 
 namespace tt {
 namespace {
-constexpr int mostUnsent = 3;
-constexpr int mostTries = 3;
+/// How many attempts that were never sent do not count towards the limit of attempts.
+constexpr int maxUnsentAttempts = 3;
+/// Attempts of a request whose route does not set a limit.
+constexpr int defaultAttemptLimit = 3;
 }  // namespace
 
-bool ProxyRouter::mayRetry(TimePoint now) const {
+bool ProxyRouter::retryBudgetAllows(TimePoint now) const {
   if (!settings.defences.isEnabled(Defence::retryBudget)) return true;
-  auto fits = [&](Duration span) {
-    auto within = [&](const std::deque<TimePoint>& moments) {
-      return static_cast<double>(moments.end() - std::lower_bound(moments.begin(), moments.end(), now - span));
+  auto fits = [&](Duration window) {
+    auto within = [&](const std::deque<TimePoint>& times) {
+      return static_cast<double>(times.end() - std::lower_bound(times.begin(), times.end(), now - window));
     };
-    return within(retriedAt) + 1 <=
-           std::max(settings.minRetriesPerWindow, settings.retryBudgetRatio * within(admittedAt));
+    return within(retryTimes) + 1 <=
+           std::max(settings.minRetriesPerWindow, settings.retryBudgetRatio * within(admissionTimes));
   };
   return fits(settings.retryBudgetWindow) && fits(settings.retryBurstWindow);
 }
 
-void ProxyRouter::verdict(Effects& effects, Order& order, const std::string& word, Code code,
-                          const std::string& subject) {
-  CallerVerdict said;
-  said.orderId = order.ask.orderId;
-  said.verdict = word;
-  said.code = static_cast<int>(code);
-  said.subject = subject;
-  said.text = codeText(code);
-  if (word == "not run")
-    said.retryAfterMs = code == Code::keyDenied || code == Code::keyRevoked ? 0 : comeBackMs(effects, code);
-  said.tries = order.tries;
-  int moved = std::min(order.end.local, order.movedBlocks);
-  said.local = order.end.local - moved;
-  said.fetched = order.end.fetched + moved;
-  said.computed = order.end.computed;
-  said.worker = order.plan.worker;
-  said.began = order.began;
-  effects.note("verdict " + word, order.ask.orderId, static_cast<int>(code));
-  effects.send("caller", said);
-}
-
-void ProxyRouter::denyOrUnknown(Effects& effects, Order& order, Code code, const std::string& subject) {
-  verdict(effects, order, order.mayHaveRun ? "unknown" : "not run", code, subject);
-}
-
-int ProxyRouter::mostTriesOf(const Order& order) const { return order.route.tries > 0 ? order.route.tries : mostTries; }
-
-void ProxyRouter::readDone(Effects& effects, Order& order, bool read) {
-  if (!order.unreadCounted) return;
-  order.unreadCounted = false;
-  if (!order.plan.model.empty())
-    effects.send(settings.agentAddress,
-                 PrefillEnded{order.sendId, order.plan.zone, order.plan.worker, order.plan.hashes, read});
-  auto& local = locals[order.plan.worker];
-  local.unread = std::max(0, local.unread - order.plan.unread);
-}
-
-void ProxyRouter::freeWorker(Effects& effects, Order& order) {
-  readDone(effects, order, false);
-  if (!order.counted) return;
-  order.counted = false;
-  auto& local = locals[order.plan.worker];
-  if (local.open > 0) --local.open;
-  if (auto open = openByTenant.find(order.tenant); open != openByTenant.end() && --open->second <= 0)
+void ProxyRouter::sendFinalStatus(Effects& effects, Request& request, const std::string& outcome, Code code,
+                                  const std::string& subject) {
+  CallerVerdict status;
+  status.orderId = request.submitted.orderId;
+  status.verdict = outcome;
+  status.code = static_cast<int>(code);
+  status.subject = subject;
+  status.text = codeText(code);
+  if (outcome == "not run")
+    status.retryAfterMs = code == Code::keyDenied || code == Code::keyRevoked ? 0 : retryDelayMs(effects, code);
+  status.tries = request.attempts;
+  int transferred = std::min(request.attemptEnd.local, request.transferredBlocks);
+  status.local = request.attemptEnd.local - transferred;
+  status.fetched = request.attemptEnd.fetched + transferred;
+  status.computed = request.attemptEnd.computed;
+  status.worker = request.plan.worker;
+  status.began = request.responseStarted;
+  effects.note("verdict " + outcome, request.submitted.orderId, static_cast<int>(code));
+  effects.send("caller", status);
+}
+
+void ProxyRouter::endNotRunOrUnknown(Effects& effects, Request& request, Code code, const std::string& subject) {
+  sendFinalStatus(effects, request, request.mayHaveRun ? "unknown" : "not run", code, subject);
+}
+
+int ProxyRouter::maxAttemptsFor(const Request& request) const {
+  return request.route.tries > 0 ? request.route.tries : defaultAttemptLimit;
+}
+
+void ProxyRouter::finishPrefill(Effects& effects, Request& request, bool completed) {
+  if (!request.prefillCounted) return;
+  request.prefillCounted = false;
+  if (!request.plan.model.empty())
+    effects.send(settings.agentAddress, PrefillEnded{request.attemptId, request.plan.zone, request.plan.worker,
+                                                     request.plan.hashes, completed});
+  auto& stats = workerStats[request.plan.worker];
+  stats.tokensToPrefill = std::max(0, stats.tokensToPrefill - request.plan.tokensToPrefill);
+}
+
+void ProxyRouter::freeWorker(Effects& effects, Request& request) {
+  finishPrefill(effects, request, false);
+  if (!request.countedOpen) return;
+  request.countedOpen = false;
+  auto& stats = workerStats[request.plan.worker];
+  if (stats.open > 0) --stats.open;
+  if (auto open = openByTenant.find(request.tenant); open != openByTenant.end() && --open->second <= 0)
     openByTenant.erase(open);
 }
 
-void ProxyRouter::passChunk(Effects& effects, Order& order) {
-  if (!order.began && order.route.matchesPath() && !order.plan.model.empty()) noteDelay(order, effects.now);
-  if (!order.began && order.plan.source)
-    effects.note("transfer inferred", order.plan.source->name, toMilliseconds(effects.now - order.heardAt));
-  readDone(effects, order, true);
-  order.began = true;
-  effects.send("caller", CallerChunk{order.ask.orderId, order.chunk});
-  order.heardAt = effects.now;
+void ProxyRouter::passChunk(Effects& effects, Request& request) {
+  if (!request.responseStarted && request.route.matchesPath() && !request.plan.model.empty())
+    recordQueueingDelay(request, effects.now);
+  if (!request.responseStarted && request.plan.source)
+    effects.note("transfer inferred", request.plan.source->name, toMilliseconds(effects.now - request.lastActivityAt));
+  finishPrefill(effects, request, true);
+  request.responseStarted = true;
+  effects.send("caller", CallerChunk{request.submitted.orderId, request.chunk});
+  request.lastActivityAt = effects.now;
 }
 
-void ProxyRouter::endDone(Effects& effects, Order& order) {
-  doneAt.push_back(effects.now);
-  verdict(effects, order, "done", Code::done);
+void ProxyRouter::endDone(Effects& effects, Request& request) {
+  completionTimes.push_back(effects.now);
+  sendFinalStatus(effects, request, "done", Code::done);
 }
 
-void ProxyRouter::endFailed(Effects& effects, Order& order) {
-  verdict(effects, order, "failed", Code::workerFailed, order.plan.worker);
+void ProxyRouter::endFailed(Effects& effects, Request& request) {
+  sendFinalStatus(effects, request, "failed", Code::workerFailed, request.plan.worker);
 }
 
-void ProxyRouter::endBroken(Effects& effects, Order& order) {
-  bool says = settings.defences.isEnabled(Defence::brokenSaysSo);
-  verdict(effects, order, says ? "failed" : "done", says ? Code::workerBroke : Code::done, order.plan.worker);
+void ProxyRouter::endBroken(Effects& effects, Request& request) {
+  bool reportsBreak = settings.defences.isEnabled(Defence::brokenSaysSo);
+  sendFinalStatus(effects, request, reportsBreak ? "failed" : "done", reportsBreak ? Code::workerBroke : Code::done,
+                  request.plan.worker);
 }
 
-void ProxyRouter::endSilent(Effects& effects, Order& order) {
-  verdict(effects, order, "failed", Code::workerSilent, order.plan.worker);
+void ProxyRouter::endSilent(Effects& effects, Request& request) {
+  sendFinalStatus(effects, request, "failed", Code::workerSilent, request.plan.worker);
 }
 
-void ProxyRouter::endRevoked(Effects& effects, Order& order) {
-  verdict(effects, order, "failed", endsWithProxy(order) ? order.lastCode : Code::keyRevoked);
+void ProxyRouter::endRevoked(Effects& effects, Request& request) {
+  sendFinalStatus(effects, request, "failed", endedByProxy(request) ? request.lastCode : Code::keyRevoked);
 }
 
-void ProxyRouter::denyLate(Effects& effects, Order& order) { denyOrUnknown(effects, order, order.lastCode); }
+void ProxyRouter::denyLate(Effects& effects, Request& request) {
+  endNotRunOrUnknown(effects, request, request.lastCode);
+}
 
-void ProxyRouter::denyKey(Effects& effects, Order& order) {
-  if (endsWithProxy(order)) return denyOrUnknown(effects, order, order.lastCode);
-  denyOrUnknown(effects, order, Code::keyDenied, "authorization");
+void ProxyRouter::denyKey(Effects& effects, Request& request) {
+  if (endedByProxy(request)) return endNotRunOrUnknown(effects, request, request.lastCode);
+  endNotRunOrUnknown(effects, request, Code::keyDenied, "authorization");
 }
 
-void ProxyRouter::dropOrder(Effects& effects, Order& order) {
-  effects.send(order.plan.address, WorkerDrop{order.sendId});
+void ProxyRouter::dropOrder(Effects& effects, Request& request) {
+  effects.send(request.plan.address, WorkerDrop{request.attemptId});
 }
 
-void ProxyRouter::weighUnsent(Effects& effects, Order& order) {
-  if (!order.plan.sinkAddress.empty()) savedAt.erase(order.plan.hashes.back());
-  freeWorker(effects, order);
-  order.tried.insert(order.plan.worker);
-  orderBySend.erase(order.sendId);
-  if (order.route.matchesPath() && static_cast<OrderOutcome>(order.end.outcome) == OrderOutcome::brokenBeforeSend &&
-      ++order.unsent <= mostUnsent)
-    --order.tries;
-  order.retryAsked = order.tries < mostTriesOf(order) && !overdue(order, effects.now);
-  if (!order.retryAsked) denyOrUnknown(effects, order, Code::noWorker);
+void ProxyRouter::weighUnsent(Effects& effects, Request& request) {
+  if (!request.plan.sinkAddress.empty()) prefixSavedAt.erase(request.plan.hashes.back());
+  freeWorker(effects, request);
+  request.triedWorkers.insert(request.plan.worker);
+  orderIdByAttempt.erase(request.attemptId);
+  if (request.route.matchesPath() &&
+      static_cast<OrderOutcome>(request.attemptEnd.outcome) == OrderOutcome::brokenBeforeSend &&
+      ++request.unsentAttempts <= maxUnsentAttempts)
+    --request.attempts;
+  request.retryRequested = request.attempts < maxAttemptsFor(request) && !isPastDeadline(request, effects.now);
+  if (!request.retryRequested) endNotRunOrUnknown(effects, request, Code::noWorker);
 }
 
-void ProxyRouter::weighResume(Effects& effects, Order& order) {
-  freeWorker(effects, order);
-  order.tried.insert(order.plan.worker);
-  orderBySend.erase(order.sendId);
-  order.mayHaveRun = true;
-  bool mayGoOn = !order.lastPiece.empty();
-  order.retryAsked =
-      mayGoOn && order.tries < mostTriesOf(order) && mayRetry(effects.now) && !overdue(order, effects.now);
-  if (!order.retryAsked) verdict(effects, order, "failed", Code::workerBroke, order.plan.worker);
+void ProxyRouter::weighResume(Effects& effects, Request& request) {
+  freeWorker(effects, request);
+  request.triedWorkers.insert(request.plan.worker);
+  orderIdByAttempt.erase(request.attemptId);
+  request.mayHaveRun = true;
+  bool canResume = !request.lastPiece.empty();
+  request.retryRequested = canResume && request.attempts < maxAttemptsFor(request) && retryBudgetAllows(effects.now) &&
+                           !isPastDeadline(request, effects.now);
+  if (!request.retryRequested) sendFinalStatus(effects, request, "failed", Code::workerBroke, request.plan.worker);
 }
 
-void ProxyRouter::weighBroken(Effects& effects, Order& order) {
-  freeWorker(effects, order);
-  if (static_cast<OrderOutcome>(order.end.outcome) != OrderOutcome::forgotten) order.tried.insert(order.plan.worker);
-  orderBySend.erase(order.sendId);
-  order.mayHaveRun = settings.defences.isEnabled(Defence::unknownOnceSent);
-  bool mayRepeat = order.ask.repeatable || !settings.defences.isEnabled(Defence::retryOnlyRepeatable);
-  order.retryAsked = mayRepeat && order.tries < mostTriesOf(order) && !overdue(order, effects.now);
-  if (!order.retryAsked) denyOrUnknown(effects, order, Code::workerBroke, order.plan.worker);
+void ProxyRouter::weighBroken(Effects& effects, Request& request) {
+  freeWorker(effects, request);
+  /// If only a kept connection is known to have ended, the worker itself may be selected again.
+  if (static_cast<OrderOutcome>(request.attemptEnd.outcome) != OrderOutcome::forgotten)
+    request.triedWorkers.insert(request.plan.worker);
+  orderIdByAttempt.erase(request.attemptId);
+  request.mayHaveRun = settings.defences.isEnabled(Defence::unknownOnceSent);
+  bool mayRepeat = request.submitted.repeatable || !settings.defences.isEnabled(Defence::retryOnlyRepeatable);
+  request.retryRequested =
+      mayRepeat && request.attempts < maxAttemptsFor(request) && !isPastDeadline(request, effects.now);
+  if (!request.retryRequested) endNotRunOrUnknown(effects, request, Code::workerBroke, request.plan.worker);
 }
 
-void ProxyRouter::redraw(Effects& effects, Order& order) {
-  order.takenAt = effects.now;
-  pending.push_front(order.ask.orderId);
+void ProxyRouter::redraw(Effects& effects, Request& request) {
+  request.pendingSince = effects.now;
+  pending.push_front(request.submitted.orderId);
 }
 
-void ProxyRouter::drawAgain(Effects&, Order& order) {
-  order.plan = Plan{};
-  pending.push_front(order.ask.orderId);
+void ProxyRouter::drawAgain(Effects&, Request& request) {
+  request.plan = RoutingPlan{};
+  pending.push_front(request.submitted.orderId);
 }
 
 }  // namespace tt
--- a/src/routing/edge_placement.cpp
+++ b/src/routing/edge_placement.cpp
@@ -1,4 +1,4 @@
-/// Which worker takes an order: load, kept prefixes, and whether it is worth taking at all.
+/// Selects the worker for a request by load and cached prefixes, and sheds requests under overload.
 #include "edge.hpp"
 #include "first_draw_costs.hpp"
 
@@ -6,141 +6,166 @@
 
 namespace tt {
 namespace {
-constexpr Duration newsOld = 1500ms;
-constexpr Duration loadOld = 1s;
-/// How long until what was sent to the store shows in its index, and how many such prefixes are remembered.
-constexpr Duration savedSure = 3s;
-constexpr double delayShare = 0.1;
-constexpr Duration delayOld = 1s;
-constexpr double waitingMs = 40;
-constexpr std::size_t ranksAsked = 3;
+/// How long a cell's counts of running requests, and the load that a worker reported, are used.
+constexpr Duration maxCellUpdateAge = 1500ms;
+constexpr Duration maxLoadAge = 1s;
+/// How long until what was sent to a store shows in its index.
+constexpr Duration savedVisibleAfter = 3s;
+/// The weight of a new sample in the moving averages of queueing delay and tokens to prefill.
+constexpr double delaySmoothing = 0.1;
+/// Requests are shed only while the newest sample of the queueing delay is not older than this.
+constexpr Duration maxDelayAge = 1s;
+/// Milliseconds that a request waiting at a worker delays a new one.
+constexpr double waitingRequestMs = 40;
+/// How many workers besides the selected one are asked what they have of a prompt.
+constexpr std::size_t maxOtherCandidates = 3;
+/// Costs of a worker on a route that names a model, in milliseconds: by the share of its slots that are taken, linear
+/// and squared, for another zone, and a random part below the last that separates equal workers.
+constexpr double occupancyMs = 100, squaredOccupancyMs = 800;
+constexpr double otherZoneMs = 5;
+constexpr std::uint64_t randomMs = 20;
+/// Up to this many eligible workers are all compared, and a random half of them if there are more.
+constexpr std::size_t maxComparedInFull = 4;
 }  // namespace
 
-int ProxyRouter::busyOf(const WorkerView& worker, TimePoint now) const {
-  auto local = locals.find(worker.name);
-  auto heard = newsAt.find(worker.zone);
-  if (heard == newsAt.end() || now - heard->second > newsOld) return local == locals.end() ? 0 : local->second.open;
-  if (local == locals.end()) return worker.running;
-  return std::max(local->second.open, worker.running + local->second.sentSinceNews);
+int ProxyRouter::estimateRunning(const WorkerView& worker, TimePoint now) const {
+  auto stats = workerStats.find(worker.name);
+  auto updatedAt = cellUpdateAt.find(worker.zone);
+  if (updatedAt == cellUpdateAt.end() || now - updatedAt->second > maxCellUpdateAge)
+    return stats == workerStats.end() ? 0 : stats->second.open;
+  if (stats == workerStats.end()) return worker.running;
+  return std::max(stats->second.open, worker.running + stats->second.sentSinceUpdate);
 }
 
-double ProxyRouter::loadOf(const std::string& worker, TimePoint now) const {
-  auto found = locals.find(worker);
-  if (found == locals.end()) return 0;
-  const auto& local = found->second;
-  bool told = now - local.loadAt < loadOld;
-  return std::max(local.unread / settings.tokensPerMs, told ? local.waiting * waitingMs : 0) +
-         std::max(local.open, told ? local.running : 0) * runningMs;
+double ProxyRouter::estimateLoadMs(const std::string& worker, TimePoint now) const {
+  auto found = workerStats.find(worker);
+  if (found == workerStats.end()) return 0;
+  const auto& stats = found->second;
+  bool loadKnown = now - stats.loadReportedAt < maxLoadAge;
+  return std::max(stats.tokensToPrefill / settings.tokensPerMs, loadKnown ? stats.waiting * waitingRequestMs : 0) +
+         std::max(stats.open, loadKnown ? stats.running : 0) * runningRequestMs;
 }
 
-bool ProxyRouter::savesTo(const std::string& store, const BlockHash& prefix, TimePoint now) {
-  const auto* keeper = workerView(store);
-  if (!keeper || static_cast<int>(prefix.high % 1000) >= keeper->savedPermille) return false;
-  auto row = savedAt.find(prefix);
-  return row == savedAt.end() || now - row->second >= savedSure;
+/// The store's share of prefixes is compared with the prefix's hash, so that all proxies save the same prefixes.
+bool ProxyRouter::shouldSaveTo(const std::string& store, const BlockHash& prefix, TimePoint now) {
+  const auto* cacheNode = findWorker(store);
+  if (!cacheNode || static_cast<int>(prefix.high % 1000) >= cacheNode->savedPermille) return false;
+  auto row = prefixSavedAt.find(prefix);
+  return row == prefixSavedAt.end() || now - row->second >= savedVisibleAfter;
 }
 
-void ProxyRouter::noteDelay(const Order& order, TimePoint now) {
-  double readMs = order.plan.unread / settings.tokensPerMs;
-  double late = std::max(0.0, std::chrono::duration<double, std::milli>(now - order.sentAt).count() - readMs);
-  delayMs += (late - delayMs) * delayShare;
-  meanUnread += (order.plan.unread - meanUnread) * delayShare;
-  delayAt = now;
+void ProxyRouter::recordQueueingDelay(const Request& request, TimePoint now) {
+  double prefillMs = request.plan.tokensToPrefill / settings.tokensPerMs;
+  double delay = std::max(0.0, std::chrono::duration<double, std::milli>(now - request.sentAt).count() - prefillMs);
+  queueingDelayMs += (delay - queueingDelayMs) * delaySmoothing;
+  meanTokensToPrefill += (request.plan.tokensToPrefill - meanTokensToPrefill) * delaySmoothing;
+  queueingDelayAt = now;
 }
 
-bool ProxyRouter::sheds(Effects& effects, const Order& order) {
-  if (settings.maxShedRatio <= 0 || order.route.targetLatency <= Duration(0) || effects.now - delayAt > delayOld)
+/// The probability of shedding grows with how far the queueing delay is above the route's target latency, and with the
+/// request's size against the mean.
+bool ProxyRouter::shouldShed(Effects& effects, const Request& request) {
+  if (settings.maxShedRatio <= 0 || request.route.targetLatency <= Duration(0) ||
+      effects.now - queueingDelayAt > maxDelayAge)
     return false;
-  double aimMs = std::chrono::duration<double, std::milli>(order.route.targetLatency).count();
-  double over = delayMs / aimMs - 1;
-  if (over <= 0) return false;
-  double size = std::clamp(order.plan.unread / std::max(1.0, meanUnread), 0.2, 2.0);
-  return static_cast<double>(effects.randomBelow(1000)) < 1000 * std::min(settings.maxShedRatio, over * 0.5) * size;
+  double targetLatencyMs = std::chrono::duration<double, std::milli>(request.route.targetLatency).count();
+  double excess = queueingDelayMs / targetLatencyMs - 1;
+  if (excess <= 0) return false;
+  double sizeFactor = std::clamp(request.plan.tokensToPrefill / std::max(1.0, meanTokensToPrefill), 0.2, 2.0);
+  return static_cast<double>(effects.randomBelow(1000)) <
+         1000 * std::min(settings.maxShedRatio, excess * 0.5) * sizeFactor;
 }
 
-bool ProxyRouter::drawByPrefix(Effects& effects, Order& order) {
+/// Workers are ranked by rendezvous hashing of the shared prefix, so that requests with the same prefix meet at the
+/// same worker, whichever proxy they come through, and a worker that goes moves only its own prefixes.
+bool ProxyRouter::selectByPrefix(Effects& effects, Request& request) {
   struct Choice {
     const WorkerView* worker;
     std::uint64_t rank;
   };
-  std::size_t shared = order.ask.parts.size() > 1 ? order.ask.parts.size() - 1 : order.ask.parts.size();
-  std::string domain = order.tenant.empty() ? "shared" : view.cacheDomainOf(order.tenant);
-  std::string key = domain + "/" + order.ask.model;
-  key += "/" + (shared > 0 ? order.ask.parts[shared - 1] : order.ask.orderId);
+  std::size_t shared =
+      request.submitted.parts.size() > 1 ? request.submitted.parts.size() - 1 : request.submitted.parts.size();
+  std::string domain = request.tenant.empty() ? "shared" : config.cacheDomainOf(request.tenant);
+  std::string key = domain + "/" + request.submitted.model;
+  key += "/" + (shared > 0 ? request.submitted.parts[shared - 1] : request.submitted.orderId);
   std::vector<Choice> ranked;
   bool anyAlive = false;
-  for (const auto& [zone, news] : cells)
-    for (const auto& worker : news.workers) {
-      if (worker.service != order.service || worker.kind == "store" || !worker.alive || !mayBeDrawn(worker)) continue;
-      if (!order.ask.model.empty() && worker.model != order.ask.model) continue;
+  for (const auto& [zone, cell] : cells)
+    for (const auto& worker : cell.workers) {
+      if (worker.service != request.service || worker.kind == "store" || !worker.alive || !isSchedulable(worker))
+        continue;
+      if (!request.submitted.model.empty() && worker.model != request.submitted.model) continue;
       if (!worker.model.empty() && worker.weights.empty()) continue;
       ranked.push_back(Choice{&worker, rendezvousHash(key, worker.name)});
     }
   std::sort(ranked.begin(), ranked.end(), [](const Choice& one, const Choice& other) { return one.rank > other.rank; });
   const WorkerView* best = nullptr;
   double bestCost = 0, sharedMs = 0;
-  for (std::size_t at = 0; at + 1 < order.ask.partTokens.size(); ++at)
-    sharedMs += order.ask.partTokens[at] / settings.tokensPerMs;
-  std::vector<std::size_t> drawable;
-  std::size_t bestAt = 0;
-  for (std::size_t at = 0; at < ranked.size(); ++at) {
-    const auto& worker = *ranked[at].worker;
-    if (worker.held || !mayBegin(worker.model, worker.weights, effects.now)) continue;
+  for (std::size_t index = 0; index + 1 < request.submitted.partTokens.size(); ++index)
+    sharedMs += request.submitted.partTokens[index] / settings.tokensPerMs;
+  std::vector<std::size_t> eligible;
+  std::size_t bestIndex = 0;
+  for (std::size_t index = 0; index < ranked.size(); ++index) {
+    const auto& worker = *ranked[index].worker;
+    if (worker.held || !mayStartOn(worker.model, worker.weights, effects.now)) continue;
     anyAlive = true;
-    if (order.tried.count(worker.name)) continue;
-    if (auto local = locals.find(worker.name); local != locals.end() && effects.now < local->second.shunUntil) continue;
-    double cost = loadOf(worker.name, effects.now) + (drawable.empty() ? 0 : otherMs + sharedMs * readAgainX);
-    drawable.push_back(at);
+    if (request.triedWorkers.count(worker.name)) continue;
+    if (auto stats = workerStats.find(worker.name);
+        stats != workerStats.end() && effects.now < stats->second.ejectedUntil)
+      continue;
+    double cost = estimateLoadMs(worker.name, effects.now) +
+                  (eligible.empty() ? 0 : nonPreferredWorkerMs + sharedMs * prefillAgainFactor);
+    eligible.push_back(index);
     if (!best || cost < bestCost) {
       best = &worker;
-      bestAt = drawable.size() - 1;
+      bestIndex = eligible.size() - 1;
       bestCost = cost;
     }
   }
-  order.lastCode = anyAlive ? Code::pendingFull : Code::noWorker;
+  request.lastCode = anyAlive ? Code::pendingFull : Code::noWorker;
   if (!best) return false;
-  order.lastCode = Code::noWorker;
-  Plan plan;
+  request.lastCode = Code::noWorker;
+  RoutingPlan plan;
   plan.worker = best->name;
   plan.address = best->address;
   plan.zone = best->zone;
   plan.model = best->model;
   plan.weights = best->weights;
-  if (!order.ask.model.empty()) {
+  if (!request.submitted.model.empty()) {
     plan.salt = cacheSalt(plan.model, settings.defences.isEnabled(Defence::saltWeights) ? plan.weights : "any",
                           settings.defences.isEnabled(Defence::saltTenant) ? domain : "shared");
-    for (const auto& part : order.ask.parts) plan.hashes.push_back(hashPromptPart(plan.salt, part));
-    plan.tokens = order.ask.partTokens;
-    for (int tokens : plan.tokens) plan.unread += tokens;
+    for (const auto& part : request.submitted.parts) plan.hashes.push_back(hashPromptPart(plan.salt, part));
+    plan.tokens = request.submitted.partTokens;
+    for (int tokens : plan.tokens) plan.tokensToPrefill += tokens;
     std::size_t others = 0;
-    for (std::size_t at = 0; at < drawable.size(); ++at) {
-      const auto& worker = *ranked[drawable[at]].worker;
-      if (worker.weights != plan.weights || (at != bestAt && ++others > ranksAsked)) continue;
-      plan.candidates.push_back(Plan::Candidate{worker.name, worker.address, worker.zone});
-      plan.candidates.back().rank = static_cast<int>(at);
+    for (std::size_t index = 0; index < eligible.size(); ++index) {
+      const auto& worker = *ranked[eligible[index]].worker;
+      if (worker.weights != plan.weights || (index != bestIndex && ++others > maxOtherCandidates)) continue;
+      plan.candidates.push_back(RoutingPlan::Candidate{worker.name, worker.address, worker.zone});
+      plan.candidates.back().rank = static_cast<int>(index);
       plan.candidates.back().service = worker.service;
     }
   }
-  order.plan = std::move(plan);
-  countOpen(order);
+  request.plan = std::move(plan);
+  countAsOpen(request);
   return true;
 }
 
-void ProxyRouter::countOpen(Order& order) {
-  auto& local = locals[order.plan.worker];
-  ++local.open;
-  ++local.sentSinceNews;
-  ++openByTenant[order.tenant];
-  order.counted = true;
+void ProxyRouter::countAsOpen(Request& request) {
+  auto& stats = workerStats[request.plan.worker];
+  ++stats.open;
+  ++stats.sentSinceUpdate;
+  ++openByTenant[request.tenant];
+  request.countedOpen = true;
 }
 
-bool ProxyRouter::mayBeDrawn(const WorkerView& worker) const {
-  return staying.count(worker.name) || !settings.defences.isEnabled(Defence::marksAtDraw);
+bool ProxyRouter::isSchedulable(const WorkerView& worker) const {
+  return schedulable.count(worker.name) || !settings.defences.isEnabled(Defence::marksAtDraw);
 }
 
-bool ProxyRouter::isPlain(const std::string& service) const {
-  for (const auto& [zone, news] : cells)
-    for (const auto& worker : news.workers)
+bool ProxyRouter::isPlainService(const std::string& service) const {
+  for (const auto& [zone, cell] : cells)
+    for (const auto& worker : cell.workers)
       if (worker.service == service) return worker.kind == "app";
   return false;
 }
@@ -149,44 +174,44 @@
   PlainCandidate candidate;
   candidate.slots = worker.slots;
   candidate.sameZone = worker.zone == settings.zone;
-  auto found = locals.find(worker.name);
-  if (found == locals.end()) return candidate;
-  const auto& local = found->second;
-  candidate.open = local.open;
-  candidate.ejected = now < local.shunUntil;
-  if (now - local.loadAt >= loadOld) return candidate;
-  candidate.running = local.running;
-  candidate.waiting = local.waiting;
+  auto found = workerStats.find(worker.name);
+  if (found == workerStats.end()) return candidate;
+  const auto& stats = found->second;
+  candidate.open = stats.open;
+  candidate.ejected = now < stats.ejectedUntil;
+  if (now - stats.loadReportedAt >= maxLoadAge) return candidate;
+  candidate.running = stats.running;
+  candidate.waiting = stats.waiting;
   return candidate;
 }
 
-bool ProxyRouter::drawPlain(Effects& effects, Order& order) {
+bool ProxyRouter::selectPlainWorker(Effects& effects, Request& request) {
   std::vector<const WorkerView*> workers;
   std::vector<PlainCandidate> candidates;
   bool anyAlive = false;
-  for (const auto& [zone, news] : cells)
-    for (const auto& worker : news.workers) {
-      if (worker.service != order.service || !worker.alive || !mayBeDrawn(worker)) continue;
+  for (const auto& [zone, cell] : cells)
+    for (const auto& worker : cell.workers) {
+      if (worker.service != request.service || !worker.alive || !isSchedulable(worker)) continue;
       anyAlive = true;
-      if (order.tried.count(worker.name)) continue;
+      if (request.triedWorkers.count(worker.name)) continue;
       workers.push_back(&worker);
       candidates.push_back(plainCandidate(worker, effects.now));
     }
-  order.lastCode = anyAlive ? Code::pendingFull : Code::noWorker;
-  auto chosen = choosePlain(candidates, effects.randomSource);
+  request.lastCode = anyAlive ? Code::pendingFull : Code::noWorker;
+  auto chosen = selectLeastOccupied(candidates, effects.randomSource);
   if (!chosen) return false;
-  order.lastCode = Code::noWorker;
-  order.plan = Plan{};
-  order.plan.worker = workers[*chosen]->name;
-  order.plan.address = workers[*chosen]->address;
-  order.plan.zone = workers[*chosen]->zone;
-  countOpen(order);
+  request.lastCode = Code::noWorker;
+  request.plan = RoutingPlan{};
+  request.plan.worker = workers[*chosen]->name;
+  request.plan.address = workers[*chosen]->address;
+  request.plan.zone = workers[*chosen]->zone;
+  countAsOpen(request);
   return true;
 }
 
-bool ProxyRouter::drawWorker(Effects& effects, Order& order) {
-  if (order.route.matchesPath() && isPlain(order.service)) return drawPlain(effects, order);
-  if (order.route.matchesPath()) return drawByPrefix(effects, order);
+bool ProxyRouter::selectWorker(Effects& effects, Request& request) {
+  if (request.route.matchesPath() && isPlainService(request.service)) return selectPlainWorker(effects, request);
+  if (request.route.matchesPath()) return selectByPrefix(effects, request);
   struct Choice {
     const WorkerView* worker;
     std::size_t hits;
@@ -194,38 +219,39 @@
     Hashes hashes;
     std::string salt;
   };
-  std::vector<const WorkerView*> able;
-  std::string kind = order.route.app ? "app" : "language";
+  std::vector<const WorkerView*> eligible;
+  std::string kind = request.route.app ? "app" : "language";
   bool anyAlive = false;
-  for (const auto& [zone, news] : cells)
-    for (const auto& worker : news.workers) {
-      if (worker.kind != kind || !worker.alive || worker.held || !mayBeDrawn(worker)) continue;
-      if (kind == "language" && (worker.model != order.ask.model || worker.weights.empty() ||
-                                 !mayBegin(worker.model, worker.weights, effects.now)))
+  for (const auto& [zone, cell] : cells)
+    for (const auto& worker : cell.workers) {
+      if (worker.kind != kind || !worker.alive || worker.held || !isSchedulable(worker)) continue;
+      if (kind == "language" && (worker.model != request.submitted.model || worker.weights.empty() ||
+                                 !mayStartOn(worker.model, worker.weights, effects.now)))
         continue;
       anyAlive = true;
-      if (order.tried.count(worker.name)) continue;
-      if (auto local = locals.find(worker.name); local != locals.end() && effects.now < local->second.shunUntil)
+      if (request.triedWorkers.count(worker.name)) continue;
+      if (auto stats = workerStats.find(worker.name);
+          stats != workerStats.end() && effects.now < stats->second.ejectedUntil)
         continue;
-      if (busyOf(worker, effects.now) >= worker.slots) continue;
-      able.push_back(&worker);
+      if (estimateRunning(worker, effects.now) >= worker.slots) continue;
+      eligible.push_back(&worker);
     }
-  order.lastCode = anyAlive ? Code::pendingFull : Code::noWorker;
-  if (able.empty()) return false;
-  std::shuffle(able.begin(), able.end(), effects.randomSource);
-  if (able.size() > 4) able.resize((able.size() + 1) / 2);
+  request.lastCode = anyAlive ? Code::pendingFull : Code::noWorker;
+  if (eligible.empty()) return false;
+  std::shuffle(eligible.begin(), eligible.end(), effects.randomSource);
+  if (eligible.size() > maxComparedInFull) eligible.resize((eligible.size() + 1) / 2);
   std::map<std::string, std::pair<std::string, Hashes>> byWeights;
-  std::string domain = view.cacheDomainOf(order.tenant);
+  std::string domain = config.cacheDomainOf(request.tenant);
   std::optional<Choice> best;
-  for (const auto* worker : able) {
+  for (const auto* worker : eligible) {
     Choice choice{worker, 0, 0, {}, {}};
-    if (!order.route.app) {
+    if (!request.route.app) {
       auto& hashed = byWeights[worker->weights];
       if (hashed.first.empty()) {
-        hashed.first =
-            cacheSalt(order.ask.model, settings.defences.isEnabled(Defence::saltWeights) ? worker->weights : "any",
-                      settings.defences.isEnabled(Defence::saltTenant) ? domain : "shared");
-        hashed.second = hashPrompt(order.ask.parts, hashed.first);
+        hashed.first = cacheSalt(request.submitted.model,
+                                 settings.defences.isEnabled(Defence::saltWeights) ? worker->weights : "any",
+                                 settings.defences.isEnabled(Defence::saltTenant) ? domain : "shared");
+        hashed.second = hashPrompt(request.submitted.parts, hashed.first);
       }
       if (worker->confirmed)
         while (choice.hits < hashed.second.size() &&
@@ -233,24 +259,26 @@
           ++choice.hits;
       choice.cost = static_cast<double>(hashed.second.size() - choice.hits) * settings.blockMs;
     }
-    double busyness = worker->slots > 0 ? static_cast<double>(busyOf(*worker, effects.now)) / worker->slots : 1;
-    choice.cost += busyness * busyness * 800 + busyness * 100 + static_cast<double>(effects.randomBelow(20));
-    if (worker->zone != settings.zone) choice.cost += 5;
+    double occupancy =
+        worker->slots > 0 ? static_cast<double>(estimateRunning(*worker, effects.now)) / worker->slots : 1;
+    choice.cost += occupancy * occupancy * squaredOccupancyMs + occupancy * occupancyMs +
+                   static_cast<double>(effects.randomBelow(randomMs));
+    if (worker->zone != settings.zone) choice.cost += otherZoneMs;
     if (!best || choice.cost < best->cost) best = std::move(choice);
   }
-  Plan plan;
+  RoutingPlan plan;
   plan.worker = best->worker->name;
   plan.address = best->worker->address;
   plan.zone = best->worker->zone;
-  plan.model = order.ask.model;
+  plan.model = request.submitted.model;
   plan.localHits = best->hits;
-  if (!order.route.app) {
+  if (!request.route.app) {
     plan.weights = best->worker->weights;
     plan.salt = byWeights[plan.weights].first;
     plan.hashes = byWeights[plan.weights].second;
   }
-  order.plan = std::move(plan);
-  countOpen(order);
+  request.plan = std::move(plan);
+  countAsOpen(request);
   return true;
 }
 
--- a/src/routing/edge_report.cpp
+++ b/src/routing/edge_report.cpp
@@ -1,4 +1,4 @@
-/// What a proxy tells of itself.
+/// The report of a proxy's state to operators.
 #include "edge.hpp"
 
 #include <algorithm>
@@ -8,27 +8,27 @@
   JsonObject whole;
   whole["proxy"] = Json(settings.name);
   whole["fresh"] = Json(fresh(now));
-  whole["revision"] = jsonNumber(static_cast<double>(view.revision()));
-  whole["applied"] = jsonNumber(static_cast<double>(view.index()));
-  whole["orders"] = jsonNumber(static_cast<double>(orders.size()));
+  whole["revision"] = jsonNumber(static_cast<double>(config.revision()));
+  whole["applied"] = jsonNumber(static_cast<double>(config.index()));
+  whole["orders"] = jsonNumber(static_cast<double>(requests.size()));
   whole["pending"] = jsonNumber(static_cast<double>(pending.size()));
   JsonObject tenants;
   for (const auto& [tenant, open] : openByTenant) tenants[tenant] = jsonNumber(open);
   whole["openByTenant"] = Json(tenants);
-  whole["retriesLately"] = jsonNumber(static_cast<double>(retriedAt.size()));
-  whole["admittedLately"] = jsonNumber(static_cast<double>(admittedAt.size()));
+  whole["retriesLately"] = jsonNumber(static_cast<double>(retryTimes.size()));
+  whole["admittedLately"] = jsonNumber(static_cast<double>(admissionTimes.size()));
   JsonObject workers;
-  for (const auto& [zone, news] : cells)
-    for (const auto& worker : news.workers) {
+  for (const auto& [zone, cell] : cells)
+    for (const auto& worker : cell.workers) {
       JsonObject row;
       row["weights"] = Json(worker.weights);
       row["running"] = jsonNumber(worker.running);
       row["slots"] = jsonNumber(worker.slots);
       row["held"] = Json(worker.held);
       row["alive"] = Json(worker.alive);
-      row["leaving"] = Json(!staying.count(worker.name));
-      auto local = locals.find(worker.name);
-      row["open"] = jsonNumber(local == locals.end() ? 0 : local->second.open);
+      row["leaving"] = Json(!schedulable.count(worker.name));
+      auto stats = workerStats.find(worker.name);
+      row["open"] = jsonNumber(stats == workerStats.end() ? 0 : stats->second.open);
       workers[worker.name] = Json(row);
     }
   whole["workers"] = Json(workers);
--- a/src/routing/edge_sources.cpp
+++ b/src/routing/edge_sources.cpp
@@ -1,4 +1,5 @@
-/// Whether a part of a prompt is fetched, and from which single source: lookups, rides and moves.
+/// Decides whether a cached prefix is fetched and from which single source: lookups, fetches within a request, and
+/// separate transfers.
 #include "edge.hpp"
 #include "urgency.hpp"
 
@@ -6,11 +7,16 @@
 
 namespace tt {
 namespace {
-constexpr double unmeasuredSpeed = 1000;
-constexpr Duration indexRest = 500ms;
-constexpr int leastTokens = 64;
-constexpr int leastSaved = 256;
-constexpr std::size_t leastGain = 4;
+/// Taken for the speed of a link that nobody has measured.
+constexpr double unmeasuredBlocksPerSecond = 1000;
+/// How long a zone is not asked again after its cell did not answer a lookup in time.
+constexpr Duration lookupHoldoff = 500ms;
+/// The fewest tokens, more than the target has, that are worth a fetch, and the fewest that are worth saving to a
+/// store.
+constexpr int minFetchTokens = 64;
+constexpr int minSavedTokens = 256;
+/// The fewest blocks, more than the target has, that are worth a separate transfer.
+constexpr std::size_t minExtraHits = 4;
 }  // namespace
 
 Result<void> checkTransferModes(const Strings& modes) {
@@ -20,8 +26,9 @@
       return fault(Code::unknownField, "kv_transfer_params." + mode);
   if (given.count("remote_prefiller") && given.size() > 1)
     return fault(Code::badMode, "kv_transfer_params",
-                 given.count("remote_kv_source") ? "two fetch sources for one order"
-                                                 : "a prefill source together with a decode target");
+                 given.count("remote_kv_source")
+                     ? "a request may have only one fetch source: remote_prefiller or remote_kv_source"
+                     : "remote_prefiller and remote_decoder may not be combined");
   return boost::outcome_v2::success();
 }
 
@@ -32,294 +39,305 @@
 }
 
 double ProxyRouter::linkSpeed(const std::string& source, const std::string& target) const {
-  for (const auto& [zone, news] : cells)
-    for (const auto& link : news.links)
+  for (const auto& [zone, cell] : cells)
+    for (const auto& link : cell.links)
       if (link.source == source && link.target == target) return link.blocksPerSecond;
-  return unmeasuredSpeed;
+  return unmeasuredBlocksPerSecond;
 }
 
-void ProxyRouter::drawRideSources(Order& order, TimePoint now) {
-  auto& plan = order.plan;
-  bool namesSource = false;
-  for (const auto& mode : order.ask.modes)
-    namesSource = namesSource || mode == "remote_kv_source" || mode == "remote_prefiller";
+void ProxyRouter::selectFetchCandidates(Request& request, TimePoint now) {
+  auto& plan = request.plan;
+  bool hasExplicitSource = false;
+  for (const auto& mode : request.submitted.modes)
+    hasExplicitSource = hasExplicitSource || mode == "remote_kv_source" || mode == "remote_prefiller";
   int shared = 0;
-  for (std::size_t at = 0; at + 1 < plan.tokens.size(); ++at) shared += plan.tokens[at];
-  if (!settings.fetching || namesSource || plan.hashes.size() < 2 || shared < leastTokens)
+  for (std::size_t index = 0; index + 1 < plan.tokens.size(); ++index) shared += plan.tokens[index];
+  if (!settings.fetching || hasExplicitSource || plan.hashes.size() < 2 || shared < minFetchTokens)
     return plan.candidates.clear();
   plan.hashes.pop_back();
   const WorkerView* store = nullptr;
   std::uint64_t storeRank = 0;
-  for (const auto& [zone, news] : cells)
-    for (const auto& keeper : news.workers)
-      if (std::uint64_t rank = rendezvousHash(plan.hashes.back().hex(), keeper.name);
-          keeper.kind == "store" && keeper.alive && (!store || rank > storeRank)) {
-        store = &keeper;
+  for (const auto& [zone, cell] : cells)
+    for (const auto& cacheNode : cell.workers)
+      if (std::uint64_t rank = rendezvousHash(plan.hashes.back().hex(), cacheNode.name);
+          cacheNode.kind == "store" && cacheNode.alive && (!store || rank > storeRank)) {
+        store = &cacheNode;
         storeRank = rank;
       }
   if (store) {
-    plan.candidates.push_back(Plan::Candidate{store->name, store->address, store->zone, true});
+    plan.candidates.push_back(RoutingPlan::Candidate{store->name, store->address, store->zone, true});
     plan.candidates.back().service = store->service;
   }
-  auto silent = [&](const Plan::Candidate& candidate) {
-    auto found = indexSilent.find(candidate.zone);
-    return found != indexSilent.end() && now < found->second;
+  auto isHeldOff = [&](const RoutingPlan::Candidate& candidate) {
+    auto found = lookupHoldoffUntil.find(candidate.zone);
+    return found != lookupHoldoffUntil.end() && now < found->second;
   };
-  plan.candidates.erase(std::remove_if(plan.candidates.begin(), plan.candidates.end(), silent), plan.candidates.end());
+  plan.candidates.erase(std::remove_if(plan.candidates.begin(), plan.candidates.end(), isHeldOff),
+                        plan.candidates.end());
 }
 
-int ProxyRouter::tokensOf(const Plan& plan, std::size_t parts) {
+int ProxyRouter::countTokens(const RoutingPlan& plan, std::size_t parts) {
   int tokens = 0;
-  for (std::size_t at = 0; at < parts && at < plan.tokens.size(); ++at) tokens += plan.tokens[at];
+  for (std::size_t index = 0; index < parts && index < plan.tokens.size(); ++index) tokens += plan.tokens[index];
   return tokens;
 }
 
-int ProxyRouter::keptTokens(const Order& order, const Plan::Candidate& candidate) {
-  auto reply = order.replies.find(candidate.name);
-  return reply == order.replies.end() ? 0 : tokensOf(order.plan, prefixHits(reply->second.hits));
+int ProxyRouter::cachedTokens(const Request& request, const RoutingPlan::Candidate& candidate) {
+  auto reply = request.replies.find(candidate.name);
+  return reply == request.replies.end() ? 0 : countTokens(request.plan, prefixHits(reply->second.hits));
 }
 
-int ProxyRouter::soonKeptTokens(const Order& order, const Plan::Candidate& candidate) {
-  auto reply = order.replies.find(candidate.name);
-  if (reply == order.replies.end()) return 0;
+int ProxyRouter::cachedOrPendingTokens(const Request& request, const RoutingPlan::Candidate& candidate) {
+  auto reply = request.replies.find(candidate.name);
+  if (reply == request.replies.end()) return 0;
   auto pending = static_cast<std::size_t>(std::max(0, reply->second.pendingHits));
-  return tokensOf(order.plan, std::max(prefixHits(reply->second.hits), pending));
+  return countTokens(request.plan, std::max(prefixHits(reply->second.hits), pending));
 }
 
-double ProxyRouter::transferMsBetween(const Order& order, const Plan::Candidate& source, const Plan::Candidate& target,
-                                      int tokens) const {
-  const auto* targetService = view.findService(order.service);
-  const auto* sourceService = view.findService(source.service);
+double ProxyRouter::transferMsBetween(const Request& request, const RoutingPlan::Candidate& source,
+                                      const RoutingPlan::Candidate& target, int tokens) const {
+  const auto* targetService = config.findService(request.service);
+  const auto* sourceService = config.findService(source.service);
   return transferMs(tokens, targetService ? targetService->tokenBytes : 0, sourceService ? sourceService->linkMbps : 0,
                     targetService ? targetService->linkMbps : 0, source.zone == target.zone);
 }
 
-ProxyRouter::Source ProxyRouter::sourceFor(const Order& order, const Plan::Candidate& target, int own,
-                                           TimePoint now) const {
+/// Most tokens win; among equals a worker goes before a store, and the target's zone before others.
+ProxyRouter::Source ProxyRouter::bestSourceFor(const Request& request, const RoutingPlan::Candidate& target,
+                                               int targetTokens, TimePoint now) const {
   Source best;
-  for (const auto& candidate : order.plan.candidates) {
+  for (const auto& candidate : request.plan.candidates) {
     if (candidate.name == target.name) continue;
-    int tokens = keptTokens(order, candidate);
-    if (auto local = locals.find(candidate.name); local != locals.end() && now < local->second.shunUntil) continue;
-    FetchCandidate facts{candidate.store, static_cast<double>(tokens), unmeasuredSpeed, 0};
-    if (tokens < own + leastTokens || !order.policy.fetches(facts)) continue;
+    int tokens = cachedTokens(request, candidate);
+    if (auto stats = workerStats.find(candidate.name); stats != workerStats.end() && now < stats->second.ejectedUntil)
+      continue;
+    FetchCandidate fetchCandidate{candidate.store, static_cast<double>(tokens), unmeasuredBlocksPerSecond, 0};
+    if (tokens < targetTokens + minFetchTokens || !request.policy.fetches(fetchCandidate)) continue;
     const auto* other = best.candidate;
-    bool nearer = other && candidate.zone == target.zone && other->zone != target.zone;
-    if (tokens < best.tokens || (tokens == best.tokens && (candidate.store || !(nearer || (other && other->store)))))
+    bool isCloser = other && candidate.zone == target.zone && other->zone != target.zone;
+    if (tokens < best.tokens || (tokens == best.tokens && (candidate.store || !(isCloser || (other && other->store)))))
       continue;
     best = Source{&candidate, tokens};
   }
   return best;
 }
 
-ProxyRouter::Placement ProxyRouter::placementAt(const Order& order, const Plan::Candidate& target, int heldAnywhere,
-                                                TimePoint now) const {
+ProxyRouter::Placement ProxyRouter::evaluatePlacement(const Request& request, const RoutingPlan::Candidate& target,
+                                                      int bestCachedTokens, TimePoint now) const {
   Placement placement;
   placement.target = &target;
-  auto& facts = placement.facts;
-  facts.promptTokens = tokensOf(order.plan, order.plan.tokens.size());
-  facts.sharedTokens = tokensOf(order.plan, order.plan.hashes.size());
-  facts.ownTokens = soonKeptTokens(order, target);
-  facts.heldAnywhereTokens = heldAnywhere;
-  facts.rank = target.rank;
-  placement.source = sourceFor(order, target, facts.ownTokens, now);
+  auto& inputs = placement.inputs;
+  inputs.promptTokens = countTokens(request.plan, request.plan.tokens.size());
+  inputs.sharedTokens = countTokens(request.plan, request.plan.hashes.size());
+  inputs.cachedTokens = cachedOrPendingTokens(request, target);
+  inputs.bestCachedTokens = bestCachedTokens;
+  inputs.rank = target.rank;
+  placement.source = bestSourceFor(request, target, inputs.cachedTokens, now);
   if (const auto* source = placement.source.candidate) {
-    facts.fetches = true;
-    facts.fetchedTokens = placement.source.tokens;
-    facts.transferMs = transferMsBetween(order, *source, target, placement.source.tokens);
+    inputs.fetches = true;
+    inputs.fetchedTokens = placement.source.tokens;
+    inputs.transferMs = transferMsBetween(request, *source, target, placement.source.tokens);
   }
-  auto reply = order.replies.find(target.name);
-  bool known = reply != order.replies.end() && reply->second.tokensPerMs > 0;
-  facts.msPerToken = 1 / (known ? reply->second.tokensPerMs : settings.tokensPerMs);
-  facts.waitMs = loadOf(target.name, now);
-  if (known) facts.waitMs = std::max(facts.waitMs, reply->second.waitingTokens * facts.msPerToken);
+  auto reply = request.replies.find(target.name);
+  bool known = reply != request.replies.end() && reply->second.tokensPerMs > 0;
+  inputs.msPerToken = 1 / (known ? reply->second.tokensPerMs : settings.tokensPerMs);
+  inputs.waitMs = estimateLoadMs(target.name, now);
+  if (known) inputs.waitMs = std::max(inputs.waitMs, reply->second.waitingTokens * inputs.msPerToken);
   return placement;
 }
 
-std::optional<ProxyRouter::Placement> ProxyRouter::cheapestPlacement(const Order& order, TimePoint now) const {
-  int heldAnywhere = 0;
-  for (const auto& candidate : order.plan.candidates)
-    heldAnywhere = std::max(heldAnywhere, soonKeptTokens(order, candidate));
+std::optional<ProxyRouter::Placement> ProxyRouter::cheapestPlacement(const Request& request, TimePoint now) const {
+  int bestCachedTokens = 0;
+  for (const auto& candidate : request.plan.candidates)
+    bestCachedTokens = std::max(bestCachedTokens, cachedOrPendingTokens(request, candidate));
   std::optional<Placement> best;
-  double leastCost = 0;
-  for (const auto& candidate : order.plan.candidates) {
+  double lowestCost = 0;
+  for (const auto& candidate : request.plan.candidates) {
     if (candidate.store) continue;
-    auto placement = placementAt(order, candidate, heldAnywhere, now);
-    double cost = placementCostMs(placement.facts);
-    if (best && cost >= leastCost) continue;
+    auto placement = evaluatePlacement(request, candidate, bestCachedTokens, now);
+    double cost = placementCostMs(placement.inputs);
+    if (best && cost >= lowestCost) continue;
     best = placement;
-    leastCost = cost;
+    lowestCost = cost;
   }
   return best;
 }
 
-void ProxyRouter::placeAt(Effects& effects, Order& order, const Placement& placement) {
-  auto& plan = order.plan;
+void ProxyRouter::applyPlacement(Effects& effects, Request& request, const Placement& placement) {
+  auto& plan = request.plan;
   if (placement.target->name != plan.worker) {
-    freeWorker(effects, order);
+    freeWorker(effects, request);
     plan.worker = placement.target->name;
     plan.address = placement.target->address;
     plan.zone = placement.target->zone;
-    countOpen(order);
+    countAsOpen(request);
   }
-  const auto& facts = placement.facts;
+  const auto& inputs = placement.inputs;
   if (placement.source.candidate) plan.source = *placement.source.candidate;
-  plan.unread -= std::max(facts.ownTokens, facts.fetchedTokens);
+  plan.tokensToPrefill -= std::max(inputs.cachedTokens, inputs.fetchedTokens);
 }
 
-bool ProxyRouter::settleRide(Effects& effects, Order& order) {
-  auto& plan = order.plan;
-  int shared = tokensOf(plan, plan.hashes.size());
-  const Plan::Candidate* store = nullptr;
+bool ProxyRouter::finishFetchLookup(Effects& effects, Request& request) {
+  auto& plan = request.plan;
+  int shared = countTokens(plan, plan.hashes.size());
+  const RoutingPlan::Candidate* store = nullptr;
   for (const auto& candidate : plan.candidates) {
-    if (!order.replies.count(candidate.name)) indexSilent[candidate.zone] = effects.now + indexRest;
+    if (!request.replies.count(candidate.name)) lookupHoldoffUntil[candidate.zone] = effects.now + lookupHoldoff;
     if (candidate.store) store = &candidate;
   }
-  auto placement = cheapestPlacement(order, effects.now);
-  if (placement) placeAt(effects, order, *placement);
-  double msPerToken = placement ? placement->facts.msPerToken : 1 / settings.tokensPerMs;
-  order.urgency = urgencyOf(order.priority, priorities, plan.unread * msPerToken, tightestAimMs);
-  if (store && order.replies.count(store->name) && keptTokens(order, *store) < shared && shared >= leastSaved &&
-      savesTo(store->name, plan.hashes.back(), effects.now))
+  auto placement = cheapestPlacement(request, effects.now);
+  if (placement) applyPlacement(effects, request, *placement);
+  double msPerToken = placement ? placement->inputs.msPerToken : 1 / settings.tokensPerMs;
+  request.urgency = urgencyOf(request.priority, knownPriorities, plan.tokensToPrefill * msPerToken, minLatencyTargetMs);
+  if (store && request.replies.count(store->name) && cachedTokens(request, *store) < shared &&
+      shared >= minSavedTokens && shouldSaveTo(store->name, plan.hashes.back(), effects.now))
     plan.sinkAddress = store->address;
-  if (order.tries == 0 && sheds(effects, order)) {
-    order.lastCode = Code::pendingFull;
-    effects.note("shed", order.ask.orderId);
+  if (request.attempts == 0 && shouldShed(effects, request)) {
+    request.lastCode = Code::pendingFull;
+    effects.note("shed", request.submitted.orderId);
     return false;
   }
-  int own = placement ? keptTokens(order, *placement->target) : 0;
+  int targetTokens = placement ? cachedTokens(request, *placement->target) : 0;
   effects.note("prefix tokens", plan.worker, shared);
-  effects.note("prefix kept", plan.worker, own);
-  if (plan.source) effects.note("prefix fetched", plan.source->name, placement->source.tokens - own);
+  effects.note("prefix kept", plan.worker, targetTokens);
+  if (plan.source) effects.note("prefix fetched", plan.source->name, placement->source.tokens - targetTokens);
   return plan.source.has_value();
 }
 
-void ProxyRouter::drawSources(Order& order, TimePoint now) {
-  if (order.route.matchesPath()) return drawRideSources(order, now);
-  auto& plan = order.plan;
+void ProxyRouter::selectSources(Request& request, TimePoint now) {
+  if (request.route.matchesPath()) return selectFetchCandidates(request, now);
+  auto& plan = request.plan;
   plan.candidates.clear();
-  bool namesSource = false;
-  for (const auto& mode : order.ask.modes)
-    namesSource = namesSource || mode == "remote_kv_source" || mode == "remote_prefiller";
-  if (!settings.fetching || order.route.app || namesSource || order.tries > 0) return;
-  std::optional<Plan::Candidate> bestPeer, bestStore;
-  for (const auto& [zone, news] : cells)
-    for (const auto& keeper : news.workers) {
-      bool store = keeper.kind == "store";
-      if (keeper.name == plan.worker || !keeper.alive || !keeper.confirmed || keeper.held || !mayBeDrawn(keeper))
+  bool hasExplicitSource = false;
+  for (const auto& mode : request.submitted.modes)
+    hasExplicitSource = hasExplicitSource || mode == "remote_kv_source" || mode == "remote_prefiller";
+  if (!settings.fetching || request.route.app || hasExplicitSource || request.attempts > 0) return;
+  std::optional<RoutingPlan::Candidate> bestPeer, bestStore;
+  for (const auto& [zone, cell] : cells)
+    for (const auto& cacheNode : cell.workers) {
+      bool store = cacheNode.kind == "store";
+      if (cacheNode.name == plan.worker || !cacheNode.alive || !cacheNode.confirmed || cacheNode.held ||
+          !isSchedulable(cacheNode))
         continue;
-      if (!store && (keeper.kind != "language" || keeper.weights != plan.weights)) continue;
-      Plan::Candidate candidate{
-          keeper.name, keeper.address, keeper.zone, store, 0, 0, linkSpeed(keeper.name, plan.worker)};
-      while (candidate.guessedHits < plan.hashes.size() &&
-             BloomFilter::mayContain(keeper.summary, plan.hashes[candidate.guessedHits]))
-        ++candidate.guessedHits;
-      if (candidate.guessedHits < plan.localHits + leastGain) continue;
-      candidate.busyness = keeper.slots > 0 ? static_cast<double>(busyOf(keeper, now)) / keeper.slots : 0;
-      FetchCandidate facts{store, static_cast<double>(candidate.guessedHits), candidate.speed, candidate.busyness};
-      if (!order.policy.fetches(facts)) continue;
+      if (!store && (cacheNode.kind != "language" || cacheNode.weights != plan.weights)) continue;
+      RoutingPlan::Candidate candidate{
+          cacheNode.name, cacheNode.address, cacheNode.zone, store, 0, 0, linkSpeed(cacheNode.name, plan.worker)};
+      while (candidate.estimatedHits < plan.hashes.size() &&
+             BloomFilter::mayContain(cacheNode.summary, plan.hashes[candidate.estimatedHits]))
+        ++candidate.estimatedHits;
+      if (candidate.estimatedHits < plan.localHits + minExtraHits) continue;
+      candidate.busyness =
+          cacheNode.slots > 0 ? static_cast<double>(estimateRunning(cacheNode, now)) / cacheNode.slots : 0;
+      FetchCandidate fetchCandidate{store, static_cast<double>(candidate.estimatedHits), candidate.blocksPerSecond,
+                                    candidate.busyness};
+      if (!request.policy.fetches(fetchCandidate)) continue;
       auto& best = store ? bestStore : bestPeer;
-      if (!best || candidate.guessedHits > best->guessedHits ||
-          (candidate.guessedHits == best->guessedHits && candidate.busyness < best->busyness))
+      if (!best || candidate.estimatedHits > best->estimatedHits ||
+          (candidate.estimatedHits == best->estimatedHits && candidate.busyness < best->busyness))
         best = candidate;
     }
   if (bestPeer) plan.candidates.push_back(*bestPeer);
   if (bestStore) plan.candidates.push_back(*bestStore);
 }
 
-void ProxyRouter::sendLookup(Effects& effects, Order& order) {
-  order.lookupAt = effects.now;
-  order.replies.clear();
-  for (const auto& candidate : order.plan.candidates) {
-    std::string lookupId = settings.name + "/l" + std::to_string(++idCount);
-    orderByLookup[lookupId] = order.ask.orderId;
+void ProxyRouter::sendLookup(Effects& effects, Request& request) {
+  request.lookupStartedAt = effects.now;
+  request.replies.clear();
+  for (const auto& candidate : request.plan.candidates) {
+    std::string lookupId = settings.name + "/l" + std::to_string(++lastId);
+    orderIdByLookup[lookupId] = request.submitted.orderId;
     effects.send(settings.agentAddress,
-                 LookupMsg{lookupId, candidate.zone, candidate.name, order.plan.weights, order.plan.hashes, {}});
+                 LookupMsg{lookupId, candidate.zone, candidate.name, request.plan.weights, request.plan.hashes, {}});
   }
-  effects.note("lookup asked", order.ask.orderId, static_cast<std::int64_t>(order.plan.candidates.size()));
+  effects.note("lookup asked", request.submitted.orderId, static_cast<std::int64_t>(request.plan.candidates.size()));
 }
 
-void ProxyRouter::settleLookup(Effects& effects, Order& order) {
-  auto& plan = order.plan;
-  effects.note("lookup settled", order.ask.orderId, toMilliseconds(effects.now - order.lookupAt));
+void ProxyRouter::finishLookup(Effects& effects, Request& request) {
+  auto& plan = request.plan;
+  effects.note("lookup settled", request.submitted.orderId, toMilliseconds(effects.now - request.lookupStartedAt));
   plan.source.reset();
-  plan.wantedHits = plan.confirmedHits = 0;
-  if (order.route.matchesPath()) {
-    bool rides = settleRide(effects, order);
-    bool shed = order.lastCode == Code::pendingFull && order.tries == 0;
-    for (auto row = orderByLookup.begin(); row != orderByLookup.end();)
-      row = row->second == order.ask.orderId ? orderByLookup.erase(row) : std::next(row);
-    if (shed) return dispatch(effects, order.ask.orderId, "shed");
-    return sendOrRedraw(effects, order.ask.orderId, rides ? "rides" : "misses");
+  plan.plannedHits = plan.confirmedHits = 0;
+  if (request.route.matchesPath()) {
+    bool hasSource = finishFetchLookup(effects, request);
+    bool shed = request.lastCode == Code::pendingFull && request.attempts == 0;
+    for (auto row = orderIdByLookup.begin(); row != orderIdByLookup.end();)
+      row = row->second == request.submitted.orderId ? orderIdByLookup.erase(row) : std::next(row);
+    if (shed) return dispatch(effects, request.submitted.orderId, "shed");
+    return sendOrReselect(effects, request.submitted.orderId, hasSource ? "rides" : "misses");
   }
   for (const auto& candidate : plan.candidates) {
-    auto reply = order.replies.find(candidate.name);
-    std::size_t confirmed = reply == order.replies.end() ? 0 : prefixHits(reply->second.hits);
-    std::size_t hits = settings.defences.isEnabled(Defence::hitsConfirmed) ? confirmed : candidate.guessedHits;
-    FetchCandidate facts{candidate.store, static_cast<double>(hits), candidate.speed, candidate.busyness};
-    if (hits < plan.localHits + leastGain || hits <= plan.wantedHits || !order.policy.fetches(facts)) continue;
+    auto reply = request.replies.find(candidate.name);
+    std::size_t confirmed = reply == request.replies.end() ? 0 : prefixHits(reply->second.hits);
+    std::size_t hits = settings.defences.isEnabled(Defence::hitsConfirmed) ? confirmed : candidate.estimatedHits;
+    FetchCandidate fetchCandidate{candidate.store, static_cast<double>(hits), candidate.blocksPerSecond,
+                                  candidate.busyness};
+    if (hits < plan.localHits + minExtraHits || hits <= plan.plannedHits || !request.policy.fetches(fetchCandidate))
+      continue;
     plan.source = candidate;
-    plan.wantedHits = hits;
+    plan.plannedHits = hits;
     plan.confirmedHits = confirmed;
   }
-  for (auto row = orderByLookup.begin(); row != orderByLookup.end();)
-    row = row->second == order.ask.orderId ? orderByLookup.erase(row) : std::next(row);
-  sendOrRedraw(effects, order.ask.orderId, plan.source ? "hits" : "misses");
+  for (auto row = orderIdByLookup.begin(); row != orderIdByLookup.end();)
+    row = row->second == request.submitted.orderId ? orderIdByLookup.erase(row) : std::next(row);
+  sendOrReselect(effects, request.submitted.orderId, plan.source ? "hits" : "misses");
 }
 
-void ProxyRouter::sendMove(Effects& effects, Order& order) {
-  auto& plan = order.plan;
-  std::size_t blocks = settings.defences.isEnabled(Defence::moveCut) ? plan.wantedHits : plan.hashes.size();
+/// Requests for the same prefix at the same worker share one transfer. Its timeout is three times the expected duration
+/// and a constant, within bounds.
+void ProxyRouter::sendMove(Effects& effects, Request& request) {
+  auto& plan = request.plan;
+  std::size_t blocks = settings.defences.isEnabled(Defence::moveCut) ? plan.plannedHits : plan.hashes.size();
   Hashes prefix(plan.hashes.begin(), plan.hashes.begin() + static_cast<std::ptrdiff_t>(blocks));
-  std::string moveId = plan.worker + "/" + prefix.back().hex();
-  order.moveId = moveId;
-  auto [row, fresh] = moves.try_emplace(moveId);
-  row->second.orderIds.insert(order.ask.orderId);
-  if (!fresh) return;
-  auto& move = row->second;
-  move.target = plan.worker;
-  move.sendId = settings.name + "/m" + std::to_string(++idCount);
-  moveBySend[move.sendId] = moveId;
-  double expectedMs = static_cast<double>(prefix.size()) / std::max(plan.source->speed, 1.0) * 1000;
-  auto wait = std::chrono::milliseconds(static_cast<std::int64_t>(std::clamp(expectedMs * 3 + 300, 400.0, 1200.0)));
-  move.deadline = effects.now + wait + 50ms;
-  effects.note("move sent", move.sendId + " " + plan.source->name + " " + plan.worker,
+  std::string transferId = plan.worker + "/" + prefix.back().hex();
+  request.transferId = transferId;
+  auto [row, isNew] = transfers.try_emplace(transferId);
+  row->second.orderIds.insert(request.submitted.orderId);
+  if (!isNew) return;
+  auto& transfer = row->second;
+  transfer.target = plan.worker;
+  transfer.commandId = settings.name + "/m" + std::to_string(++lastId);
+  transferIdByCommand[transfer.commandId] = transferId;
+  double expectedMs = static_cast<double>(prefix.size()) / std::max(plan.source->blocksPerSecond, 1.0) * 1000;
+  auto timeout = std::chrono::milliseconds(static_cast<std::int64_t>(std::clamp(expectedMs * 3 + 300, 400.0, 1200.0)));
+  transfer.deadline = effects.now + timeout + 50ms;
+  effects.note("move sent", transfer.commandId + " " + plan.source->name + " " + plan.worker,
                static_cast<std::int64_t>(plan.confirmedHits));
-  effects.send(settings.agentAddress,
-               WatchMsg{move.sendId, plan.zone, plan.source->name, plan.worker, prefix, toMilliseconds(wait), {}});
-  effects.send(plan.address, WorkerOrder{move.sendId,
+  effects.send(
+      settings.agentAddress,
+      WatchMsg{transfer.commandId, plan.zone, plan.source->name, plan.worker, prefix, toMilliseconds(timeout), {}});
+  effects.send(plan.address, WorkerOrder{transfer.commandId,
                                          plan.model,
                                          plan.weights,
                                          plan.salt,
-                                         truncatePrompt(order.ask.parts, blocks),
+                                         truncatePrompt(request.submitted.parts, blocks),
                                          prefix,
                                          0,
                                          true,
-                                         move.sendId,
+                                         transfer.commandId,
                                          plan.source->address,
-                                         order.tenant,
+                                         request.tenant,
                                          false,
                                          {}});
 }
 
-void ProxyRouter::dropMove(Effects&, Order& order) {
-  auto move = moves.find(order.moveId);
-  if (move != moves.end()) move->second.orderIds.erase(order.ask.orderId);
+void ProxyRouter::dropMove(Effects&, Request& request) {
+  auto transfer = transfers.find(request.transferId);
+  if (transfer != transfers.end()) transfer->second.orderIds.erase(request.submitted.orderId);
 }
 
-void ProxyRouter::settleMove(Effects& effects, const std::string& moveId, bool success) {
-  auto found = moves.find(moveId);
-  if (found == moves.end()) return;
-  Move move = std::move(found->second);
-  moveBySend.erase(move.sendId);
-  moves.erase(found);
-  effects.note(success ? "moved" : "not moved", move.sendId);
-  for (const auto& orderId : move.orderIds) {
-    auto order = orders.find(orderId);
-    if (order == orders.end()) continue;
-    auto& plan = order->second->plan;
-    if (success) order->second->movedBlocks = static_cast<int>(plan.wantedHits - plan.localHits);
-    sendOrRedraw(effects, orderId, success ? "moved" : "notMoved");
+void ProxyRouter::finishTransfer(Effects& effects, const std::string& transferId, bool success) {
+  auto found = transfers.find(transferId);
+  if (found == transfers.end()) return;
+  Transfer transfer = std::move(found->second);
+  transferIdByCommand.erase(transfer.commandId);
+  transfers.erase(found);
+  effects.note(success ? "moved" : "not moved", transfer.commandId);
+  for (const auto& orderId : transfer.orderIds) {
+    auto request = requests.find(orderId);
+    if (request == requests.end()) continue;
+    auto& plan = request->second->plan;
+    if (success) request->second->transferredBlocks = static_cast<int>(plan.plannedHits - plan.localHits);
+    sendOrReselect(effects, orderId, success ? "moved" : "notMoved");
   }
 }
 
--- a/src/routing/first_draw_costs.hpp
+++ b/src/routing/first_draw_costs.hpp
@@ -1,13 +1,13 @@
 #pragma once
 
+/// Costs by which a worker is first selected, before any cell was asked, in milliseconds of a worker's time.
 namespace tt {
 
-/// What a first draw weighs before any cell was asked, in milliseconds of a worker's time.
-/// One order more that runs at a worker.
-constexpr double runningMs = 0.7;
-/// To leave a prompt's first keeper for any other.
-constexpr double otherMs = 25;
-/// How much dearer than its time it is to read shared tokens anew.
-constexpr double readAgainX = 3;
+/// For each request that runs at a worker.
+constexpr double runningRequestMs = 0.7;
+/// For any worker but the preferred one of the prompt's prefix, which most likely has it cached.
+constexpr double nonPreferredWorkerMs = 25;
+/// Prefilling the shared tokens at another worker costs this many times the time that it takes.
+constexpr double prefillAgainFactor = 3;
 
 }  // namespace tt
--- a/src/routing/placement_cost.cpp
+++ b/src/routing/placement_cost.cpp
@@ -4,27 +4,27 @@
 
 namespace tt {
 namespace {
-/// How much dearer than its time it is to read shared tokens that another worker keeps.
-constexpr double rereadWeight = 2;
-/// What a further copy of shared tokens costs, as a share of the time to read them: others give way to it.
-constexpr double copyWeight = 0.1;
-/// Tells workers apart that are equal in all else.
+/// Prefilling shared tokens that another worker has costs this many times its duration, on top of the duration itself.
+constexpr double recomputeWeight = 2;
+/// The cost of one more copy of shared tokens, as a fraction of the time to prefill them: it evicts other tokens.
+constexpr double duplicateWeight = 0.1;
+/// Breaks ties between workers that are equal in all else.
 constexpr double rankMs = 1;
-/// What a move costs beside its bytes: the source is asked, and may turn out to be gone.
-constexpr double moveSetupMs = 2;
-constexpr double zoneFactor = 2;
+/// The cost of a transfer apart from its bytes: the source is asked, and may turn out to be gone.
+constexpr double transferSetupMs = 2;
+constexpr double crossZoneFactor = 2;
 constexpr double bitsPerByte = 8, bitsPerMegabit = 1e6, msPerSecond = 1000;
 }  // namespace
 
-double placementCostMs(const PlacementFacts& facts) {
-  int present = std::max(facts.ownTokens, facts.fetchedTokens);
-  int unread = facts.promptTokens - present;
-  int reread = std::max(0, facts.heldAnywhereTokens - present);
-  int copied = std::max(0, facts.sharedTokens - facts.ownTokens);
-  double cost = facts.waitMs + unread * facts.msPerToken + facts.rank * rankMs;
-  cost += reread * facts.msPerToken * rereadWeight;
-  if (facts.heldAnywhereTokens > facts.ownTokens) cost += copied * facts.msPerToken * copyWeight;
-  if (facts.fetches) cost += moveSetupMs + facts.transferMs;
+double placementCostMs(const PlacementInputs& inputs) {
+  int present = std::max(inputs.cachedTokens, inputs.fetchedTokens);
+  int tokensToPrefill = inputs.promptTokens - present;
+  int recomputed = std::max(0, inputs.bestCachedTokens - present);
+  int duplicated = std::max(0, inputs.sharedTokens - inputs.cachedTokens);
+  double cost = inputs.waitMs + tokensToPrefill * inputs.msPerToken + inputs.rank * rankMs;
+  cost += recomputed * inputs.msPerToken * recomputeWeight;
+  if (inputs.bestCachedTokens > inputs.cachedTokens) cost += duplicated * inputs.msPerToken * duplicateWeight;
+  if (inputs.fetches) cost += transferSetupMs + inputs.transferMs;
   return cost;
 }
 
@@ -32,7 +32,7 @@
   double mbps = sourceMbps > 0 && targetMbps > 0 ? std::min(sourceMbps, targetMbps) : std::max(sourceMbps, targetMbps);
   if (mbps <= 0) return 0;
   double ms = tokens * tokenBytes * bitsPerByte / (mbps * bitsPerMegabit) * msPerSecond;
-  return sameZone ? ms : ms * zoneFactor;
+  return sameZone ? ms : ms * crossZoneFactor;
 }
 
 }  // namespace tt
--- a/src/routing/placement_cost.hpp
+++ b/src/routing/placement_cost.hpp
@@ -1,29 +1,29 @@
 #pragma once
 
-/// What it costs to place one prompt at one worker, in milliseconds until its first token and what that takes from
-/// others.
+/// The cost of placing one prompt at one worker, in milliseconds: the time to its first token, and what other requests
+/// lose by it.
 namespace tt {
 
-/// What is known of one worker that may take a prompt.
-struct PlacementFacts {
-  /// How long the worker is busy with prompts that came before, and how long it takes to read one token.
+/// What the cost is computed from, for one worker that may take a prompt.
+struct PlacementInputs {
+  /// How long the worker is busy with earlier prompts, and how long it takes to prefill one token.
   double waitMs{0}, msPerToken{0};
   int promptTokens{0}, sharedTokens{0};
-  /// Of the shared tokens: those that the worker keeps or is reading, those that one source would bring, and the most
-  /// that any worker that was asked keeps or is reading.
-  int ownTokens{0}, fetchedTokens{0}, heldAnywhereTokens{0};
-  /// How long the fetch takes; counts only where there is a source.
+  /// Of the shared tokens: those that the worker has cached or is prefilling, those that it would have after a fetch,
+  /// and the most that any candidate has cached or is prefilling.
+  int cachedTokens{0}, fetchedTokens{0}, bestCachedTokens{0};
+  /// How long the fetch takes; used only if `fetches` is set.
   double transferMs{0};
   bool fetches{false};
-  /// Its place in the prompt's order of preference among the workers that may be drawn.
+  /// The worker's place in the prompt's order of preference; 0 is the preferred one.
   int rank{0};
 };
 
-/// The cost; the worker with the least takes the prompt.
-double placementCostMs(const PlacementFacts& facts);
+/// The worker with the lowest cost takes the prompt.
+double placementCostMs(const PlacementInputs& inputs);
 
-/// How long a move of kept tokens takes over the slower of two links, in ms; twice as long between localities. Links of
-/// which nothing was declared take no time.
+/// Milliseconds to transfer cached tokens over the slower of two links; twice as long between zones. A link with no
+/// declared rate (0) does not limit the transfer.
 double transferMs(double tokens, double tokenBytes, double sourceMbps, double targetMbps, bool sameZone);
 
 }  // namespace tt
--- a/src/routing/plain_placement.hpp
+++ b/src/routing/plain_placement.hpp
@@ -4,35 +4,37 @@
 #include <random>
 #include <vector>
 
-/// Choosing among workers that keep no prompt blocks: all that tells them apart is how busy they are, where they are
-/// and whether they answered of late.
+/// Selection among the workers of a plain service, which cache no prompt blocks. They differ only in how busy they are,
+/// in which zone they are, and whether they failed lately.
 namespace tt {
 
 /// One worker of a plain service as a proxy sees it.
 struct PlainCandidate {
-  /// Orders that it runs at once; 0 where that is not told.
+  /// Requests that it runs at the same time; 0 if unknown.
   int slots{0};
-  /// Orders that this proxy has open there, and what the worker said of itself, if that is recent.
+  /// Requests that this proxy has open there, and those running and waiting by the worker's own report, if it is
+  /// recent.
   int open{0}, running{0}, waiting{0};
   bool sameZone{false};
-  /// Left out for a while because it broke off, turned an order away or answered with failures.
+  /// Ejected for a time because its connection broke, it denied a request or it answered with failures.
   bool ejected{false};
 };
 
-/// The place of the worker that should take an order; none only where there are no candidates. The least occupied of
-/// those that are not ejected, one in the same locality before one elsewhere unless it is clearly fuller, and any of
-/// equals. Where all are ejected none of them is known to be better than another, so all stand again.
-std::optional<std::size_t> choosePlain(const std::vector<PlainCandidate>& candidates, std::mt19937_64& randomSource);
+/// The index of the candidate that should take a request; nothing only if there are no candidates. It is the least
+/// occupied one that is not ejected. One in the same zone is preferred unless it is clearly fuller; among equals one is
+/// picked at random. If all are ejected, none is known to be better than another, so all are considered.
+std::optional<std::size_t> selectLeastOccupied(const std::vector<PlainCandidate>& candidates,
+                                               std::mt19937_64& randomSource);
 
-/// What a proxy remembers of a worker's failures, and how long it leaves the worker out for them.
+/// Counts a worker's consecutive failures and tells for how long it is ejected for them.
 class OutlierRecord {
  public:
-  /// Notes how an order ended there and says for how many spans, each as long as one failure alone would cost, the
-  /// worker is left out from now on; 0 after a success.
-  int note(bool failed);
+  /// Records the result of a request there. Returns for how many ejection periods the worker is ejected from now on: 0
+  /// after a success, 1 after a first failure, twice as many after each further one up to a bound.
+  int recordResult(bool failed);
 
  private:
-  int failuresInSuccession{0};
+  int consecutiveFailures{0};
 };
 
 }  // namespace tt
--- a/src/routing/urgency.cpp
+++ b/src/routing/urgency.cpp
@@ -6,18 +6,19 @@
 
 namespace tt {
 namespace {
-/// The shares of the tightest aim up to which a reading counts as short and as middling.
-constexpr std::array<double, 2> sizeSteps{0.2, 0.6};
-constexpr int ranksMost = (leastUrgency + 1) / (static_cast<int>(sizeSteps.size()) + 1);
+/// The fractions of the shortest target latency up to which a prefill counts as short and as medium.
+constexpr std::array<double, 2> prefillShareSteps{0.2, 0.6};
+constexpr int maxRanks = (lowestUrgency + 1) / (static_cast<int>(prefillShareSteps.size()) + 1);
 }  // namespace
 
-int urgencyOf(int priority, const std::set<int>& priorities, double readMs, double tightestAimMs) {
-  int rank = static_cast<int>(std::distance(priorities.begin(), priorities.lower_bound(priority)));
-  int ranks = std::max(1, static_cast<int>(priorities.size()));
-  if (ranks > ranksMost) rank = rank * ranksMost / ranks;
-  auto size = std::count_if(sizeSteps.begin(), sizeSteps.end(),
-                            [&](double step) { return tightestAimMs > 0 && readMs > step * tightestAimMs; });
-  return std::min(leastUrgency, static_cast<int>(size) * ranksMost + std::min(rank, ranksMost - 1));
+int urgencyOf(int priority, const std::set<int>& knownPriorities, double prefillMs, double minLatencyTargetMs) {
+  int rank = static_cast<int>(std::distance(knownPriorities.begin(), knownPriorities.lower_bound(priority)));
+  int ranks = std::max(1, static_cast<int>(knownPriorities.size()));
+  if (ranks > maxRanks) rank = rank * maxRanks / ranks;
+  auto size = std::count_if(prefillShareSteps.begin(), prefillShareSteps.end(), [&](double step) {
+    return minLatencyTargetMs > 0 && prefillMs > step * minLatencyTargetMs;
+  });
+  return std::min(lowestUrgency, static_cast<int>(size) * maxRanks + std::min(rank, maxRanks - 1));
 }
 
 }  // namespace tt
--- a/src/routing/urgency.hpp
+++ b/src/routing/urgency.hpp
@@ -1,17 +1,17 @@
 #pragma once
 #include <set>
 
-/// In which order workers should take prompts that wait.
+/// The order in which workers should take waiting prompts.
 namespace tt {
 
-/// The least urgent value that workers are told; 0 is the most urgent.
-constexpr int leastUrgency = 9;
+/// The value of the least urgent prompts; 0 is the most urgent.
+constexpr int lowestUrgency = 9;
 
-/// The urgency of a prompt: what is soon read comes first, and among prompts of like size what operators rank higher. A
-/// short prompt holds nobody up; a long one is read while nothing short waits. `readMs` is how long its reading takes
-/// and `tightestAimMs` the shortest time in which any prompt should be answered, 0 where none is known: what takes a
-/// good part of that makes those behind it late. `priorities` holds all priorities in use; many are put together to
-/// few ranks.
-int urgencyOf(int priority, const std::set<int>& priorities, double readMs, double tightestAimMs);
+/// The urgency of a prompt. Prompts with a short prefill come first, and among those of similar length the ones with
+/// the lower priority number. A short prompt delays nobody; a long one is prefilled while no short one waits.
+/// `prefillMs` is how long its prefill takes. `minLatencyTargetMs` is the shortest target latency of any prompt, 0 if
+/// unknown: a prefill that takes a large part of it makes the prompts behind it late. `knownPriorities` holds all
+/// priorities in use; if there are many, neighbours share a rank.
+int urgencyOf(int priority, const std::set<int>& knownPriorities, double prefillMs, double minLatencyTargetMs);
 
 }  // namespace tt
--- a/tests/drain_plan.cpp
+++ b/tests/drain_plan.cpp
@@ -7,142 +7,145 @@
 constexpr Duration grace = 8s;
 
 /// A proxy with one worker that is told to stop.
-struct LeavingProxy : ProxyBench {
+struct DrainingProxy : ProxyHarness {
   DrainPlan plan;
-  LeavingProxy() {
-    workers(1);
+  DrainingProxy() {
+    addWorkers(1);
     plan = planDrain(now, grace);
-    edge->drain(plan);
+    router->drain(plan);
   }
-  void runTo(TimePoint moment) { run(moment - now); }
-  void say(const std::string& orderId, const std::string& text, const std::string& piece = {}) {
-    give("worker", WorkerChunk{sendsOf(orderId).back().orderId, text, piece});
+  void runTo(TimePoint time) { run(time - now); }
+  void sendChunk(const std::string& orderId, const std::string& text, const std::string& piece = {}) {
+    deliver("worker", WorkerChunk{attemptsOf(orderId).back().orderId, text, piece});
   }
-  void finish(const std::string& orderId, OrderOutcome outcome = OrderOutcome::done) {
-    give("worker", WorkerEnd{sendsOf(orderId).back().orderId, static_cast<int>(outcome), 0, 0, 0, 0});
+  void finishAttempt(const std::string& orderId, OrderOutcome outcome = OrderOutcome::done) {
+    deliver("worker", WorkerEnd{attemptsOf(orderId).back().orderId, static_cast<int>(outcome), 0, 0, 0, 0});
   }
-  void expectRefused(const std::string& orderId) {
-    auto said = verdictOf(orderId);
-    cr_expect_eq(said.verdict, "not run");
-    cr_expect_eq(said.code, static_cast<int>(Code::stopping));
-    cr_expect_gt(said.retryAfterMs, 0, "it says when to come back");
-    cr_expect(sendsOf(orderId).empty(), "no worker hears of it");
+  void expectDenied(const std::string& orderId) {
+    auto status = finalStatusOf(orderId);
+    cr_expect_eq(status.verdict, "not run");
+    cr_expect_eq(status.code, static_cast<int>(Code::stopping));
+    cr_expect_gt(status.retryAfterMs, 0, "the client is told when to come back");
+    cr_expect(attemptsOf(orderId).empty(), "it is sent to no worker");
   }
 };
 }  // namespace
 
-Test(drain_plan, its_moments_are_in_order_and_before_the_kill_for_any_grace) {
+Test(drain_plan, its_times_are_in_order_and_before_the_kill_for_any_grace_period) {
   const TimePoint now(1h);
-  for (Duration told = 100ms; told <= 60s; told += 100ms) {
-    auto made = planDrain(now, told);
-    cr_expect_eq((made.startedAt - now).count(), 0);
-    cr_expect(made.startedAt < made.refusesFrom && made.refusesFrom < made.endsAt && made.endsAt < made.exitsBy &&
-              made.exitsBy < now + told);
-    cr_expect(made.endsAt - now >= told * 5 / 6, "what was taken in time has nearly the whole grace");
-    cr_expect(made.refusesFrom - now <= 3s && made.refusesFrom - now <= told / 2);
+  for (Duration gracePeriod = 100ms; gracePeriod <= 60s; gracePeriod += 100ms) {
+    auto plan = planDrain(now, gracePeriod);
+    cr_expect_eq((plan.startedAt - now).count(), 0);
+    cr_expect(plan.startedAt < plan.refusesFrom && plan.refusesFrom < plan.endsAt && plan.endsAt < plan.exitsBy &&
+              plan.exitsBy < now + gracePeriod);
+    cr_expect(plan.endsAt - now >= gracePeriod * 5 / 6, "requests accepted in time have nearly the whole grace period");
+    cr_expect(plan.refusesFrom - now <= 3s && plan.refusesFrom - now <= gracePeriod / 2);
   }
 }
 
-Test(drain_plan, until_clients_are_led_elsewhere_everything_is_taken) {
-  LeavingProxy proxy;
+Test(drain_plan, every_request_is_accepted_until_clients_are_sent_elsewhere) {
+  DrainingProxy proxy;
   for (TimePoint at = proxy.now; at < proxy.plan.refusesFrom - 20ms; at += 500ms) {
     proxy.runTo(at);
-    auto orderId = proxy.place("/stream/x");
+    auto orderId = proxy.submit("/stream/x");
     proxy.run(20ms);
-    cr_expect_eq(proxy.sendsOf(orderId).size(), 1u);
-    proxy.finish(orderId);
-    cr_expect_eq(proxy.verdictOf(orderId).verdict, "done");
+    cr_expect_eq(proxy.attemptsOf(orderId).size(), 1u);
+    proxy.finishAttempt(orderId);
+    cr_expect_eq(proxy.finalStatusOf(orderId).verdict, "done");
   }
 }
 
-Test(drain_plan, after_that_an_order_is_taken_only_if_its_own_time_ends_before_the_process) {
-  LeavingProxy proxy;
+Test(drain_plan, later_requests_are_accepted_only_if_their_deadline_is_before_the_end) {
+  DrainingProxy proxy;
   proxy.runTo(proxy.plan.refusesFrom);
-  proxy.expectRefused(proxy.place("/stream/x"));
-  auto brief = proxy.order("/stream/x");
-  brief.deadlineMs = toMilliseconds(proxy.plan.endsAt - proxy.now);
-  auto briefId = proxy.place(brief);
-  auto once = proxy.place("/once/x");
+  proxy.expectDenied(proxy.submit("/stream/x"));
+  auto shortRequest = proxy.clientRequest("/stream/x");
+  shortRequest.deadlineMs = toMilliseconds(proxy.plan.endsAt - proxy.now);
+  auto shortId = proxy.submit(shortRequest);
+  auto once = proxy.submit("/once/x");
   proxy.run(20ms);
-  cr_expect_eq(proxy.sendsOf(briefId).size(), 1u);
-  cr_expect_eq(proxy.sendsOf(once).size(), 1u, "its route's timeout ends in time");
-  proxy.finish(briefId);
-  proxy.finish(once);
+  cr_expect_eq(proxy.attemptsOf(shortId).size(), 1u);
+  cr_expect_eq(proxy.attemptsOf(once).size(), 1u, "its route's timeout ends in time");
+  proxy.finishAttempt(shortId);
+  proxy.finishAttempt(once);
   for (TimePoint at = proxy.now + 1s; at < proxy.plan.exitsBy; at += 500ms) {
     proxy.runTo(at);
-    for (const char* path : {"/stream/x", "/once/x", "/safe/x", "/aim/x"}) proxy.expectRefused(proxy.place(path));
+    for (const char* path : {"/stream/x", "/once/x", "/safe/x", "/aim/x"}) proxy.expectDenied(proxy.submit(path));
   }
 }
 
-Test(drain_plan, what_is_unfinished_at_the_end_gets_its_last_answer) {
-  LeavingProxy proxy;
+Test(drain_plan, open_requests_get_their_final_status_at_the_end) {
+  DrainingProxy proxy;
   proxy.run(1s);
-  auto begun = proxy.place("/stream/x"), unbegun = proxy.place("/stream/x"), finished = proxy.place("/stream/x");
+  auto started = proxy.submit("/stream/x"), unstarted = proxy.submit("/stream/x"), finished = proxy.submit("/stream/x");
   proxy.run(20ms);
-  proxy.say(begun, "id: 1\n\n", "1");
-  proxy.finish(finished);
+  proxy.sendChunk(started, "id: 1\n\n", "1");
+  proxy.finishAttempt(finished);
   proxy.runTo(proxy.plan.endsAt - 20ms);
-  cr_expect(proxy.verdictsOf(begun).empty() && proxy.verdictsOf(unbegun).empty(), "nobody is given up sooner");
-  auto dropsBefore = proxy.drops;
+  cr_expect(proxy.finalStatusesOf(started).empty() && proxy.finalStatusesOf(unstarted).empty(),
+            "no request is ended before");
+  auto dropsBefore = proxy.dropCount;
   proxy.run(50ms);
-  for (const auto& orderId : {begun, unbegun}) {
-    auto said = proxy.verdictOf(orderId);
-    cr_expect_eq(said.verdict, "failed", "it was sent, so nobody says that it did not run");
-    cr_expect_eq(said.code, static_cast<int>(Code::stopping));
+  for (const auto& orderId : {started, unstarted}) {
+    auto status = proxy.finalStatusOf(orderId);
+    cr_expect_eq(status.verdict, "failed", "it was sent, so it may have run");
+    cr_expect_eq(status.code, static_cast<int>(Code::stopping));
   }
-  cr_expect_eq(proxy.drops - dropsBefore, 2u, "their workers are told");
-  cr_expect_eq(proxy.edge->openOrders(), 0u);
+  cr_expect_eq(proxy.dropCount - dropsBefore, 2u, "their workers are told to drop them");
+  cr_expect_eq(proxy.router->openOrders(), 0u);
 }
 
-Test(drain_plan, what_waits_for_a_worker_at_the_end_is_told_that_it_did_not_run) {
-  LeavingProxy proxy;
+Test(drain_plan, a_pending_request_at_the_end_is_not_run) {
+  DrainingProxy proxy;
   proxy.cells["north-a"].workers.clear();
-  proxy.tell();
+  proxy.publishCells();
   proxy.runTo(proxy.plan.endsAt - 10ms);
-  auto brief = proxy.order("/stream/x");
-  brief.deadlineMs = 5;
-  auto orderId = proxy.place(brief);
+  auto shortRequest = proxy.clientRequest("/stream/x");
+  shortRequest.deadlineMs = 5;
+  auto orderId = proxy.submit(shortRequest);
   proxy.run(50ms);
-  auto said = proxy.verdictOf(orderId);
-  cr_expect_eq(said.verdict, "not run");
-  cr_expect(proxy.sendsOf(orderId).empty());
+  auto status = proxy.finalStatusOf(orderId);
+  cr_expect_eq(status.verdict, "not run");
+  cr_expect(proxy.attemptsOf(orderId).empty());
 }
 
-/// Drawn lives of a leaving proxy: orders come at any moment, for any time, and their workers take any time or break
-/// off. Whoever is taken once clients are led elsewhere is served, refused, or its own time is over.
-Test(drain_plan, nobody_taken_late_is_given_up_for_the_processs_sake) {
+/// Runs random schedules of a draining proxy: requests with random deadlines come at random times, and their workers
+/// take a random time or their connection breaks. A request accepted after the plan begins to refuse must be served or
+/// end at its own deadline; the drain must not end it.
+Test(drain_plan, no_request_accepted_late_is_ended_by_the_drain) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     std::mt19937_64 dice(seed);
     auto randomBelow = [&](std::uint64_t below) { return dice() % below; };
-    LeavingProxy proxy;
-    struct Placed {
+    DrainingProxy proxy;
+    struct SubmittedRequest {
       std::string orderId;
       TimePoint at, deadline, finishAt;
       OrderOutcome outcome;
     };
-    std::vector<Placed> placed;
+    std::vector<SubmittedRequest> submittedRequests;
     while (proxy.now < proxy.plan.exitsBy) {
       proxy.run(20ms);
       if (randomBelow(3) == 0) {
         bool streams = randomBelow(2);
-        auto ask = proxy.order(streams ? "/stream/x" : "/safe/x");
-        ask.deadlineMs = static_cast<std::int64_t>(100 + randomBelow(8000));
+        auto request = proxy.clientRequest(streams ? "/stream/x" : "/safe/x");
+        request.deadlineMs = static_cast<std::int64_t>(100 + randomBelow(8000));
         Duration timeout = streams ? 8s : 4s;
-        TimePoint deadline = proxy.now + std::min<Duration>(timeout, std::chrono::milliseconds(ask.deadlineMs));
-        placed.push_back(Placed{proxy.place(ask), proxy.now, deadline,
-                                proxy.now + std::chrono::milliseconds(20 + randomBelow(6000)),
-                                randomBelow(10) ? OrderOutcome::done : OrderOutcome::broken});
+        TimePoint deadline = proxy.now + std::min<Duration>(timeout, std::chrono::milliseconds(request.deadlineMs));
+        submittedRequests.push_back(SubmittedRequest{proxy.submit(request), proxy.now, deadline,
+                                                     proxy.now + std::chrono::milliseconds(20 + randomBelow(6000)),
+                                                     randomBelow(10) ? OrderOutcome::done : OrderOutcome::broken});
       }
-      for (const auto& row : placed)
-        if (proxy.now >= row.finishAt && proxy.verdictsOf(row.orderId).empty() && !proxy.sendsOf(row.orderId).empty())
-          proxy.finish(row.orderId, row.outcome);
+      for (const auto& row : submittedRequests)
+        if (proxy.now >= row.finishAt && proxy.finalStatusesOf(row.orderId).empty() &&
+            !proxy.attemptsOf(row.orderId).empty())
+          proxy.finishAttempt(row.orderId, row.outcome);
     }
-    cr_expect_eq(proxy.edge->openOrders(), 0u, "seed %lu", seed);
-    for (const auto& row : placed) {
-      auto said = proxy.verdictOf(row.orderId);
-      bool givenUp = said.code == static_cast<int>(Code::stopping) && said.verdict != "not run";
+    cr_expect_eq(proxy.router->openOrders(), 0u, "seed %lu", seed);
+    for (const auto& row : submittedRequests) {
+      auto status = proxy.finalStatusOf(row.orderId);
+      bool endedByDrain = status.code == static_cast<int>(Code::stopping) && status.verdict != "not run";
       bool excused = row.at < proxy.plan.refusesFrom || row.deadline <= proxy.plan.endsAt;
-      cr_expect(!givenUp || excused, "seed %lu: %s", seed, row.orderId.c_str());
+      cr_expect(!endedByDrain || excused, "seed %lu: %s", seed, row.orderId.c_str());
     }
   }
 }
--- a/tests/routing_bench.hpp
+++ b/tests/routing_bench.hpp
@@ -4,12 +4,13 @@
 #include "edge.hpp"
 #include "timing_kept.hpp"
 
+/// A harness that drives a ProxyRouter step by step, for the tests of routing.
 namespace tt {
 
 inline const std::string agentAddress = "agent:1";
 
-/// A configuration that tests change as operators do.
-class Declared {
+/// A configuration that tests change with patches, as operators do.
+class TestConfiguration {
  public:
   Configuration view;
   Result<std::string> prepare(const std::string& text, ChangeFormat changeFormat = ChangeFormat::patch) const {
@@ -31,7 +32,8 @@
     auto key = view.findKey(sha256Hex(secret));
     return key ? key->tenant : "none";
   }
-  std::string deniedAt(const std::string& text, ChangeFormat changeFormat = ChangeFormat::patch) const {
+  /// The field for which a patch is rejected, or "taken".
+  std::string rejectedField(const std::string& text, ChangeFormat changeFormat = ChangeFormat::patch) const {
     auto patch = prepare(text, changeFormat);
     return patch ? "taken" : patch.error().subject;
   }
@@ -48,7 +50,7 @@
     "split":{"host":"h","prefix":"/split/","split":[{"service":"mill","weight":3},{"service":"weir","weight":1}],"timeoutMs":4000},
     "open":{"host":"h","prefix":"/open/","service":"mill","open":true,"tries":1,"timeoutMs":4000}}})";
 
-/// A worker that is alive and confirmed, as a cell's news tell of it.
+/// An alive and confirmed engine worker, as a cell update describes it.
 inline WorkerView languageWorker(const std::string& name, const std::string& zone = "north-a",
                                  const std::string& weights = "moss/3", const std::string& service = "mill") {
   WorkerView view;
@@ -64,31 +66,32 @@
   return view;
 }
 
-/// A proxy's logic driven by hand: its agent, its workers and its clock are the test's.
-struct ProxyBench {
-  struct Sent {
+/// A ProxyRouter whose agent, workers, clients and clock are played by the test.
+struct ProxyHarness {
+  struct SentMessage {
     TimePoint at;
     std::string to;
     Message message;
   };
   TimePoint now{std::chrono::hours(5)};
   std::mt19937_64 randomSource{11};
-  Declared declared;
-  std::unique_ptr<ProxyRouter> edge;
-  std::vector<Sent> sent;
-  std::map<std::string, std::vector<WorkerOrder>> sends;
-  std::map<std::string, std::vector<CallerVerdict>> verdicts;
+  TestConfiguration configuration;
+  std::unique_ptr<ProxyRouter> router;
+  std::vector<SentMessage> sent;
+  /// The attempts of each request and the final statuses sent to its client, by the request's id.
+  std::map<std::string, std::vector<WorkerOrder>> attempts;
+  std::map<std::string, std::vector<CallerVerdict>> finalStatuses;
   std::vector<LookupMsg> lookups;
-  std::size_t drops{0};
+  std::size_t dropCount{0};
   std::map<std::string, CellNews> cells;
-  bool feeds{true};
-  int orderCount{0};
+  bool answersFeedPolls{true};
+  int requestCount{0};
 
-  explicit ProxyBench(const std::string& name = "proxy-1") : ProxyBench(pathSettings(name), proxyConfiguration) {}
-  ProxyBench(const ProxyRouterSettings& settings, const std::string& configuration) {
-    edge = std::make_unique<ProxyRouter>(settings);
-    declared.change(configuration);
-    adoptSnapshot();
+  explicit ProxyHarness(const std::string& name = "proxy-1") : ProxyHarness(pathSettings(name), proxyConfiguration) {}
+  ProxyHarness(const ProxyRouterSettings& settings, const std::string& configurationText) {
+    router = std::make_unique<ProxyRouter>(settings);
+    configuration.change(configurationText);
+    sendSnapshot();
     tick();
   }
   static ProxyRouterSettings pathSettings(const std::string& name) {
@@ -107,58 +110,58 @@
     return settings;
   }
 
-  void adoptSnapshot() {
-    NewsMsg news;
-    news.commit = declared.view.index();
-    news.snapshots.push_back(declared.view.snapshot());
-    give(agentAddress, news);
+  void sendSnapshot() {
+    NewsMsg update;
+    update.commit = configuration.view.index();
+    update.snapshots.push_back(configuration.view.snapshot());
+    deliver(agentAddress, update);
   }
-  void give(const std::string& from, const Message& message) {
-    Effects effects{now, randomSource, edge->journal, {}, {}};
-    edge->handle(effects, from, message);
-    keep(effects);
+  void deliver(const std::string& from, const Message& message) {
+    Effects effects{now, randomSource, router->journal, {}, {}};
+    router->handle(effects, from, message);
+    collect(effects);
   }
   void tick() {
-    Effects effects{now, randomSource, edge->journal, {}, {}};
-    edge->tick(effects);
-    keep(effects);
+    Effects effects{now, randomSource, router->journal, {}, {}};
+    router->tick(effects);
+    collect(effects);
   }
-  void keep(Effects& effects) {
-    std::vector<FeedAsk> asks;
+  void collect(Effects& effects) {
+    std::vector<FeedAsk> polls;
     for (auto& [to, message] : effects.sends) {
-      if (auto* ask = std::get_if<FeedAsk>(&message)) asks.push_back(*ask);
-      if (auto* order = std::get_if<WorkerOrder>(&message)) sends[order->callerOrderId].push_back(*order);
-      if (auto* verdict = std::get_if<CallerVerdict>(&message)) verdicts[verdict->orderId].push_back(*verdict);
+      if (auto* poll = std::get_if<FeedAsk>(&message)) polls.push_back(*poll);
+      if (auto* attempt = std::get_if<WorkerOrder>(&message)) attempts[attempt->callerOrderId].push_back(*attempt);
+      if (auto* status = std::get_if<CallerVerdict>(&message)) finalStatuses[status->orderId].push_back(*status);
       if (auto* lookup = std::get_if<LookupMsg>(&message)) lookups.push_back(*lookup);
-      drops += std::holds_alternative<WorkerDrop>(message);
-      sent.push_back(Sent{now, to, std::move(message)});
+      dropCount += std::holds_alternative<WorkerDrop>(message);
+      sent.push_back(SentMessage{now, to, std::move(message)});
     }
-    if (feeds)
-      for (const auto& ask : asks) give(agentAddress, FeedReply{ask.sentAt, 0, declared.view.index(), true});
+    if (answersFeedPolls)
+      for (const auto& poll : polls) deliver(agentAddress, FeedReply{poll.sentAt, 0, configuration.view.index(), true});
   }
-  void run(Duration span, Duration step = 10ms) {
-    for (TimePoint until = now + span; now < until;) {
+  void run(Duration duration, Duration step = 10ms) {
+    for (TimePoint until = now + duration; now < until;) {
       now += step;
       tick();
     }
   }
   void change(const std::string& text, ChangeFormat changeFormat = ChangeFormat::patch) {
-    LogEntry entry = declared.change(text, changeFormat);
-    NewsMsg news;
-    news.commit = entry.index;
-    news.entries.push_back(entry);
-    give(agentAddress, news);
+    LogEntry entry = configuration.change(text, changeFormat);
+    NewsMsg update;
+    update.commit = entry.index;
+    update.entries.push_back(entry);
+    deliver(agentAddress, update);
     tick();
   }
   WorkerView& worker(const std::string& name, const std::string& zone = "north-a",
                      const std::string& weights = "moss/3", const std::string& service = "mill") {
-    auto& news = cells[zone];
-    news.zone = zone;
-    news.term = 1;
-    for (auto& row : news.workers)
+    auto& cell = cells[zone];
+    cell.zone = zone;
+    cell.term = 1;
+    for (auto& row : cell.workers)
       if (row.name == name) return row;
-    news.workers.push_back(languageWorker(name, zone, weights, service));
-    return news.workers.back();
+    cell.workers.push_back(languageWorker(name, zone, weights, service));
+    return cell.workers.back();
   }
   WorkerView& store(const std::string& name, const std::string& zone) {
     auto& row = worker(name, zone, "", "barn");
@@ -166,15 +169,16 @@
     row.model.clear();
     return row;
   }
-  void tell() {
+  /// Sends the state of all cells, and a machine list of their engine workers.
+  void publishCells() {
     std::vector<Machine> machines;
-    for (auto& [zone, news] : cells) {
-      ++news.sequence;
-      for (const auto& row : news.workers)
+    for (auto& [zone, cell] : cells) {
+      ++cell.sequence;
+      for (const auto& row : cell.workers)
         if (row.kind == "language") machines.push_back(machineOf(row.name, zone));
-      give(agentAddress, news);
+      deliver(agentAddress, cell);
     }
-    list(machines);
+    setMachineList(machines);
   }
   static Machine machineOf(const std::string& name, const std::string& zone = "north-a") {
     Machine machine;
@@ -185,30 +189,30 @@
     machine.service = "mill";
     return machine;
   }
-  void list(const std::vector<Machine>& machines) { give(agentAddress, MarksMsg{0, machines}); }
-  void workers(int number) {
+  void setMachineList(const std::vector<Machine>& machines) { deliver(agentAddress, MarksMsg{0, machines}); }
+  void addWorkers(int number) {
     for (int at = 1; at <= number; ++at) worker("w" + std::to_string(at));
-    tell();
+    publishCells();
   }
-  CallerOrder order(const std::string& path, const std::string& key = "key-a", const Strings& parts = {},
-                    const std::vector<int>& tokens = {}) {
-    CallerOrder ask;
-    ask.orderId = "o/" + std::to_string(++orderCount);
-    ask.host = "h";
-    ask.path = path;
-    ask.key = key;
-    ask.model = "moss";
-    ask.parts = parts;
-    ask.partTokens = tokens;
-    return ask;
+  CallerOrder clientRequest(const std::string& path, const std::string& key = "key-a", const Strings& parts = {},
+                            const std::vector<int>& tokens = {}) {
+    CallerOrder request;
+    request.orderId = "o/" + std::to_string(++requestCount);
+    request.host = "h";
+    request.path = path;
+    request.key = key;
+    request.model = "moss";
+    request.parts = parts;
+    request.partTokens = tokens;
+    return request;
   }
-  std::string place(const CallerOrder& ask) {
-    give("caller", ask);
-    return ask.orderId;
+  std::string submit(const CallerOrder& request) {
+    deliver("caller", request);
+    return request.orderId;
   }
-  std::string place(const std::string& path, const std::string& key = "key-a", const Strings& parts = {},
-                    const std::vector<int>& tokens = {}) {
-    return place(order(path, key, parts, tokens));
+  std::string submit(const std::string& path, const std::string& key = "key-a", const Strings& parts = {},
+                     const std::vector<int>& tokens = {}) {
+    return submit(clientRequest(path, key, parts, tokens));
   }
   template <class T>
   std::vector<T> all() const {
@@ -217,50 +221,52 @@
       if (auto* found = std::get_if<T>(&row.message)) rows.push_back(*found);
     return rows;
   }
-  std::vector<WorkerOrder> sendsOf(const std::string& orderId) const {
-    auto found = sends.find(orderId);
-    return found == sends.end() ? std::vector<WorkerOrder>() : found->second;
+  std::vector<WorkerOrder> attemptsOf(const std::string& orderId) const {
+    auto found = attempts.find(orderId);
+    return found == attempts.end() ? std::vector<WorkerOrder>() : found->second;
   }
-  std::vector<CallerVerdict> verdictsOf(const std::string& orderId) const {
-    auto found = verdicts.find(orderId);
-    return found == verdicts.end() ? std::vector<CallerVerdict>() : found->second;
+  std::vector<CallerVerdict> finalStatusesOf(const std::string& orderId) const {
+    auto found = finalStatuses.find(orderId);
+    return found == finalStatuses.end() ? std::vector<CallerVerdict>() : found->second;
   }
-  CallerVerdict verdictOf(const std::string& orderId) const {
-    auto rows = verdictsOf(orderId);
-    cr_assert_eq(rows.size(), 1u, "%s has %zu verdicts", orderId.c_str(), rows.size());
+  CallerVerdict finalStatusOf(const std::string& orderId) const {
+    auto rows = finalStatusesOf(orderId);
+    cr_assert_eq(rows.size(), 1u, "%s has %zu final statuses", orderId.c_str(), rows.size());
     return rows[0];
   }
-  WorkerOrder onlySend(const std::string& orderId) const {
-    auto rows = sendsOf(orderId);
+  WorkerOrder onlyAttempt(const std::string& orderId) const {
+    auto rows = attemptsOf(orderId);
     cr_assert_eq(rows.size(), 1u, "%s was sent %zu times", orderId.c_str(), rows.size());
     return rows[0];
   }
-  void end(const std::string& sendId, OrderOutcome outcome) {
-    give("worker", WorkerEnd{sendId, static_cast<int>(outcome), static_cast<int>(Code::workerFull), 0, 0, 0});
+  void endAttempt(const std::string& attemptId, OrderOutcome outcome) {
+    deliver("worker", WorkerEnd{attemptId, static_cast<int>(outcome), static_cast<int>(Code::workerFull), 0, 0, 0});
   }
-  std::string placeAndEnd(const CallerOrder& ask) {
-    auto orderId = place(ask);
-    answerLookups({});
-    auto made = onlySend(orderId);
-    end(made.orderId, OrderOutcome::done);
-    return made.worker;
+  std::string submitAndFinish(const CallerOrder& request) {
+    auto orderId = submit(request);
+    replyToLookups({});
+    auto attempt = onlyAttempt(orderId);
+    endAttempt(attempt.orderId, OrderOutcome::done);
+    return attempt.worker;
   }
-  std::size_t answered{0};
-  std::vector<LookupMsg> openLookups() {
-    std::vector<LookupMsg> open(lookups.begin() + static_cast<std::ptrdiff_t>(answered), lookups.end());
-    answered = lookups.size();
+  std::size_t repliedLookups{0};
+  /// The lookups sent since the last call.
+  std::vector<LookupMsg> newLookups() {
+    std::vector<LookupMsg> open(lookups.begin() + static_cast<std::ptrdiff_t>(repliedLookups), lookups.end());
+    repliedLookups = lookups.size();
     return open;
   }
-  /// Answers a lookup as the keeper's cell would: what it has, and the prompt tokens that wait there.
-  void answer(const LookupMsg& ask, std::vector<int> hits, double waitingTokens = 0, double tokensPerMs = 30,
-              int pendingHits = 0) {
-    hits.resize(ask.hashes.size());
-    give(agentAddress, LookupReply{ask.lookupId, ask.keeper, hits, waitingTokens, tokensPerMs, pendingHits});
+  /// Replies to a lookup as the candidate's cell would: the parts that it has cached, and the prompt tokens that wait
+  /// for their prefill there.
+  void replyTo(const LookupMsg& lookup, std::vector<int> hits, double waitingTokens = 0, double tokensPerMs = 30,
+               int pendingHits = 0) {
+    hits.resize(lookup.hashes.size());
+    deliver(agentAddress, LookupReply{lookup.lookupId, lookup.keeper, hits, waitingTokens, tokensPerMs, pendingHits});
   }
-  void answerLookups(const std::map<std::string, std::vector<int>>& hits) {
-    for (const auto& ask : openLookups()) {
-      auto found = hits.find(ask.keeper);
-      answer(ask, found == hits.end() ? std::vector<int>() : found->second);
+  void replyToLookups(const std::map<std::string, std::vector<int>>& hits) {
+    for (const auto& lookup : newLookups()) {
+      auto found = hits.find(lookup.keeper);
+      replyTo(lookup, found == hits.end() ? std::vector<int>() : found->second);
     }
   }
 };
