--- a/src/net/answer_framing.hpp
+++ b/src/net/answer_framing.hpp
@@ -8,60 +8,60 @@
 
 namespace tt {
 
-/// What of the request decides how its answer is framed.
-struct AnsweredRequest {
+/// Properties of the request that decide how the response is framed.
+struct RequestTraits {
   bool isHttp10{false}, isHead{false};
 };
 
-/// Whether the connection is kept after the answer, and for how long that is promised; 0 promises nothing.
+/// Whether the connection stays open after the response, and the announced idle timeout; 0 announces none.
 struct KeepAlive {
-  bool keeps{false};
-  std::chrono::seconds promised{0};
+  bool enabled{false};
+  std::chrono::seconds timeout{0};
 };
 
-/// Bytes of a body as they go on the wire: with what stands before and after them.
+/// Body bytes as they are sent: with the framing before and after them.
 struct FramedBytes {
   std::string before;
   std::string_view bytes;
   std::string_view after;
 };
 
-/// Writes one answer's head and frames its body, so that a client can always tell a whole answer from a cut one: the
-/// last bytes are held back until the end. It holds no socket.
-class AnswerFraming {
+/// Formats a response head and frames its body. The last bytes of the response are held back until it is ended, so that
+/// a client can always tell a complete response from an aborted one. Does no I/O.
+class ResponseFraming {
  public:
-  /// Decides how the end of an answer is told. Without a length the body goes in chunks, or, to an old client, until
-  /// the connection closes.
-  void start(int status, std::optional<std::size_t> length, AnsweredRequest request);
-  /// Forgets the answer; nothing is started.
+  /// Chooses how the end of the body is marked: by its length if that is given, else by chunks, or by the end of the
+  /// connection for an HTTP/1.0 client.
+  void start(int status, std::optional<std::size_t> length, RequestTraits request);
+  /// Returns to the state before start().
   void reset();
   bool isStarted() const { return body != Body::unstarted; }
   bool endsWithConnection() const { return body == Body::untilClose; }
-  /// Whether the answer has a body at all.
+  /// Whether the response has a body.
   bool hasBody() const { return isStarted() && body != Body::empty; }
-  /// Whether all the bytes that were promised have been framed.
-  bool isFilled() const { return isStarted() && !(body == Body::length && bytesLeft > 0); }
+  /// Whether all announced bytes have been framed.
+  bool isComplete() const { return isStarted() && !(body == Body::length && bytesLeft > 0); }
 
-  /// The head's text; header fields that hold for one connection only, or could break the head, are left out.
+  /// Text of the head. Leaves out hop-by-hop header fields and fields whose name or value is not well-formed.
   std::string head(const HttpHeaders& headers, KeepAlive keepAlive);
-  /// Nothing, if there are more bytes than were promised.
+  /// Frames a piece of the body. Returns nothing if it exceeds the announced length.
   std::optional<FramedBytes> frame(std::string_view bytes);
-  /// What was held back. The answer is whole once it is written.
-  std::string takeTail() { return std::exchange(tail, {}); }
-  std::size_t tailBytes() const { return tail.size(); }
+  /// The bytes held back so far. Writing them completes the response.
+  std::string takeFinalBytes() { return std::exchange(finalBytes, {}); }
+  std::size_t finalByteCount() const { return finalBytes.size(); }
 
  private:
   enum class Body { unstarted, empty, length, chunks, untilClose };
   Body body{Body::unstarted};
   int statusCode{0};
-  /// Answers of some statuses have neither a body nor a word about its length.
-  bool bodiless{false}, isHttp10{false};
+  /// Responses with status 204 or 304 have neither a body nor headers that describe its length.
+  bool statusForbidsBody{false}, isHttp10{false};
   std::optional<std::size_t> bodyLength;
   std::size_t bytesLeft{0};
-  std::string tail;
+  std::string finalBytes;
 };
 
-/// An answer without a body, after which the connection closes.
-std::string refusalText(int status);
+/// An error response without a body, which announces that the connection will be closed.
+std::string errorResponse(int status);
 
 }  // namespace tt
--- a/src/net/calls.hpp
+++ b/src/net/calls.hpp
@@ -4,70 +4,77 @@
 
 namespace tt {
 
-/// One HTTP/1.1 request. Headers go out as given and in order, except that Host comes first and that Content-Length,
-/// Transfer-Encoding and Expect are left out, as the framing is the client's; only Host and Content-Length are added.
+/// One HTTP/1.1 request. Headers are sent as given and in order, except that Host comes first and that Content-Length,
+/// Transfer-Encoding and Expect are left out, because the client does the framing. Only Host and Content-Length are
+/// added.
 struct HttpClientRequest {
   std::string method{"GET"};
-  /// ip:port; names are not looked up.
+  /// ip:port. Host names are not resolved.
   std::string address;
   /// Path and query, sent byte for byte.
   std::string target{"/"};
   std::string body;
   HttpHeaders headers;
-  /// Zero means no bound.
+  /// Longest time to connect, and for the whole call from start to end. Zero means no limit.
   Duration connectTimeout{1s}, totalTimeout{0};
-  /// The other side must never get this call a second time through the library's own resend.
+  /// Never send this request a second time, as libcurl does by itself when a reused connection turns out to be closed.
   bool once{false};
-  /// Takes a connection of its own that is reset afterwards: nothing said to another call can be taken for its answer,
-  /// and nothing of a call that was given up is sent any more.
+  /// Use a new connection for this request only, and reset it afterwards. A response to another request cannot be taken
+  /// for the response to this one, and nothing more of the request is sent once it is dropped.
   bool exclusiveConnection{false};
-  /// Asked in the instant before the request is written, also after a connect that took long or a freeze of this
-  /// process; a call that may not leave ends unsent.
+  /// Called immediately before the request is written, also after a slow connect or a freeze of this process. If it
+  /// returns false, the call ends as `unsent`.
   std::function<bool()> maySend;
 };
 struct HttpResponseHead {
   int status{0};
   HttpHeaders headers;
-  /// Whether the head tells where the body ends; otherwise an answer that was cut cannot be told from a whole one.
+  /// Whether the head tells where the body ends. Otherwise a truncated response cannot be distinguished from a complete
+  /// one.
   bool delimited{false};
-  /// The first value under a name in any case, or null.
+  /// Returns the first value of a header, ignoring the case of its name, or null.
   const std::string* find(std::string_view name) const;
 };
-/// How a call ended: unsent only if for certain no byte of the request was written to a connection that stood.
+/// How a call ended. `whole`: with a complete response. `unsent`: certainly no byte of the request was written to an
+/// established connection. `broken`: otherwise; the peer may have processed the request.
 enum class HttpCallOutcome { whole, unsent, broken };
 struct HttpCallResult {
   HttpCallOutcome outcome{HttpCallOutcome::broken};
   HttpResponseHead head;
+  /// Text of the error, for log lines.
   std::string trouble;
-  /// The call went over a kept connection that ended without a byte of answer: the peer may have forgotten it.
+  /// The request was sent on a reused connection that closed without a byte of response: the peer probably closed it as
+  /// idle and never read the request.
   bool forgotten{false};
 };
 
-/// An HTTP/1.1 client on an io_context, with kept connections and no thread of its own: libcurl's multi socket
-/// interface. Everything is called on the context's thread. Callbacks may start and drop calls, their own too, but not
-/// destroy the client. Kept connections keep a wait on the context until the client goes.
+/// HTTP/1.1 client on an io_context, with persistent connections and no thread of its own, built on libcurl's
+/// multi-socket interface. All calls and callbacks happen on the io_context's single thread. Callbacks may start and
+/// drop calls, including their own, but must not destroy the client. Idle connections keep asynchronous waits pending
+/// on the io_context until the client is destroyed.
 class HttpClient {
  public:
   explicit HttpClient(asio::io_context& context);
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
-  /// Once per call, after the final (non-1xx) head.
+  /// Called once, when the final (non-1xx) head is complete.
   using OnHead = std::function<void(const HttpResponseHead&)>;
-  /// Body bytes as they come, chunks undone, content encoding left as it is.
+  /// Called with body bytes as they arrive. Chunks are decoded; the content encoding is not.
   using OnBytes = std::function<void(std::string_view)>;
-  /// Exactly once unless the call is dropped; never from within start.
+  /// Called exactly once unless the call is dropped, and never from within start().
   using OnEnd = std::function<void(const HttpCallResult&)>;
+  /// Starts a call and returns its id.
   std::uint64_t start(HttpClientRequest call, OnHead onHead, OnBytes onBytes, OnEnd onEnd);
-  /// Ends a call at once: its connection is closed, no callback comes any more.
+  /// Cancels a call: closes its connection and makes no further callback. Unknown ids are ignored.
   void drop(std::uint64_t callId);
-  /// Connections that stood and took a request.
+  /// Number of connections that were established and used for a request.
   std::uint64_t connectionsOpened() const;
   std::uint64_t callsStarted() const;
 
  private:
-  struct Inner;
-  std::shared_ptr<Inner> inner;
+  struct Impl;
+  std::shared_ptr<Impl> impl;
 };
 
 }  // namespace tt
--- a/src/net/contract.cpp
+++ b/src/net/contract.cpp
@@ -5,23 +5,23 @@
 
 namespace tt {
 namespace {
-Json hashRow(const Hashes& hashes) {
-  JsonArray row;
-  for (const auto& hash : hashes) row.push_back(Json(hash.hex()));
-  return Json(row);
+Json hashArray(const Hashes& hashes) {
+  JsonArray array;
+  for (const auto& hash : hashes) array.push_back(Json(hash.hex()));
+  return Json(array);
 }
-Json textRow(const Strings& texts) {
-  JsonArray row;
-  for (const auto& text : texts) row.push_back(Json(text));
-  return Json(row);
+Json stringArray(const Strings& texts) {
+  JsonArray array;
+  for (const auto& text : texts) array.push_back(Json(text));
+  return Json(array);
 }
 Json number(double value) { return Json(value); }
-/// A whole number of an object as an int; what does not fit is taken as far as it goes.
+/// Reads an integer field as an int. Values out of range are clamped.
 int intOr(const Json& object, const std::string& name, int fallback) {
-  constexpr std::int64_t least = std::numeric_limits<int>::min(), most = std::numeric_limits<int>::max();
-  return static_cast<int>(std::clamp(integerOr(object, name, fallback), least, most));
+  constexpr std::int64_t minInt = std::numeric_limits<int>::min(), maxInt = std::numeric_limits<int>::max();
+  return static_cast<int>(std::clamp(integerOr(object, name, fallback), minInt, maxInt));
 }
-/// A count of an object; there is none below 0.
+/// Reads an integer field as a count. Negative values become 0.
 Uint64 countOr(const Json& object, const std::string& name) {
   return static_cast<Uint64>(std::max<std::int64_t>(0, integerOr(object, name, 0)));
 }
@@ -37,7 +37,7 @@
   }
   return hashes;
 }
-Result<JsonObject> readAnyObject(const std::string& text) {
+Result<JsonObject> parseAnyObject(const std::string& text) {
   auto value = parseJson(text);
   if (!value) return value.error();
   if (!value.value().is<JsonObject>()) return fault(Code::badField, "body", "must be an object");
@@ -51,16 +51,16 @@
   body["model"] = Json(order.model);
   body["weights"] = Json(order.weights);
   body["cache_salt"] = Json(order.cacheSalt);
-  body["parts"] = textRow(order.parts);
-  body["block_hashes"] = hashRow(order.hashes);
+  body["parts"] = stringArray(order.parts);
+  body["block_hashes"] = hashArray(order.hashes);
   body["max_tokens"] = number(order.maxTokens);
   body["tenant"] = Json(order.tenant);
   if (order.app) body["app"] = Json(true);
   if (order.moves) body["move"] = Json(true);
   JsonObject params;
   if (!order.params.empty())
-    if (auto given = parseJson(order.params); given && given.value().is<JsonObject>())
-      params = given.value().get<JsonObject>();
+    if (auto userParams = parseJson(order.params); userParams && userParams.value().is<JsonObject>())
+      params = userParams.value().get<JsonObject>();
   if (!order.sourceAddress.empty()) {
     auto colon = order.sourceAddress.rfind(':');
     JsonObject source;
@@ -74,19 +74,19 @@
 }
 
 Result<WorkerOrder> readWorkerOrder(const std::string& text) {
-  auto read = parseObject(text, {"order_id", "model", "weights", "cache_salt", "parts", "block_hashes", "max_tokens",
-                                 "tenant", "app", "move", "kv_transfer_params"});
-  if (!read) return read.error();
-  const auto& body = read.value();
+  auto parsed = parseObject(text, {"order_id", "model", "weights", "cache_salt", "parts", "block_hashes", "max_tokens",
+                                   "tenant", "app", "move", "kv_transfer_params"});
+  if (!parsed) return parsed.error();
+  const auto& body = parsed.value();
   WorkerOrder order;
   auto id = stringField(body, "order_id");
   if (!id) return id.error();
   order.orderId = id.value();
-  Json whole(body);
-  order.model = stringOr(whole, "model");
-  order.weights = stringOr(whole, "weights");
-  order.cacheSalt = stringOr(whole, "cache_salt");
-  order.tenant = stringOr(whole, "tenant");
+  Json object(body);
+  order.model = stringOr(object, "model");
+  order.weights = stringOr(object, "weights");
+  order.cacheSalt = stringOr(object, "cache_salt");
+  order.tenant = stringOr(object, "tenant");
   auto parts = stringListField(body, "parts");
   if (!parts) return parts.error();
   order.parts = parts.value();
@@ -96,8 +96,8 @@
   auto tokens = integerField(body, "max_tokens", 16, 0, 100000);
   if (!tokens) return tokens.error();
   order.maxTokens = static_cast<int>(tokens.value());
-  order.app = boolOr(whole, "app", false);
-  order.moves = boolOr(whole, "move", false);
+  order.app = boolOr(object, "app", false);
+  order.moves = boolOr(object, "move", false);
   if (auto params = body.find("kv_transfer_params"); params != body.end() && params->second.is<JsonObject>()) {
     const auto& rows = params->second.get<JsonObject>();
     if (auto source = rows.find("remote_kv_source"); source != rows.end()) {
@@ -116,9 +116,9 @@
 }
 
 std::string writeWorkerEnd(const WorkerEnd& end) {
-  static const char* words[] = {"done", "denied", "unsent", "broken", "failed", "silent"};
+  static const char* outcomeNames[] = {"done", "denied", "unsent", "broken", "failed", "silent"};
   JsonObject body;
-  body["end"] = Json(std::string(words[end.outcome]));
+  body["end"] = Json(std::string(outcomeNames[end.outcome]));
   body["code"] = number(end.code);
   body["local"] = number(end.local);
   body["fetched"] = number(end.fetched);
@@ -128,9 +128,9 @@
 
 std::variant<std::monostate, WorkerChunk, WorkerEnd> readWorkerLine(const std::string& orderId,
                                                                     const std::string& line) {
-  auto read = parseJson(line);
-  if (!read || !read.value().is<JsonObject>()) return std::monostate{};
-  const auto& body = read.value();
+  auto parsed = parseJson(line);
+  if (!parsed || !parsed.value().is<JsonObject>()) return std::monostate{};
+  const auto& body = parsed.value();
   std::string end = stringOr(body, "end");
   if (end.empty()) {
     if (!body.get<JsonObject>().count("token")) return std::monostate{};
@@ -161,7 +161,7 @@
   body["term"] = number(static_cast<double>(report.term));
   body["whole"] = Json(report.whole);
   if (report.whole) {
-    body["kept"] = hashRow(report.kept);
+    body["kept"] = hashArray(report.kept);
   } else {
     JsonArray events;
     static const char* kinds[] = {"stored", "removed", "cleared"};
@@ -169,7 +169,7 @@
       JsonObject row;
       row["sequence"] = number(static_cast<double>(event.sequence));
       row["kind"] = Json(std::string(kinds[event.kind]));
-      row["hashes"] = hashRow(event.hashes);
+      row["hashes"] = hashArray(event.hashes);
       events.push_back(Json(row));
     }
     body["events"] = Json(events);
@@ -178,23 +178,23 @@
 }
 
 Result<Report> readReport(const std::string& text) {
-  auto read = readAnyObject(text);
-  if (!read) return read.error();
-  const auto& body = read.value();
-  Json whole(body);
+  auto parsed = parseAnyObject(text);
+  if (!parsed) return parsed.error();
+  const auto& body = parsed.value();
+  Json object(body);
   Report report;
   auto worker = stringField(body, "worker");
   if (!worker) return worker.error();
   report.worker = worker.value();
-  report.incarnation = stringOr(whole, "incarnation");
-  report.weights = stringOr(whole, "weights");
-  report.model = stringOr(whole, "model");
-  report.running = intOr(whole, "running", 0);
-  report.slots = intOr(whole, "slots", 0);
-  report.sequence = countOr(whole, "sequence");
-  report.term = countOr(whole, "term");
-  report.draining = boolOr(whole, "draining", false);
-  report.whole = boolOr(whole, "whole", false);
+  report.incarnation = stringOr(object, "incarnation");
+  report.weights = stringOr(object, "weights");
+  report.model = stringOr(object, "model");
+  report.running = intOr(object, "running", 0);
+  report.slots = intOr(object, "slots", 0);
+  report.sequence = countOr(object, "sequence");
+  report.term = countOr(object, "term");
+  report.draining = boolOr(object, "draining", false);
+  report.whole = boolOr(object, "whole", false);
   auto kept = readHashes(body, "kept");
   if (!kept) return kept.error();
   report.kept = kept.value();
@@ -227,18 +227,18 @@
   return Json(body).serialize();
 }
 Result<ControlAsk> readControl(const std::string& text) {
-  auto read = parseObject(text, {"term", "holder", "action", "model", "weights", "incarnation"});
-  if (!read) return read.error();
-  const auto& body = read.value();
+  auto parsed = parseObject(text, {"term", "holder", "action", "model", "weights", "incarnation"});
+  if (!parsed) return parsed.error();
+  const auto& body = parsed.value();
   auto term = integerField(body, "term", 0, 0, 1LL << 52);
   if (!term) return term.error();
   auto action = stringField(body, "action");
   if (!action) return action.error();
   if (action.value() != "drain" && action.value() != "load" && action.value() != "admit")
     return fault(Code::badField, "action", "must be drain, load or admit");
-  Json whole(body);
-  return ControlAsk{static_cast<Uint64>(term.value()), stringOr(whole, "holder"),  action.value(),
-                    stringOr(whole, "model"),          stringOr(whole, "weights"), stringOr(whole, "incarnation")};
+  Json object(body);
+  return ControlAsk{static_cast<Uint64>(term.value()), stringOr(object, "holder"),  action.value(),
+                    stringOr(object, "model"),         stringOr(object, "weights"), stringOr(object, "incarnation")};
 }
 std::string writeControlReply(const ControlReply& reply) {
   JsonObject body;
@@ -248,26 +248,26 @@
   return Json(body).serialize();
 }
 Result<ControlReply> readControlReply(const std::string& text) {
-  auto read = readAnyObject(text);
-  if (!read) return read.error();
-  Json whole(read.value());
-  return ControlReply{stringOr(whole, "worker"), countOr(whole, "term"), intOr(whole, "code", 0)};
+  auto parsed = parseAnyObject(text);
+  if (!parsed) return parsed.error();
+  Json object(parsed.value());
+  return ControlReply{stringOr(object, "worker"), countOr(object, "term"), intOr(object, "code", 0)};
 }
 
 std::string writeBlocks(const Hashes& hashes, const Strings& origins) {
   JsonObject body;
-  body["hashes"] = hashRow(hashes);
-  body["origins"] = textRow(origins);
+  body["hashes"] = hashArray(hashes);
+  body["origins"] = stringArray(origins);
   return Json(body).serialize();
 }
 Result<StoreMsg> readBlocks(const std::string& text) {
-  auto read = parseObject(text, {"hashes", "origins"});
-  if (!read) return read.error();
-  auto hashes = readHashes(read.value(), "hashes");
+  auto parsed = parseObject(text, {"hashes", "origins"});
+  if (!parsed) return parsed.error();
+  auto hashes = readHashes(parsed.value(), "hashes");
   if (!hashes) return hashes.error();
   StoreMsg message{hashes.value(), {}};
-  if (read.value().count("origins")) {
-    auto origins = stringListField(read.value(), "origins");
+  if (parsed.value().count("origins")) {
+    auto origins = stringListField(parsed.value(), "origins");
     if (!origins) return origins.error();
     message.origins = origins.value();
   }
@@ -306,11 +306,11 @@
   return machine;
 }
 Result<MachinesReply> readMachines(const std::string& text) {
-  auto read = readAnyObject(text);
-  if (!read) return read.error();
+  auto parsed = parseAnyObject(text);
+  if (!parsed) return parsed.error();
   MachinesReply reply;
-  auto rows = read.value().find("machines");
-  if (rows == read.value().end() || !rows->second.is<JsonArray>()) return fault(Code::missingField, "machines");
+  auto rows = parsed.value().find("machines");
+  if (rows == parsed.value().end() || !rows->second.is<JsonArray>()) return fault(Code::missingField, "machines");
   for (const auto& row : rows->second.get<JsonArray>()) {
     auto machine = readMachine(row);
     if (!machine) return machine.error();
@@ -320,11 +320,12 @@
 }
 
 Result<CallerOrder> readCallerOrder(const std::string& text) {
-  if (text.size() > callerBodyMost)
-    return fault(Code::tooLarge, "body", "a body has " + std::to_string(callerBodyMost) + " bytes at most");
-  auto read = parseObject(text, {"route", "model", "parts", "repeatable", "maxTokens", "tenant", "kv_transfer_params"});
-  if (!read) return read.error();
-  const auto& body = read.value();
+  if (text.size() > maxCallerBodyBytes)
+    return fault(Code::tooLarge, "body", "the body exceeds " + std::to_string(maxCallerBodyBytes) + " bytes");
+  auto parsed =
+      parseObject(text, {"route", "model", "parts", "repeatable", "maxTokens", "tenant", "kv_transfer_params"});
+  if (!parsed) return parsed.error();
+  const auto& body = parsed.value();
   CallerOrder order;
   auto route = stringField(body, "route");
   if (!route) return route.error();
--- a/src/net/gate.cpp
+++ b/src/net/gate.cpp
@@ -7,18 +7,21 @@
 
 namespace tt {
 namespace {
-constexpr Duration acceptPause = 50ms, sweepPause = 100ms;
+/// Pause after a failed accept, as when no file descriptor is free.
+constexpr Duration acceptRetryDelay = 50ms;
+/// Shortest time between two checks of all connections' deadlines.
+constexpr Duration minSweepInterval = 100ms;
 }  // namespace
 
-Result<void> HttpServer::Inner::open() {
+Result<void> HttpServer::Impl::open() {
   bool anyPort = address.size() > 2 && address.compare(address.size() - 2, 2, ":0") == 0;
-  auto read = parseAddress(anyPort ? address.substr(0, address.size() - 1) + "1" : address);
-  if (!read) return read.error();
+  auto parsed = parseAddress(anyPort ? address.substr(0, address.size() - 1) + "1" : address);
+  if (!parsed) return parsed.error();
   asio::error_code error;
-  asio::ip::tcp::endpoint end(asio::ip::make_address(read.value().ip, error), anyPort ? 0 : read.value().port);
-  if (!error) acceptor.open(end.protocol(), error);
+  asio::ip::tcp::endpoint endpoint(asio::ip::make_address(parsed.value().ip, error), anyPort ? 0 : parsed.value().port);
+  if (!error) acceptor.open(endpoint.protocol(), error);
   if (!error) acceptor.set_option(asio::socket_base::reuse_address(true), error);
-  if (!error) acceptor.bind(end, error);
+  if (!error) acceptor.bind(endpoint, error);
   if (!error) acceptor.listen(asio::socket_base::max_listen_connections, error);
   if (error) {
     asio::error_code ignored;
@@ -29,12 +32,12 @@
   return boost::outcome_v2::success();
 }
 
-void HttpServer::Inner::accept() {
+void HttpServer::Impl::accept() {
   acceptor.async_accept([self = shared_from_this()](asio::error_code error, asio::ip::tcp::socket socket) {
     if (self->closed || !self->acceptor.is_open()) return;
     if (error) {
-      self->pause.expires_after(acceptPause);
-      return self->pause.async_wait([self](asio::error_code) {
+      self->acceptRetryTimer.expires_after(acceptRetryDelay);
+      return self->acceptRetryTimer.async_wait([self](asio::error_code) {
         if (!self->closed && self->acceptor.is_open()) self->accept();
       });
     }
@@ -45,8 +48,8 @@
   });
 }
 
-void HttpServer::Inner::wakeBy(TimePoint moment) {
-  moment = std::max(moment, lastSweep + sweepPause);
+void HttpServer::Impl::scheduleSweep(TimePoint moment) {
+  moment = std::max(moment, lastSweep + minSweepInterval);
   if (closed || moment >= sweepAt) return;
   sweepAt = moment;
   sweepTimer.expires_at(moment);
@@ -55,7 +58,7 @@
   });
 }
 
-void HttpServer::Inner::sweep() {
+void HttpServer::Impl::sweep() {
   lastSweep = Clock::now();
   sweepAt = never;
   std::vector<std::shared_ptr<Connection>> due;
@@ -67,35 +70,35 @@
       next = std::min(next, connection->due());
   }
   for (const auto& connection : due) connection->onDeadline();
-  if (next != never) wakeBy(next);
+  if (next != never) scheduleSweep(next);
 }
 
-void HttpServer::Inner::queue(std::size_t bytes) {
+void HttpServer::Impl::addQueuedBytes(std::size_t bytes) {
   queuedBytes += bytes;
-  if (queuedBytes <= limits.maxQueuedBytes || shedPosted) return;
-  shedPosted = true;
+  if (queuedBytes <= limits.maxQueuedBytes || closeSlowClientsPosted) return;
+  closeSlowClientsPosted = true;
   asio::post(io, [self = shared_from_this()] {
-    self->shedPosted = false;
-    self->shed();
+    self->closeSlowClientsPosted = false;
+    self->closeSlowClients();
   });
 }
 
-void HttpServer::Inner::shed() {
+void HttpServer::Impl::closeSlowClients() {
   while (queuedBytes > limits.maxQueuedBytes && !connections.empty()) {
-    auto most = *std::max_element(connections.begin(), connections.end(), [](const auto& one, const auto& other) {
+    auto slowest = *std::max_element(connections.begin(), connections.end(), [](const auto& one, const auto& other) {
       return one->unwritten() < other->unwritten();
     });
-    most->abandon();
+    slowest->closeSlowClient();
   }
 }
 
-void HttpServer::Inner::stopAccepting() {
+void HttpServer::Impl::stopAccepting() {
   asio::error_code ignored;
   acceptor.close(ignored);
-  pause.cancel();
+  acceptRetryTimer.cancel();
 }
 
-void HttpServer::Inner::close() {
+void HttpServer::Impl::close() {
   if (closed) return;
   closed = true;
   stopAccepting();
@@ -106,29 +109,29 @@
 }
 
 HttpServer::HttpServer(asio::io_context& context, std::string address, HttpHandler handler)
-    : inner(std::make_shared<Inner>(context, std::move(address), std::move(handler))) {}
-HttpServer::~HttpServer() { inner->close(); }
-Result<void> HttpServer::open() { return inner->open(); }
+    : impl(std::make_shared<Impl>(context, std::move(address), std::move(handler))) {}
+HttpServer::~HttpServer() { impl->close(); }
+Result<void> HttpServer::open() { return impl->open(); }
 unsigned short HttpServer::port() const {
   asio::error_code ignored;
-  return inner->acceptor.local_endpoint(ignored).port();
+  return impl->acceptor.local_endpoint(ignored).port();
 }
-void HttpServer::setLimits(const HttpServerLimits& limits) { inner->limits = limits; }
-void HttpServer::leave() {
-  if (std::exchange(inner->leaving, true)) return;
-  for (const auto& connection : inner->connections) connection->leave();
+void HttpServer::setLimits(const HttpServerLimits& limits) { impl->limits = limits; }
+void HttpServer::startDraining() {
+  if (std::exchange(impl->draining, true)) return;
+  for (const auto& connection : impl->connections) connection->startDraining();
 }
-void HttpServer::stopAccepting() { inner->stopAccepting(); }
-void HttpServer::close() { inner->close(); }
-std::size_t HttpServer::connections() const { return inner->connections.size(); }
-std::size_t HttpServer::exchanges() const { return inner->exchanges; }
-std::vector<ExchangeStatus> HttpServer::exchangesUnderWay() const {
-  std::vector<ExchangeStatus> rows;
-  for (const auto& connection : inner->connections)
-    if (auto exchange = connection->exchangeUnderWay()) rows.push_back(*exchange);
-  return rows;
+void HttpServer::stopAccepting() { impl->stopAccepting(); }
+void HttpServer::close() { impl->close(); }
+std::size_t HttpServer::connections() const { return impl->connections.size(); }
+std::size_t HttpServer::exchanges() const { return impl->exchanges; }
+std::vector<ExchangeStatus> HttpServer::activeExchanges() const {
+  std::vector<ExchangeStatus> active;
+  for (const auto& connection : impl->connections)
+    if (auto exchange = connection->activeExchange()) active.push_back(*exchange);
+  return active;
 }
-std::uint64_t HttpServer::bytesReceived() const { return inner->receivedBytes; }
-std::size_t HttpServer::queued() const { return inner->queuedBytes; }
+std::uint64_t HttpServer::bytesReceived() const { return impl->receivedBytes; }
+std::size_t HttpServer::queued() const { return impl->queuedBytes; }
 
 }  // namespace tt
--- a/src/net/gate_connection.cpp
+++ b/src/net/gate_connection.cpp
@@ -8,14 +8,19 @@
 
 using Tcp = asio::ip::tcp;
 
-constexpr std::size_t smallRead = 4096, bigRead = 64 * 1024;
-constexpr std::size_t heldBytes = 64 * 1024;
-constexpr std::size_t keptCapacity = 64 * 1024;
-constexpr Duration lingerWait = 500ms, deadlineRetry = 100ms;
+constexpr std::size_t smallReadSize = 4096, largeReadSize = 64 * 1024;
+/// While an exchange is in progress, at most about this much of the following requests is read ahead. TCP flow control
+/// then holds the client back.
+constexpr std::size_t maxPipelinedBytes = 64 * 1024;
+/// Larger write buffers are freed after use.
+constexpr std::size_t maxRetainedCapacity = 64 * 1024;
+constexpr Duration lingerTimeout = 500ms, deadlineExtension = 100ms;
 constexpr int requestTimeout = 408;
+/// TCP keep-alive probes find a vanished client on an idle connection after about 16 s. While sent data stays
+/// unacknowledged, the connection fails after 2 s.
 constexpr int keepIdleSeconds = 10, keepIntervalSeconds = 2, keepProbes = 3, userTimeoutMs = 2000;
 
-void tune(Tcp::socket& socket) {
+void setTcpOptions(Tcp::socket& socket) {
   asio::error_code ignored;
   socket.set_option(Tcp::no_delay(true), ignored);
   socket.set_option(asio::socket_base::keep_alive(true), ignored);
@@ -30,25 +35,25 @@
 }  // namespace
 
 void HttpServer::Connection::start() {
-  tune(socket);
+  setTcpOptions(socket);
   connectedAt = Clock::now();
-  setDeadline(restsUntil());
+  setDeadline(idleDeadline());
   read();
 }
 
-void HttpServer::Connection::leave() {
-  if (phase == Phase::idle) setDeadline(std::min(deadline, Clock::now() + gate->limits.idleClose));
+void HttpServer::Connection::startDraining() {
+  if (phase == Phase::idle) setDeadline(std::min(deadline, Clock::now() + server->limits.drainIdleTimeout));
 }
 
 void HttpServer::Connection::setDeadline(TimePoint moment) {
   deadline = moment;
-  if (moment != never) gate->wakeBy(moment);
+  if (moment != never) server->scheduleSweep(moment);
 }
 
 void HttpServer::Connection::read() {
   if (reading || phase == Phase::closed) return;
-  if (phase == Phase::exchange && reader.unreadBytes() >= heldBytes) return watch();
-  std::size_t room = phase == Phase::body || phase == Phase::draining ? bigRead : smallRead;
+  if (phase == Phase::exchange && reader.unreadBytes() >= maxPipelinedBytes) return watchForErrors();
+  std::size_t room = phase == Phase::body || phase == Phase::lingering ? largeReadSize : smallReadSize;
   if (readRoom < room || (phase == Phase::idle && readRoom > room)) {
     readSpace.reset(new char[room]);
     readRoom = room;
@@ -59,7 +64,7 @@
       [self = shared_from_this()](asio::error_code error, std::size_t size) { self->onRead(error, size); });
 }
 
-void HttpServer::Connection::watch() {
+void HttpServer::Connection::watchForErrors() {
   if (watching) return;
   watching = true;
   socket.async_wait(Tcp::socket::wait_error, [self = shared_from_this()](asio::error_code) {
@@ -74,73 +79,73 @@
 
 void HttpServer::Connection::onRead(asio::error_code error, std::size_t size) {
   reading = false;
-  gate->receivedBytes += size;
+  server->receivedBytes += size;
   if (phase == Phase::closed) return;
   if (error) return onReadEnd(error);
-  bool takesBytes = phase == Phase::idle || phase == Phase::head || phase == Phase::body || phase == Phase::exchange;
-  if (takesBytes) reader.append(readSpace.get(), size);
-  if (takesBytes && phase != Phase::exchange) return parse();
+  bool acceptsBytes = phase == Phase::idle || phase == Phase::head || phase == Phase::body || phase == Phase::exchange;
+  if (acceptsBytes) reader.append(readSpace.get(), size);
+  if (acceptsBytes && phase != Phase::exchange) return parse();
   read();
 }
 
 void HttpServer::Connection::onReadEnd(asio::error_code error) {
-  sawEnd = true;
+  readEnded = true;
   bool halfClosed = error == asio::error::eof;
-  bool hasMoreToWrite = phase == Phase::refusing || phase == Phase::cutting || (phase == Phase::exchange && ended);
+  bool hasMoreToWrite = phase == Phase::rejecting || phase == Phase::aborting || (phase == Phase::exchange && ended);
   if (!halfClosed || !hasMoreToWrite) onFailure();
 }
 
 void HttpServer::Connection::onFailure() {
-  if (phase == Phase::exchange && !ended) return callerLeft();
+  if (phase == Phase::exchange && !ended) return onClientLeft();
   close();
 }
 
 void HttpServer::Connection::onDeadline() {
   asio::error_code ignored;
-  if (phase == Phase::draining) return close();
-  if (phase != Phase::head && socket.available(ignored) > 0) return setDeadline(Clock::now() + deadlineRetry);
+  if (phase == Phase::lingering) return close();
+  if (phase != Phase::head && socket.available(ignored) > 0) return setDeadline(Clock::now() + deadlineExtension);
   if (phase == Phase::idle) return close();
-  refuse(requestTimeout);
+  reject(requestTimeout);
 }
 
 void HttpServer::Connection::close() {
   if (phase == Phase::closed) return;
   auto self = shared_from_this();
-  auto dropped = std::move(gone);
+  auto released = std::move(disconnectHandler);
   phase = Phase::closed;
   deadline = never;
   detach(false);
   asio::error_code ignored;
   socket.close(ignored);
-  gate->queuedBytes -= pending.size() + flying.size() - flown;
+  server->queuedBytes -= pending.size() + inFlight.size() - inFlightWritten;
   pending = std::string();
-  framing.takeTail();
-  gate->connections.erase(self);
+  framing.takeFinalBytes();
+  server->connections.erase(self);
 }
 
-std::optional<ExchangeStatus> HttpServer::Connection::exchangeUnderWay() const {
+std::optional<ExchangeStatus> HttpServer::Connection::activeExchange() const {
   if (!exchanging) return std::nullopt;
-  return ExchangeStatus{connectedAt, takenAt, requestCount, framing.isStarted()};
+  return ExchangeStatus{connectedAt, requestReceivedAt, requestCount, framing.isStarted()};
 }
 
 void HttpServer::Connection::detach(bool left) {
-  if (exchanging) --gate->exchanges;
+  if (exchanging) --server->exchanges;
   exchanging = false;
-  if (answer) std::exchange(answer, nullptr)->detach(left);
+  if (response) std::exchange(response, nullptr)->detach(left);
 }
 
-void HttpServer::Connection::callerLeft() {
+void HttpServer::Connection::onClientLeft() {
   auto self = shared_from_this();
-  auto call = std::move(gone);
-  gone = nullptr;
+  auto handler = std::move(disconnectHandler);
+  disconnectHandler = nullptr;
   detach(true);
   close();
-  if (call) call();
+  if (handler) handler();
 }
 
 void HttpServer::Connection::parse() {
   if (phase == Phase::idle && reader.unreadBytes() > 0) {
-    reader.begin(gate->limits);
+    reader.beginRequest(server->limits);
     phase = Phase::head;
     setDeadline(Clock::now() + reader.limits().headerTimeout);
   }
@@ -150,36 +155,36 @@
 }
 
 bool HttpServer::Connection::parseHead() {
-  switch (reader.takeHead()) {
+  switch (reader.readHead()) {
     case RequestReader::Progress::none:
       phase = Phase::idle;
-      setDeadline(restsUntil());
+      setDeadline(idleDeadline());
       return true;
-    case RequestReader::Progress::part:
+    case RequestReader::Progress::incomplete:
       return true;
-    case RequestReader::Progress::whole:
+    case RequestReader::Progress::complete:
       phase = Phase::body;
       deadline = never;
       return true;
-    case RequestReader::Progress::refused:
+    case RequestReader::Progress::rejected:
       break;
   }
-  refuse(reader.refusal());
+  reject(reader.rejectionStatus());
   return false;
 }
 
 bool HttpServer::Connection::parseBody() {
-  auto progress = reader.takeBody();
-  if (progress == RequestReader::Progress::refused) {
-    refuse(reader.refusal());
+  auto progress = reader.readBody();
+  if (progress == RequestReader::Progress::rejected) {
+    reject(reader.rejectionStatus());
     return false;
   }
-  if (progress == RequestReader::Progress::whole) {
+  if (progress == RequestReader::Progress::complete) {
     beginExchange();
     return false;
   }
-  bool headJustTaken = deadline == never;
-  if (headJustTaken && reader.awaitsContinue()) {
+  bool headJustRead = deadline == never;
+  if (headJustRead && reader.awaitsContinue()) {
     enqueue("HTTP/1.1 100 Continue\r\n\r\n");
     flush();
   }
@@ -187,11 +192,11 @@
   return true;
 }
 
-void HttpServer::Connection::refuse(int status) {
-  phase = Phase::refusing;
+void HttpServer::Connection::reject(int status) {
+  phase = Phase::rejecting;
   deadline = never;
-  reader.drop();
-  enqueue(refusalText(status));
+  reader.discard();
+  enqueue(errorResponse(status));
   flush();
   read();
 }
@@ -200,32 +205,32 @@
   phase = Phase::exchange;
   deadline = never;
   framing.reset();
-  ended = keeps = false;
+  ended = keepsAlive = false;
   exchanging = true;
-  takenAt = Clock::now();
+  requestReceivedAt = Clock::now();
   ++requestCount;
-  ++gate->exchanges;
+  ++server->exchanges;
   read();
-  auto made = std::make_shared<Answer>(shared_from_this(), gate->io);
-  answer = made.get();
-  auto owner = gate;
-  owner->handler(reader.takeRequest(), std::move(made));
+  auto created = std::make_shared<Response>(shared_from_this(), server->io);
+  response = created.get();
+  auto owner = server;
+  owner->handler(reader.takeRequest(), std::move(created));
 }
 
-KeepAlive HttpServer::Connection::promiseKeepAlive() {
-  bool hasReadMore = reader.unreadBytes() > 0;
-  keeps = reader.mayKeep() && (!gate->leaving || hasReadMore) && !framing.endsWithConnection();
-  if (!keeps) return {};
-  auto whole = std::chrono::duration_cast<std::chrono::seconds>(gate->limits.idleTimeout);
-  if (gate->leaving) whole = std::chrono::seconds(0);
-  promised = whole;
-  return {true, whole};
+KeepAlive HttpServer::Connection::decideKeepAlive() {
+  bool hasPipelinedBytes = reader.unreadBytes() > 0;
+  keepsAlive = reader.allowsKeepAlive() && (!server->draining || hasPipelinedBytes) && !framing.endsWithConnection();
+  if (!keepsAlive) return {};
+  auto timeout = std::chrono::duration_cast<std::chrono::seconds>(server->limits.idleTimeout);
+  if (server->draining) timeout = std::chrono::seconds(0);
+  promisedKeepAlive = timeout;
+  return {true, timeout};
 }
 
 void HttpServer::Connection::head(int status, const HttpHeaders& headers, std::optional<std::size_t> length) {
   if (phase != Phase::exchange || ended || framing.isStarted()) return;
   framing.start(status, length, {reader.isHttp10(), reader.isHead()});
-  auto keepAlive = promiseKeepAlive();
+  auto keepAlive = decideKeepAlive();
   if (framing.endsWithConnection()) resetOnClose(true);
   enqueue(framing.head(headers, keepAlive));
   postFlush();
@@ -241,142 +246,142 @@
 }
 
 void HttpServer::Connection::end() {
-  auto dropped = std::move(gone);
+  auto released = std::move(disconnectHandler);
   if (phase != Phase::exchange || ended) return;
-  if (!framing.isFilled()) return abort();
+  if (!framing.isComplete()) return abort();
   ended = true;
-  enqueue(framing.takeTail());
+  enqueue(framing.takeFinalBytes());
   flush();
-  if (flying.empty()) onFlushed();
+  if (inFlight.empty()) onFlushed();
 }
 
 void HttpServer::Connection::abort() {
   if (phase != Phase::exchange || ended) return;
   auto self = shared_from_this();
-  auto dropped = std::move(gone);
+  auto released = std::move(disconnectHandler);
   detach(false);
-  framing.takeTail();
+  framing.takeFinalBytes();
   if (framing.endsWithConnection() || !framing.isStarted()) return close();
-  phase = Phase::cutting;
+  phase = Phase::aborting;
   flush();
-  if (flying.empty()) close();
+  if (inFlight.empty()) close();
 }
 
-void HttpServer::Connection::abandon() {
+void HttpServer::Connection::closeSlowClient() {
   if (phase == Phase::closed) return;
   resetOnClose(true);
   onFailure();
 }
 
-TimePoint HttpServer::Connection::restsUntil() const {
-  if (gate->leaving) return Clock::now() + gate->limits.idleClose;
-  return std::max(Clock::now() + gate->limits.idleTimeout, keptUntil);
+TimePoint HttpServer::Connection::idleDeadline() const {
+  if (server->draining) return Clock::now() + server->limits.drainIdleTimeout;
+  return std::max(Clock::now() + server->limits.idleTimeout, keepAliveUntil);
 }
 
-/// Where the end of the connection is the end of the answer, whatever ends the connection before that, even a kill of
-/// the process, must reset it.
-void HttpServer::Connection::resetOnClose(bool resets) {
+/// Enabled while a response is written whose end is marked by the end of the connection: whatever closes the connection
+/// early, even a kill of the process, must then reset it, or the client would take a truncated body for a complete one.
+void HttpServer::Connection::resetOnClose(bool enabled) {
   asio::error_code ignored;
-  socket.set_option(asio::socket_base::linger(resets, 0), ignored);
+  socket.set_option(asio::socket_base::linger(enabled, 0), ignored);
 }
 
 void HttpServer::Connection::enqueue(std::string_view bytes) {
   pending += bytes;
-  gate->queue(bytes.size());
+  server->addQueuedBytes(bytes.size());
 }
 
 void HttpServer::Connection::finishExchange() {
   detach(false);
   if (framing.endsWithConnection()) resetOnClose(false);
-  if (sawEnd) return close();
-  if (!keeps) return drain();
+  if (readEnded) return close();
+  if (!keepsAlive) return lingerClose();
   phase = Phase::idle;
-  reader.finish();
-  keptUntil = Clock::now() + promised;
-  setDeadline(restsUntil());
+  reader.finishRequest();
+  keepAliveUntil = Clock::now() + promisedKeepAlive;
+  setDeadline(idleDeadline());
   parse();
 }
 
 void HttpServer::Connection::postFlush() {
-  if (flushPosted || !flying.empty()) return;
+  if (flushPosted || !inFlight.empty()) return;
   flushPosted = true;
-  asio::post(gate->io, [self = shared_from_this()] {
+  asio::post(server->io, [self = shared_from_this()] {
     self->flushPosted = false;
     self->flush();
   });
 }
 
 void HttpServer::Connection::flush() {
-  if (!flying.empty() || pending.empty() || phase == Phase::closed) return;
-  flying.swap(pending);
-  flown = 0;
+  if (!inFlight.empty() || pending.empty() || phase == Phase::closed) return;
+  inFlight.swap(pending);
+  inFlightWritten = 0;
   onWritten({}, 0);
 }
 
 void HttpServer::Connection::onWritten(asio::error_code error, std::size_t size) {
   if (phase == Phase::closed) return;
   if (error) return onFailure();
-  flown += size;
-  gate->queuedBytes -= size;
-  if (flown < flying.size())
-    return socket.async_write_some(asio::buffer(flying.data() + flown, flying.size() - flown),
+  inFlightWritten += size;
+  server->queuedBytes -= size;
+  if (inFlightWritten < inFlight.size())
+    return socket.async_write_some(asio::buffer(inFlight.data() + inFlightWritten, inFlight.size() - inFlightWritten),
                                    [self = shared_from_this()](asio::error_code failure, std::size_t written) {
                                      self->onWritten(failure, written);
                                    });
-  if (flying.capacity() > keptCapacity) flying = std::string();
-  flying.clear();
-  flown = 0;
+  if (inFlight.capacity() > maxRetainedCapacity) inFlight = std::string();
+  inFlight.clear();
+  inFlightWritten = 0;
   if (!pending.empty()) return flush();
   onFlushed();
 }
 
 void HttpServer::Connection::onFlushed() {
-  if (phase == Phase::cutting) return close();
-  if (phase == Phase::refusing) return sawEnd ? close() : drain();
+  if (phase == Phase::aborting) return close();
+  if (phase == Phase::rejecting) return readEnded ? close() : lingerClose();
   if (phase == Phase::exchange && ended) finishExchange();
 }
 
-void HttpServer::Connection::drain() {
+void HttpServer::Connection::lingerClose() {
   asio::error_code ignored;
-  phase = Phase::draining;
-  reader.dropBytes();
+  phase = Phase::lingering;
+  reader.discardBuffered();
   socket.shutdown(Tcp::socket::shutdown_send, ignored);
-  setDeadline(Clock::now() + lingerWait);
+  setDeadline(Clock::now() + lingerTimeout);
   read();
 }
 
-HttpServer::Answer::~Answer() {
+HttpServer::Response::~Response() {
   if (!connection) return;
-  connection->answer = nullptr;
+  connection->response = nullptr;
   if (!connection->hasEnded()) connection->abort();
 }
 
-void HttpServer::Answer::head(int status, const HttpHeaders& headers, std::optional<std::size_t> length) {
-  if (auto on = connection) on->head(status, headers, length);
+void HttpServer::Response::head(int status, const HttpHeaders& headers, std::optional<std::size_t> length) {
+  if (auto held = connection) held->head(status, headers, length);
 }
 
-void HttpServer::Answer::bytes(std::string_view bytes) {
-  if (auto on = connection) on->bytes(bytes);
+void HttpServer::Response::bytes(std::string_view bytes) {
+  if (auto held = connection) held->bytes(bytes);
 }
 
-void HttpServer::Answer::end() {
-  if (auto on = connection) on->end();
+void HttpServer::Response::end() {
+  if (auto held = connection) held->end();
 }
 
-void HttpServer::Answer::abort() {
-  if (auto on = connection) on->abort();
+void HttpServer::Response::abort() {
+  if (auto held = connection) held->abort();
 }
 
-void HttpServer::Answer::onDisconnect(std::function<void()> gone) {
+void HttpServer::Response::onDisconnect(std::function<void()> handler) {
   if (connection && !connection->hasEnded())
-    connection->gone = std::move(gone);
-  else if (callerLeft && gone)
-    asio::post(io, std::move(gone));
+    connection->disconnectHandler = std::move(handler);
+  else if (clientLeft && handler)
+    asio::post(io, std::move(handler));
 }
 
-void HttpServer::Answer::detach(bool left) {
+void HttpServer::Response::detach(bool left) {
   wasStarted = started();
-  callerLeft = left;
+  clientLeft = left;
   connection.reset();
 }
 
--- a/src/net/gate_drain.cpp
+++ b/src/net/gate_drain.cpp
@@ -4,21 +4,22 @@
 
 namespace tt {
 namespace {
-constexpr Duration stepEvery = 50ms;
+constexpr Duration pollInterval = 50ms;
 }  // namespace
 
-HttpServerDrain::HttpServerDrain(asio::io_context& context, HttpServer& drained) : gate(drained), timer(context) {}
+HttpServerDrain::HttpServerDrain(asio::io_context& context, HttpServer& httpServer)
+    : server(httpServer), timer(context) {}
 
-void HttpServerDrain::start(const DrainPlan& drainPlan, std::function<void()> onEnd) {
+void HttpServerDrain::start(const DrainPlan& drainPlan, std::function<void()> endCallback) {
   if (std::exchange(started, true)) return;
   plan = drainPlan;
-  ended = std::move(onEnd);
-  gate.leave();
+  onEnded = std::move(endCallback);
+  server.startDraining();
   wait();
 }
 
 void HttpServerDrain::wait() {
-  timer.expires_after(stepEvery);
+  timer.expires_after(pollInterval);
   timer.async_wait([this](asio::error_code error) {
     if (!error) step();
   });
@@ -26,24 +27,26 @@
 
 void HttpServerDrain::step() {
   TimePoint now = Clock::now();
-  if (now >= plan.refusesFrom) gate.stopAccepting();
-  bool isEmpty = now >= plan.refusesFrom && gate.connections() == 0;
-  if (!isEmpty && now < plan.exitsBy) return wait();
-  tellGivenUp();
-  ended();
+  if (now >= plan.refusesFrom) server.stopAccepting();
+  bool allClosed = now >= plan.refusesFrom && server.connections() == 0;
+  if (!allClosed && now < plan.exitsBy) return wait();
+  logUnfinishedExchanges();
+  onEnded();
 }
 
-void HttpServerDrain::tellGivenUp() const {
-  auto sinceSignal = [this](TimePoint moment) {
-    return std::to_string(toMilliseconds(moment - plan.startedAt)) + " ms";
+void HttpServerDrain::logUnfinishedExchanges() const {
+  auto sinceSignal = [this](TimePoint timePoint) {
+    return std::to_string(toMilliseconds(timePoint - plan.startedAt)) + " ms";
   };
-  auto exchanges = gate.exchangesUnderWay();
-  logInfo("Ending " + sinceSignal(Clock::now()) + " after the signal: connections " +
-          std::to_string(gate.connections()) + ", exchanges " + std::to_string(exchanges.size()) + ".");
+  auto exchanges = server.activeExchanges();
+  logInfo("HTTP server stops " + sinceSignal(Clock::now()) +
+          " after the stop signal: " + std::to_string(server.connections()) + " connections open, " +
+          std::to_string(exchanges.size()) + " exchanges unfinished.");
   for (const auto& exchange : exchanges)
-    logWarning("Gave up request " + std::to_string(exchange.requestNumber) + " of a connection: opened " +
-               sinceSignal(exchange.connectedAt) + ", taken " + sinceSignal(exchange.takenAt) +
-               (exchange.answerStarted ? " after the signal, answer started." : " after the signal, no answer."));
+    logWarning("Unfinished request " + std::to_string(exchange.requestNumber) + " of a connection: connected " +
+               sinceSignal(exchange.connectedAt) + ", received " + sinceSignal(exchange.requestReceivedAt) +
+               (exchange.responseStarted ? " after the stop signal, response started."
+                                         : " after the stop signal, no response."));
 }
 
 }  // namespace tt
--- a/src/net/gate_drain.hpp
+++ b/src/net/gate_drain.hpp
@@ -4,24 +4,25 @@
 
 namespace tt {
 
-/// Takes a gate out of service as a plan says: no new connections once clients are led elsewhere, then an end as soon
-/// as all connections are closed, or when the plan's time is over. All on the context's one thread.
+/// Takes an HttpServer out of service as its DrainPlan says: it keeps accepting until clients have been directed
+/// elsewhere, and ends once all connections are closed or the plan's time is over. Runs on the io_context's single
+/// thread.
 class HttpServerDrain {
  public:
-  HttpServerDrain(asio::io_context& context, HttpServer& drained);
+  HttpServerDrain(asio::io_context& context, HttpServer& httpServer);
   bool hasStarted() const { return started; }
-  /// Calls back once, at the end; the process may then exit.
-  void start(const DrainPlan& drainPlan, std::function<void()> onEnd);
+  /// Starts draining. Calls back once at the end, after which the process may exit. Further calls do nothing.
+  void start(const DrainPlan& drainPlan, std::function<void()> endCallback);
 
  private:
-  HttpServer& gate;
+  HttpServer& server;
   asio::steady_timer timer;
   DrainPlan plan;
-  std::function<void()> ended;
+  std::function<void()> onEnded;
   bool started{false};
   void wait();
   void step();
-  void tellGivenUp() const;
+  void logUnfinishedExchanges() const;
 };
 
 }  // namespace tt
--- a/src/net/host.cpp
+++ b/src/net/host.cpp
@@ -6,27 +6,30 @@
 
 namespace tt {
 namespace {
-constexpr Duration untakenMost = 2s;
+/// A connection fails when sent data stays unacknowledged this long.
+constexpr Duration unacknowledgedTimeout = 2s;
 
-void tune(asio::ip::tcp::socket& socket) {
+void setTcpOptions(asio::ip::tcp::socket& socket) {
   asio::error_code ignored;
   socket.set_option(asio::ip::tcp::no_delay(true), ignored);
   socket.set_option(asio::socket_base::keep_alive(true), ignored);
   auto set = [&](int name, int value) {
     (void)::setsockopt(socket.native_handle(), IPPROTO_TCP, name, &value, sizeof value);
   };
-  set(TCP_USER_TIMEOUT, static_cast<int>(toMilliseconds(untakenMost)));
+  set(TCP_USER_TIMEOUT, static_cast<int>(toMilliseconds(unacknowledgedTimeout)));
   set(TCP_KEEPIDLE, 5);
   set(TCP_KEEPINTVL, 2);
   set(TCP_KEEPCNT, 3);
 }
 
-constexpr std::size_t frameMost = 8u << 20;
-constexpr std::size_t linkPendingMost = 16u << 20;
-constexpr std::size_t inboundMost = 512;
+/// Bounds of memory that one peer, or a foreign client, can make this process use.
+constexpr std::size_t maxFrameBytes = 8u << 20;
+constexpr std::size_t maxLinkPendingBytes = 16u << 20;
+constexpr std::size_t maxInboundConnections = 512;
 std::atomic<std::size_t> inboundCount{0};
 
-std::string frameOf(const std::string& bytes) {
+/// A frame is the payload after its size, a 32-bit little-endian number.
+std::string encodeFrame(const std::string& bytes) {
   std::uint32_t size = static_cast<std::uint32_t>(bytes.size());
   std::string frame(4, '\0');
   for (int at = 0; at < 4; ++at) frame[static_cast<std::size_t>(at)] = static_cast<char>(size >> (8 * at));
@@ -39,7 +42,7 @@
   if (colon == std::string::npos) return fault(Code::badProps, text, "an address is ip:port");
   asio::error_code error;
   auto ip = asio::ip::make_address(text.substr(0, colon), error);
-  if (error) return fault(Code::badProps, text, "the IP number is not valid");
+  if (error) return fault(Code::badProps, text, "the IP address is not valid");
   std::string port = text.substr(colon + 1);
   if (port.empty() || port.size() > 5 || port.find_first_not_of("0123456789") != std::string::npos ||
       std::stoul(port) > 65535 || std::stoul(port) == 0)
@@ -47,62 +50,65 @@
   return Address{ip.to_string(), static_cast<unsigned short>(std::stoul(port))};
 }
 
+/// An outgoing connection to one peer. Its first frame is this process's own address. After a failure the queue is
+/// discarded, and messages are dropped until a short back-off has passed.
 struct PeerTransport::Link : std::enable_shared_from_this<Link> {
   Link(PeerTransport& owner, std::string peer)
-      : hub(owner), strand(asio::make_strand(owner.io)), socket(strand), retry(strand), to(std::move(peer)) {}
-  PeerTransport& hub;
+      : transport(owner), strand(asio::make_strand(owner.io)), socket(strand), timer(strand), to(std::move(peer)) {}
+  PeerTransport& transport;
   asio::strand<asio::io_context::executor_type> strand;
   asio::ip::tcp::socket socket;
-  asio::steady_timer retry;
+  asio::steady_timer timer;
   std::string to;
   std::deque<std::string> pending;
   std::size_t pendingBytes{0};
-  bool connected{false}, connecting{false}, writing{false}, resting{false};
-  char watched{0};
+  bool connected{false}, connecting{false}, writing{false}, backingOff{false};
+  char discardedByte{0};
 
   void push(std::string frame) {
     asio::post(strand, [self = shared_from_this(), frame = std::move(frame)]() mutable {
-      if (self->pendingBytes + frame.size() > linkPendingMost || self->resting) return;
+      if (self->pendingBytes + frame.size() > maxLinkPendingBytes || self->backingOff) return;
       self->pendingBytes += frame.size();
       self->pending.push_back(std::move(frame));
-      self->go();
+      self->advance();
     });
   }
-  void fail() {
+  void disconnect() {
     asio::error_code ignored;
     socket.close(ignored);
     socket = asio::ip::tcp::socket(strand);
     connected = connecting = writing = false;
     pending.clear();
     pendingBytes = 0;
-    resting = true;
-    retry.expires_after(100ms);
-    retry.async_wait([self = shared_from_this()](asio::error_code) { self->resting = false; });
+    backingOff = true;
+    timer.expires_after(100ms);
+    timer.async_wait([self = shared_from_this()](asio::error_code) { self->backingOff = false; });
   }
-  void go() {
+  /// Connects if needed, else writes the next frame.
+  void advance() {
     if (!connected) {
       if (connecting) return;
       auto address = parseAddress(to);
       if (!address) return;
       connecting = true;
       asio::error_code error;
-      asio::ip::tcp::endpoint end(asio::ip::make_address(address.value().ip, error), address.value().port);
-      retry.expires_after(1s);
-      retry.async_wait([self = shared_from_this()](asio::error_code waitError) {
-        if (!waitError && self->connecting) self->fail();
+      asio::ip::tcp::endpoint endpoint(asio::ip::make_address(address.value().ip, error), address.value().port);
+      timer.expires_after(1s);
+      timer.async_wait([self = shared_from_this()](asio::error_code waitError) {
+        if (!waitError && self->connecting) self->disconnect();
       });
-      socket.async_connect(end, [self = shared_from_this()](asio::error_code connectError) {
+      socket.async_connect(endpoint, [self = shared_from_this()](asio::error_code connectError) {
         if (!self->connecting) return;
-        self->retry.cancel();
-        if (connectError) return self->fail();
+        self->timer.cancel();
+        if (connectError) return self->disconnect();
         self->connecting = false;
         self->connected = true;
-        tune(self->socket);
-        std::string hello = frameOf(self->hub.self);
-        self->pendingBytes += hello.size();
-        self->pending.push_front(std::move(hello));
-        self->watch();
-        self->go();
+        setTcpOptions(self->socket);
+        std::string greeting = encodeFrame(self->transport.self);
+        self->pendingBytes += greeting.size();
+        self->pending.push_front(std::move(greeting));
+        self->watchForClose();
+        self->advance();
       });
       return;
     }
@@ -111,49 +117,53 @@
     asio::async_write(socket, asio::buffer(pending.front()),
                       [self = shared_from_this()](asio::error_code error, std::size_t count) {
                         if (!self->writing) return;
-                        if (error) return self->fail();
-                        self->hub.bytesOut += count;
-                        ++self->hub.framesOut;
+                        if (error) return self->disconnect();
+                        self->transport.bytesOut += count;
+                        ++self->transport.framesOut;
                         self->writing = false;
                         self->pendingBytes -= self->pending.front().size();
                         self->pending.pop_front();
-                        self->go();
+                        self->advance();
                       });
   }
-  void watch() {
-    socket.async_read_some(asio::buffer(&watched, 1), [self = shared_from_this()](asio::error_code error, std::size_t) {
-      if (error == asio::error::operation_aborted) return;
-      self->fail();
-    });
+  /// Reads until the peer closes, to notice it at once. The peer sends nothing on this connection.
+  void watchForClose() {
+    socket.async_read_some(asio::buffer(&discardedByte, 1),
+                           [self = shared_from_this()](asio::error_code error, std::size_t) {
+                             if (error == asio::error::operation_aborted) return;
+                             self->disconnect();
+                           });
   }
 };
 
+/// A connection accepted from a peer. Its first frame must be the peer's address; the following ones are messages.
 struct PeerTransport::Inbound : std::enable_shared_from_this<Inbound> {
-  Inbound(PeerTransport& owner, asio::ip::tcp::socket accepted) : hub(owner), socket(std::move(accepted)) {
+  Inbound(PeerTransport& owner, asio::ip::tcp::socket accepted) : transport(owner), socket(std::move(accepted)) {
     ++inboundCount;
   }
   ~Inbound() { --inboundCount; }
-  PeerTransport& hub;
+  PeerTransport& transport;
   asio::ip::tcp::socket socket;
   std::string from;
-  unsigned char head[4]{};
+  unsigned char lengthBytes[4]{};
   std::string body;
 
-  void readHead() {
-    asio::async_read(socket, asio::buffer(head), [self = shared_from_this()](asio::error_code error, std::size_t) {
-      if (error) return;
-      std::size_t size = 0;
-      for (int at = 3; at >= 0; --at) size = size << 8 | self->head[at];
-      if (size > frameMost || (self->from.empty() && size > 64)) {
-        logWarning("Frame of " + std::to_string(size) + " bytes denied, link closed.");
-        return;
-      }
-      self->body.clear();
-      self->readBody(size);
-    });
+  void readLength() {
+    asio::async_read(
+        socket, asio::buffer(lengthBytes), [self = shared_from_this()](asio::error_code error, std::size_t) {
+          if (error) return;
+          std::size_t size = 0;
+          for (int at = 3; at >= 0; --at) size = size << 8 | self->lengthBytes[at];
+          if (size > maxFrameBytes || (self->from.empty() && size > 64)) {
+            logWarning("Closed an inbound link: frame of " + std::to_string(size) + " bytes exceeds the limit.");
+            return;
+          }
+          self->body.clear();
+          self->readBody(size);
+        });
   }
   void readBody(std::size_t left) {
-    if (left == 0) return whole();
+    if (left == 0) return onFrame();
     std::size_t step = std::min<std::size_t>(left, 64 * 1024);
     std::size_t start = body.size();
     body.resize(start + step);
@@ -162,40 +172,41 @@
                        if (!error) self->readBody(left - step);
                      });
   }
-  void whole() {
+  void onFrame() {
     if (from.empty()) {
       if (!parseAddress(body)) {
-        logWarning("Link without a good first frame closed.");
+        logWarning("Closed an inbound link: its first frame is not an address.");
         return;
       }
       from = body;
     } else {
       auto message = decodeMessage(body);
       if (!message) {
-        logWarning("Malformed frame from " + from + " (" + message.error().subject + "), link closed.");
+        logWarning("Closed the inbound link from " + from + ": malformed frame (" + message.error().subject + ").");
         return;
       }
-      hub.onTaken(from, std::move(message).value());
+      transport.onMessage(from, std::move(message).value());
     }
-    readHead();
+    readLength();
   }
 };
 
-PeerTransport::PeerTransport(asio::io_context& context, std::string ownAddress, Taken taken, std::string listenAt)
+PeerTransport::PeerTransport(asio::io_context& context, std::string ownAddress, MessageHandler handler,
+                             std::string listenOn)
     : io(context),
       self(std::move(ownAddress)),
-      listenAddress(listenAt.empty() ? self : std::move(listenAt)),
-      onTaken(std::move(taken)),
+      listenAddress(listenOn.empty() ? self : std::move(listenOn)),
+      onMessage(std::move(handler)),
       acceptor(context) {}
 
 Result<void> PeerTransport::listen() {
   auto address = parseAddress(listenAddress);
   if (!address) return address.error();
   asio::error_code error;
-  asio::ip::tcp::endpoint end(asio::ip::make_address(address.value().ip, error), address.value().port);
-  acceptor.open(end.protocol(), error);
+  asio::ip::tcp::endpoint endpoint(asio::ip::make_address(address.value().ip, error), address.value().port);
+  acceptor.open(endpoint.protocol(), error);
   if (!error) acceptor.set_option(asio::socket_base::reuse_address(true), error);
-  if (!error) acceptor.bind(end, error);
+  if (!error) acceptor.bind(endpoint, error);
   if (!error) acceptor.listen(128, error);
   if (error)
     return fault(Code::badProps, listenAddress == self ? "address" : "listen", listenAddress + ": " + error.message());
@@ -207,8 +218,8 @@
   acceptor.async_accept(asio::make_strand(io), [this](asio::error_code error, asio::ip::tcp::socket socket) {
     if (error == asio::error::operation_aborted) return;
     if (!error) {
-      tune(socket);
-      if (inboundCount < inboundMost) std::make_shared<Inbound>(*this, std::move(socket))->readHead();
+      setTcpOptions(socket);
+      if (inboundCount < maxInboundConnections) std::make_shared<Inbound>(*this, std::move(socket))->readLength();
     }
     accept();
   });
@@ -218,11 +229,11 @@
   std::shared_ptr<Link> link;
   {
     std::lock_guard<std::mutex> guard(linksLock);
-    auto& row = links[to];
-    if (!row) row = std::make_shared<Link>(*this, to);
-    link = row;
+    auto& entry = links[to];
+    if (!entry) entry = std::make_shared<Link>(*this, to);
+    link = entry;
   }
-  link->push(frameOf(encodeMessage(message)));
+  link->push(encodeFrame(encodeMessage(message)));
 }
 
 void PeerTransport::stop() {
@@ -230,13 +241,13 @@
   acceptor.close(ignored);
 }
 
-NodeHost::NodeHost(Node& hostedNode, asio::io_context& context, Duration tickEvery)
-    : node(hostedNode), timer(context), every(tickEvery), randomSource(std::random_device{}()) {}
+NodeHost::NodeHost(Node& hostedNode, asio::io_context& context, Duration interval)
+    : node(hostedNode), timer(context), tickInterval(interval), randomSource(std::random_device{}()) {}
 
 NodeHost::~NodeHost() { stop(); }
 
 void NodeHost::start() {
-  if (ring) diskThread = std::thread([this] { runDisk(); });
+  if (ring) diskThread = std::thread([this] { runDiskThread(); });
   tick();
 }
 
@@ -246,16 +257,16 @@
     if (stopping) return;
     stopping = true;
   }
-  diskWake.notify_all();
+  diskCondition.notify_all();
   if (diskThread.joinable()) diskThread.join();
 }
 
 void NodeHost::tick() {
   with([this](Effects& effects) {
-    if (reportSyncWait) reportSyncWait(diskWait());
+    if (reportSyncWait) reportSyncWait(unsyncedDuration());
     node.tick(effects);
   });
-  timer.expires_after(every);
+  timer.expires_after(tickInterval);
   timer.async_wait([this](asio::error_code error) {
     if (!error) tick();
   });
@@ -269,33 +280,33 @@
   std::lock_guard<std::recursive_mutex> guard(lock);
   Effects effects{Clock::now(), randomSource, node.journal, {}, {}};
   action(effects);
-  finish(effects);
+  applyEffects(effects);
 }
 
-void NodeHost::finish(Effects& effects) {
+void NodeHost::applyEffects(Effects& effects) {
   if (!effects.saves.empty()) {
     std::lock_guard<std::mutex> guard(diskLock);
-    if (saves.empty() && oldestSave == TimePoint{}) oldestSave = Clock::now();
+    if (saves.empty() && oldestSaveAt == TimePoint{}) oldestSaveAt = Clock::now();
     for (auto& save : effects.saves) saves.push_back(std::move(save));
-    diskWake.notify_one();
+    diskCondition.notify_one();
   }
   for (auto& [to, message] : effects.sends) sendMessage(to, std::move(message));
 }
 
-Duration NodeHost::diskWait() const {
+Duration NodeHost::unsyncedDuration() const {
   std::lock_guard<std::mutex> guard(diskLock);
-  return oldestSave == TimePoint{} ? Duration(0) : Clock::now() - oldestSave;
+  return oldestSaveAt == TimePoint{} ? Duration(0) : Clock::now() - oldestSaveAt;
 }
 
-void NodeHost::runDisk() {
+void NodeHost::runDiskThread() {
   while (true) {
     std::vector<Effects::Save> batch;
     {
       std::unique_lock<std::mutex> guard(diskLock);
-      diskWake.wait(guard, [this] { return stopping || !saves.empty(); });
+      diskCondition.wait(guard, [this] { return stopping || !saves.empty(); });
       if (saves.empty()) return;
       batch.swap(saves);
-      oldestSave = Clock::now();
+      oldestSaveAt = Clock::now();
     }
     std::vector<Record> records;
     for (const auto& save : batch) records.push_back(save.record);
@@ -306,7 +317,7 @@
     }
     {
       std::lock_guard<std::mutex> guard(diskLock);
-      oldestSave = saves.empty() ? TimePoint{} : Clock::now();
+      oldestSaveAt = saves.empty() ? TimePoint{} : Clock::now();
     }
     with([&](Effects& effects) {
       for (auto& save : batch)
--- a/src/net/host.hpp
+++ b/src/net/host.hpp
@@ -13,23 +13,28 @@
 
 namespace tt {
 
+/// An IP address in text form and a port.
 struct Address {
   std::string ip;
   unsigned short port{0};
 };
-/// Reads "ip:port"; names are not looked up.
+/// Parses "ip:port". Host names are not resolved. Fails with badProps.
 Result<Address> parseAddress(const std::string& text);
 
-/// Frames between own processes over TCP. Sending never waits: what a link cannot take is dropped, as on a bad network,
-/// and the logic above repeats itself where it must.
+/// Sends messages between the fleet's own processes as length-prefixed frames over TCP. Sending never blocks: messages
+/// that a link cannot take are dropped, as on a lossy network, and the nodes repeat what must arrive.
 class PeerTransport {
  public:
-  using Taken = std::function<void(const std::string& from, Message message)>;
-  /// Others know this process by its own address; it may listen at another, where something stands in between.
-  PeerTransport(asio::io_context& context, std::string ownAddress, Taken taken, std::string listenAt = {});
+  using MessageHandler = std::function<void(const std::string& from, Message message)>;
+  /// Peers know this process by ownAddress. It may listen on another address, to which connections are forwarded.
+  PeerTransport(asio::io_context& context, std::string ownAddress, MessageHandler handler, std::string listenOn = {});
+  /// Binds the address and accepts connections of peers.
   Result<void> listen();
+  /// Queues a message for a peer and connects to it if needed. Thread-safe.
   void send(const std::string& to, const Message& message);
+  /// Stops accepting connections.
   void stop();
+  /// Bytes and frames sent so far.
   std::atomic<std::uint64_t> bytesOut{0}, framesOut{0};
 
  private:
@@ -37,51 +42,57 @@
   struct Inbound;
   asio::io_context& io;
   std::string self, listenAddress;
-  Taken onTaken;
+  MessageHandler onMessage;
   asio::ip::tcp::acceptor acceptor;
   std::mutex linksLock;
   std::map<std::string, std::shared_ptr<Link>> links;
   void accept();
 };
 
-/// Runs one piece of logic in a real process: a lock around it, a tick, and hands that carry out what it asks for.
-/// Lock order: logic, then journal views, then hub links, then open exchanges. Nothing is called back under a later
-/// lock.
+/// Runs one Node in a process: serializes access to it by a lock, calls its tick periodically, and carries out the
+/// effects of its handlers (messages to send, records to persist).
+/// Lock order: node, journal views, PeerTransport links, open exchanges. No callback is made while one of the later
+/// locks is held.
 class NodeHost {
  public:
-  using Carry = std::function<void(const std::string& to, Message&& message)>;
-  NodeHost(Node& hostedNode, asio::io_context& context, Duration tickEvery);
+  using MessageSender = std::function<void(const std::string& to, Message&& message)>;
+  /// The node's tick is called once per interval.
+  NodeHost(Node& hostedNode, asio::io_context& context, Duration interval);
   ~NodeHost();
-  /// Carries out what the logic sends; set before start.
-  Carry sendMessage;
-  /// Writes records and tells the logic when they are synced; set before start by processes with a disk.
+  /// Sends a message of the node. Set before start().
+  MessageSender sendMessage;
+  /// Where records are persisted; the node is informed once they are synced. Set before start() by processes with a
+  /// disk, else null.
   Ring* ring{nullptr};
   void start();
   void stop();
+  /// Passes a message from a peer to the node.
   void handle(const std::string& from, const Message& message);
-  /// Does something with the logic under its lock.
+  /// Runs an action on the node under its lock and carries out the effects.
   void with(const std::function<void(Effects&)>& action);
-  /// How long the oldest unsynced write has waited.
-  Duration diskWait() const;
+  /// How long the oldest record that is not yet synced has been waiting.
+  Duration unsyncedDuration() const;
+  /// Called before each tick with unsyncedDuration().
   std::function<void(Duration)> reportSyncWait;
-  /// Called if the ring fails for good.
+  /// Called on the disk thread if the ring cannot be written; the thread then ends.
   std::function<void(const Error&)> onDiskFailure;
 
  private:
   Node& node;
   asio::steady_timer timer;
-  Duration every;
+  Duration tickInterval;
   std::recursive_mutex lock;
   std::mt19937_64 randomSource;
   std::thread diskThread;
   mutable std::mutex diskLock;
-  std::condition_variable diskWake;
+  std::condition_variable diskCondition;
+  /// Records waiting for the disk thread.
   std::vector<Effects::Save> saves;
-  TimePoint oldestSave{};
+  TimePoint oldestSaveAt{};
   bool stopping{false};
   void tick();
-  void finish(Effects& effects);
-  void runDisk();
+  void applyEffects(Effects& effects);
+  void runDiskThread();
 };
 
 }  // namespace tt
--- a/src/net/http.hpp
+++ b/src/net/http.hpp
@@ -6,19 +6,21 @@
 
 namespace tt {
 
-/// Header fields in order, with their spelling.
+/// Header fields (name, value) in their order on the wire, names in their original case.
 using HttpHeaders = std::vector<std::pair<std::string, std::string>>;
 
-/// Whether two names are the same but for the case of ASCII letters.
-inline bool equalIgnoringCase(std::string_view one, std::string_view other) {
-  auto lower = [](char letter) { return letter >= 'A' && letter <= 'Z' ? static_cast<char>(letter + 32) : letter; };
-  if (one.size() != other.size()) return false;
-  for (std::size_t at = 0; at < one.size(); ++at)
-    if (lower(one[at]) != lower(other[at])) return false;
+/// Compares two header names, ignoring the case of ASCII letters.
+inline bool equalIgnoringCase(std::string_view left, std::string_view right) {
+  auto lower = [](char character) {
+    return character >= 'A' && character <= 'Z' ? static_cast<char>(character + 32) : character;
+  };
+  if (left.size() != right.size()) return false;
+  for (std::size_t index = 0; index < left.size(); ++index)
+    if (lower(left[index]) != lower(right[index])) return false;
   return true;
 }
 
-/// The first value under a name, or null.
+/// Returns the first value of a header, or null if there is none.
 inline const std::string* findHeader(const HttpHeaders& headers, std::string_view name) {
   for (const auto& [key, value] : headers)
     if (equalIgnoringCase(key, name)) return &value;
--- a/src/net/http_syntax.cpp
+++ b/src/net/http_syntax.cpp
@@ -3,7 +3,7 @@
 namespace tt {
 namespace {
 
-constexpr std::size_t longestNumber = 18, longestChunkSize = 16;
+constexpr std::size_t maxDecimalDigits = 18, maxChunkSizeDigits = 16;
 
 bool isTokenByte(unsigned char byte) {
   if ((byte >= '0' && byte <= '9') || (byte >= 'a' && byte <= 'z') || (byte >= 'A' && byte <= 'Z')) return true;
@@ -12,8 +12,8 @@
 
 bool isRequestTarget(std::string_view target) {
   if (target.empty() || target.front() != '/') return false;
-  for (char letter : target)
-    if (letter <= ' ' || letter > '~' || letter == '#') return false;
+  for (char character : target)
+    if (character <= ' ' || character > '~' || character == '#') return false;
   return true;
 }
 
@@ -26,30 +26,30 @@
   return isRequestTarget(target) && (version == "HTTP/1.1" || version == "HTTP/1.0");
 }
 
-std::optional<unsigned> hexDigit(char letter) {
-  if (letter >= '0' && letter <= '9') return static_cast<unsigned>(letter - '0');
-  if (letter >= 'a' && letter <= 'f') return static_cast<unsigned>(letter - 'a' + 10);
-  if (letter >= 'A' && letter <= 'F') return static_cast<unsigned>(letter - 'A' + 10);
+std::optional<unsigned> hexDigit(char character) {
+  if (character >= '0' && character <= '9') return static_cast<unsigned>(character - '0');
+  if (character >= 'a' && character <= 'f') return static_cast<unsigned>(character - 'a' + 10);
+  if (character >= 'A' && character <= 'F') return static_cast<unsigned>(character - 'A' + 10);
   return std::nullopt;
 }
 
 }  // namespace
 
 bool isToken(std::string_view text) {
-  for (char letter : text)
-    if (!isTokenByte(static_cast<unsigned char>(letter))) return false;
+  for (char character : text)
+    if (!isTokenByte(static_cast<unsigned char>(character))) return false;
   return !text.empty();
 }
 
 bool isControl(unsigned char byte) { return (byte < 0x20 && byte != '\t') || byte == 0x7f; }
 
-bool hasControl(std::string_view text) {
-  for (char letter : text)
-    if (isControl(static_cast<unsigned char>(letter))) return true;
+bool containsControl(std::string_view text) {
+  for (char character : text)
+    if (isControl(static_cast<unsigned char>(character))) return true;
   return false;
 }
 
-std::string_view trimmed(std::string_view text) {
+std::string_view trimWhitespace(std::string_view text) {
   while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
   while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
   return text;
@@ -57,7 +57,7 @@
 
 bool isFieldLine(std::string_view line) {
   auto colon = line.find(':');
-  return colon != std::string_view::npos && isToken(line.substr(0, colon)) && !hasControl(line.substr(colon + 1));
+  return colon != std::string_view::npos && isToken(line.substr(0, colon)) && !containsControl(line.substr(colon + 1));
 }
 
 bool isRequestHead(std::string_view head) {
@@ -69,23 +69,24 @@
 }
 
 bool isHost(std::string_view host) {
-  for (char letter : host)
-    if (letter <= ' ' || letter > '~' || std::string_view(",/\\@?#<>\"").find(letter) != std::string_view::npos)
+  for (char character : host)
+    if (character <= ' ' || character > '~' ||
+        std::string_view(",/\\@?#<>\"").find(character) != std::string_view::npos)
       return false;
   return true;
 }
 
-std::optional<std::uint64_t> readDigits(std::string_view text) {
-  if (text.empty() || text.size() > longestNumber) return std::nullopt;
+std::optional<std::uint64_t> parseDecimal(std::string_view text) {
+  if (text.empty() || text.size() > maxDecimalDigits) return std::nullopt;
   std::uint64_t number = 0;
-  for (char letter : text) {
-    if (letter < '0' || letter > '9') return std::nullopt;
-    number = number * 10 + static_cast<std::uint64_t>(letter - '0');
+  for (char character : text) {
+    if (character < '0' || character > '9') return std::nullopt;
+    number = number * 10 + static_cast<std::uint64_t>(character - '0');
   }
   return number;
 }
 
-std::optional<std::uint64_t> readChunkSize(std::string_view line) {
+std::optional<std::uint64_t> parseChunkSize(std::string_view line) {
   std::uint64_t size = 0;
   std::size_t digits = 0;
   for (; digits < line.size(); ++digits) {
@@ -93,8 +94,8 @@
     if (!value) break;
     size = size << 4 | *value;
   }
-  if (digits == 0 || digits > longestChunkSize) return std::nullopt;
-  if (digits < line.size() && (line[digits] != ';' || hasControl(line.substr(digits)))) return std::nullopt;
+  if (digits == 0 || digits > maxChunkSizeDigits) return std::nullopt;
+  if (digits < line.size() && (line[digits] != ';' || containsControl(line.substr(digits)))) return std::nullopt;
   return size;
 }
 
--- a/src/net/http_syntax.hpp
+++ b/src/net/http_syntax.hpp
@@ -5,24 +5,26 @@
 
 namespace tt {
 
-/// The grammar of HTTP/1.1 messages, as strict as a server must be whose requests others read again: what two parsers
-/// could read differently is refused.
+/// Grammar of HTTP/1.1 messages. It is strict, because requests are forwarded and parsed again by workers: anything
+/// that two parsers could interpret differently (request smuggling) is not accepted.
 
+/// Whether a text is a token as of RFC 9110, such as a method or a header name.
 bool isToken(std::string_view text);
-/// Whether a byte may not stand in a head, besides the ends of its lines.
+/// Whether a byte is a control character, which may not occur in a head outside line ends. A tab is allowed.
 bool isControl(unsigned char byte);
-bool hasControl(std::string_view text);
-/// A text without the spaces and tabs around it.
-std::string_view trimmed(std::string_view text);
-/// Whether a line is a header field or trailer field, without its line end.
+bool containsControl(std::string_view text);
+/// Strips leading and trailing spaces and tabs.
+std::string_view trimWhitespace(std::string_view text);
+/// Whether a line, without its line end, is a valid header or trailer field.
 bool isFieldLine(std::string_view line);
-/// Whether a head, up to and with its empty line, has the lines that HTTP/1.1 asks for and nothing that parsers read
-/// differently.
+/// Whether a request head, including the empty line at its end, consists of a valid request line with an absolute path
+/// and valid header fields.
 bool isRequestHead(std::string_view head);
+/// Whether a value of the Host header is acceptable.
 bool isHost(std::string_view host);
-/// A decimal number of at most 18 digits.
-std::optional<std::uint64_t> readDigits(std::string_view text);
-/// The size at the start of a chunk's line; extensions after a semicolon are left alone.
-std::optional<std::uint64_t> readChunkSize(std::string_view line);
+/// Parses a decimal number of at most 18 digits, which cannot overflow.
+std::optional<std::uint64_t> parseDecimal(std::string_view text);
+/// Parses the hexadecimal size at the start of a chunk's size line. Extensions after a semicolon are ignored.
+std::optional<std::uint64_t> parseChunkSize(std::string_view line);
 
 }  // namespace tt
--- a/src/net/operator_drain.cpp
+++ b/src/net/operator_drain.cpp
@@ -4,44 +4,44 @@
 
 namespace tt {
 namespace {
-constexpr Duration stepEvery = 300ms;
-/// How long the last answers have to leave the process.
-constexpr Duration lastAnswers = 100ms;
+constexpr Duration pollInterval = 300ms;
+/// Time for the last responses to be sent before the process exits.
+constexpr Duration flushDelay = 100ms;
 }  // namespace
 
-OperatorDrain::OperatorDrain(asio::io_context& context, PendingResponses& openAnswers, Hands drainHands)
-    : answers(openAnswers), hands(std::move(drainHands)), timer(context) {}
+OperatorDrain::OperatorDrain(asio::io_context& context, PendingResponses& pending, Callbacks drainCallbacks)
+    : pendingResponses(pending), callbacks(std::move(drainCallbacks)), timer(context) {}
 
 void OperatorDrain::start(TimePoint exitsBy) {
   if (hasStarted()) return;
   phase = Phase::waiting;
-  endsBy = exitsBy - lastAnswers;
+  endsBy = exitsBy - flushDelay;
   wait();
 }
 
 void OperatorDrain::wait() {
-  timer.expires_after(std::min<Duration>(stepEvery, std::max<Duration>(endsBy - Clock::now(), 1ms)));
+  timer.expires_after(std::min<Duration>(pollInterval, std::max<Duration>(endsBy - Clock::now(), 1ms)));
   timer.async_wait([this](asio::error_code error) {
     if (!error) step();
   });
 }
 
 void OperatorDrain::step() {
-  bool isSettled = answers.count() == 0 && hands.safeToStop();
-  if (!isSettled && Clock::now() < endsBy) return wait();
-  phase = Phase::refusing;
-  refuseAll();
-  timer.expires_after(lastAnswers);
+  bool canEnd = pendingResponses.count() == 0 && callbacks.safeToStop();
+  if (!canEnd && Clock::now() < endsBy) return wait();
+  phase = Phase::rejecting;
+  rejectAll();
+  timer.expires_after(flushDelay);
   timer.async_wait([this](asio::error_code error) {
-    if (!error) hands.ended();
+    if (!error) callbacks.onEnded();
   });
 }
 
-void OperatorDrain::refuseAll() {
-  auto waiting = answers.removeAll();
-  logInfo("Ending with " + std::to_string(waiting.size()) + " calls of operators refused, copies " +
-          (hands.safeToStop() ? "enough." : "too few."));
-  for (const auto& answer : waiting) hands.refuse(*answer);
+void OperatorDrain::rejectAll() {
+  auto waiting = pendingResponses.removeAll();
+  logInfo("Shutting down: rejecting " + std::to_string(waiting.size()) + " pending operator requests; " +
+          (callbacks.safeToStop() ? "safe to stop." : "not all records are on enough disks."));
+  for (const auto& response : waiting) callbacks.reject(*response);
 }
 
 }  // namespace tt
--- a/src/net/operator_drain.hpp
+++ b/src/net/operator_drain.hpp
@@ -3,35 +3,36 @@
 
 namespace tt {
 
-/// Ends a process that serves operators in order: it waits until nobody waits for an answer and what it holds may go
-/// with it, at most until its time is over; then whoever still waits is refused, and the answers have time to leave.
-/// All on the context's one thread.
+/// Orderly shutdown of a process that serves operators. It waits until no request is pending and the process is safe to
+/// stop, but no longer than its deadline. Then it rejects the requests still pending and leaves time for the last
+/// responses to be sent. Runs on the io_context's single thread.
 class OperatorDrain {
  public:
-  struct Hands {
-    /// Whether the process may end for what it holds, such as records that others do not have yet.
+  struct Callbacks {
+    /// Whether the process can stop without loss, for instance of records that no other process has yet.
     std::function<bool()> safeToStop;
-    /// Answers one who would otherwise be left without an answer.
-    std::function<void(WebResponse& answer)> refuse;
-    /// Called once, at the end; the process may then exit.
-    std::function<void()> ended;
+    /// Answers a pending request with a rejection.
+    std::function<void(WebResponse& response)> reject;
+    /// Called once at the end; the process may then exit.
+    std::function<void()> onEnded;
   };
-  OperatorDrain(asio::io_context& context, PendingResponses& openAnswers, Hands drainHands);
+  OperatorDrain(asio::io_context& context, PendingResponses& pending, Callbacks drainCallbacks);
+  /// Starts the shutdown, which ends by the given time at the latest. Further calls do nothing.
   void start(TimePoint exitsBy);
   bool hasStarted() const { return phase != Phase::serving; }
-  /// Whether calls that come now are to be refused at once.
-  bool refuses() const { return phase == Phase::refusing; }
+  /// Whether new requests must be rejected at once.
+  bool refuses() const { return phase == Phase::rejecting; }
 
  private:
-  enum class Phase { serving, waiting, refusing };
-  PendingResponses& answers;
-  Hands hands;
+  enum class Phase { serving, waiting, rejecting };
+  PendingResponses& pendingResponses;
+  Callbacks callbacks;
   asio::steady_timer timer;
   Phase phase{Phase::serving};
   TimePoint endsBy{};
   void wait();
   void step();
-  void refuseAll();
+  void rejectAll();
 };
 
 }  // namespace tt
--- a/src/net/process.cpp
+++ b/src/net/process.cpp
@@ -7,85 +7,86 @@
 
 namespace tt {
 
-Settings::Settings(std::string programName, std::string about)
-    : app(about, programName), program(std::move(programName)) {
+Settings::Settings(std::string programName, std::string description)
+    : app(description, programName), program(std::move(programName)) {
   app.set_version_flag("--version", program + " " TROUTTALLY_VERSION);
   app.add_option("--props", file, "JSON file with this program's props");
-  app.add_flag("--check", checkOnly, "Check the props, say what is wrong, and end");
+  app.add_flag("--check", checkOnly, "Check the props, print what is wrong, and exit");
 }
 
-Settings::Row& Settings::add(const std::string& key, const std::string& about) {
-  rows.push_back(std::make_unique<Row>());
-  auto& row = *rows.back();
-  row.key = key;
-  row.about = about;
-  row.option = app.add_option("--" + key, row.given, about);
-  return row;
+Settings::Setting& Settings::add(const std::string& key, const std::string& description) {
+  settings.push_back(std::make_unique<Setting>());
+  auto& setting = *settings.back();
+  setting.key = key;
+  setting.description = description;
+  setting.option = app.add_option("--" + key, setting.rawValue, description);
+  return setting;
 }
-Settings& Settings::text(const std::string& key, std::string* value, const std::string& about, bool needed) {
-  auto& row = add(key, about);
-  row.text = value;
-  row.needed = needed;
+Settings& Settings::text(const std::string& key, std::string* value, const std::string& description, bool required) {
+  auto& setting = add(key, description);
+  setting.text = value;
+  setting.required = required;
   return *this;
 }
-Settings& Settings::address(const std::string& key, std::string* value, const std::string& about, bool needed) {
-  auto& row = add(key, about);
-  row.text = value;
-  row.needed = needed;
-  row.isAddress = true;
+Settings& Settings::address(const std::string& key, std::string* value, const std::string& description, bool required) {
+  auto& setting = add(key, description);
+  setting.text = value;
+  setting.required = required;
+  setting.isAddress = true;
   return *this;
 }
-Settings& Settings::addresses(const std::string& key, std::vector<std::string>* value, const std::string& about) {
-  auto& row = add(key, about + " (commas between)");
-  row.texts = value;
-  row.isAddress = true;
+Settings& Settings::addresses(const std::string& key, std::vector<std::string>* value, const std::string& description) {
+  auto& setting = add(key, description + " (comma-separated)");
+  setting.texts = value;
+  setting.isAddress = true;
   return *this;
 }
-Settings& Settings::texts(const std::string& key, std::vector<std::string>* value, const std::string& about) {
-  add(key, about + " (commas between)").texts = value;
+Settings& Settings::texts(const std::string& key, std::vector<std::string>* value, const std::string& description) {
+  add(key, description + " (comma-separated)").texts = value;
   return *this;
 }
-Settings& Settings::number(const std::string& key, double* value, double least, double most, const std::string& about) {
-  auto& row = add(key, about);
-  row.number = value;
-  row.least = least;
-  row.most = most;
+Settings& Settings::number(const std::string& key, double* value, double minValue, double maxValue,
+                           const std::string& description) {
+  auto& setting = add(key, description);
+  setting.number = value;
+  setting.minValue = minValue;
+  setting.maxValue = maxValue;
   return *this;
 }
-Settings& Settings::flag(const std::string& key, bool* value, const std::string& about) {
-  add(key, about + " (true or false)").flag = value;
+Settings& Settings::flag(const std::string& key, bool* value, const std::string& description) {
+  add(key, description + " (true or false)").flag = value;
   return *this;
 }
 
-Result<void> Settings::set(Row& row, const Json& value) {
-  auto wrong = [&](const std::string& reason) { return fault(Code::badProps, row.key, reason); };
-  if (row.text) {
-    if (!value.is<std::string>()) return wrong("must be a text");
-    *row.text = value.get<std::string>();
-    if (row.isAddress && !row.text->empty())
-      if (auto read = parseAddress(*row.text); !read) return wrong(*row.text + ": " + read.error().text);
-  } else if (row.texts) {
-    if (!value.is<JsonArray>()) return wrong("must be a list of texts");
-    row.texts->clear();
+Result<void> Settings::set(Setting& setting, const Json& value) {
+  auto invalid = [&](const std::string& reason) { return fault(Code::badProps, setting.key, reason); };
+  if (setting.text) {
+    if (!value.is<std::string>()) return invalid("must be a string");
+    *setting.text = value.get<std::string>();
+    if (setting.isAddress && !setting.text->empty())
+      if (auto read = parseAddress(*setting.text); !read) return invalid(*setting.text + ": " + read.error().text);
+  } else if (setting.texts) {
+    if (!value.is<JsonArray>()) return invalid("must be a list of strings");
+    setting.texts->clear();
     for (const auto& item : value.get<JsonArray>()) {
-      if (!item.is<std::string>()) return wrong("must be a list of texts");
-      row.texts->push_back(item.get<std::string>());
-      if (row.isAddress)
-        if (auto read = parseAddress(row.texts->back()); !read)
-          return wrong(row.texts->back() + ": " + read.error().text);
+      if (!item.is<std::string>()) return invalid("must be a list of strings");
+      setting.texts->push_back(item.get<std::string>());
+      if (setting.isAddress)
+        if (auto read = parseAddress(setting.texts->back()); !read)
+          return invalid(setting.texts->back() + ": " + read.error().text);
     }
-  } else if (row.number) {
-    if (!value.is<double>()) return wrong("must be a number");
+  } else if (setting.number) {
+    if (!value.is<double>()) return invalid("must be a number");
     double number = value.get<double>();
-    if (number < row.least || number > row.most) {
+    if (number < setting.minValue || number > setting.maxValue) {
       std::ostringstream bounds;
-      bounds << "must be from " << row.least << " to " << row.most;
-      return wrong(bounds.str());
+      bounds << "must be from " << setting.minValue << " to " << setting.maxValue;
+      return invalid(bounds.str());
     }
-    *row.number = number;
-  } else if (row.flag) {
-    if (!value.is<bool>()) return wrong("must be true or false");
-    *row.flag = value.get<bool>();
+    *setting.number = number;
+  } else if (setting.flag) {
+    if (!value.is<bool>()) return invalid("must be true or false");
+    *setting.flag = value.get<bool>();
   }
   return boost::outcome_v2::success();
 }
@@ -99,42 +100,44 @@
   if (!read) return fault(Code::badProps, "props", file + ": " + read.error().text);
   if (!read.value().is<JsonObject>()) return fault(Code::badProps, "props", file + ": must be an object");
   for (const auto& [key, value] : read.value().get<JsonObject>()) {
-    Row* found = nullptr;
-    for (auto& row : rows)
-      if (row->key == key) found = row.get();
+    Setting* found = nullptr;
+    for (auto& setting : settings)
+      if (setting->key == key) found = setting.get();
     if (!found) return fault(Code::badProps, key, "not a known key of " + program);
     if (auto done = set(*found, value); !done) return done.error();
   }
   return boost::outcome_v2::success();
 }
 
-std::optional<int> Settings::read(int count, char** words) {
+std::optional<int> Settings::read(int count, char** arguments) {
   try {
-    app.parse(count, words);
-  } catch (const CLI::ParseError& thrown) {
-    int code = app.exit(thrown);
+    app.parse(count, arguments);
+  } catch (const CLI::ParseError& exception) {
+    int code = app.exit(exception);
     return code == 0 ? 0 : 2;
   }
   if (!file.empty())
     if (auto done = readFile(); !done) return reportStartFailure(done.error());
-  for (auto& row : rows) {
-    if (row->option->count() == 0) continue;
-    Json value(row->given);
-    if (row->texts) {
+  for (auto& setting : settings) {
+    if (setting->option->count() == 0) continue;
+    Json value(setting->rawValue);
+    if (setting->texts) {
       JsonArray items;
-      std::stringstream list(row->given);
+      std::stringstream list(setting->rawValue);
       for (std::string item; std::getline(list, item, ',');) items.push_back(Json(item));
       value = Json(items);
-    } else if (row->number || row->flag) {
-      auto read = parseJson(row->given);
-      if (!read) return reportStartFailure(fault(Code::badProps, row->key, "'" + row->given + "' cannot be read"));
+    } else if (setting->number || setting->flag) {
+      auto read = parseJson(setting->rawValue);
+      if (!read)
+        return reportStartFailure(
+            fault(Code::badProps, setting->key, "'" + setting->rawValue + "' is not a valid value"));
       value = read.value();
     }
-    if (auto done = set(*row, value); !done) return reportStartFailure(done.error());
+    if (auto done = set(*setting, value); !done) return reportStartFailure(done.error());
   }
-  for (const auto& row : rows)
-    if (row->needed && row->text && row->text->empty())
-      return reportStartFailure(fault(Code::badProps, row->key, "must be given"));
+  for (const auto& setting : settings)
+    if (setting->required && setting->text && setting->text->empty())
+      return reportStartFailure(fault(Code::badProps, setting->key, "must be given"));
   if (checkOnly) {
     std::cout << "props are good\n";
     return 0;
@@ -142,19 +145,20 @@
   return std::nullopt;
 }
 
-int reportStartFailure(const Error& fault) {
-  std::cerr << "error " << static_cast<int>(fault.code) << " " << codeName(fault.code) << ": " << fault.subject << ": "
-            << fault.text << "\n";
+int reportStartFailure(const Error& error) {
+  std::cerr << "error " << static_cast<int>(error.code) << " " << codeName(error.code) << ": " << error.subject << ": "
+            << error.text << "\n";
   return 2;
 }
 
-int reportDiskFailure(const Error& fault) {
-  logWarning("Disk failed (" + fault.subject + ": " + fault.text + "), ending.");
+int reportDiskFailure(const Error& error) {
+  logWarning("Disk failure (" + error.subject + ": " + error.text + "); exiting.");
   return 3;
 }
 
 void reportRingDamage(Journal& journal, const Error& damage) {
-  logWarning("Ring damaged (" + damage.subject + ": " + damage.text + "), starting empty under a new id.");
+  logWarning("Ring log damaged (" + damage.subject + ": " + damage.text +
+             "); starting with an empty one under a new id.");
   journal.append(Clock::now(), "ring damaged", damage.subject);
 }
 
@@ -163,7 +167,7 @@
   asio::signal_set signals(context, SIGTERM, SIGINT);
   signals.async_wait([&](asio::error_code error, int) {
     if (error) return;
-    logInfo("Told to stop.");
+    logInfo("Received a stop signal.");
     std::thread([&] {
       stopping();
       context.stop();
--- a/src/net/process.hpp
+++ b/src/net/process.hpp
@@ -8,48 +8,56 @@
 
 namespace tt {
 
-/// A program's settings: a JSON file, with flags laid over it. Every trouble is kept, with the key it is about.
+/// A program's settings: read from a JSON file, overridden by command-line flags. Each method below declares one key,
+/// which is also the name of a flag; the variable it points to keeps its value as the default.
 class Settings {
  public:
-  Settings(std::string programName, std::string about);
-  Settings& text(const std::string& key, std::string* value, const std::string& about, bool needed = false);
-  Settings& address(const std::string& key, std::string* value, const std::string& about, bool needed = true);
-  Settings& addresses(const std::string& key, std::vector<std::string>* value, const std::string& about);
-  Settings& texts(const std::string& key, std::vector<std::string>* value, const std::string& about);
-  Settings& number(const std::string& key, double* value, double least, double most, const std::string& about);
-  Settings& flag(const std::string& key, bool* value, const std::string& about);
-  /// Reads command line and file. Returns an exit code if the program should end now.
-  std::optional<int> read(int count, char** words);
+  Settings(std::string programName, std::string description);
+  /// A string. A required one must not be empty.
+  Settings& text(const std::string& key, std::string* value, const std::string& description, bool required = false);
+  /// An "ip:port", or a list of them.
+  Settings& address(const std::string& key, std::string* value, const std::string& description, bool required = true);
+  Settings& addresses(const std::string& key, std::vector<std::string>* value, const std::string& description);
+  Settings& texts(const std::string& key, std::vector<std::string>* value, const std::string& description);
+  /// A number between minValue and maxValue.
+  Settings& number(const std::string& key, double* value, double minValue, double maxValue,
+                   const std::string& description);
+  Settings& flag(const std::string& key, bool* value, const std::string& description);
+  /// Reads the command line and the settings file. Returns an exit code if the program is to end now: 2 after an error,
+  /// which names the key it is about, and 0 after --help, --version or --check.
+  std::optional<int> read(int count, char** arguments);
   CLI::App app;
 
  private:
-  struct Row {
-    std::string key, about;
-    bool needed{false}, isAddress{false};
+  struct Setting {
+    std::string key, description;
+    bool required{false}, isAddress{false};
     std::string* text{nullptr};
     std::vector<std::string>* texts{nullptr};
     double* number{nullptr};
     bool* flag{nullptr};
-    double least{0}, most{0};
+    double minValue{0}, maxValue{0};
     CLI::Option* option{nullptr};
-    std::string given;
+    std::string rawValue;
   };
   std::string program;
-  std::vector<std::unique_ptr<Row>> rows;
+  std::vector<std::unique_ptr<Setting>> settings;
   std::string file;
   bool checkOnly{false};
-  Row& add(const std::string& key, const std::string& about);
+  Setting& add(const std::string& key, const std::string& description);
   Result<void> readFile();
-  Result<void> set(Row& row, const Json& value);
+  Result<void> set(Setting& setting, const Json& value);
 };
 
-/// Runs a pool of threads until the process is told to stop; then calls stopping and returns.
+/// Runs the io_context on a pool of threads until SIGTERM or SIGINT; then calls stopping, stops the io_context and
+/// returns.
 void runThreadPool(asio::io_context& context, std::size_t threads, const std::function<void()>& stopping);
-/// Ends the program with exit code 2 after saying what is wrong.
-int reportStartFailure(const Error& fault);
-/// Says that the disk cannot be read or written, and gives the exit code for it: 3. Nothing on the disk is given up.
-int reportDiskFailure(const Error& fault);
-/// Says that a ring was emptied for its damage, and counts it.
+/// Prints an error that prevents the start, and returns the exit code for it: 2.
+int reportStartFailure(const Error& error);
+/// Logs that the disk cannot be read or written, and returns the exit code for it: 3. Data on the disk is left as it
+/// is.
+int reportDiskFailure(const Error& error);
+/// Logs that a damaged ring log was emptied, and counts it in the journal.
 void reportRingDamage(Journal& journal, const Error& damage);
 
 }  // namespace tt
--- a/src/net/request_reader.cpp
+++ b/src/net/request_reader.cpp
@@ -8,34 +8,37 @@
 namespace tt {
 namespace {
 
-constexpr std::size_t keptCapacity = 64 * 1024;
-constexpr std::size_t chunkLineBytes = 256, chunkExcessBytes = 16 * 1024;
-constexpr std::size_t fairChunkOverhead = 16, fairChunkShare = 2;
-constexpr std::size_t usualHeaders = 12;
+/// A larger empty buffer is freed after a request.
+constexpr std::size_t maxRetainedCapacity = 64 * 1024;
+constexpr std::size_t maxSizeLineBytes = 256, maxExcessOverhead = 16 * 1024;
+/// Framing bytes that a chunk may have without counting as excess: a constant and a share of its data.
+constexpr std::size_t overheadPerChunk = 16, overheadPerDataByte = 2;
+constexpr std::size_t typicalHeaderCount = 12;
 constexpr int badRequest = 400, bodyTooLarge = 413, headTooLarge = 431;
 
-/// The parser takes a name that only begins with Transfer-Encoding for that field and refuses a length beside it. The
-/// reader has checked every byte of the head before, and checks the framing fields by their whole names itself.
-void leaveFramingToReader(http_parser& parser) {
+/// http_parser treats any field whose name merely begins with "Transfer-Encoding" as that field, and rejects a
+/// Content-Length beside it. Its checks are switched off here: RequestReader has validated every byte of the head
+/// before and checks the framing fields by their full names.
+void disableFramingChecks(http_parser& parser) {
   parser.lenient_http_headers = 1;
   parser.allow_chunked_length = 1;
 }
 
-/// Has http_parser fill a request from a head.
+/// Fills an HttpRequest from a request head by means of http_parser.
 class HeadParser {
  public:
-  explicit HeadParser(HttpRequest& filled) : request(filled) {
+  explicit HeadParser(HttpRequest& target) : request(target) {
     http_parser_init(&parser, HTTP_REQUEST);
-    leaveFramingToReader(parser);
+    disableFramingChecks(parser);
     parser.data = this;
   }
 
-  /// The status to refuse the head with, or 0.
+  /// Returns the HTTP status to reject the head with, or 0 if it is valid.
   int parse(std::string_view head) {
     std::size_t parsed = http_parser_execute(&parser, &settings(), head.data(), head.size());
     if (HTTP_PARSER_ERRNO(&parser) == HPE_HEADER_OVERFLOW) return headTooLarge;
-    bool isSound = HTTP_PARSER_ERRNO(&parser) == HPE_OK && parsed == head.size() && whole;
-    return isSound && parser.method != HTTP_CONNECT ? 0 : badRequest;
+    bool isValid = HTTP_PARSER_ERRNO(&parser) == HPE_OK && parsed == head.size() && complete;
+    return isValid && parser.method != HTTP_CONNECT ? 0 : badRequest;
   }
   http_method method() const { return static_cast<http_method>(parser.method); }
   bool isHttp10() const { return parser.http_minor == 0; }
@@ -45,7 +48,7 @@
   HttpRequest& request;
   http_parser parser;
   unsigned headFlags{0};
-  bool afterValue{true}, whole{false};
+  bool afterValue{true}, complete{false};
 
   static HeadParser& of(http_parser* parser) { return *static_cast<HeadParser*>(parser->data); }
   static int onTarget(http_parser* parser, const char* at, std::size_t size) {
@@ -69,193 +72,192 @@
   static int onHead(http_parser* parser) {
     constexpr int skipBody = 1;
     of(parser).headFlags = parser->flags;
-    of(parser).whole = true;
+    of(parser).complete = true;
     return skipBody;
   }
   static const http_parser_settings& settings() {
-    static const http_parser_settings made = [] {
-      http_parser_settings rows;
-      http_parser_settings_init(&rows);
-      rows.on_url = onTarget;
-      rows.on_header_field = onName;
-      rows.on_header_value = onValue;
-      rows.on_headers_complete = onHead;
-      return rows;
+    static const http_parser_settings callbacks = [] {
+      http_parser_settings created;
+      http_parser_settings_init(&created);
+      created.on_url = onTarget;
+      created.on_header_field = onName;
+      created.on_header_value = onValue;
+      created.on_headers_complete = onHead;
+      return created;
     }();
-    return made;
+    return callbacks;
   }
 };
 
 }  // namespace
 
-void RequestReader::begin(const HttpServerLimits& given) {
-  requestLimits = given;
-  scanned = 0;
+void RequestReader::beginRequest(const HttpServerLimits& serverLimits) {
+  requestLimits = serverLimits;
+  scannedBytes = 0;
 }
 
-void RequestReader::drop() {
-  in = std::string();
+void RequestReader::discard() {
+  buffer = std::string();
   request = HttpRequest{};
 }
 
-void RequestReader::finish() {
-  skippedBlank = false;
-  if (in.empty() && in.capacity() > keptCapacity) in = std::string();
+void RequestReader::finishRequest() {
+  blankLineSkipped = false;
+  if (buffer.empty() && buffer.capacity() > maxRetainedCapacity) buffer = std::string();
 }
 
-RequestReader::Progress RequestReader::refuse(int status) {
-  refusedStatus = status;
-  return Progress::refused;
+RequestReader::Progress RequestReader::reject(int status) {
+  rejectedWith = status;
+  return Progress::rejected;
 }
 
-/// Passes over one empty line before a request, as some clients send; whether it did.
 bool RequestReader::skipBlankLine() {
-  if (skippedBlank || scanned > 2 || in.size() < 2 || in.compare(0, 2, "\r\n") != 0) return false;
-  in.erase(0, 2);
-  scanned = 0;
-  skippedBlank = true;
+  if (blankLineSkipped || scannedBytes > 2 || buffer.size() < 2 || buffer.compare(0, 2, "\r\n") != 0) return false;
+  buffer.erase(0, 2);
+  scannedBytes = 0;
+  blankLineSkipped = true;
   return true;
 }
 
-RequestReader::Progress RequestReader::takeHead() {
-  if (skipBlankLine() && in.empty()) return Progress::none;
-  for (; scanned < in.size(); ++scanned) {
-    if (scanned >= requestLimits.maxHeaderBytes) return refuse(headTooLarge);
-    auto byte = static_cast<unsigned char>(in[scanned]);
-    bool afterCr = scanned > 0 && in[scanned - 1] == '\r';
-    if ((byte == '\n') != afterCr) return refuse(badRequest);
+RequestReader::Progress RequestReader::readHead() {
+  if (skipBlankLine() && buffer.empty()) return Progress::none;
+  for (; scannedBytes < buffer.size(); ++scannedBytes) {
+    if (scannedBytes >= requestLimits.maxHeaderBytes) return reject(headTooLarge);
+    auto byte = static_cast<unsigned char>(buffer[scannedBytes]);
+    bool afterCr = scannedBytes > 0 && buffer[scannedBytes - 1] == '\r';
+    if ((byte == '\n') != afterCr) return reject(badRequest);
     if (byte == '\n') {
-      if (scanned >= 3 && in[scanned - 2] == '\n') return readHead(scanned + 1);
+      if (scannedBytes >= 3 && buffer[scannedBytes - 2] == '\n') return parseHead(scannedBytes + 1);
     } else if (byte != '\r' && isControl(byte)) {
-      return refuse(badRequest);
+      return reject(badRequest);
     }
   }
-  return Progress::part;
+  return Progress::incomplete;
 }
 
-RequestReader::Progress RequestReader::readHead(std::size_t size) {
-  std::string_view head(in.data(), size);
-  if (!isRequestHead(head)) return refuse(badRequest);
+RequestReader::Progress RequestReader::parseHead(std::size_t size) {
+  std::string_view head(buffer.data(), size);
+  if (!isRequestHead(head)) return reject(badRequest);
   request = HttpRequest{};
-  request.headers.reserve(usualHeaders);
+  request.headers.reserve(typicalHeaderCount);
   HeadParser parser(request);
-  if (int status = parser.parse(head)) return refuse(status);
-  in.erase(0, size);
+  if (int status = parser.parse(head)) return reject(status);
+  buffer.erase(0, size);
   request.method = http_method_str(parser.method());
-  oldVersion = parser.isHttp10();
-  headOnly = parser.method() == HTTP_HEAD;
-  return readFraming(parser.flags());
+  http10 = parser.isHttp10();
+  headMethod = parser.method() == HTTP_HEAD;
+  return parseFraming(parser.flags());
 }
 
-/// Finds where the body ends, and refuses what could be read in two ways.
-RequestReader::Progress RequestReader::readFraming(unsigned parserFlags) {
-  int hosts = 0, lengths = 0, codings = 0;
+RequestReader::Progress RequestReader::parseFraming(unsigned parserFlags) {
+  int hosts = 0, lengths = 0, encodings = 0;
   bodyLeft = 0;
   for (auto& [name, value] : request.headers) {
-    if (auto bare = trimmed(value); bare.size() != value.size()) value = std::string(bare);
+    if (auto trimmed = trimWhitespace(value); trimmed.size() != value.size()) value = std::string(trimmed);
     if (equalIgnoringCase(name, "Host")) {
       ++hosts;
-      if (!isHost(value)) return refuse(badRequest);
+      if (!isHost(value)) return reject(badRequest);
     } else if (equalIgnoringCase(name, "Content-Length")) {
       ++lengths;
-      auto length = readDigits(value);
-      if (!length) return refuse(badRequest);
+      auto length = parseDecimal(value);
+      if (!length) return reject(badRequest);
       bodyLeft = *length;
     } else if (equalIgnoringCase(name, "Transfer-Encoding")) {
-      ++codings;
-      if (!equalIgnoringCase(value, "chunked")) return refuse(badRequest);
+      ++encodings;
+      if (!equalIgnoringCase(value, "chunked")) return reject(badRequest);
     }
   }
-  bool isHostless = hosts == 0 && !oldVersion, isChunkedTooEarly = codings > 0 && oldVersion;
-  if (hosts > 1 || isHostless || lengths + codings > 1 || isChunkedTooEarly) return refuse(badRequest);
-  isChunked = codings == 1;
-  if (isChunked != ((parserFlags & F_CHUNKED) != 0)) return refuse(badRequest);
-  keepable = !(parserFlags & F_CONNECTION_CLOSE) && (!oldVersion || (parserFlags & F_CONNECTION_KEEP_ALIVE));
-  if (bodyLeft > requestLimits.maxBodyBytes) return refuse(bodyTooLarge);
+  bool isHostMissing = hosts == 0 && !http10, isChunkedHttp10 = encodings > 0 && http10;
+  if (hosts > 1 || isHostMissing || lengths + encodings > 1 || isChunkedHttp10) return reject(badRequest);
+  isChunked = encodings == 1;
+  if (isChunked != ((parserFlags & F_CHUNKED) != 0)) return reject(badRequest);
+  keepAliveAllowed = !(parserFlags & F_CONNECTION_CLOSE) && (!http10 || (parserFlags & F_CONNECTION_KEEP_ALIVE));
+  if (bodyLeft > requestLimits.maxBodyBytes) return reject(bodyTooLarge);
   chunkPart = ChunkPart::size;
-  chunkExcess = trailerBytes = 0;
-  return Progress::whole;
+  excessOverhead = trailerBytes = 0;
+  return Progress::complete;
 }
 
 bool RequestReader::awaitsContinue() const {
-  if (!in.empty() || !request.body.empty() || oldVersion) return false;
+  if (!buffer.empty() || !request.body.empty() || http10) return false;
   const auto* expected = findHeader(request.headers, "Expect");
   return expected && equalIgnoringCase(*expected, "100-continue");
 }
 
-RequestReader::Progress RequestReader::takeWholeBody() {
+RequestReader::Progress RequestReader::readFixedLengthBody() {
   if (request.body.capacity() < bodyLeft && request.body.empty()) request.body.reserve(bodyLeft);
-  auto size = static_cast<std::size_t>(std::min<std::uint64_t>(bodyLeft, in.size()));
-  request.body.append(in, 0, size);
-  in.erase(0, size);
+  auto size = static_cast<std::size_t>(std::min<std::uint64_t>(bodyLeft, buffer.size()));
+  request.body.append(buffer, 0, size);
+  buffer.erase(0, size);
   bodyLeft -= size;
-  return bodyLeft == 0 ? Progress::whole : Progress::part;
+  return bodyLeft == 0 ? Progress::complete : Progress::incomplete;
 }
 
-RequestReader::Progress RequestReader::takeChunks() {
-  std::string_view left(in);
+RequestReader::Progress RequestReader::readChunks() {
+  std::string_view left(buffer);
   std::optional<Progress> progress;
-  while (!progress) progress = chunkPart == ChunkPart::data ? takeChunkData(left) : takeChunkLine(left);
-  if (*progress != Progress::refused) in.erase(0, in.size() - left.size());
+  while (!progress) progress = chunkPart == ChunkPart::data ? readChunkData(left) : readChunkLine(left);
+  if (*progress != Progress::rejected) buffer.erase(0, buffer.size() - left.size());
   return *progress;
 }
 
-std::optional<RequestReader::Progress> RequestReader::takeChunkData(std::string_view& left) {
+std::optional<RequestReader::Progress> RequestReader::readChunkData(std::string_view& left) {
   auto size = static_cast<std::size_t>(std::min<std::uint64_t>(bodyLeft, left.size()));
   request.body.append(left.data(), size);
   left.remove_prefix(size);
   bodyLeft -= size;
-  if (bodyLeft > 0) return Progress::part;
+  if (bodyLeft > 0) return Progress::incomplete;
   chunkPart = ChunkPart::dataEnd;
   return std::nullopt;
 }
 
-std::size_t RequestReader::longestChunkLine() const {
+std::size_t RequestReader::maxLineBytes() const {
   switch (chunkPart) {
     case ChunkPart::trailer:
       return requestLimits.maxHeaderBytes - trailerBytes;
     case ChunkPart::size:
-      return chunkLineBytes;
+      return maxSizeLineBytes;
     default:
       return 2;
   }
 }
 
-std::optional<RequestReader::Progress> RequestReader::takeChunkLine(std::string_view& left) {
-  auto feed = left.find('\n');
-  bool isWhole = feed != std::string_view::npos;
-  if ((isWhole ? feed + 1 : left.size()) > longestChunkLine())
-    return refuse(chunkPart == ChunkPart::trailer ? headTooLarge : badRequest);
-  if (!isWhole) {
-    bool isBroken = chunkPart == ChunkPart::dataEnd && !left.empty() && left[0] != '\r';
-    return isBroken ? refuse(badRequest) : Progress::part;
+std::optional<RequestReader::Progress> RequestReader::readChunkLine(std::string_view& left) {
+  auto lineFeed = left.find('\n');
+  bool isComplete = lineFeed != std::string_view::npos;
+  if ((isComplete ? lineFeed + 1 : left.size()) > maxLineBytes())
+    return reject(chunkPart == ChunkPart::trailer ? headTooLarge : badRequest);
+  if (!isComplete) {
+    bool isMalformed = chunkPart == ChunkPart::dataEnd && !left.empty() && left[0] != '\r';
+    return isMalformed ? reject(badRequest) : Progress::incomplete;
   }
-  if (feed == 0 || left[feed - 1] != '\r') return refuse(badRequest);
-  auto line = left.substr(0, feed - 1);
-  left.remove_prefix(feed + 1);
-  if (chunkPart == ChunkPart::size) return takeSizeLine(line);
-  if (chunkPart == ChunkPart::trailer) return takeTrailerLine(line);
-  if (!line.empty()) return refuse(badRequest);
+  if (lineFeed == 0 || left[lineFeed - 1] != '\r') return reject(badRequest);
+  auto line = left.substr(0, lineFeed - 1);
+  left.remove_prefix(lineFeed + 1);
+  if (chunkPart == ChunkPart::size) return parseSizeLine(line);
+  if (chunkPart == ChunkPart::trailer) return parseTrailerLine(line);
+  if (!line.empty()) return reject(badRequest);
   chunkPart = ChunkPart::size;
   return std::nullopt;
 }
 
-std::optional<RequestReader::Progress> RequestReader::takeTrailerLine(std::string_view line) {
+std::optional<RequestReader::Progress> RequestReader::parseTrailerLine(std::string_view line) {
   trailerBytes += line.size() + 2;
-  if (line.empty()) return Progress::whole;
-  if (!isFieldLine(line)) return refuse(badRequest);
+  if (line.empty()) return Progress::complete;
+  if (!isFieldLine(line)) return reject(badRequest);
   return std::nullopt;
 }
 
-/// A client that sends far more bytes of chunk lines than of data is refused.
-std::optional<RequestReader::Progress> RequestReader::takeSizeLine(std::string_view line) {
-  auto size = readChunkSize(line);
-  if (!size) return refuse(badRequest);
-  if (*size > requestLimits.maxBodyBytes - request.body.size()) return refuse(bodyTooLarge);
-  std::size_t excess = chunkExcess + line.size() + 2;
-  std::size_t fair = fairChunkOverhead + fairChunkShare * static_cast<std::size_t>(*size);
-  chunkExcess = excess > fair ? excess - fair : 0;
-  if (chunkExcess > chunkExcessBytes) return refuse(badRequest);
+/// Rejects a client that sends far more bytes of chunk framing than of data, which would cost much work for little
+/// payload.
+std::optional<RequestReader::Progress> RequestReader::parseSizeLine(std::string_view line) {
+  auto size = parseChunkSize(line);
+  if (!size) return reject(badRequest);
+  if (*size > requestLimits.maxBodyBytes - request.body.size()) return reject(bodyTooLarge);
+  std::size_t overhead = excessOverhead + line.size() + 2;
+  std::size_t allowance = overheadPerChunk + overheadPerDataByte * static_cast<std::size_t>(*size);
+  excessOverhead = overhead > allowance ? overhead - allowance : 0;
+  if (excessOverhead > maxExcessOverhead) return reject(badRequest);
   bodyLeft = *size;
   chunkPart = *size == 0 ? ChunkPart::trailer : ChunkPart::data;
   return std::nullopt;
--- a/src/net/request_reader.hpp
+++ b/src/net/request_reader.hpp
@@ -3,65 +3,75 @@
 
 namespace tt {
 
-/// Reads one request after another out of the bytes of a connection, and refuses what is not sound or too large. It
-/// holds no socket and reads no clock. The gate's connection calls it, on the gate's thread.
+/// Incremental parser for the requests of one connection. Rejects malformed and too large requests. Does no I/O and
+/// reads no clock. Used by HttpServer::Connection on the server's thread.
 class RequestReader {
  public:
-  /// `none`: nothing of a request is here yet; `part`: more bytes are needed; `refused`: see `refusal`.
-  enum class Progress { none, part, whole, refused };
+  /// `none`: no byte of a request has arrived; `incomplete`: more bytes are needed; `rejected`: see rejectionStatus().
+  enum class Progress { none, incomplete, complete, rejected };
 
-  void append(const char* bytes, std::size_t size) { in.append(bytes, size); }
-  /// Bytes read and not yet taken, such as those of the next request.
-  std::size_t unreadBytes() const { return in.size(); }
+  /// Adds bytes that were read from the connection.
+  void append(const char* bytes, std::size_t size) { buffer.append(bytes, size); }
+  /// Bytes appended and not yet consumed, such as those of a pipelined request.
+  std::size_t unreadBytes() const { return buffer.size(); }
 
-  /// Begins to read a request within these limits.
-  void begin(const HttpServerLimits& given);
+  /// Starts a new request with these limits.
+  void beginRequest(const HttpServerLimits& serverLimits);
   const HttpServerLimits& limits() const { return requestLimits; }
-  Progress takeHead();
-  Progress takeBody() { return isChunked ? takeChunks() : takeWholeBody(); }
-  /// The status that a refused request is answered with.
-  int refusal() const { return refusedStatus; }
+  /// Parses the buffered bytes. Call readHead() until it is complete, then readBody().
+  Progress readHead();
+  Progress readBody() { return isChunked ? readChunks() : readFixedLengthBody(); }
+  /// HTTP status to answer a rejected request with.
+  int rejectionStatus() const { return rejectedWith; }
+  /// Moves the complete request out.
   HttpRequest takeRequest() { return std::move(request); }
-  /// Forgets the request and all bytes that came.
-  void drop();
-  /// Forgets the bytes that came and were not taken.
-  void dropBytes() { in = std::string(); }
-  /// Lets the next request begin, and gives large memory back.
-  void finish();
+  /// Discards the request and all buffered bytes.
+  void discard();
+  /// Discards the buffered bytes.
+  void discardBuffered() { buffer = std::string(); }
+  /// Ends a request, so that the next one can begin, and frees a large empty buffer.
+  void finishRequest();
 
-  /// Whether the client waits for a word before it sends the body.
+  /// Whether the client waits for "100 Continue" before it sends the body.
   bool awaitsContinue() const;
-  /// Of the request whose head was taken last.
-  bool isHttp10() const { return oldVersion; }
-  bool isHead() const { return headOnly; }
-  /// Whether the client lets the connection be kept.
-  bool mayKeep() const { return keepable; }
+  /// These describe the request whose head was read last.
+  bool isHttp10() const { return http10; }
+  bool isHead() const { return headMethod; }
+  /// Whether the client allows the connection to be kept open.
+  bool allowsKeepAlive() const { return keepAliveAllowed; }
 
  private:
   enum class ChunkPart { size, data, dataEnd, trailer };
 
-  std::string in;
+  /// Bytes read from the connection and not yet consumed; `scannedBytes` of them have been checked as part of a head.
+  std::string buffer;
   HttpServerLimits requestLimits;
   HttpRequest request;
-  std::size_t scanned{0};
-  bool skippedBlank{false};
-  int refusedStatus{0};
-  bool oldVersion{false}, headOnly{false}, keepable{false}, isChunked{false};
+  std::size_t scannedBytes{0};
+  bool blankLineSkipped{false};
+  int rejectedWith{0};
+  bool http10{false}, headMethod{false}, keepAliveAllowed{false}, isChunked{false};
   std::uint64_t bodyLeft{0};
   ChunkPart chunkPart{ChunkPart::size};
-  std::size_t chunkExcess{0}, trailerBytes{0};
+  /// Chunk framing bytes beyond the allowance so far, see parseSizeLine().
+  std::size_t excessOverhead{0}, trailerBytes{0};
 
-  Progress refuse(int status);
+  Progress reject(int status);
+  /// Skips one empty line before a request, as some clients send. Returns whether it did.
   bool skipBlankLine();
-  Progress readHead(std::size_t size);
-  Progress readFraming(unsigned parserFlags);
-  Progress takeWholeBody();
-  Progress takeChunks();
-  std::size_t longestChunkLine() const;
-  std::optional<Progress> takeChunkData(std::string_view& left);
-  std::optional<Progress> takeChunkLine(std::string_view& left);
-  std::optional<Progress> takeSizeLine(std::string_view line);
-  std::optional<Progress> takeTrailerLine(std::string_view line);
+  /// Parses a complete head of the given size.
+  Progress parseHead(std::size_t size);
+  /// Determines from the headers where the body ends. Rejects whatever two parsers could interpret differently.
+  Progress parseFraming(unsigned parserFlags);
+  Progress readFixedLengthBody();
+  Progress readChunks();
+  /// Longest line that is accepted in the current part of a chunked body.
+  std::size_t maxLineBytes() const;
+  /// These consume bytes of `left`, and return nothing while the parsing of the chunked body can go on.
+  std::optional<Progress> readChunkData(std::string_view& left);
+  std::optional<Progress> readChunkLine(std::string_view& left);
+  std::optional<Progress> parseSizeLine(std::string_view line);
+  std::optional<Progress> parseTrailerLine(std::string_view line);
 };
 
 }  // namespace tt
--- a/tests/call_faults.cpp
+++ b/tests/call_faults.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-Test(call_faults, bytes_after_a_whole_answer_end_the_connection) {
+Test(call_faults, surplus_bytes_after_a_response_prevent_reuse_of_the_connection) {
   const std::string surplus = okay("surplus");
   for (const std::string& answer : {okay("fine"), okay(""), chunked("fine"), chunked("fine", "X-A: 1\r\n")}) {
     for (std::size_t cut : {std::size_t(1), std::size_t(17), surplus.size()}) {
@@ -33,12 +33,12 @@
       auto second = bench.finish(once(bench.call(server, "/second", "POST", "body")));
       cr_assert(second->end.outcome == HttpCallOutcome::whole, "%s", second->end.trouble.c_str());
       cr_assert_eq(second->body, "own");
-      cr_assert_eq(bench.calls.connectionsOpened(), 2u, "the connection that said too much is not used again");
+      cr_assert_eq(bench.calls.connectionsOpened(), 2u, "the connection with surplus bytes is not reused");
     }
   }
 }
 
-Test(call_faults, an_answer_whose_end_cannot_be_trusted_is_broken_and_gives_no_bytes) {
+Test(call_faults, malformed_response_ends_as_broken_without_any_bytes) {
   const std::vector<std::string> unsound{
       "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\nbytes",
       "HTTP/1.1 000 Nothing\r\nContent-Length: 4\r\n\r\nfour",
@@ -68,7 +68,7 @@
   }
 }
 
-Test(call_faults, an_answer_tells_whether_its_end_can_be_known) {
+Test(call_faults, response_tells_whether_its_end_is_delimited) {
   Bench bench;
   std::string text;
   RawServer server(bench.io, [&](const RawServer::Held& held, const std::string&) {
@@ -86,7 +86,7 @@
   }
 }
 
-Test(call_faults, an_answer_before_the_whole_request_was_taken_leaves_no_connection_behind) {
+Test(call_faults, response_before_the_request_was_fully_sent_prevents_reuse) {
   Bench bench;
   RawServer server(bench.io, [](const RawServer::Held& held, const std::string&) { held->say(okay("own")); });
   server.onPiece = [](const RawServer::Held& held) {
@@ -101,50 +101,50 @@
   cr_assert_eq(bench.calls.connectionsOpened(), 2u);
 }
 
-Test(call_faults, a_call_that_may_not_leave_any_more_when_its_connection_stands_is_unsent) {
+Test(call_faults, call_whose_send_condition_fails_ends_as_unsent) {
   for (bool kept : {false, true}) {
     Bench bench;
     RawServer server(bench.io, [](const RawServer::Held& held, const std::string&) { held->say(okay("fine")); });
     if (kept) bench.finish(bench.call(server, "/first"));
-    bool leaseGood = true;
+    bool leaseValid = true;
     int asked = 0;
     auto call = once(bench.call(server, "/order", "POST", "body"));
-    call.maySend = [&] { return ++asked, leaseGood; };
+    call.maySend = [&] { return ++asked, leaseValid; };
     auto seen = bench.start(call);
-    leaseGood = false;
+    leaseValid = false;
     cr_assert(bench.until([&] { return seen->ends > 0; }));
     bench.pass(20ms);
     cr_expect(seen->end.outcome == HttpCallOutcome::unsent);
     cr_expect_eq(server.copies("/order"), 0u, "not a byte of it was written");
     cr_expect_geq(asked, 1);
-    leaseGood = true;
+    leaseValid = true;
     auto next = bench.finish(call);
     cr_expect(next->end.outcome == HttpCallOutcome::whole);
     cr_expect_eq(server.copies("/order"), 1u);
   }
 }
 
-Test(call_faults, a_connect_that_stands_late_is_asked_whether_its_call_may_still_leave) {
+Test(call_faults, send_condition_is_checked_after_a_slow_connect) {
   Bench bench;
   asio::ip::tcp::acceptor full(bench.io, asio::ip::tcp::v4());
   full.bind(asio::ip::tcp::endpoint(asio::ip::address_v4::loopback(), 0));
   full.listen(0);
-  std::vector<asio::ip::tcp::socket> filling;
+  std::vector<asio::ip::tcp::socket> queued;
   for (int count = 0; count < 4; ++count) {
-    filling.emplace_back(bench.io);
-    filling.back().async_connect(full.local_endpoint(), [](const asio::error_code&) {});
+    queued.emplace_back(bench.io);
+    queued.back().async_connect(full.local_endpoint(), [](const asio::error_code&) {});
   }
   bench.pass(5ms);
   HttpClientRequest call;
   call.address = "127.0.0.1:" + std::to_string(full.local_endpoint().port());
   call.target = "/order";
   call.connectTimeout = 10s;
-  bool leaseGood = true;
-  call.maySend = [&] { return leaseGood; };
+  bool leaseValid = true;
+  call.maySend = [&] { return leaseValid; };
   auto seen = bench.start(call);
   bench.pass(20ms);
   cr_assert_eq(seen->ends, 0, "the connection hangs");
-  leaseGood = false;
+  leaseValid = false;
   std::string got;
   std::vector<std::shared_ptr<asio::ip::tcp::socket>> accepted;
   std::array<char, 4096> space{};
@@ -167,7 +167,7 @@
   full.close(ignored);
 }
 
-Test(call_faults, a_call_alone_uses_no_kept_connection_and_leaves_none) {
+Test(call_faults, call_with_an_exclusive_connection_neither_reuses_nor_leaves_one) {
   Bench bench;
   RawServer server(bench.io, [](const RawServer::Held& held, const std::string& request) {
     held->say(okay(request.find("/order") != std::string::npos ? "order" : "other"));
@@ -179,12 +179,12 @@
   cr_assert_eq(bench.finish(call)->body, "order");
   cr_assert_eq(bench.finish(bench.call(server, "/second"))->body, "other");
   cr_assert_eq(bench.calls.connectionsOpened(), 3u);
-  cr_assert_eq(server.connections[0]->requests, 2u, "the kept connection serves the others");
+  cr_assert_eq(server.connections[0]->requests, 2u, "the persistent connection serves the other requests");
   cr_assert_eq(server.connections[1]->requests, 1u);
   cr_assert_eq(server.connections[2]->requests, 1u);
 }
 
-Test(call_faults, a_kept_connection_that_ends_without_an_answer_is_told_apart) {
+Test(call_faults, reused_connection_that_closes_without_a_response_is_reported) {
   for (bool byReset : {false, true})
     for (bool begun : {false, true}) {
       Bench bench;
@@ -195,19 +195,19 @@
       });
       auto fresh = bench.finish(once(bench.call(server, "/second", "POST", "body")));
       cr_assert(fresh->end.outcome == HttpCallOutcome::broken);
-      cr_assert_not(fresh->end.forgotten, "a new connection cannot have been forgotten");
+      cr_assert_not(fresh->end.forgotten, "a new connection was not idle");
       bench.finish(bench.call(server, "/first"));
       auto kept = bench.finish(once(bench.call(server, "/second", "POST", "body")));
-      cr_assert(kept->end.outcome == HttpCallOutcome::broken, "it may have run");
+      cr_assert(kept->end.outcome == HttpCallOutcome::broken, "the request may have been processed");
       if (!begun) cr_assert(kept->end.forgotten);
       if (begun && !byReset) cr_assert_not(kept->end.forgotten);
     }
 }
 
-Test(call_faults, connections_idle_like_one_that_the_peer_forgot_are_not_used) {
+Test(call_faults, connections_idle_as_long_as_one_the_peer_closed_are_not_reused) {
   Bench bench;
   std::vector<RawServer::Held> waiting;
-  bool forgets = false;
+  bool closesEarly = false;
   RawServer server(bench.io, [&](const RawServer::Held& held, const std::string& request) {
     if (request.find("/first") != std::string::npos) {
       waiting.push_back(held);
@@ -215,21 +215,21 @@
       for (const auto& each : waiting) each->say(okay("fine"));
       return;
     }
-    if (forgets && held->number < 4) return held->reset();
+    if (closesEarly && held->number < 4) return held->reset();
     held->say(okay("own"));
   });
-  std::vector<std::shared_ptr<Seen>> firsts;
+  std::vector<std::shared_ptr<CallRecord>> firsts;
   for (int count = 0; count < 4; ++count) firsts.push_back(bench.start(bench.call(server, "/first")));
   cr_assert(bench.until(
       [&] { return std::all_of(firsts.begin(), firsts.end(), [](const auto& each) { return each->ends == 1; }); }));
-  forgets = true;
+  closesEarly = true;
   bench.pass(5ms);
   auto lost = bench.finish(once(bench.call(server, "/second", "POST", "body")));
   cr_assert(lost->end.outcome == HttpCallOutcome::broken);
   cr_assert(lost->end.forgotten);
   for (int count = 0; count < 4; ++count) {
     auto next = bench.finish(once(bench.call(server, "/third", "POST", "body")));
-    cr_expect(next->end.outcome == HttpCallOutcome::whole, "only one request is lost to them");
+    cr_expect(next->end.outcome == HttpCallOutcome::whole, "only one request is lost to early closes");
     cr_expect_eq(next->body, "own");
   }
 }
--- a/tests/calls.cpp
+++ b/tests/calls.cpp
@@ -5,8 +5,9 @@
 
 namespace {
 
-/// The second request on a kept connection is read whole and the connection ended without a byte of answer.
-void refusesToResend(const std::string& method, const std::string& body, bool byReset) {
+/// The server reads the second request on a reused connection completely and closes it without a byte of response. The
+/// call must end as broken, as the request may have been processed, and libcurl must not send it again.
+void expectNotResent(const std::string& method, const std::string& body, bool byReset) {
   Bench bench;
   RawServer server(bench.io, [&](const RawServer::Held& held, const std::string& request) {
     if (request.find("/first") != std::string::npos || held->number > 0) return held->say(okay("fine"));
@@ -23,26 +24,26 @@
   cr_assert(seen->end.outcome == HttpCallOutcome::broken);
   cr_assert(!seen->end.trouble.empty());
   cr_assert_eq(seen->heads, 0);
-  cr_assert_eq(bench.calls.connectionsOpened(), 1u, "the request went out on the kept connection");
+  cr_assert_eq(bench.calls.connectionsOpened(), 1u, "the request was sent on the reused connection");
 }
 
 }  // namespace
 
-Test(calls, a_call_for_once_is_not_sent_again_when_a_kept_connection_closes) {
-  refusesToResend("POST", "some body", false);
-  refusesToResend("POST", "some body", true);
+Test(calls, call_marked_once_is_not_resent_when_a_reused_connection_closes) {
+  expectNotResent("POST", "some body", false);
+  expectNotResent("POST", "some body", true);
 }
-Test(calls, a_call_for_once_without_a_body_is_not_sent_again) {
-  refusesToResend("GET", "", false);
-  refusesToResend("POST", "", false);
-  refusesToResend("DELETE", "", true);
+Test(calls, call_marked_once_without_a_body_is_not_resent) {
+  expectNotResent("GET", "", false);
+  expectNotResent("POST", "", false);
+  expectNotResent("DELETE", "", true);
 }
-Test(calls, a_call_for_once_with_a_big_body_is_not_sent_again) {
-  refusesToResend("POST", std::string(3u << 20, 'x'), false);
-  refusesToResend("POST", std::string(100u << 10, 'x'), true);
+Test(calls, call_marked_once_with_a_large_body_is_not_resent) {
+  expectNotResent("POST", std::string(3u << 20, 'x'), false);
+  expectNotResent("POST", std::string(100u << 10, 'x'), true);
 }
 
-Test(calls, a_call_for_once_is_not_sent_again_over_another_kept_connection) {
+Test(calls, call_marked_once_is_not_resent_over_another_idle_connection) {
   Bench bench;
   std::vector<RawServer::Held> waiting;
   RawServer server(bench.io, [&](const RawServer::Held& held, const std::string& request) {
@@ -51,7 +52,7 @@
     if (waiting.size() == 8)
       for (auto& each : waiting) each->say(okay("fine"));
   });
-  std::vector<std::shared_ptr<Seen>> firsts;
+  std::vector<std::shared_ptr<CallRecord>> firsts;
   for (int count = 0; count < 8; ++count) firsts.push_back(bench.start(bench.call(server, "/first")));
   cr_assert(bench.until(
       [&] { return std::all_of(firsts.begin(), firsts.end(), [](const auto& each) { return each->ends == 1; }); }));
@@ -65,7 +66,7 @@
   cr_assert_eq(server.copies("some body"), 1u);
 }
 
-Test(calls, a_call_for_once_cut_off_midway_through_its_body_is_not_sent_again) {
+Test(calls, call_marked_once_interrupted_within_its_body_is_not_resent) {
   Bench bench;
   RawServer server(bench.io, [](const RawServer::Held& held, const std::string&) { held->say(okay("fine")); });
   server.onPiece = [](const RawServer::Held& held) {
@@ -80,7 +81,7 @@
   cr_assert_eq(server.copies("/second"), 1u);
 }
 
-Test(calls, without_once_the_library_sends_again_which_shows_that_the_tests_above_see_it) {
+Test(calls, control_call_not_marked_once_is_resent_by_the_library) {
   Bench bench;
   RawServer server(bench.io, [&](const RawServer::Held& held, const std::string& request) {
     if (request.find("/first") != std::string::npos || held->number > 0) return held->say(okay("fine"));
@@ -92,7 +93,7 @@
   cr_assert_eq(server.copies("/second"), 2u);
 }
 
-Test(calls, an_idle_connection_that_the_peer_closed_is_not_used) {
+Test(calls, idle_connection_closed_by_the_peer_is_not_reused) {
   for (bool byReset : {false, true}) {
     Bench bench;
     RawServer server(bench.io, [](const RawServer::Held& held, const std::string&) { held->say(okay("fine")); });
@@ -109,7 +110,7 @@
   }
 }
 
-Test(calls, bytes_that_came_unasked_on_an_idle_connection_are_no_answer) {
+Test(calls, unsolicited_bytes_on_an_idle_connection_are_not_a_response) {
   for (bool closes : {false, true}) {
     Bench bench;
     RawServer server(bench.io, [](const RawServer::Held& held, const std::string&) { held->say(okay("fine")); });
@@ -126,7 +127,7 @@
   }
 }
 
-Test(calls, a_refused_connection_is_unsent_and_so_is_one_that_never_stands) {
+Test(calls, refused_and_timed_out_connections_end_as_unsent) {
   Bench bench;
   std::string address;
   {
@@ -139,14 +140,14 @@
   cr_assert(seen->end.outcome == HttpCallOutcome::unsent);
   cr_assert(!seen->end.trouble.empty());
 
-  // A listening socket with a full queue lets no further connection stand.
+  // With a full accept queue, no further connection is established.
   asio::ip::tcp::acceptor full(bench.io, asio::ip::tcp::v4());
   full.bind(asio::ip::tcp::endpoint(asio::ip::address_v4::loopback(), 0));
   full.listen(0);
-  std::vector<asio::ip::tcp::socket> filling;
+  std::vector<asio::ip::tcp::socket> queued;
   for (int count = 0; count < 4; ++count) {
-    filling.emplace_back(bench.io);
-    filling.back().async_connect(full.local_endpoint(), [](const asio::error_code&) {});
+    queued.emplace_back(bench.io);
+    queued.back().async_connect(full.local_endpoint(), [](const asio::error_code&) {});
   }
   bench.pass(5ms);
   call.address = "127.0.0.1:" + std::to_string(full.local_endpoint().port());
@@ -156,7 +157,7 @@
   cr_assert_eq(bench.calls.connectionsOpened(), 0u);
 }
 
-Test(calls, what_cannot_be_sent_ends_unsent_and_not_within_start) {
+Test(calls, invalid_call_ends_as_unsent_after_start_returned) {
   Bench bench;
   std::vector<HttpClientRequest> wrong(5);
   for (auto& call : wrong) call.address = "127.0.0.1:1";
@@ -177,7 +178,7 @@
   cr_assert_eq(dropped->ends, 0);
 }
 
-Test(calls, the_request_goes_out_byte_for_byte) {
+Test(calls, request_is_sent_byte_for_byte) {
   Bench bench;
   std::string got;
   RawServer server(bench.io, [&](const RawServer::Held& held, const std::string& request) {
@@ -211,7 +212,7 @@
   cr_assert_eq(got.size(), headOf(got).size() + (2u << 20));
 }
 
-Test(calls, the_answer_is_given_as_it_was_sent) {
+Test(calls, response_is_delivered_unchanged) {
   Bench bench;
   RawServer server(bench.io, [&](const RawServer::Held& held, const std::string& request) {
     if (request.find("HEAD") == 0) return held->say("HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n");
@@ -238,7 +239,7 @@
   cr_assert_eq(bench.calls.connectionsOpened(), 1u);
 }
 
-Test(calls, chunks_come_piece_by_piece_before_the_end) {
+Test(calls, chunks_are_delivered_as_they_arrive) {
   Bench bench;
   RawServer::Held open;
   RawServer server(bench.io, [&](const RawServer::Held& held, const std::string&) {
@@ -260,7 +261,7 @@
   cr_assert_null(seen->end.head.find("X-Trailer"));
 }
 
-Test(calls, cut_answers_are_broken) {
+Test(calls, truncated_responses_end_as_broken) {
   const std::vector<std::string> cut{
       "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nfive.",
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nfive.\r\n",
@@ -290,7 +291,7 @@
   }
 }
 
-Test(calls, a_body_without_a_length_ends_with_its_connection) {
+Test(calls, body_without_a_length_ends_with_the_connection) {
   Bench bench;
   RawServer server(bench.io, [&](const RawServer::Held& held, const std::string&) {
     held->say("HTTP/1.1 200 OK\r\n\r\nuntil the close");
@@ -301,7 +302,7 @@
   cr_assert_eq(seen->body, "until the close");
 }
 
-Test(calls, a_call_may_drop_itself_and_others_in_any_callback) {
+Test(calls, callbacks_may_drop_their_own_and_other_calls) {
   Bench bench;
   RawServer server(bench.io, [&](const RawServer::Held& held, const std::string& request) {
     if (request.find("/whole") != std::string::npos) return held->say(okay("fine"));
@@ -313,7 +314,7 @@
     auto other = bench.start(bench.call(server, "/other"));
     cr_assert(bench.until([&] { return other->pieces.size() == 1; }));
     auto otherConnection = server.connections.back();
-    std::shared_ptr<Seen> next;
+    std::shared_ptr<CallRecord> next;
     auto leave = [&](const std::string& at) {
       if (at != where) return;
       auto dropAtOnce = bench.start(bench.call(server, "/at-once"));
@@ -354,7 +355,7 @@
   cr_assert_eq(server.copies("/at-once"), 0u);
 }
 
-Test(calls, dropping_before_and_during_the_connect_and_leaving_calls_open_is_safe) {
+Test(calls, dropping_during_connect_and_destroying_with_open_calls_is_safe) {
   asio::io_context io;
   RawServer server(io, [](const RawServer::Held& held, const std::string&) {
     held->say("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n");
@@ -377,7 +378,7 @@
   cr_assert_eq(callbacks, 0);
 }
 
-Test(calls, many_calls_run_at_the_same_time) {
+Test(calls, many_calls_run_concurrently) {
   Bench bench;
   std::vector<RawServer::Held> waiting;
   RawServer server(bench.io, [&](const RawServer::Held& held, const std::string& request) {
@@ -393,7 +394,7 @@
     waiting.clear();
   });
   for (int round = 0; round < 2; ++round) {
-    std::vector<std::shared_ptr<Seen>> all;
+    std::vector<std::shared_ptr<CallRecord>> all;
     for (int count = 0; count < 200; ++count) {
       auto call = bench.call(server, "/" + std::to_string(100 + count), "POST", "body");
       call.once = count % 2;
@@ -410,7 +411,7 @@
   cr_assert_eq(bench.calls.callsStarted(), 400u);
 }
 
-Test(calls, calls_one_after_the_other_share_a_connection) {
+Test(calls, successive_calls_share_a_connection) {
   Bench bench;
   RawServer server(bench.io, [](const RawServer::Held& held, const std::string&) {
     held->say(okay("fine", "Keep-Alive: timeout=5\r\n"));
@@ -425,7 +426,7 @@
   cr_assert_eq(bench.calls.callsStarted(), 50u);
 }
 
-Test(calls, a_peer_that_keeps_connections_a_second_or_less_gets_a_new_one_each_time) {
+Test(calls, connection_is_not_reused_if_its_keep_alive_is_one_second_or_less) {
   Bench bench;
   std::string told = "Keep-Alive: max=9, Timeout=1\r\n";
   RawServer server(bench.io, [&](const RawServer::Held& held, const std::string&) { held->say(okay("fine", told)); });
@@ -438,7 +439,7 @@
   cr_assert_eq(bench.calls.connectionsOpened(), 4u, "what the peer said last counts");
 }
 
-Test(calls, the_whole_wait_ends_a_call_as_broken) {
+Test(calls, total_timeout_ends_a_call_as_broken) {
   Bench bench;
   RawServer server(bench.io, [](const RawServer::Held& held, const std::string& request) {
     if (request.find("/first") != std::string::npos) return held->say(okay("fine"));
@@ -458,7 +459,7 @@
   }
 }
 
-Test(calls, a_socket_number_used_again_gets_no_stale_wait) {
+Test(calls, reused_socket_number_gets_no_stale_wait) {
   Bench bench;
   RawServer server(bench.io, [](const RawServer::Held& held, const std::string& request) {
     held->say(okay("fine"));
--- a/tests/gate.cpp
+++ b/tests/gate.cpp
@@ -3,7 +3,7 @@
 using namespace tt;
 using namespace tt::gatetest;
 
-Test(gate, refuses_malformed_requests) {
+Test(gate, malformed_requests_are_rejected) {
   struct Row {
     const char* name;
     std::string input;
@@ -118,42 +118,42 @@
       {"huge chunk", post(chunked, "ffffffffffffffff\r\n"), 413},
   };
   std::atomic<int> handled{0};
-  Door door([&](HttpRequest request, std::shared_ptr<ResponseWriter> answer) {
+  HttpServerFixture server([&](HttpRequest request, std::shared_ptr<ResponseWriter> response) {
     ++handled;
-    echo(std::move(request), std::move(answer));
+    echo(std::move(request), std::move(response));
   });
   for (const auto& row : rows) {
-    Caller caller(door.port);
+    Caller caller(server.port);
     auto got = caller.askAll(row.input);
     cr_expect_eq(statusOf(got), row.status, "%s: expected %d, got \"%s\"", row.name, row.status, got.c_str());
-    cr_expect_eq(count(got, "HTTP/1.1 "), 1u, "%s: one answer", row.name);
+    cr_expect_eq(count(got, "HTTP/1.1 "), 1u, "%s: one response", row.name);
     cr_expect(has(got, "\r\nConnection: close\r\n"), "%s: must say close", row.name);
     cr_expect(!caller.timedOut && !caller.reset, "%s: must end in order", row.name);
     cr_expect_eq(handled.load(), 0, "%s: must not reach the handler", row.name);
     handled = 0;
   }
-  cr_expect(soon([&] { return door.connections() == 0; }));
-  Caller caller(door.port);
-  cr_assert_eq(statusOf(caller.askAll(getClose)), 200, "a sound request is answered");
+  cr_expect(soon([&] { return server.connections() == 0; }));
+  Caller caller(server.port);
+  cr_assert_eq(statusOf(caller.askAll(getClose)), 200, "a valid request is answered");
 }
 
-Test(gate, an_answer_of_refusal_arrives_though_the_caller_goes_on_sending) {
-  Door door(echo);
-  Caller caller(door.port);
+Test(gate, error_response_arrives_while_the_client_keeps_sending) {
+  HttpServerFixture server(echo);
+  Caller caller(server.port);
   caller.send(post("Content-Length: 99999999\r\n"));
   for (int part = 0; part < 8; ++part) caller.send(std::string(65536, 'x'));
   auto got = caller.all();
   cr_assert_eq(statusOf(got), 413, "got \"%s\"", got.c_str());
-  cr_assert(!caller.reset && !caller.timedOut, "a reset could have taken the answer away");
+  cr_assert(!caller.reset && !caller.timedOut, "a reset could have destroyed the response");
 }
 
-Test(gate, hands_over_requests_as_they_came) {
+Test(gate, requests_reach_the_handler_unchanged) {
   HttpRequest seen;
-  Door door([&](HttpRequest request, std::shared_ptr<ResponseWriter> answer) {
+  HttpServerFixture server([&](HttpRequest request, std::shared_ptr<ResponseWriter> response) {
     seen = request;
-    answerWhole(answer, "ok");
+    sendResponse(response, "ok");
   });
-  Caller caller(door.port);
+  Caller caller(server.port);
   auto got = caller.askAll(
       "\r\nPOST /a/b?c=d%20e HTTP/1.1\r\nhOST: a:80\r\nX-Empty:\r\nX-Spaced: \t b c \t\r\nX-Two: 1\r\nx-two: 2\r\n"
       "X-High: \xc3\xa9\r\nUpgrade: h2c\r\nConnection: Upgrade, close\r\nContent-Length: 3\r\n\r\nxyz");
@@ -170,34 +170,34 @@
   cr_assert_null(findHeader(seen.headers, "X-Three"));
 }
 
-Test(gate, takes_requests_in_single_bytes) {
-  Door door(echo);
+Test(gate, requests_sent_byte_by_byte_are_accepted) {
+  HttpServerFixture server(echo);
   for (const auto& input : {post("Content-Length: 5\r\nConnection: close\r\n", "hello"),
                             post("Transfer-Encoding: chunked\r\nConnection: close\r\n",
                                  "2;x=y\r\nhe\r\n03\r\nllo\r\n0\r\nTrailer: t\r\n\r\n")}) {
-    Caller caller(door.port);
+    Caller caller(server.port);
     for (char letter : input) caller.send(std::string_view(&letter, 1));
     auto got = caller.all();
     cr_assert(has(got, "\r\n\r\nPOST /v1 [hello]"), "got \"%s\"", got.c_str());
   }
 }
 
-Test(gate, a_request_cut_at_any_byte_reaches_nobody) {
+Test(gate, request_truncated_at_any_byte_does_not_reach_the_handler) {
   std::atomic<int> handled{0};
-  Door door([&](HttpRequest, std::shared_ptr<ResponseWriter> answer) {
+  HttpServerFixture server([&](HttpRequest, std::shared_ptr<ResponseWriter> response) {
     ++handled;
-    answerWhole(answer, "ok");
+    sendResponse(response, "ok");
   });
   for (const auto& input : {post("Content-Length: 5\r\n", "hello"),
                             post("Transfer-Encoding: chunked\r\n", "2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n")}) {
     for (std::size_t size = 1; size < input.size(); ++size) {
-      Caller caller(door.port);
+      Caller caller(server.port);
       caller.send(std::string_view(input).substr(0, size));
       caller.socket.shutdown(asio::ip::tcp::socket::shutdown_send);
       cr_assert_eq(caller.all(), "", "cut at %zu", size);
       cr_assert_eq(handled.load(), 0, "cut at %zu", size);
     }
-    Caller caller(door.port);
+    Caller caller(server.port);
     caller.send(input);
     cr_assert_eq(statusOf(caller.until("ok")), 200);
     handled = 0;
@@ -214,53 +214,53 @@
     body += part;
   }
   std::string seen;
-  Door door([&](HttpRequest request, std::shared_ptr<ResponseWriter> answer) {
+  HttpServerFixture server([&](HttpRequest request, std::shared_ptr<ResponseWriter> response) {
     seen = request.body;
-    answerWhole(answer, "ok");
+    sendResponse(response, "ok");
   });
-  Caller caller(door.port);
+  Caller caller(server.port);
   caller.send(post("Transfer-Encoding: chunked\r\n", framed + "0\r\n\r\n"));
   cr_assert_eq(statusOf(caller.until("ok")), 200);
   cr_assert(seen == body);
 }
 
-Test(gate, a_body_that_is_mostly_framing_is_refused) {
-  Door door(echo);
+Test(gate, chunked_body_with_excessive_framing_is_rejected) {
+  HttpServerFixture server(echo);
   std::string framed;
   for (int number = 0; number < 400; ++number) framed += "1;" + std::string(200, 'a') + "\r\nx\r\n";
-  Caller caller(door.port);
+  Caller caller(server.port);
   cr_assert_eq(statusOf(caller.askAll(post("Transfer-Encoding: chunked\r\n", framed + "0\r\n\r\n"))), 400);
   std::string fair;
   for (int number = 0; number < 20000; ++number) fair += "1\r\nx\r\n";
-  Caller other(door.port);
+  Caller other(server.port);
   cr_assert_eq(statusOf(other.askAll(post("Connection: close\r\nTransfer-Encoding: chunked\r\n", fair + "0\r\n\r\n"))),
                200);
 }
 
 Test(gate, pipelined_requests_are_answered_one_at_a_time_and_in_order) {
-  Kept kept;
-  Door door(kept.handler());
-  Caller caller(door.port);
+  HeldResponses held;
+  HttpServerFixture server(held.handler());
+  Caller caller(server.port);
   caller.send(post("Content-Length: 3\r\n", "one") + get + "GET /z HTTP/1.1\r\nHost:");
-  cr_assert(soon([&] { return kept.taken == 1; }));
+  cr_assert(soon([&] { return held.received == 1; }));
   cr_assert_eq(caller.receive(30ms).value(), "");
-  cr_assert_eq(kept.taken.load(), 1, "the second waits for the first's answer");
-  door.run([&] { answerWhole(kept.answers[0], "first"); });
+  cr_assert_eq(held.received.load(), 1, "the second waits for the first's answer");
+  server.run([&] { sendResponse(held.responses[0], "first"); });
   cr_assert(has(caller.until("first"), "Content-Length: 5\r\n"));
-  cr_assert(soon([&] { return kept.taken == 2; }));
-  door.run([&] { answerWhole(kept.answers[1], "second"); });
+  cr_assert(soon([&] { return held.received == 2; }));
+  server.run([&] { sendResponse(held.responses[1], "second"); });
   cr_assert(has(caller.until("second"), "Content-Length: 6\r\n"));
   caller.send(" a\r\nConnection: close\r\n\r\n");
-  cr_assert(soon([&] { return kept.taken == 3; }));
-  door.run([&] { answerWhole(kept.answers[2], "third"); });
+  cr_assert(soon([&] { return held.received == 3; }));
+  server.run([&] { sendResponse(held.responses[2], "third"); });
   auto last = caller.all();
   cr_assert(has(last, "Connection: close\r\n") && has(last, "third"));
-  cr_assert_eq(kept.gone.load(), 0);
+  cr_assert_eq(held.disconnects.load(), 0);
 }
 
 Test(gate, many_pipelined_requests_beyond_the_buffer_are_all_answered) {
-  Door door(echo);
-  Caller caller(door.port);
+  HttpServerFixture server(echo);
+  Caller caller(server.port);
   const int requests = 3000;
   std::thread sender([&] {
     std::string text;
@@ -278,34 +278,34 @@
   }
 }
 
-Test(gate, keeps_connections_and_says_for_how_long) {
+Test(gate, keep_alive_timeout_is_announced) {
   HttpServerLimits limits;
   limits.idleTimeout = 2500ms;
-  Door door(echo, limits);
-  Caller caller(door.port);
+  HttpServerFixture server(echo, limits);
+  Caller caller(server.port);
   for (int time = 0; time < 5; ++time) {
     caller.send(get);
     auto got = caller.until("[]");
     cr_assert(has(got, "\r\nConnection: keep-alive\r\n") && has(got, "\r\nKeep-Alive: timeout=2\r\n"), "got \"%s\"",
               got.c_str());
   }
-  cr_assert_eq(door.connections(), 1u);
-  cr_assert_eq(door.exchanges(), 0u);
-  Caller old(door.port);
+  cr_assert_eq(server.connections(), 1u);
+  cr_assert_eq(server.exchanges(), 0u);
+  Caller old(server.port);
   old.send("GET /x HTTP/1.0\r\nConnection: keep-alive\r\n\r\n");
   cr_assert(has(old.until("[]"), "\r\nConnection: keep-alive\r\n"));
   auto got = old.askAll("GET /x HTTP/1.0\r\n\r\n");
   cr_assert(has(got, "\r\nConnection: close\r\n") && has(got, "[]"));
-  Caller both(door.port);
+  Caller both(server.port);
   got = both.askAll("GET /x HTTP/1.0\r\nConnection: keep-alive, close\r\n\r\n");
   cr_assert(has(got, "\r\nConnection: close\r\n") && !both.timedOut);
 }
 
-Test(gate, idle_connections_are_closed_without_a_word) {
+Test(gate, idle_connections_are_closed_without_a_response) {
   HttpServerLimits limits;
   limits.idleTimeout = 100ms;
-  Door door(echo, limits);
-  Caller fresh(door.port), used(door.port), blank(door.port);
+  HttpServerFixture server(echo, limits);
+  Caller fresh(server.port), used(server.port), blank(server.port);
   blank.send("\r\n");
   used.send(get);
   auto promise = used.until("[]");
@@ -314,33 +314,33 @@
   cr_assert_eq(fresh.all(), "");
   cr_assert_eq(blank.all(), "");
   cr_assert(!used.timedOut && !fresh.timedOut && !blank.timedOut && !used.reset && !fresh.reset);
-  cr_assert(soon([&] { return door.connections() == 0; }));
+  cr_assert(soon([&] { return server.connections() == 0; }));
 }
 
 Test(gate, slow_heads_and_stalled_bodies_are_timed_out) {
   HttpServerLimits limits;
   limits.headerTimeout = 120ms;
   std::atomic<int> handled{0};
-  Door door(
-      [&](HttpRequest, std::shared_ptr<ResponseWriter> answer) {
+  HttpServerFixture server(
+      [&](HttpRequest, std::shared_ptr<ResponseWriter> response) {
         ++handled;
-        answerWhole(answer, "ok");
+        sendResponse(response, "ok");
       },
       limits);
   for (const auto& input : {std::string("G"), std::string("GET /x HTTP/1.1\r\nHost: a\r\n"),
                             post("Content-Length: 5\r\n", "hell"), post("Transfer-Encoding: chunked\r\n", "2\r\nhe")}) {
-    Caller caller(door.port);
+    Caller caller(server.port);
     auto got = caller.askAll(input);
     cr_assert_eq(statusOf(got), 408, "got \"%s\"", got.c_str());
   }
-  Caller dribble(door.port);
+  Caller dribble(server.port);
   TimePoint began = Clock::now();
   for (char letter : get) {
     dribble.send(std::string_view(&letter, 1));
     if (dribble.receive(20ms) != "") break;
   }
   cr_assert_lt(toMilliseconds(Clock::now() - began), 450, "a head that dribbles has no more time");
-  Caller slow(door.port);
+  Caller slow(server.port);
   slow.send(post("Content-Length: 8\r\n"));
   for (int part = 0; part < 8; ++part) {
     cr_assert_eq(slow.receive(50ms).value_or("end"), "");
@@ -350,27 +350,27 @@
   cr_assert_eq(handled.load(), 1);
 }
 
-Test(gate, limits_hold_for_requests_that_begin_later) {
-  Door door(echo);
+Test(gate, changed_limits_apply_to_later_requests) {
+  HttpServerFixture server(echo);
   HttpServerLimits limits;
   limits.maxBodyBytes = 4;
   limits.maxHeaderBytes = 100;
-  Caller caller(door.port);
+  Caller caller(server.port);
   caller.send(post("Expect: 100-continue\r\nContent-Length: 5\r\n"));
   cr_assert_eq(statusOf(caller.until("\r\n\r\n")), 100, "the first request has begun");
-  door.run([&] { door.gate.setLimits(limits); });
+  server.run([&] { server.httpServer.setLimits(limits); });
   caller.send("hello");
   cr_assert_eq(statusOf(caller.until("[hello]")), 200);
   cr_assert_eq(statusOf(caller.askAll(post("Content-Length: 5\r\n", "hello"))), 413);
   std::string head = "GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\nOdd: ";
-  Caller fits(door.port), tooLong(door.port);
+  Caller fits(server.port), tooLong(server.port);
   cr_assert_eq(statusOf(fits.askAll(head + std::string(96 - head.size(), 'b') + "\r\n\r\n")), 200);
   cr_assert_eq(statusOf(tooLong.askAll(head + std::string(97 - head.size(), 'b') + "\r\n\r\n")), 431);
 }
 
-Test(gate, asks_on_for_a_body_that_waits_for_it) {
-  Door door(echo);
-  Caller caller(door.port);
+Test(gate, expect_100_continue_is_answered) {
+  HttpServerFixture server(echo);
+  Caller caller(server.port);
   caller.send(post("Expect: 100-continue\r\nContent-Length: 5\r\n"));
   cr_assert_eq(caller.until("\r\n\r\n"), "HTTP/1.1 100 Continue\r\n\r\n");
   caller.send("hello");
@@ -386,64 +386,64 @@
   cr_assert_eq(statusOf(caller.askAll(post("Expect: 100-continue\r\nContent-Length: 5000000\r\n"))), 413);
 }
 
-Test(gate, a_stream_arrives_piece_by_piece) {
-  Kept kept;
-  Door door(kept.handler());
-  Caller caller(door.port);
+Test(gate, streamed_response_arrives_piece_by_piece) {
+  HeldResponses held;
+  HttpServerFixture server(held.handler());
+  Caller caller(server.port);
   caller.send(get);
-  cr_assert(soon([&] { return kept.taken == 1; }));
-  cr_assert_eq(door.exchanges(), 1u);
-  auto answer = kept.answers[0];
-  cr_assert(!door.run([&] { return answer->started(); }));
-  door.run([&] {
-    answer->head(200,
-                 {{"X-odd-Case", "One"},
-                  {"Connection", "bad"},
-                  {"content-length", "7"},
-                  {"transfer-encoding", "bad"},
-                  {"Keep-Alive", "bad"},
-                  {"Proxy-Thing", "bad"},
-                  {"TE", "bad"},
-                  {"Trailer", "bad"},
-                  {"Upgrade", "bad"},
-                  {"X-Split", "a\r\nX-Bad: bad"},
-                  {"X-Two", "1"},
-                  {"X-Two", "2"}},
-                 std::nullopt);
+  cr_assert(soon([&] { return held.received == 1; }));
+  cr_assert_eq(server.exchanges(), 1u);
+  auto response = held.responses[0];
+  cr_assert(!server.run([&] { return response->started(); }));
+  server.run([&] {
+    response->head(200,
+                   {{"X-odd-Case", "One"},
+                    {"Connection", "bad"},
+                    {"content-length", "7"},
+                    {"transfer-encoding", "bad"},
+                    {"Keep-Alive", "bad"},
+                    {"Proxy-Thing", "bad"},
+                    {"TE", "bad"},
+                    {"Trailer", "bad"},
+                    {"Upgrade", "bad"},
+                    {"X-Split", "a\r\nX-Bad: bad"},
+                    {"X-Two", "1"},
+                    {"X-Two", "2"}},
+                   std::nullopt);
   });
   cr_assert_eq(caller.until("\r\n\r\n"),
                "HTTP/1.1 200 OK\r\nX-odd-Case: One\r\nX-Two: 1\r\nX-Two: 2\r\nTransfer-Encoding: chunked\r\n"
                "Connection: keep-alive\r\nKeep-Alive: timeout=15\r\n\r\n");
   for (int number = 0; number < 3; ++number) {
-    door.run([&] {
-      answer->bytes("piece " + std::to_string(number));
-      answer->bytes("");
+    server.run([&] {
+      response->bytes("piece " + std::to_string(number));
+      response->bytes("");
     });
     cr_assert_eq(caller.until("\r\npiece " + std::to_string(number) + "\r\n"),
                  "7\r\npiece " + std::to_string(number) + "\r\n");
   }
-  door.run([&] {
-    answer->bytes("a");
-    answer->bytes(std::string(20, 'b'));
-    answer->end();
-    answer->bytes("late");
-    answer->end();
-    answer->abort();
+  server.run([&] {
+    response->bytes("a");
+    response->bytes(std::string(20, 'b'));
+    response->end();
+    response->bytes("late");
+    response->end();
+    response->abort();
   });
   cr_assert_eq(caller.until("\r\n0\r\n\r\n"), "1\r\na\r\n14\r\n" + std::string(20, 'b') + "\r\n0\r\n\r\n");
-  cr_assert(soon([&] { return door.exchanges() == 0; }));
+  cr_assert(soon([&] { return server.exchanges() == 0; }));
   caller.send(get);
-  cr_assert(soon([&] { return kept.taken == 2; }), "the connection is kept");
+  cr_assert(soon([&] { return held.received == 2; }), "the connection is kept");
 }
 
-Test(gate, answers_without_a_body_have_none) {
-  Door door([](HttpRequest request, std::shared_ptr<ResponseWriter> answer) {
+Test(gate, responses_that_must_not_have_a_body_have_none) {
+  HttpServerFixture server([](HttpRequest request, std::shared_ptr<ResponseWriter> response) {
     int status = std::stoi(request.target.substr(1));
-    answer->head(status, {}, status == 201 ? std::optional<std::size_t>() : 4);
-    answer->bytes("body");
-    answer->end();
+    response->head(status, {}, status == 201 ? std::optional<std::size_t>() : 4);
+    response->bytes("body");
+    response->end();
   });
-  Caller caller(door.port);
+  Caller caller(server.port);
   auto ask = [&](const std::string& line) {
     caller.send(line + " HTTP/1.1\r\nHost: a\r\n\r\nGET /299 HTTP/1.1\r\nHost: a\r\n\r\n");
     return caller.until("body");
@@ -460,36 +460,36 @@
 }
 
 Test(gate, http_1_0_streams_end_with_the_connection) {
-  Kept kept;
-  Door door(kept.handler());
-  Caller caller(door.port);
+  HeldResponses held;
+  HttpServerFixture server(held.handler());
+  Caller caller(server.port);
   caller.send("GET /x HTTP/1.0\r\nConnection: keep-alive\r\n\r\n");
-  cr_assert(soon([&] { return kept.taken == 1; }));
-  door.run([&] {
-    kept.answers[0]->head(200, {}, std::nullopt);
-    kept.answers[0]->bytes("one ");
+  cr_assert(soon([&] { return held.received == 1; }));
+  server.run([&] {
+    held.responses[0]->head(200, {}, std::nullopt);
+    held.responses[0]->bytes("one ");
   });
   cr_assert_eq(caller.until("one "), "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\none ");
-  door.run([&] {
-    kept.answers[0]->bytes("two");
-    kept.answers[0]->end();
+  server.run([&] {
+    held.responses[0]->bytes("two");
+    held.responses[0]->end();
   });
   cr_assert_eq(caller.all(), "two");
   cr_assert(!caller.reset && !caller.timedOut);
 }
 
-Test(gate, a_cut_answer_never_looks_whole) {
-  Kept kept;
-  Door door(kept.handler());
+Test(gate, aborted_response_never_looks_complete) {
+  HeldResponses held;
+  HttpServerFixture server(held.handler());
   auto cutAfter = [&](const std::string& request, Caller& caller, const std::function<void(ResponseWriter&)>& action,
                       bool inOneTurn) {
-    int before = kept.taken;
+    int before = held.received;
     caller.send(request);
-    cr_assert(soon([&] { return kept.taken > before; }));
-    auto answer = kept.answers.back();
-    door.run([&] {
-      action(*answer);
-      if (inOneTurn) answer->abort();
+    cr_assert(soon([&] { return held.received > before; }));
+    auto response = held.responses.back();
+    server.run([&] {
+      action(*response);
+      if (inOneTurn) response->abort();
     });
     std::string got;
     if (!inOneTurn) {
@@ -498,85 +498,85 @@
         if (!part || part->empty()) break;
         got += *part;
       }
-      door.run([&] { answer->abort(); });
+      server.run([&] { response->abort(); });
     }
     got += caller.all();
     cr_assert(!caller.timedOut);
-    door.run([&] {
-      answer->bytes("late");
-      answer->end();
+    server.run([&] {
+      response->bytes("late");
+      response->end();
     });
     return got;
   };
   const std::string old = "GET /x HTTP/1.0\r\n\r\n", head = "HEAD /x HTTP/1.1\r\nHost: a\r\n\r\n";
   for (bool inOneTurn : {true, false}) {
-    Caller silent(door.port);
+    Caller silent(server.port);
     cr_assert_eq(cutAfter(
                      get, silent, [](ResponseWriter&) {}, inOneTurn),
                  "", "nothing written");
-    Caller chunks(door.port);
+    Caller chunks(server.port);
     auto got = cutAfter(
         get, chunks,
-        [](ResponseWriter& answer) {
-          answer.head(200, {}, std::nullopt);
-          answer.bytes("abc");
+        [](ResponseWriter& response) {
+          response.head(200, {}, std::nullopt);
+          response.bytes("abc");
         },
         inOneTurn);
     cr_assert(has(got, "3\r\nabc\r\n") && !has(got, "0\r\n\r\n"), "got \"%s\"", got.c_str());
-    Caller filled(door.port);
+    Caller filled(server.port);
     got = cutAfter(
         get, filled,
-        [](ResponseWriter& answer) {
-          answer.head(200, {}, 3);
-          answer.bytes("abc");
+        [](ResponseWriter& response) {
+          response.head(200, {}, 3);
+          response.bytes("abc");
         },
         inOneTurn);
     cr_assert(has(got, "\r\n\r\nab") && !has(got, "abc"), "got \"%s\"", got.c_str());
     for (const auto& request : {get, head}) {
-      Caller empty(door.port);
+      Caller empty(server.port);
       got = cutAfter(
-          request, empty, [](ResponseWriter& answer) { answer.head(200, {}, 0); }, inOneTurn);
+          request, empty, [](ResponseWriter& response) { response.head(200, {}, 0); }, inOneTurn);
       cr_assert(!has(got, "\r\n\r\n"), "got \"%s\"", got.c_str());
     }
-    Caller none(door.port);
+    Caller none(server.port);
     got = cutAfter(
-        get, none, [](ResponseWriter& answer) { answer.head(204, {}, std::nullopt); }, inOneTurn);
+        get, none, [](ResponseWriter& response) { response.head(204, {}, std::nullopt); }, inOneTurn);
     cr_assert(!has(got, "\r\n\r\n"), "got \"%s\"", got.c_str());
-    Caller untilClose(door.port);
+    Caller untilClose(server.port);
     cutAfter(
         old, untilClose,
-        [](ResponseWriter& answer) {
-          answer.head(200, {}, std::nullopt);
-          answer.bytes("abc");
+        [](ResponseWriter& response) {
+          response.head(200, {}, std::nullopt);
+          response.bytes("abc");
         },
         inOneTurn);
-    cr_assert(untilClose.reset, "an answer that ends with its connection must end in a reset");
+    cr_assert(untilClose.reset, "a response delimited by the end of the connection must end in a reset");
   }
-  cr_assert_eq(kept.gone.load(), 0, "the gate cut, nobody left");
-  cr_assert_eq(door.exchanges(), 0u);
+  cr_assert_eq(held.disconnects.load(), 0, "the server aborted the responses, no client disconnected");
+  cr_assert_eq(server.exchanges(), 0u);
 }
 
-Test(gate, answers_that_do_not_keep_to_their_length_are_cut) {
-  Door door([](HttpRequest request, std::shared_ptr<ResponseWriter> answer) {
+Test(gate, responses_that_violate_their_length_are_aborted) {
+  HttpServerFixture server([](HttpRequest request, std::shared_ptr<ResponseWriter> response) {
     if (request.target == "/short") {
-      answer->head(200, {}, 5);
-      answer->bytes("abcd");
-      answer->end();
+      response->head(200, {}, 5);
+      response->bytes("abcd");
+      response->end();
     } else if (request.target == "/long") {
-      answer->head(200, {}, 3);
-      answer->bytes("ab");
-      answer->bytes("cdef");
-      answer->end();
+      response->head(200, {}, 3);
+      response->bytes("ab");
+      response->bytes("cdef");
+      response->end();
     } else if (request.target == "/silent") {
-      answer->end();
+      response->end();
     } else if (request.target == "/dropped") {
-      answer->head(200, {}, std::nullopt);
-      answer->bytes("ab");
+      response->head(200, {}, std::nullopt);
+      response->bytes("ab");
     }
   });
   for (const auto& [target, least] : std::vector<std::pair<std::string, std::string>>{
            {"/short", "abcd"}, {"/long", "ab"}, {"/silent", ""}, {"/dropped", "2\r\nab\r\n"}, {"/untouched", ""}}) {
-    Caller caller(door.port);
+    Caller caller(server.port);
     auto got = caller.askAll("GET " + target + " HTTP/1.1\r\nHost: a\r\n\r\n");
     cr_assert(!caller.timedOut, "%s must end", target.c_str());
     if (least.empty())
@@ -585,28 +585,28 @@
       cr_assert_eq(got.substr(std::min(got.size(), got.find("\r\n\r\n") + 4)), least, "%s: got \"%s\"", target.c_str(),
                    got.c_str());
   }
-  cr_assert_eq(door.exchanges(), 0u);
+  cr_assert_eq(server.exchanges(), 0u);
 }
 
-Test(gate, a_caller_who_leaves_is_noticed) {
+Test(gate, client_disconnect_is_reported) {
   enum Way { closing, resetting, halfClosing };
   for (Way way : {closing, resetting, halfClosing}) {
     for (bool midStream : {false, true}) {
       for (bool pipelined : {false, true}) {
-        Kept kept;
-        Door door(kept.handler());
-        Caller caller(door.port);
+        HeldResponses held;
+        HttpServerFixture server(held.handler());
+        Caller caller(server.port);
         caller.send(pipelined ? get + get : get);
-        cr_assert(soon([&] { return kept.taken == 1; }));
-        auto answer = kept.answers[0];
+        cr_assert(soon([&] { return held.received == 1; }));
+        auto response = held.responses[0];
         if (midStream) {
-          door.run([&] {
-            answer->head(200, {}, std::nullopt);
-            answer->bytes("abc");
+          server.run([&] {
+            response->head(200, {}, std::nullopt);
+            response->bytes("abc");
           });
           cr_assert(has(caller.until("abc\r\n"), "abc"));
         }
-        cr_assert_eq(kept.gone.load(), 0);
+        cr_assert_eq(held.disconnects.load(), 0);
         TimePoint left = Clock::now();
         if (way == closing)
           caller.close();
@@ -614,129 +614,129 @@
           caller.resetConnection();
         else
           caller.socket.shutdown(asio::ip::tcp::socket::shutdown_send);
-        cr_assert(soon([&] { return kept.gone == 1; }), "way %d, mid-stream %d", way, midStream);
+        cr_assert(soon([&] { return held.disconnects == 1; }), "way %d, mid-stream %d", way, midStream);
         cr_assert_lt(toMilliseconds(Clock::now() - left), 200);
-        std::atomic<int> told{0};
-        door.run([&] {
-          cr_assert_eq(answer->started(), midStream);
-          answer->head(200, {}, 3);
-          answer->bytes("abc");
-          answer->end();
-          answer->abort();
-          cr_assert_eq(answer->unwritten(), 0u);
-          answer->onDisconnect([&] { ++told; });
+        std::atomic<int> responseCount{0};
+        server.run([&] {
+          cr_assert_eq(response->started(), midStream);
+          response->head(200, {}, 3);
+          response->bytes("abc");
+          response->end();
+          response->abort();
+          cr_assert_eq(response->unwritten(), 0u);
+          response->onDisconnect([&] { ++responseCount; });
         });
-        cr_assert(soon([&] { return told == 1; }), "who asks late is told too");
-        cr_assert_eq(door.connections(), 0u);
-        cr_assert_eq(door.exchanges(), 0u);
-        cr_assert_eq(kept.taken.load(), 1);
-        cr_assert_eq(kept.gone.load(), 1);
+        cr_assert(soon([&] { return responseCount == 1; }), "a handler set late is called too");
+        cr_assert_eq(server.connections(), 0u);
+        cr_assert_eq(server.exchanges(), 0u);
+        cr_assert_eq(held.received.load(), 1);
+        cr_assert_eq(held.disconnects.load(), 1);
       }
     }
   }
 }
 
-Test(gate, a_caller_who_leaves_behind_a_full_buffer_is_noticed) {
-  Kept kept;
-  Door door(kept.handler());
-  Caller caller(door.port);
+Test(gate, client_disconnect_is_reported_with_a_full_read_buffer) {
+  HeldResponses held;
+  HttpServerFixture server(held.handler());
+  Caller caller(server.port);
   caller.send(get);
   for (int part = 0; part < 20; ++part) caller.send(std::string(4096, 'x'));
-  cr_assert(soon([&] { return kept.taken == 1; }));
+  cr_assert(soon([&] { return held.received == 1; }));
   cr_assert_eq(caller.receive(50ms).value(), "");
   caller.resetConnection();
-  cr_assert(soon([&] { return kept.gone == 1; }));
+  cr_assert(soon([&] { return held.disconnects == 1; }));
 }
 
-Test(gate, an_ended_answer_is_written_to_a_caller_who_has_shut_down_sending) {
-  Kept kept;
-  Door door(kept.handler());
-  Caller caller(door.port);
+Test(gate, ended_response_is_written_to_a_half_closed_client) {
+  HeldResponses held;
+  HttpServerFixture server(held.handler());
+  Caller caller(server.port);
   caller.send(get);
-  cr_assert(soon([&] { return kept.taken == 1; }));
+  cr_assert(soon([&] { return held.received == 1; }));
   const std::string body(16 << 20, 'x');
-  door.run([&] { answerWhole(kept.answers[0], body); });
+  server.run([&] { sendResponse(held.responses[0], body); });
   caller.socket.shutdown(asio::ip::tcp::socket::shutdown_send);
   cr_assert_eq(caller.receive(30ms)->substr(0, 12), "HTTP/1.1 200");
   cr_assert_gt(caller.all().size(), body.size() - 16384);
   cr_assert(!caller.reset && !caller.timedOut);
-  cr_assert_eq(kept.gone.load(), 0);
+  cr_assert_eq(held.disconnects.load(), 0);
 }
 
-Test(gate, what_the_socket_does_not_take_is_counted) {
-  Kept kept;
-  Door door(kept.handler());
-  Caller caller(door.port);
+Test(gate, unwritten_bytes_are_counted) {
+  HeldResponses held;
+  HttpServerFixture server(held.handler());
+  Caller caller(server.port);
   caller.send(get);
-  cr_assert(soon([&] { return kept.taken == 1; }));
-  auto answer = kept.answers[0];
+  cr_assert(soon([&] { return held.received == 1; }));
+  auto response = held.responses[0];
   const std::string part(1 << 20, 'x');
-  door.run([&] {
-    answer->head(200, {}, 32 * part.size());
-    for (int time = 0; time < 32; ++time) answer->bytes(part);
+  server.run([&] {
+    response->head(200, {}, 32 * part.size());
+    for (int time = 0; time < 32; ++time) response->bytes(part);
   });
   std::this_thread::sleep_for(50ms);
-  auto left = door.run([&] { return answer->unwritten(); });
+  auto left = server.run([&] { return response->unwritten(); });
   cr_assert_gt(left, 1u << 20);
   cr_assert_lt(left, 32 * part.size());
   std::size_t got = 0;
   auto head = caller.until("\r\n\r\n");
   got += head.size() - head.find("\r\n\r\n") - 4;
   while (got < 32 * part.size() - 1) got += caller.receive()->size();
-  cr_assert_eq(door.run([&] { return answer->unwritten(); }), 1u, "the last byte waits for the end");
-  door.run([&] { answer->end(); });
+  cr_assert_eq(server.run([&] { return response->unwritten(); }), 1u, "the last byte waits for the end");
+  server.run([&] { response->end(); });
   cr_assert_eq(caller.receive()->size(), 1u);
-  cr_assert_eq(kept.gone.load(), 0);
+  cr_assert_eq(held.disconnects.load(), 0);
 }
 
-Test(gate, a_new_connection_without_a_request_does_not_hold_up_a_gate_that_leaves) {
+Test(gate, silent_new_connection_does_not_delay_draining) {
   HttpServerLimits limits;
-  limits.idleClose = 150ms;
-  Door door(echo, limits);
-  door.run([&] { door.gate.leave(); });
-  Caller silent(door.port), asking(door.port);
+  limits.drainIdleTimeout = 150ms;
+  HttpServerFixture server(echo, limits);
+  server.run([&] { server.httpServer.startDraining(); });
+  Caller silent(server.port), asking(server.port);
   asking.send(get);
-  cr_assert(has(asking.all(), "Connection: close"), "one that asks is served");
+  cr_assert(has(asking.all(), "Connection: close"), "a client that sends a request is served");
   cr_assert_eq(silent.all(), "");
   cr_assert_not(silent.timedOut);
 }
 
-Test(gate, a_gate_that_accepts_no_more_serves_whoever_is_connected) {
-  Kept kept;
-  Door door(kept.handler());
-  Caller caller(door.port);
+Test(gate, open_connections_are_served_after_accepting_stopped) {
+  HeldResponses held;
+  HttpServerFixture server(held.handler());
+  Caller caller(server.port);
   caller.send(get);
-  cr_assert(soon([&] { return kept.taken == 1; }));
-  door.run([&] { door.gate.stopAccepting(); });
+  cr_assert(soon([&] { return held.received == 1; }));
+  server.run([&] { server.httpServer.stopAccepting(); });
   asio::error_code error;
-  Caller late(door.port, error);
+  Caller late(server.port, error);
   cr_assert(error, "nobody listens any more");
-  door.run([&] { answerWhole(kept.answers[0], "well"); });
+  server.run([&] { sendResponse(held.responses[0], "well"); });
   cr_assert(has(caller.until("well"), "well"));
 }
 
-Test(gate, leaving_closes_idle_connections_and_serves_the_rest) {
-  Kept kept;
+Test(gate, draining_closes_idle_connections_and_serves_the_others) {
+  HeldResponses held;
   HttpServerLimits limits;
-  limits.idleClose = 150ms;
-  Door door(kept.handler(), limits);
-  Caller idle(door.port), busy(door.port), late(door.port);
+  limits.drainIdleTimeout = 150ms;
+  HttpServerFixture server(held.handler(), limits);
+  Caller idle(server.port), busy(server.port), late(server.port);
   idle.send(get);
   late.send(get);
-  cr_assert(soon([&] { return kept.taken == 2; }));
-  door.run([&] {
-    answerWhole(kept.answers[0], "ok");
-    answerWhole(kept.answers[1], "ok");
+  cr_assert(soon([&] { return held.received == 2; }));
+  server.run([&] {
+    sendResponse(held.responses[0], "ok");
+    sendResponse(held.responses[1], "ok");
   });
   cr_assert(has(idle.until("ok"), "keep-alive"));
   cr_assert(has(late.until("ok"), "keep-alive"));
   busy.send(get);
-  cr_assert(soon([&] { return kept.taken == 3; }));
+  cr_assert(soon([&] { return held.received == 3; }));
   TimePoint left = Clock::now();
-  door.run([&] { door.gate.leave(); });
+  server.run([&] { server.httpServer.startDraining(); });
   late.send(get);
-  cr_assert(soon([&] { return kept.taken == 4; }));
-  door.run([&] { answerWhole(kept.answers[3], "late"); });
+  cr_assert(soon([&] { return held.received == 4; }));
+  server.run([&] { sendResponse(held.responses[3], "late"); });
   auto got = late.all();
   cr_assert(has(got, "\r\nConnection: close\r\n") && !has(got, "Keep-Alive") && has(got, "late"));
   cr_assert(!late.timedOut && !late.reset);
@@ -744,36 +744,36 @@
   cr_assert(!idle.timedOut);
   cr_assert_geq(toMilliseconds(Clock::now() - left), 145);
   cr_assert_lt(toMilliseconds(Clock::now() - left), 600);
-  Caller fresh(door.port);
+  Caller fresh(server.port);
   fresh.send(get);
-  cr_assert(soon([&] { return kept.taken == 5; }), "new connections are still served");
-  door.run([&] {
-    answerWhole(kept.answers[4], "fresh");
-    answerWhole(kept.answers[2], "busy");
+  cr_assert(soon([&] { return held.received == 5; }), "new connections are still served");
+  server.run([&] {
+    sendResponse(held.responses[4], "fresh");
+    sendResponse(held.responses[2], "busy");
   });
   got = fresh.all();
   cr_assert(has(got, "\r\nConnection: close\r\n") && has(got, "fresh"));
   got = busy.all();
   cr_assert(has(got, "\r\nConnection: close\r\n") && has(got, "busy"));
-  cr_assert(soon([&] { return door.connections() == 0; }));
+  cr_assert(soon([&] { return server.connections() == 0; }));
 }
 
-Test(gate, closing_ends_everything_and_calls_nobody_back) {
-  Kept kept;
-  Door door(kept.handler());
-  Caller idle(door.port), busy(door.port);
+Test(gate, close_ends_all_connections_without_callbacks) {
+  HeldResponses held;
+  HttpServerFixture server(held.handler());
+  Caller idle(server.port), busy(server.port);
   busy.send(get);
-  cr_assert(soon([&] { return kept.taken == 1; }));
-  door.run([&] { door.gate.close(); });
+  cr_assert(soon([&] { return held.received == 1; }));
+  server.run([&] { server.httpServer.close(); });
   cr_assert_eq(idle.all(), "");
   cr_assert_eq(busy.all(), "");
-  door.run([&] { answerWhole(kept.answers[0], "late"); });
-  cr_assert_eq(door.connections(), 0u);
-  cr_assert_eq(door.exchanges(), 0u);
-  cr_assert_eq(kept.gone.load(), 0);
+  server.run([&] { sendResponse(held.responses[0], "late"); });
+  cr_assert_eq(server.connections(), 0u);
+  cr_assert_eq(server.exchanges(), 0u);
+  cr_assert_eq(held.disconnects.load(), 0);
 }
 
-Test(gate, an_address_that_cannot_be_taken_is_told) {
+Test(gate, address_that_cannot_be_bound_is_reported) {
   asio::io_context io;
   HttpServer first(io, "127.0.0.1:0", echo);
   cr_assert(bool(first.open()));
