--- a/tests/gate_faults.cpp
+++ b/tests/gate_faults.cpp
@@ -11,30 +11,30 @@
 
 namespace {
 
-const std::string oldGet = "GET /x HTTP/1.0\r\n\r\n";
+const std::string http10Get = "GET /x HTTP/1.0\r\n\r\n";
 
-/// Holds the gate's thread as a freeze of the process does, until it goes out of scope.
-class Frozen {
+/// Blocks the server's thread until destroyed, as a freeze of the process does.
+class BlockedThread {
  public:
-  explicit Frozen(asio::io_context& io) {
-    std::promise<void> held;
-    auto isHeld = held.get_future();
-    asio::post(io, [&held, thaw = thawed.get_future().share()] {
-      held.set_value();
-      thaw.wait();
+  explicit BlockedThread(asio::io_context& io) {
+    std::promise<void> blocked;
+    auto isBlocked = blocked.get_future();
+    asio::post(io, [&blocked, resumed = thawed.get_future().share()] {
+      blocked.set_value();
+      resumed.wait();
     });
-    isHeld.wait();
+    isBlocked.wait();
   }
-  ~Frozen() { thawed.set_value(); }
+  ~BlockedThread() { thawed.set_value(); }
 
  private:
   std::promise<void> thawed;
 };
 
-/// A gate in a process of its own that starts an answer and never ends it.
-class DoorProcess {
+/// An HttpServer in a process of its own, which starts responses and never ends them.
+class ServerProcess {
  public:
-  DoorProcess() {
+  ServerProcess() {
     int ends[2];
     cr_assert_eq(::pipe(ends), 0);
     id = ::fork();
@@ -51,24 +51,24 @@
 
  private:
   pid_t id{0};
-  [[noreturn]] static void serve(int told) {
+  [[noreturn]] static void serve(int portPipe) {
     asio::io_context io;
-    std::vector<std::shared_ptr<ResponseWriter>> kept;
-    HttpServer gate(io, "127.0.0.1:0", [&kept](HttpRequest, std::shared_ptr<ResponseWriter> answer) {
-      answer->head(200, {}, std::nullopt);
-      answer->bytes("part");
-      kept.push_back(std::move(answer));
+    std::vector<std::shared_ptr<ResponseWriter>> held;
+    HttpServer httpServer(io, "127.0.0.1:0", [&held](HttpRequest, std::shared_ptr<ResponseWriter> response) {
+      response->head(200, {}, std::nullopt);
+      response->bytes("part");
+      held.push_back(std::move(response));
     });
-    if (!gate.open()) ::_exit(1);
-    auto taken = gate.port();
-    if (::write(told, &taken, sizeof taken) < 0) ::_exit(1);
+    if (!httpServer.open()) ::_exit(1);
+    auto port = httpServer.port();
+    if (::write(portPipe, &port, sizeof port) < 0) ::_exit(1);
     io.run();
     ::_exit(0);
   }
 };
 
-/// Sends without waiting until the other side takes nothing more.
-std::size_t sendAllThatIsTaken(Caller& caller, std::size_t most) {
+/// Sends until the server accepts nothing for 200 ms, or `most` bytes. Returns how many bytes were accepted.
+std::size_t sendUntilBlocked(Caller& caller, std::size_t most) {
   const std::string part(64 * 1024, 'x');
   std::size_t taken = 0;
   while (taken < most) {
@@ -81,40 +81,40 @@
   return taken;
 }
 
-/// An operators' server on its own thread that keeps what it is asked.
-class OperatorDoor {
+/// An operators' server on its own thread, which holds the requests until the test answers them.
+class OperatorServerFixture {
  public:
-  OperatorDoor() {
+  OperatorServerFixture() {
     HttpServer finder(io, "127.0.0.1:0", echo);
     cr_assert(bool(finder.open()));
     port = finder.port();
     finder.close();
     server = std::make_unique<WebServer>(io, "127.0.0.1:" + std::to_string(port),
-                                         [this](WebRequest ask, std::shared_ptr<WebResponse> answer) {
-                                           names[ask.path] = answers.add(std::move(answer));
-                                           ++taken;
+                                         [this](WebRequest ask, std::shared_ptr<WebResponse> response) {
+                                           names[ask.path] = responses.add(std::move(response));
+                                           ++received;
                                          });
     cr_assert(bool(server->open()));
     thread = std::thread([this] { io.run(); });
   }
-  ~OperatorDoor() {
+  ~OperatorServerFixture() {
     asio::post(io, [this] { io.stop(); });
     thread.join();
   }
   void finish(const std::string& path, const std::string& body) {
     std::promise<void> done;
     asio::post(io, [&] {
-      if (auto answer = answers.remove(names.at(path))) answer->finish(200, body);
+      if (auto response = responses.remove(names.at(path))) response->finish(200, body);
       done.set_value();
     });
     done.get_future().wait();
   }
   asio::io_context io;
   asio::executor_work_guard<asio::io_context::executor_type> work{io.get_executor()};
-  PendingResponses answers;
+  PendingResponses responses;
   std::map<std::string, std::string> names;
   std::unique_ptr<WebServer> server;
-  std::atomic<int> taken{0};
+  std::atomic<int> received{0};
   unsigned short port{0};
   std::thread thread;
 };
@@ -122,8 +122,8 @@
   return "PUT " + path + " HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}";
 }
 
-/// One core that is its own majority, over lives on the same disk.
-struct LoneCore {
+/// A cluster of a single core, which can be restarted on the same disk.
+struct SingleCoreCluster {
   TimePoint now{std::chrono::hours(1)};
   std::mt19937_64 randomSource{1};
   RecoveredState disk;
@@ -151,7 +151,7 @@
   void handle(const std::string& from, const Message& message) {
     with([&](Effects& effects) { core->handle(effects, from, message); });
   }
-  /// Runs until it leads; its words to itself are delivered.
+  /// Runs until the core is the leader. Messages to itself are delivered.
   void lead() {
     for (int step = 0; step < 4000 && !core->consensusLog().leads(now); ++step) {
       now += 5ms;
@@ -164,8 +164,8 @@
     cr_assert(core->consensusLog().leads(now));
     out.clear();
   }
-  /// The number under which a change of this operator travels to the leader.
-  std::string askedAs(const std::string& changeId) {
+  /// Submits a configuration change and returns the id of the request that goes to the leader.
+  std::string changeRequestId(const std::string& changeId) {
     out.clear();
     OperatorRequest request;
     request.requestId = "operator";
@@ -178,7 +178,7 @@
       if (auto* change = std::get_if<ChangeRequest>(&message)) return change->requestId;
     return {};
   }
-  std::size_t told() const {
+  std::size_t responseCount() const {
     std::size_t count = 0;
     for (const auto& [to, message] : out) count += std::holds_alternative<OperatorResponse>(message);
     return count;
@@ -187,97 +187,99 @@
 
 }  // namespace
 
-Test(gate_faults, a_killed_process_leaves_no_answer_that_looks_whole_to_an_old_client) {
-  DoorProcess door;
-  Caller old(door.port), current(door.port);
-  old.send(oldGet);
+Test(gate_faults, killed_process_leaves_no_complete_looking_response_to_an_http_1_0_client) {
+  ServerProcess server;
+  Caller old(server.port), current(server.port);
+  old.send(http10Get);
   current.send(get);
   cr_assert(has(old.until("part"), "part"));
   cr_assert(has(current.until("part\r\n"), "part"));
-  door.kill();
+  server.kill();
   cr_assert_eq(old.all(), "");
-  cr_assert(old.reset, "an answer that ends with its connection ends in a reset when its process is killed");
+  cr_assert(old.reset,
+            "a response delimited by the end of the connection must end in a reset when its process is killed");
   cr_assert(!has(current.all(), "0\r\n\r\n"));
 }
 
-Test(gate_faults, a_closed_gate_leaves_no_answer_that_looks_whole_to_an_old_client) {
-  Kept kept;
-  Door door(kept.handler());
-  Caller old(door.port);
-  old.send(oldGet);
-  cr_assert(soon([&] { return kept.taken == 1; }));
-  door.run([&] {
-    kept.answers[0]->head(200, {}, std::nullopt);
-    kept.answers[0]->bytes("part");
+Test(gate_faults, closed_server_leaves_no_complete_looking_response_to_an_http_1_0_client) {
+  HeldResponses held;
+  HttpServerFixture server(held.handler());
+  Caller old(server.port);
+  old.send(http10Get);
+  cr_assert(soon([&] { return held.received == 1; }));
+  server.run([&] {
+    held.responses[0]->head(200, {}, std::nullopt);
+    held.responses[0]->bytes("part");
   });
   cr_assert(has(old.until("part"), "part"));
-  door.run([&] { door.gate.close(); });
+  server.run([&] { server.httpServer.close(); });
   cr_assert_eq(old.all(), "");
   cr_assert(old.reset);
 }
 
-Test(gate_faults, an_old_clients_whole_answer_still_ends_in_order) {
-  Kept kept;
-  Door door(kept.handler());
-  Caller old(door.port);
-  old.send(oldGet);
-  cr_assert(soon([&] { return kept.taken == 1; }));
+Test(gate_faults, complete_response_to_an_http_1_0_client_ends_orderly) {
+  HeldResponses held;
+  HttpServerFixture server(held.handler());
+  Caller old(server.port);
+  old.send(http10Get);
+  cr_assert(soon([&] { return held.received == 1; }));
   const std::string body(4 << 20, 'x');
-  door.run([&] {
-    kept.answers[0]->head(200, {}, std::nullopt);
-    kept.answers[0]->bytes(body);
-    kept.answers[0]->end();
+  server.run([&] {
+    held.responses[0]->head(200, {}, std::nullopt);
+    held.responses[0]->bytes(body);
+    held.responses[0]->end();
   });
   auto got = old.all();
   cr_assert_eq(got.size() - got.find("\r\n\r\n") - 4, body.size());
   cr_assert(!old.reset && !old.timedOut);
 }
 
-Test(gate_faults, a_kept_connection_lives_as_long_as_it_was_promised) {
-  Kept kept;
+Test(gate_faults, connection_is_kept_as_long_as_announced) {
+  HeldResponses held;
   HttpServerLimits limits;
   limits.idleTimeout = 2s;
-  Door door(kept.handler(), limits);
-  Caller caller(door.port);
+  HttpServerFixture server(held.handler(), limits);
+  Caller caller(server.port);
   caller.send(get);
-  cr_assert(soon([&] { return kept.taken == 1; }));
-  door.run([&] {
-    kept.answers[0]->head(200, {}, std::nullopt);
-    kept.answers[0]->bytes("a");
+  cr_assert(soon([&] { return held.received == 1; }));
+  server.run([&] {
+    held.responses[0]->head(200, {}, std::nullopt);
+    held.responses[0]->bytes("a");
   });
   cr_assert(has(caller.until("\r\na\r\n"), "Keep-Alive: timeout=2\r\n"));
   limits.idleTimeout = 100ms;
-  door.run([&] {
-    door.gate.setLimits(limits);
-    kept.answers[0]->end();
+  server.run([&] {
+    server.httpServer.setLimits(limits);
+    held.responses[0]->end();
   });
   cr_assert(has(caller.until("0\r\n\r\n"), "0\r\n\r\n"));
-  cr_assert_eq(caller.receive(700ms).value_or("end"), "", "the promise of two seconds stands");
+  cr_assert_eq(caller.receive(700ms).value_or("end"), "", "the announced two seconds are kept");
   caller.send(get);
-  cr_assert(soon([&] { return kept.taken == 2; }));
+  cr_assert(soon([&] { return held.received == 2; }));
 }
 
-Test(gate_faults, less_than_a_second_is_not_promised_as_one) {
+Test(gate_faults, keep_alive_below_one_second_is_not_announced) {
   HttpServerLimits limits;
   limits.idleTimeout = 400ms;
-  Door door(echo, limits);
-  Caller caller(door.port);
+  HttpServerFixture server(echo, limits);
+  Caller caller(server.port);
   caller.send(get);
   auto got = caller.until("[]");
   cr_assert(has(got, "Connection: keep-alive\r\n") && !has(got, "Keep-Alive: "), "got \"%s\"", got.c_str());
 }
 
-Test(gate_faults, pipelined_requests_that_were_read_before_leaving_are_all_answered) {
-  Kept kept;
-  Door door(kept.handler());
-  Caller caller(door.port);
+Test(gate_faults, pipelined_requests_read_before_draining_are_all_answered) {
+  HeldResponses held;
+  HttpServerFixture server(held.handler());
+  Caller caller(server.port);
   caller.send(get + get + get);
-  cr_assert(soon([&] { return kept.taken == 1; }));
+  cr_assert(soon([&] { return held.received == 1; }));
   cr_assert_eq(caller.receive(30ms).value(), "");
-  door.run([&] { door.gate.leave(); });
+  server.run([&] { server.httpServer.startDraining(); });
   for (int number = 0; number < 3; ++number) {
-    cr_assert(soon([&] { return kept.taken == number + 1; }), "request %d is served", number);
-    door.run([&] { answerWhole(kept.answers[static_cast<std::size_t>(number)], "answer" + std::to_string(number)); });
+    cr_assert(soon([&] { return held.received == number + 1; }), "request %d is served", number);
+    server.run(
+        [&] { sendResponse(held.responses[static_cast<std::size_t>(number)], "answer" + std::to_string(number)); });
   }
   auto got = caller.all();
   cr_assert_eq(count(got, "HTTP/1.1 200"), 3u, "got \"%s\"", got.c_str());
@@ -285,82 +287,82 @@
   cr_assert(has(got, "answer2") && !caller.reset && !caller.timedOut);
 }
 
-Test(gate_faults, a_client_that_does_not_read_is_cut_before_memory_runs_out_and_holds_up_nobody) {
-  Kept kept;
+Test(gate_faults, client_that_does_not_read_is_reset_at_the_queue_limit_and_delays_no_other) {
+  HeldResponses held;
   HttpServerLimits limits;
   limits.maxQueuedBytes = 8 << 20;
-  Door door(kept.handler(), limits);
-  Caller idle(door.port), reading(door.port);
+  HttpServerFixture server(held.handler(), limits);
+  Caller idle(server.port), reading(server.port);
   idle.send(get);
-  cr_assert(soon([&] { return kept.taken == 1; }));
+  cr_assert(soon([&] { return held.received == 1; }));
   reading.send(get);
-  cr_assert(soon([&] { return kept.taken == 2; }));
+  cr_assert(soon([&] { return held.received == 2; }));
   const std::string part(1 << 20, 'x');
   std::size_t most = 0, read = 0;
-  door.run([&] {
-    for (auto& answer : kept.answers) answer->head(200, {}, 64 * part.size());
+  server.run([&] {
+    for (auto& response : held.responses) response->head(200, {}, 64 * part.size());
   });
   auto head = reading.until("\r\n\r\n");
   read = head.size() - head.find("\r\n\r\n") - 4;
   for (std::size_t step = 1; step <= 64; ++step) {
-    door.run([&] {
-      for (auto& answer : kept.answers) answer->bytes(part);
+    server.run([&] {
+      for (auto& response : held.responses) response->bytes(part);
     });
     std::size_t awaited = step * part.size() - (step == 64 ? 1 : 0);
     while (read < awaited) {
       auto got = reading.receive();
-      cr_assert(got && !got->empty(), "the reader is served on at %zu", read);
+      cr_assert(got && !got->empty(), "the reading client is still served at %zu", read);
       read += got->size();
     }
-    most = std::max(most, door.run([&] { return door.gate.queued(); }));
+    most = std::max(most, server.run([&] { return server.httpServer.queued(); }));
   }
-  door.run([&] { kept.answers[1]->end(); });
+  server.run([&] { held.responses[1]->end(); });
   cr_assert_eq(reading.receive()->size(), 1u);
   cr_assert_leq(most, limits.maxQueuedBytes + 2 * part.size());
-  cr_assert_eq(kept.gone.load(), 1, "the one that does not read is told as gone");
+  cr_assert_eq(held.disconnects.load(), 1, "the client that does not read is reported as disconnected");
   idle.all();
-  cr_assert(idle.reset, "its answer does not look whole");
-  cr_assert(soon([&] { return door.run([&] { return door.gate.queued(); }) == 0; }));
+  cr_assert(idle.reset, "its response does not look complete");
+  cr_assert(soon([&] { return server.run([&] { return server.httpServer.queued(); }) == 0; }));
 }
 
-Test(gate_faults, a_client_that_sends_on_while_its_answer_streams_is_held_back) {
-  Kept kept;
-  Door door(kept.handler());
-  Caller caller(door.port);
+Test(gate_faults, client_that_keeps_sending_during_its_response_is_held_back_by_flow_control) {
+  HeldResponses held;
+  HttpServerFixture server(held.handler());
+  Caller caller(server.port);
   caller.send(get);
-  cr_assert(soon([&] { return kept.taken == 1; }));
-  auto taken = sendAllThatIsTaken(caller, 256u << 20);
-  cr_assert_lt(taken, 64u << 20, "what the kernel's buffers hold, no more");
-  door.run([&] { answerWhole(kept.answers[0], "ok"); });
+  cr_assert(soon([&] { return held.received == 1; }));
+  auto taken = sendUntilBlocked(caller, 256u << 20);
+  cr_assert_lt(taken, 64u << 20, "no more than the kernel's buffers hold");
+  server.run([&] { sendResponse(held.responses[0], "ok"); });
   auto got = caller.all();
-  cr_assert_eq(count(got, "HTTP/1.1 "), 2u, "its answer, then a refusal of what was no request");
+  cr_assert_eq(count(got, "HTTP/1.1 "), 2u, "its response, then a rejection of the bytes that are no request");
   cr_assert(has(got, "HTTP/1.1 200") && has(got, "HTTP/1.1 4"));
-  cr_assert_eq(kept.taken.load(), 1);
+  cr_assert_eq(held.received.load(), 1);
 }
 
-Test(gate_faults, an_answer_for_a_client_that_has_gone_reaches_nobody_on_a_new_connection) {
-  Kept kept;
-  Door door(kept.handler());
+Test(gate_faults, response_for_a_disconnected_client_reaches_no_new_connection) {
+  HeldResponses held;
+  HttpServerFixture server(held.handler());
   for (bool byReset : {false, true}) {
-    std::size_t first = kept.answers.size();
-    auto gone = std::make_unique<Caller>(door.port);
+    std::size_t first = held.responses.size();
+    auto gone = std::make_unique<Caller>(server.port);
     gone->send(get);
-    cr_assert(soon([&] { return kept.answers.size() == first + 1; }));
+    cr_assert(soon([&] { return held.responses.size() == first + 1; }));
     std::unique_ptr<Caller> next;
     {
-      Frozen frozen(door.io);
+      BlockedThread frozen(server.io);
       if (byReset)
         gone->resetConnection();
       else
         gone->close();
-      next = std::make_unique<Caller>(door.port);
+      next = std::make_unique<Caller>(server.port);
       next->send(get);
-      asio::post(door.io, [&kept, first] { answerWhole(kept.answers[first], "for the one that has gone"); });
+      asio::post(server.io, [&held, first] { sendResponse(held.responses[first], "for the one that has gone"); });
     }
-    cr_assert(soon([&] { return kept.answers.size() == first + 2; }));
-    door.run([&] {
-      answerWhole(kept.answers[first], "again for the one that has gone");
-      answerWhole(kept.answers[first + 1], "for the next");
+    cr_assert(soon([&] { return held.responses.size() == first + 2; }));
+    server.run([&] {
+      sendResponse(held.responses[first], "again for the one that has gone");
+      sendResponse(held.responses[first + 1], "for the next");
     });
     auto got = next->until("next");
     cr_assert(has(got, "for the next") && !has(got, "gone"), "got \"%s\"", got.c_str());
@@ -368,19 +370,19 @@
   }
 }
 
-Test(gate_faults, a_request_whose_rest_came_during_a_freeze_is_taken_on_waking) {
+Test(gate_faults, request_completed_during_a_freeze_is_served_after_it) {
   HttpServerLimits limits;
   limits.headerTimeout = 50ms;
   limits.idleTimeout = 50ms;
-  Door door(echo, limits);
+  HttpServerFixture server(echo, limits);
   for (const auto& input : {get, post("Content-Length: 5\r\n", "hello"),
                             post("Transfer-Encoding: chunked\r\n", "5\r\nhello\r\n0\r\n\r\n")}) {
     for (std::size_t size : {std::size_t(0), std::size_t(1), input.size() / 2, input.size() - 1}) {
-      Caller caller(door.port);
+      Caller caller(server.port);
       caller.send(std::string_view(input).substr(0, size));
-      cr_assert(soon([&] { return door.connections() > 0; }));
+      cr_assert(soon([&] { return server.connections() > 0; }));
       {
-        Frozen frozen(door.io);
+        BlockedThread frozen(server.io);
         caller.send(std::string_view(input).substr(size));
         std::this_thread::sleep_for(70ms);
       }
@@ -389,26 +391,26 @@
   }
 }
 
-Test(gate_faults, a_body_cut_after_it_was_asked_for_reaches_nobody) {
+Test(gate_faults, body_truncated_after_100_continue_does_not_reach_the_handler) {
   std::atomic<int> handled{0};
-  Door door([&](HttpRequest request, std::shared_ptr<ResponseWriter> answer) {
+  HttpServerFixture server([&](HttpRequest request, std::shared_ptr<ResponseWriter> response) {
     ++handled;
-    echo(std::move(request), std::move(answer));
+    echo(std::move(request), std::move(response));
   });
   for (const char* framing : {"Content-Length: 5\r\n", "Transfer-Encoding: chunked\r\n"}) {
-    Caller caller(door.port);
+    Caller caller(server.port);
     caller.send(post(std::string("Expect: 100-continue\r\n") + framing));
     cr_assert_eq(statusOf(caller.until("\r\n\r\n")), 100);
     caller.send(framing[0] == 'C' ? "hell" : "5\r\nhell");
     caller.resetConnection();
-    cr_assert(soon([&] { return door.connections() == 0; }));
+    cr_assert(soon([&] { return server.connections() == 0; }));
     cr_assert_eq(handled.load(), 0);
   }
 }
 
-Test(gate_faults, a_get_with_a_body_does_not_leave_it_behind_as_a_request) {
-  Door door(echo);
-  Caller caller(door.port);
+Test(gate_faults, body_of_a_get_is_not_parsed_as_the_next_request) {
+  HttpServerFixture server(echo);
+  Caller caller(server.port);
   const std::string inner = "GET /inner HTTP/1.1\r\nHost: a\r\n\r\n";
   caller.send("GET /outer HTTP/1.1\r\nHost: a\r\nContent-Length: " + std::to_string(inner.size()) + "\r\n\r\n" + inner +
               "HEAD /head HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n" + getClose);
@@ -417,9 +419,9 @@
   cr_assert(has(got, "GET /outer [" + inner + "]") && has(got, "GET /x []"));
 }
 
-Test(gate_faults, a_name_that_only_begins_like_a_framing_field_frames_nothing) {
-  Door door(echo);
-  Caller caller(door.port);
+Test(gate_faults, field_whose_name_begins_like_a_framing_field_is_not_one) {
+  HttpServerFixture server(echo);
+  Caller caller(server.port);
   for (const char* name :
        {"Transfer-EncodingX: chunked\r\n", "Content-LengthX: 9\r\n", "X-Transfer-Encoding: chunked\r\n"}) {
     caller.send(post(std::string(name) + "Content-Length: 5\r\n", "hello"));
@@ -429,17 +431,17 @@
   }
 }
 
-Test(gate_faults, nothing_behind_a_refused_request_is_passed_on) {
+Test(gate_faults, nothing_after_a_rejected_request_reaches_the_handler) {
   std::atomic<int> handled{0};
-  Door door([&](HttpRequest request, std::shared_ptr<ResponseWriter> answer) {
+  HttpServerFixture server([&](HttpRequest request, std::shared_ptr<ResponseWriter> response) {
     ++handled;
-    echo(std::move(request), std::move(answer));
+    echo(std::move(request), std::move(response));
   });
   for (const auto& refused :
        {post("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"),
         post("Content-Length: 2\r\nContent-Length: 3\r\n", "abc"), post("Transfer-Encoding : chunked\r\n", "0\r\n\r\n"),
         post("Transfer-Encoding: chunked\r\n", "0x0\r\n\r\n"), post("Odd: a\r\n Content-Length: 3\r\n", "abc")}) {
-    Caller caller(door.port);
+    Caller caller(server.port);
     auto got = caller.askAll(refused + get + get);
     cr_assert_eq(count(got, "HTTP/1.1 "), 1u, "got \"%s\"", got.c_str());
     cr_assert_eq(statusOf(got), 400);
@@ -447,52 +449,52 @@
   }
 }
 
-Test(gate_faults, operators_answers_are_not_crossed) {
-  OperatorDoor door;
-  Caller one(door.port), other(door.port);
+Test(gate_faults, responses_to_operators_are_not_mixed_up) {
+  OperatorServerFixture server;
+  Caller one(server.port), other(server.port);
   one.send(put("/one"));
-  cr_assert(soon([&] { return door.taken == 1; }));
+  cr_assert(soon([&] { return server.received == 1; }));
   other.send(put("/other"));
-  cr_assert(soon([&] { return door.taken == 2; }));
-  door.finish("/other", "\"for the other\"");
+  cr_assert(soon([&] { return server.received == 2; }));
+  server.finish("/other", "\"for the other\"");
   cr_assert(has(other.until("other"), "for the other"));
   cr_assert_eq(one.receive(50ms).value_or("end"), "");
-  door.finish("/one", "\"for the one\"");
+  server.finish("/one", "\"for the one\"");
   cr_assert(has(one.until("one"), "for the one"));
-  cr_assert_eq(door.answers.count(), 0u);
+  cr_assert_eq(server.responses.count(), 0u);
 }
 
-Test(gate_faults, an_answer_for_an_operator_that_has_gone_reaches_nobody) {
-  OperatorDoor door;
-  Caller gone(door.port);
+Test(gate_faults, response_for_a_disconnected_operator_reaches_nobody) {
+  OperatorServerFixture server;
+  Caller gone(server.port);
   gone.send(put("/gone"));
-  cr_assert(soon([&] { return door.taken == 1; }));
+  cr_assert(soon([&] { return server.received == 1; }));
   gone.resetConnection();
-  Caller next(door.port);
+  Caller next(server.port);
   next.send(put("/next"));
-  cr_assert(soon([&] { return door.taken == 2; }));
-  door.finish("/gone", "\"for the one that has gone\"");
-  door.finish("/next", "\"for the next\"");
+  cr_assert(soon([&] { return server.received == 2; }));
+  server.finish("/gone", "\"for the one that has gone\"");
+  server.finish("/next", "\"for the next\"");
   auto got = next.until("next\"");
   cr_assert(has(got, "for the next") && !has(got, "gone"), "got \"%s\"", got.c_str());
-  door.finish("/gone", "\"again\"");
+  server.finish("/gone", "\"again\"");
   cr_assert_eq(next.receive(50ms).value_or("end"), "");
 }
 
-Test(gate_faults, an_answer_to_an_operator_of_an_earlier_life_answers_nobody) {
-  LoneCore machine;
-  machine.start();
-  machine.lead();
-  auto earlier = machine.askedAs("first");
+Test(gate_faults, response_to_a_request_from_before_a_restart_reaches_nobody) {
+  SingleCoreCluster cluster;
+  cluster.start();
+  cluster.lead();
+  auto earlier = cluster.changeRequestId("first");
   cr_assert_neq(earlier, "");
-  machine.start();
-  machine.lead();
-  auto later = machine.askedAs("second");
+  cluster.start();
+  cluster.lead();
+  auto later = cluster.changeRequestId("second");
   cr_assert_neq(later, "");
   cr_assert_neq(earlier, later);
-  machine.out.clear();
-  machine.handle("core-1:1", ChangeResponse{earlier, static_cast<int>(Code::staleRevision), {}, {}, 0, 0, 0});
-  cr_assert_eq(machine.told(), 0u, "the refusal was for an operator of the life before");
-  machine.handle("core-1:1", ChangeResponse{later, static_cast<int>(Code::staleRevision), {}, {}, 0, 0, 0});
-  cr_assert_eq(machine.told(), 1u);
+  cluster.out.clear();
+  cluster.handle("core-1:1", ChangeResponse{earlier, static_cast<int>(Code::staleRevision), {}, {}, 0, 0, 0});
+  cr_assert_eq(cluster.responseCount(), 0u, "the response is for a request from before the restart");
+  cluster.handle("core-1:1", ChangeResponse{later, static_cast<int>(Code::staleRevision), {}, {}, 0, 0, 0});
+  cr_assert_eq(cluster.responseCount(), 1u);
 }
--- a/tests/gate_fixture.hpp
+++ b/tests/gate_fixture.hpp
@@ -7,20 +7,21 @@
 
 #include "gate.hpp"
 
-/// What tests of the gate share: a gate on its own thread, callers on raw sockets, and handlers.
+/// Shared by the tests of HttpServer: a server on its own thread, clients on plain sockets, and handlers.
 namespace tt::gatetest {
 
-/// A gate on its own thread; everything that touches it goes through run.
-class Door {
+/// An HttpServer on a thread of its own. Everything that accesses it must go through run().
+class HttpServerFixture {
  public:
-  explicit Door(HttpHandler handler, HttpServerLimits limits = {}) : gate(io, "127.0.0.1:0", std::move(handler)) {
-    gate.setLimits(limits);
-    cr_assert(bool(gate.open()));
-    port = gate.port();
+  explicit HttpServerFixture(HttpHandler handler, HttpServerLimits limits = {})
+      : httpServer(io, "127.0.0.1:0", std::move(handler)) {
+    httpServer.setLimits(limits);
+    cr_assert(bool(httpServer.open()));
+    port = httpServer.port();
     thread = std::thread([this] { io.run(); });
   }
-  ~Door() {
-    run([this] { gate.close(); });
+  ~HttpServerFixture() {
+    run([this] { httpServer.close(); });
     io.stop();
     thread.join();
   }
@@ -32,25 +33,26 @@
     return result.get();
   }
   std::size_t connections() {
-    return run([this] { return gate.connections(); });
+    return run([this] { return httpServer.connections(); });
   }
   std::size_t exchanges() {
-    return run([this] { return gate.exchanges(); });
+    return run([this] { return httpServer.exchanges(); });
   }
   asio::io_context io;
   asio::executor_work_guard<asio::io_context::executor_type> work{io.get_executor()};
-  HttpServer gate;
+  HttpServer httpServer;
   unsigned short port{0};
   std::thread thread;
 };
 
+/// A client on a plain blocking socket, which sends and receives raw bytes.
 class Caller {
  public:
   explicit Caller(unsigned short port) : socket(io) {
     socket.connect({asio::ip::make_address("127.0.0.1"), port});
     socket.set_option(asio::ip::tcp::no_delay(true));
   }
-  /// The same where nobody may be listening.
+  /// Reports a failure to connect instead of throwing.
   Caller(unsigned short port, asio::error_code& error) : socket(io) {
     socket.connect({asio::ip::make_address("127.0.0.1"), port}, error);
     if (!error) socket.set_option(asio::ip::tcp::no_delay(true), error);
@@ -59,7 +61,7 @@
     asio::error_code ignored;
     asio::write(socket, asio::buffer(text.data(), text.size()), ignored);
   }
-  /// What has come within the wait, or null at the connection's end.
+  /// Bytes received within the wait, empty after a timeout, or nothing at the end of the connection.
   std::optional<std::string> receive(Duration wait = 3s) {
     timeval span{toMilliseconds(wait) / 1000, toMilliseconds(wait) % 1000 * 1000};
     ::setsockopt(socket.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &span, sizeof span);
@@ -70,7 +72,8 @@
     reset = size < 0;
     return std::nullopt;
   }
-  /// Reads until some text has come, or the end; returns all that was read since the last call.
+  /// Reads until the text has been received, or the end of the connection or a timeout. Returns everything read since
+  /// the last call.
   std::string until(std::string_view text) {
     while (unread.find(text) == std::string::npos) {
       auto got = receive();
@@ -79,7 +82,7 @@
     }
     return std::exchange(unread, {});
   }
-  /// Reads to the connection's end.
+  /// Reads to the end of the connection.
   std::string all() {
     while (auto got = receive()) {
       if (got->empty()) {
@@ -108,6 +111,7 @@
   bool reset{false}, timedOut{false};
 };
 
+/// Waits until a condition holds. Returns whether it does.
 template <class Condition>
 bool soon(Condition condition, Duration wait = 3s) {
   for (TimePoint end = Clock::now() + wait; Clock::now() < end; std::this_thread::sleep_for(2ms))
@@ -120,13 +124,13 @@
   for (std::size_t at = 0; (at = text.find(part, at)) != std::string_view::npos; at += part.size()) ++found;
   return found;
 }
-inline void answerWhole(const std::shared_ptr<ResponseWriter>& answer, std::string_view body, int status = 200) {
-  answer->head(status, {{"Content-Type", "text/plain"}}, body.size());
-  answer->bytes(body);
-  answer->end();
+inline void sendResponse(const std::shared_ptr<ResponseWriter>& response, std::string_view body, int status = 200) {
+  response->head(status, {{"Content-Type", "text/plain"}}, body.size());
+  response->bytes(body);
+  response->end();
 }
-inline void echo(HttpRequest request, std::shared_ptr<ResponseWriter> answer) {
-  answerWhole(answer, request.method + " " + request.target + " [" + request.body + "]");
+inline void echo(HttpRequest request, std::shared_ptr<ResponseWriter> response) {
+  sendResponse(response, request.method + " " + request.target + " [" + request.body + "]");
 }
 inline int statusOf(std::string_view text) {
   return text.substr(0, 9) == "HTTP/1.1 " && text.size() > 12 ? std::stoi(std::string(text.substr(9, 3))) : 0;
@@ -137,15 +141,15 @@
 inline const std::string get = "GET /x HTTP/1.1\r\nHost: a\r\n\r\n";
 inline const std::string getClose = "GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
 
-/// Keeps the exchanges it is handed, for the test to answer.
-struct Kept {
-  std::vector<std::shared_ptr<ResponseWriter>> answers;
-  std::atomic<int> taken{0}, gone{0};
+/// A handler that holds the responses it receives, for the test to answer them.
+struct HeldResponses {
+  std::vector<std::shared_ptr<ResponseWriter>> responses;
+  std::atomic<int> received{0}, disconnects{0};
   HttpHandler handler() {
-    return [this](HttpRequest, std::shared_ptr<ResponseWriter> answer) {
-      answer->onDisconnect([this, answer] { ++gone; });
-      answers.push_back(answer);
-      ++taken;
+    return [this](HttpRequest, std::shared_ptr<ResponseWriter> response) {
+      response->onDisconnect([this, response] { ++disconnects; });
+      responses.push_back(response);
+      ++received;
     };
   }
 };
--- a/tests/raw_server.hpp
+++ b/tests/raw_server.hpp
@@ -4,11 +4,12 @@
 
 #include "calls.hpp"
 
-/// What the tests of calls share: a server whose answers are scripts of raw bytes, and a client that is looked at.
+/// Shared by the tests of HttpClient: a server that answers with scripted raw bytes, and a client whose callbacks are
+/// recorded.
 namespace raw {
 using namespace tt;
 
-/// A server that knows nothing of HTTP but where a request with or without Content-Length ends; a script does the rest.
+/// A server that only finds the end of each request, by its Content-Length. A script decides what to do with it.
 class RawServer {
  public:
   struct Connection {
@@ -40,14 +41,14 @@
     accept();
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()); }
-  /// How often some bytes came over all connections.
+  /// How often a text was received, over all connections.
   std::size_t copies(const std::string& marker) const {
     std::size_t count = 0;
     for (const auto& held : connections)
       for (auto at = held->got.find(marker); at != std::string::npos; at = held->got.find(marker, at + 1)) ++count;
     return count;
   }
-  /// Takes no more connections, as a process that is gone.
+  /// Closes all connections and stops listening, as if the process had ended.
   void shut() {
     asio::error_code ignored;
     acceptor.close(ignored);
@@ -101,7 +102,7 @@
   }
 };
 
-struct Seen {
+struct CallRecord {
   std::uint64_t id{0};
   int heads{0}, ends{0};
   HttpResponseHead head;
@@ -123,8 +124,8 @@
     made.body = std::move(body);
     return made;
   }
-  std::shared_ptr<Seen> start(HttpClientRequest made) {
-    auto seen = std::make_shared<Seen>();
+  std::shared_ptr<CallRecord> start(HttpClientRequest made) {
+    auto seen = std::make_shared<CallRecord>();
     seen->id = calls.start(
         std::move(made),
         [seen](const HttpResponseHead& head) {
@@ -152,7 +153,7 @@
   void pass(Duration span) {
     until([] { return false; }, span);
   }
-  std::shared_ptr<Seen> finish(HttpClientRequest made) {
+  std::shared_ptr<CallRecord> finish(HttpClientRequest made) {
     auto seen = start(std::move(made));
     cr_assert(until([&] { return seen->ends > 0; }), "the call must end");
     return seen;
