--- a/src/routing/edge_admission.cpp
+++ b/src/routing/edge_admission.cpp
@@ -7,7 +7,7 @@
 namespace {
 /// How many different priorities are remembered; bounds their memory.
 constexpr std::size_t maxKnownPriorities = 64;
-/// How long a request is pending while no worker could take it even if it had a free slot.
+/// How long a request stays pending while there is no worker, busy or not, that could serve it.
 constexpr Duration noWorkerTimeout = 500ms;
 }  // namespace
 
--- a/tests/placement.cpp
+++ b/tests/placement.cpp
@@ -101,7 +101,7 @@
 Test(plain_placement, a_worker_that_goes_on_failing_is_ejected_for_longer) {
   OutlierRecord record;
   cr_expect_eq(record.recordResult(false), 0);
-  for (int spans : {1, 2, 4, 8, 8}) cr_expect_eq(record.recordResult(true), spans);
+  for (int periods : {1, 2, 4, 8, 8}) cr_expect_eq(record.recordResult(true), periods);
   cr_expect_eq(record.recordResult(false), 0);
   cr_expect_eq(record.recordResult(true), 1);
 }
@@ -122,10 +122,10 @@
   }
   void publishAll() {
     std::vector<Machine> machines;
-    for (auto& [zone, news] : cells) {
-      ++news.sequence;
-      for (const auto& row : news.workers) machines.push_back(machineOf(row.name, zone));
-      deliver(agentAddress, news);
+    for (auto& [zone, cell] : cells) {
+      ++cell.sequence;
+      for (const auto& row : cell.workers) machines.push_back(machineOf(row.name, zone));
+      deliver(agentAddress, cell);
     }
     setMachineList(machines);
   }
