--- a/src/cluster/core_report.cpp
+++ b/src/cluster/core_report.cpp
@@ -38,17 +38,18 @@
   for (const auto& [zone, cell] : cells) {
     addDuty(cell->election);
     if (!cell->election.holdsLease(now)) continue;
-    for (const auto& [name, keeper] : cell->cacheNodes()) {
+    for (const auto& [name, cacheNode] : cell->cacheNodes()) {
       JsonObject row;
       row["locality"] = Json(zone);
-      row["kind"] = Json(keeper.machine.kind);
-      row["weights"] = Json(keeper.last.weights);
-      row["model"] = Json(keeper.last.model);
-      row["running"] = jsonNumber(keeper.last.running);
-      row["leaving"] = Json(keeper.machine.leaving);
-      row["indexConfirmed"] = Json(keeper.confirmed);
-      row["kept"] = jsonNumber(static_cast<double>(keeper.kept.size()));
-      row["reportAgeMs"] = jsonNumber(keeper.known ? static_cast<double>(toMilliseconds(now - keeper.heardAt)) : -1);
+      row["kind"] = Json(cacheNode.machine.kind);
+      row["weights"] = Json(cacheNode.last.weights);
+      row["model"] = Json(cacheNode.last.model);
+      row["running"] = jsonNumber(cacheNode.last.running);
+      row["leaving"] = Json(cacheNode.machine.leaving);
+      row["indexConfirmed"] = Json(cacheNode.confirmed);
+      row["kept"] = jsonNumber(static_cast<double>(cacheNode.kept.size()));
+      row["reportAgeMs"] =
+          jsonNumber(cacheNode.known ? static_cast<double>(toMilliseconds(now - cacheNode.heardAt)) : -1);
       row["rollout"] = Json(cell->rolloutState(name));
       workers[name] = Json(row);
     }
--- a/src/consensus/replicated_log.cpp
+++ b/src/consensus/replicated_log.cpp
@@ -202,15 +202,15 @@
 }
 
 NewsMsg ReplicatedLog::updateAfter(std::uint64_t index, std::size_t most) const {
-  NewsMsg news;
-  news.commit = commitIndex;
+  NewsMsg update;
+  update.commit = commitIndex;
   if (index < lastSnapshot.index) {
-    news.snapshots.push_back(lastSnapshot);
+    update.snapshots.push_back(lastSnapshot);
     index = lastSnapshot.index;
   }
-  for (std::uint64_t at = index + 1; at <= commitIndex && news.entries.size() < most; ++at)
-    if (auto* entry = entryAt(at)) news.entries.push_back(*entry);
-  return news;
+  for (std::uint64_t at = index + 1; at <= commitIndex && update.entries.size() < most; ++at)
+    if (auto* entry = entryAt(at)) update.entries.push_back(*entry);
+  return update;
 }
 
 void ReplicatedLog::onAppend(Effects& effects, const std::string& from, const AppendRequest& message) {
@@ -291,7 +291,7 @@
   Duration pause = lastActiveAt == TimePoint{} ? Duration(0) : now - lastActiveAt;
   lastActiveAt = now;
   if (pause <= timing.suspectTimeout) return;
-  for (auto& [id, heard] : lastContactAt) heard += pause;
+  for (auto& [id, contactAt] : lastContactAt) contactAt += pause;
 }
 
 void ReplicatedLog::tick(Effects& effects) {
@@ -311,12 +311,12 @@
 void ReplicatedLog::leave(Effects& effects) {
   leaving = true;
   std::string successor;
-  std::uint64_t most = 0;
+  std::uint64_t highestMatched = 0;
   for (const auto& member : currentMembers) {
     if (!member.votes || member.id == selfMember.id || !contactedWithin(member, timing.suspectTimeout, effects.now))
       continue;
-    if (std::uint64_t matched = followers[member.id].matched; matched > most) {
-      most = matched;
+    if (std::uint64_t matched = followers[member.id].matched; matched > highestMatched) {
+      highestMatched = matched;
       successor = member.id;
     }
   }
--- a/src/consensus/replicated_log.hpp
+++ b/src/consensus/replicated_log.hpp
@@ -48,8 +48,8 @@
   /// The entries that are in memory: those after the last snapshot, and some before it that followers still need.
   const std::vector<LogEntry>& entries() const { return log; }
   std::size_t pendingChanges() const { return waiters.size(); }
-  /// The committed entries after an index, at most `most`. If the last snapshot is newer than the index, the update
-  /// begins with that snapshot.
+  /// The committed entries after an index, at most `most`. If the last snapshot is newer than the index, the
+  /// update begins with that snapshot.
   NewsMsg updateAfter(std::uint64_t index, std::size_t most = 256) const;
   /// Prepares a clean shutdown: hands the leadership to the reachable voter with the longest log, and acknowledges no
   /// further entries.
@@ -156,9 +156,9 @@
   void advanceCommit(Effects& effects);
   void applyUpTo(Effects& effects, std::uint64_t index);
   void onLeadershipChanged(Effects& effects, bool won);
-  /// Takes a snapshot when the log is long or large enough, and drops the entries that it covers.
+  /// Takes a snapshot when the log is long or large enough, and drops covered entries that no follower still needs.
   void compactLog(Effects& effects);
-  /// Takes the next step of a pending membership change, if one is due.
+  /// Takes the next step of a membership change that is due: finalizes the last one, removes or promotes a learner.
   void repairMembership(Effects& effects);
   /// If the newest membership entry changed the voters, appends the same members a second time. A membership entry is
   /// appended only after the one before it is committed, so a replica that has the second entry knows that the first is
