--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -4,13 +4,30 @@
 
 namespace tt {
 namespace {
-constexpr Duration roundSooner = 60ms;
-constexpr Duration newsEvery = 250ms;
-constexpr Duration parentSilent = 800ms;
-constexpr Duration suspectFor = 5s;
-constexpr Duration followerKept = 1s;
-constexpr Duration behindMost = 150ms;
-constexpr std::size_t recentMost = 1024;
+/// The cores are polled for the log's end this soon if this side's applied index has risen, and otherwise at
+/// timing.logEndPollInterval. Acknowledgements of changes wait for the new index.
+constexpr Duration minLogEndPollInterval = 60ms;
+/// The upstream forwards updates by itself; a request at this interval repairs losses and keeps the subscription alive.
+constexpr Duration updatePollInterval = 250ms;
+/// An upstream that was not heard for so long is replaced.
+constexpr Duration upstreamTimeout = 800ms;
+/// How long a replaced upstream is not selected again.
+constexpr Duration suspicionDuration = 5s;
+/// A follower or proxy that has sent no request for so long gets no more updates.
+constexpr Duration followerTimeout = 1s;
+/// After lagging behind the known commit index for so long, missing entries are requested from a core directly; after
+/// three times as long, the upstream is replaced.
+constexpr Duration maxLag = 150ms;
+/// A proxy that was not heard for so long is forgotten.
+constexpr Duration proxyTimeout = 5s;
+/// A proxy counts as connected for so long after its last request.
+constexpr Duration proxyActiveTimeout = 1s;
+/// Margin on timing.readerAckTimeout, the time for which a proxy may stay fresh on an earlier response of this agent.
+constexpr Duration ackSlack = 70ms;
+/// Followers that lag by more entries than this get a snapshot.
+constexpr std::size_t maxRecentEntries = 1024;
+/// The size of one update; the follower's next request brings the rest.
+constexpr std::size_t maxEntriesPerUpdate = 256;
 }  // namespace
 
 Agent::Agent(AgentSettings agentSettings)
@@ -18,227 +35,237 @@
       clusterView(
           ReaderSettings{settings.name, settings.address, settings.zone, settings.seeds, true, settings.defences}) {}
 
-std::vector<CellVersion> Agent::cellMarks() const {
-  std::vector<CellVersion> rows;
-  for (const auto& [zone, news] : cells) rows.push_back(CellVersion{zone, news.term, news.sequence});
-  return rows;
+std::vector<CellVersion> Agent::cellVersions() const {
+  std::vector<CellVersion> versions;
+  for (const auto& [zone, cell] : cells) versions.push_back(CellVersion{zone, cell.term, cell.sequence});
+  return versions;
 }
 
-std::uint64_t Agent::appliedBelow(TimePoint now) const {
-  if (now - startedAt < timing.readerAckTimeout + 70ms) return 0;
+/// Within the first readerAckTimeout after a start, proxies that this agent has not heard yet may still be fresh by the
+/// word of its earlier run, so it vouches for nothing.
+std::uint64_t Agent::lowestApplied(TimePoint now) const {
+  if (now - startedAt < timing.readerAckTimeout + ackSlack) return 0;
   std::uint64_t applied = view.index();
-  for (const auto& [address, at] : proxies)
-    if (now - at < timing.readerAckTimeout + 70ms) applied = std::min(applied, proxyApplied.at(address));
+  for (const auto& [address, at] : proxySeenAt)
+    if (now - at < timing.readerAckTimeout + ackSlack) applied = std::min(applied, proxyApplied.at(address));
   return applied;
 }
 
-void Agent::askEnds(Effects& effects) {
-  roundAt = effects.now;
-  auto rows = cellMarks();
-  for (const auto& [address, at] : proxies) {
-    if (effects.now - at > 1s) continue;
-    for (auto& row : rows) {
+/// Also tells the cores the oldest cell versions that this agent and its active proxies have.
+void Agent::pollLogEnds(Effects& effects) {
+  logEndPolledAt = effects.now;
+  auto lowest = cellVersions();
+  for (const auto& [address, at] : proxySeenAt) {
+    if (effects.now - at > proxyActiveTimeout) continue;
+    for (auto& row : lowest) {
       CellVersion known{row.zone, 0, 0};
-      for (const auto& mark : proxyMarks[address])
-        if (mark.zone == row.zone) known = mark;
+      for (const auto& version : proxyCellVersions[address])
+        if (version.zone == row.zone) known = version;
       if (std::make_pair(known.term, known.sequence) < std::make_pair(row.term, row.sequence)) row = known;
     }
   }
-  toldApplied = appliedBelow(effects.now);
-  clusterView.ask(effects, toldApplied, rows, view);
+  reportedApplied = lowestApplied(effects.now);
+  clusterView.ask(effects, reportedApplied, lowest, view);
 }
 
-void Agent::drawParent(Effects& effects) {
-  for (auto suspect = suspects.begin(); suspect != suspects.end();)
-    suspect = effects.now >= suspect->second ? suspects.erase(suspect) : std::next(suspect);
-  Strings order = clusterView.watch();
+/// The cores' proposal comes first, then all cores in an order that differs from agent to agent, so that load spreads.
+/// If all candidates are suspected, a random one is selected.
+void Agent::selectUpstream(Effects& effects) {
+  for (auto suspect = suspectedUntil.begin(); suspect != suspectedUntil.end();)
+    suspect = effects.now >= suspect->second ? suspectedUntil.erase(suspect) : std::next(suspect);
+  Strings candidates = clusterView.watch();
   std::vector<std::pair<std::uint64_t, std::string>> ranked;
   for (const auto& address : clusterView.coreAddresses(view))
     ranked.emplace_back(rendezvousHash(settings.address, address), address);
   std::sort(ranked.rbegin(), ranked.rend());
-  for (const auto& [weight, address] : ranked) order.push_back(address);
-  if (order.empty()) return;
-  bool silent = !parent.empty() && effects.now - std::max(parentHeard, parentSince) > parentSilent;
-  bool behind = behindSince != TimePoint{} && effects.now - behindSince > 3 * behindMost;
-  if (silent || behind) {
-    suspects[parent] = effects.now + suspectFor;
-    behindSince = TimePoint{};
-    effects.note("parent dropped", parent);
+  for (const auto& [weight, address] : ranked) candidates.push_back(address);
+  if (candidates.empty()) return;
+  bool silent = !upstream.empty() && effects.now - std::max(upstreamHeardAt, upstreamSince) > upstreamTimeout;
+  bool lagging = laggingSince != TimePoint{} && effects.now - laggingSince > 3 * maxLag;
+  if (silent || lagging) {
+    suspectedUntil[upstream] = effects.now + suspicionDuration;
+    laggingSince = TimePoint{};
+    effects.note("parent dropped", upstream);
   }
-  std::string drawn;
-  for (const auto& address : order)
-    if (!suspects.count(address)) {
-      drawn = address;
+  std::string selected;
+  for (const auto& address : candidates)
+    if (!suspectedUntil.count(address)) {
+      selected = address;
       break;
     }
-  if (drawn.empty()) drawn = order[effects.randomBelow(order.size())];
-  if (drawn != parent) {
-    parent = drawn;
-    parentSince = effects.now;
-    newsAt = TimePoint{};
-    effects.note("follows", parent);
+  if (selected.empty()) selected = candidates[effects.randomBelow(candidates.size())];
+  if (selected != upstream) {
+    upstream = selected;
+    upstreamSince = effects.now;
+    updatesRequestedAt = TimePoint{};
+    effects.note("follows", upstream);
   }
 }
 
-void Agent::spread(Effects& effects, const Message& message) {
-  for (const auto& [address, at] : followers)
-    if (effects.now - at < followerKept) effects.send(address, message);
-  for (const auto& [address, at] : proxies)
-    if (effects.now - at < followerKept) effects.send(address, message);
+void Agent::forwardDownstream(Effects& effects, const Message& message) {
+  for (const auto& [address, at] : followerSeenAt)
+    if (effects.now - at < followerTimeout) effects.send(address, message);
+  for (const auto& [address, at] : proxySeenAt)
+    if (effects.now - at < followerTimeout) effects.send(address, message);
 }
 
-void Agent::onNews(Effects& effects, const NewsMsg& news) {
-  clusterView.observeCommit(news.commit);
-  for (const auto& snapshot : news.snapshots) {
+/// Entries that do not follow the applied ones are skipped; a later request brings them again.
+void Agent::applyUpdate(Effects& effects, const NewsMsg& update) {
+  clusterView.observeCommit(update.commit);
+  for (const auto& snapshot : update.snapshots) {
     if (snapshot.index <= view.index()) continue;
     if (!view.adopt(snapshot)) continue;
     clusterView.noteVersions(view);
-    recent.clear();
-    spread(effects, NewsMsg{news.commit, {}, {snapshot}});
+    recentEntries.clear();
+    forwardDownstream(effects, NewsMsg{update.commit, {}, {snapshot}});
     effects.note("capture taken", settings.name, static_cast<std::int64_t>(snapshot.index));
   }
-  NewsMsg passed{news.commit, {}, {}};
-  for (const auto& entry : news.entries) {
+  NewsMsg applied{update.commit, {}, {}};
+  for (const auto& entry : update.entries) {
     if (entry.index != view.index() + 1) continue;
     view.apply(entry);
     clusterView.noteVersions(view);
-    recent.push_back(entry);
-    if (recent.size() > recentMost) recent.pop_front();
-    passed.entries.push_back(entry);
+    recentEntries.push_back(entry);
+    if (recentEntries.size() > maxRecentEntries) recentEntries.pop_front();
+    applied.entries.push_back(entry);
     effects.note("applied", settings.name, static_cast<std::int64_t>(entry.index));
   }
-  if (!passed.entries.empty()) spread(effects, passed);
-  if (view.index() >= clusterView.knownCommit()) behindSince = TimePoint{};
+  if (!applied.entries.empty()) forwardDownstream(effects, applied);
+  if (view.index() >= clusterView.knownCommit()) laggingSince = TimePoint{};
   clusterView.updateCompleteness(effects.now, view);
 }
 
-void Agent::onNewsAsk(Effects& effects, const std::string& from, std::uint64_t applied,
-                      const std::vector<CellVersion>& known) {
-  NewsMsg news{clusterView.knownCommit(), {}, {}};
-  std::uint64_t reach = recent.empty() ? view.index() : recent.front().index - 1;
-  if (applied < reach) {
-    news.snapshots.push_back(view.snapshot());
+/// Sends a snapshot if the missing entries are no longer in memory. Cells of which the receiver is not known to have
+/// the present version are sent too.
+void Agent::sendUpdates(Effects& effects, const std::string& to, std::uint64_t applied,
+                        const std::vector<CellVersion>& known) {
+  NewsMsg update{clusterView.knownCommit(), {}, {}};
+  std::uint64_t lastCompacted = recentEntries.empty() ? view.index() : recentEntries.front().index - 1;
+  if (applied < lastCompacted) {
+    update.snapshots.push_back(view.snapshot());
   } else {
-    for (const auto& entry : recent)
-      if (entry.index > applied && news.entries.size() < 256) news.entries.push_back(entry);
+    for (const auto& entry : recentEntries)
+      if (entry.index > applied && update.entries.size() < maxEntriesPerUpdate) update.entries.push_back(entry);
   }
-  effects.send(from, news);
-  for (const auto& [zone, kept] : cells) {
+  effects.send(to, update);
+  for (const auto& [zone, cell] : cells) {
     bool newer = true;
-    for (const auto& mark : known)
-      if (mark.zone == zone && std::make_pair(mark.term, mark.sequence) >= std::make_pair(kept.term, kept.sequence))
+    for (const auto& version : known)
+      if (version.zone == zone &&
+          std::make_pair(version.term, version.sequence) >= std::make_pair(cell.term, cell.sequence))
         newer = false;
-    if (newer) effects.send(from, kept);
+    if (newer) effects.send(to, cell);
   }
 }
 
 void Agent::tick(Effects& effects) {
   if (startedAt == TimePoint{}) startedAt = effects.now;
-  bool moved = appliedBelow(effects.now) > toldApplied && effects.now - roundAt >= roundSooner;
-  if (moved || effects.now - roundAt >= timing.logEndPollInterval) askEnds(effects);
+  bool advanced = lowestApplied(effects.now) > reportedApplied && effects.now - logEndPolledAt >= minLogEndPollInterval;
+  if (advanced || effects.now - logEndPolledAt >= timing.logEndPollInterval) pollLogEnds(effects);
   if (fresh(effects.now) != wasFresh) {
     wasFresh = !wasFresh;
     effects.note(wasFresh ? "fresh" : "stale", settings.name);
   }
-  drawParent(effects);
-  if (clusterView.knownCommit() > view.index() && behindSince == TimePoint{}) behindSince = effects.now;
-  if (!parent.empty() && effects.now - newsAt >= newsEvery) {
-    newsAt = effects.now;
-    effects.send(parent, NewsAsk{settings.address, view.index(), cellMarks()});
+  selectUpstream(effects);
+  if (clusterView.knownCommit() > view.index() && laggingSince == TimePoint{}) laggingSince = effects.now;
+  if (!upstream.empty() && effects.now - updatesRequestedAt >= updatePollInterval) {
+    updatesRequestedAt = effects.now;
+    effects.send(upstream, NewsAsk{settings.address, view.index(), cellVersions()});
   }
-  if (behindSince != TimePoint{} && effects.now - behindSince > behindMost && effects.now - mendAt > behindMost) {
-    mendAt = effects.now;
+  if (laggingSince != TimePoint{} && effects.now - laggingSince > maxLag && effects.now - catchUpRequestedAt > maxLag) {
+    catchUpRequestedAt = effects.now;
     if (auto core = clusterView.furthestCore(effects.now, view.index()); !core.empty()) {
       effects.note("mended at source", core);
-      effects.send(core, NewsAsk{settings.address, view.index(), cellMarks()});
+      effects.send(core, NewsAsk{settings.address, view.index(), cellVersions()});
     }
   }
-  for (auto row = proxies.begin(); row != proxies.end();) {
-    if (effects.now - row->second > 5s) {
-      proxyMarks.erase(row->first);
+  for (auto row = proxySeenAt.begin(); row != proxySeenAt.end();) {
+    if (effects.now - row->second > proxyTimeout) {
+      proxyCellVersions.erase(row->first);
       proxyApplied.erase(row->first);
-      row = proxies.erase(row);
+      row = proxySeenAt.erase(row);
     } else {
       ++row;
     }
   }
-  for (auto row = followers.begin(); row != followers.end();)
-    row = effects.now - row->second > followerKept ? followers.erase(row) : std::next(row);
+  for (auto row = followerSeenAt.begin(); row != followerSeenAt.end();)
+    row = effects.now - row->second > followerTimeout ? followerSeenAt.erase(row) : std::next(row);
 }
 
-void Agent::passToCell(Effects& effects, const std::string& zone, const Message& message) {
+void Agent::forwardToCell(Effects& effects, const std::string& zone, const Message& message) {
   if (auto cell = cells.find(zone); cell != cells.end()) effects.send(cell->second.holder, message);
 }
 
 void Agent::handle(Effects& effects, const std::string& from, const Message& message) {
-  if (from == parent) parentHeard = effects.now;
+  if (from == upstream) upstreamHeardAt = effects.now;
   if (auto* reply = std::get_if<LogEndResponse>(&message)) {
     clusterView.handle(effects, from, *reply, view);
-  } else if (auto* news = std::get_if<NewsMsg>(&message)) {
-    onNews(effects, *news);
-  } else if (auto* ask = std::get_if<NewsAsk>(&message)) {
-    followers[from] = effects.now;
-    onNewsAsk(effects, from, ask->applied, ask->cells);
-  } else if (auto* cellNews = std::get_if<CellNews>(&message)) {
-    auto& kept = cells[cellNews->zone];
-    if (!applyCellNews(kept, *cellNews)) return;
-    spread(effects, message);
-  } else if (auto* feed = std::get_if<FeedAsk>(&message)) {
-    proxies[from] = effects.now;
-    proxyMarks[from] = feed->cells;
-    proxyApplied[from] = feed->applied;
+  } else if (auto* update = std::get_if<NewsMsg>(&message)) {
+    applyUpdate(effects, *update);
+  } else if (auto* request = std::get_if<NewsAsk>(&message)) {
+    followerSeenAt[from] = effects.now;
+    sendUpdates(effects, from, request->applied, request->cells);
+  } else if (auto* cellUpdate = std::get_if<CellNews>(&message)) {
+    auto& kept = cells[cellUpdate->zone];
+    if (!applyCellNews(kept, *cellUpdate)) return;
+    forwardDownstream(effects, message);
+  } else if (auto* poll = std::get_if<FeedAsk>(&message)) {
+    proxySeenAt[from] = effects.now;
+    proxyCellVersions[from] = poll->cells;
+    proxyApplied[from] = poll->applied;
     bool known = clusterView.completeAsOf() != TimePoint{};
-    bool lags = feed->applied < view.index() || feed->applied == 0 || feed->cells.size() < cells.size();
-    for (const auto& mark : feed->cells)
-      if (auto kept = cells.find(mark.zone); kept != cells.end())
-        lags =
-            lags || std::make_pair(mark.term, mark.sequence) < std::make_pair(kept->second.term, kept->second.sequence);
-    if (lags) onNewsAsk(effects, from, feed->applied, feed->cells);
-    if (clusterView.machineListKnown() && feed->machineListDigest != clusterView.machineListDigest())
+    bool lagging = poll->applied < view.index() || poll->applied == 0 || poll->cells.size() < cells.size();
+    for (const auto& version : poll->cells)
+      if (auto kept = cells.find(version.zone); kept != cells.end())
+        lagging = lagging || std::make_pair(version.term, version.sequence) <
+                                 std::make_pair(kept->second.term, kept->second.sequence);
+    if (lagging) sendUpdates(effects, from, poll->applied, poll->cells);
+    if (clusterView.machineListKnown() && poll->machineListDigest != clusterView.machineListDigest())
       effects.send(from, MarksMsg{(effects.now - clusterView.machineListAt()).count(), clusterView.machines()});
     effects.send(from,
-                 FeedReply{feed->sentAt, known ? (effects.now - clusterView.completeAsOf()).count() : 0, view.index(),
+                 FeedReply{poll->sentAt, known ? (effects.now - clusterView.completeAsOf()).count() : 0, view.index(),
                            known, clusterView.versions().exportRecent(effects.now, timing.oldWeightsTimeout, false)});
   } else if (auto* lookup = std::get_if<LookupMsg>(&message)) {
-    LookupMsg passed = *lookup;
-    passed.replyTo = settings.address;
-    passToCell(effects, passed.zone, passed);
+    LookupMsg forwarded = *lookup;
+    forwarded.replyTo = settings.address;
+    forwardToCell(effects, forwarded.zone, forwarded);
   } else if (auto* started = std::get_if<PrefillStarted>(&message)) {
-    passToCell(effects, started->zone, message);
+    forwardToCell(effects, started->zone, message);
   } else if (auto* ended = std::get_if<PrefillEnded>(&message)) {
-    passToCell(effects, ended->zone, message);
-  } else if (auto* watchMsg = std::get_if<WatchMsg>(&message)) {
-    WatchMsg passed = *watchMsg;
-    passed.replyTo = settings.address;
-    passToCell(effects, passed.zone, passed);
+    forwardToCell(effects, ended->zone, message);
+  } else if (auto* watch = std::get_if<WatchMsg>(&message)) {
+    WatchMsg forwarded = *watch;
+    forwarded.replyTo = settings.address;
+    forwardToCell(effects, forwarded.zone, forwarded);
   } else if (std::holds_alternative<LookupReply>(message) || std::holds_alternative<TransferDone>(message)) {
-    for (const auto& [address, at] : proxies) effects.send(address, message);
+    for (const auto& [address, at] : proxySeenAt) effects.send(address, message);
   }
 }
 
 bool Agent::feedsProxy(TimePoint now) const {
-  return std::any_of(proxies.begin(), proxies.end(), [&](const auto& row) { return now - row.second < 1s; });
+  return std::any_of(proxySeenAt.begin(), proxySeenAt.end(),
+                     [&](const auto& row) { return now - row.second < proxyActiveTimeout; });
 }
 
 std::string Agent::condition(TimePoint now) const {
-  JsonObject whole;
-  whole["agent"] = Json(settings.name);
-  whole["fresh"] = Json(fresh(now));
-  whole["freshAgeMs"] = jsonNumber(clusterView.completeAsOf() == TimePoint{}
-                                       ? -1
-                                       : static_cast<double>(toMilliseconds(now - clusterView.completeAsOf())));
-  whole["revision"] = jsonNumber(static_cast<double>(view.revision()));
-  whole["applied"] = jsonNumber(static_cast<double>(view.index()));
-  whole["follows"] = Json(parent);
-  JsonArray children, watched;
-  for (const auto& [address, at] : followers) children.push_back(Json(address));
-  for (const auto& address : clusterView.watch()) watched.push_back(Json(address));
-  whole["followers"] = Json(children);
-  whole["watches"] = Json(watched);
+  JsonObject status;
+  status["agent"] = Json(settings.name);
+  status["fresh"] = Json(fresh(now));
+  status["freshAgeMs"] = jsonNumber(clusterView.completeAsOf() == TimePoint{}
+                                        ? -1
+                                        : static_cast<double>(toMilliseconds(now - clusterView.completeAsOf())));
+  status["revision"] = jsonNumber(static_cast<double>(view.revision()));
+  status["applied"] = jsonNumber(static_cast<double>(view.index()));
+  status["follows"] = Json(upstream);
+  JsonArray followers, upstreams;
+  for (const auto& [address, at] : followerSeenAt) followers.push_back(Json(address));
+  for (const auto& address : clusterView.watch()) upstreams.push_back(Json(address));
+  status["followers"] = Json(followers);
+  status["watches"] = Json(upstreams);
   JsonObject counters;
   for (const auto& [kind, count] : journal.counts()) counters[kind] = jsonNumber(static_cast<double>(count));
-  whole["counters"] = Json(counters);
-  return Json(whole).serialize(true);
+  status["counters"] = Json(counters);
+  return Json(status).serialize(true);
 }
 
 }  // namespace tt
--- a/src/base/base.cpp
+++ b/src/base/base.cpp
@@ -19,20 +19,22 @@
 #include "codes.def"
 #undef TT_CODE
 };
+/// The row of a code; row 0 for a number that is not in the table.
 const CodeRow& rowOf(Code code) {
   for (const auto& row : codeRows)
     if (row.number == static_cast<int>(code)) return row;
   return codeRows[0];
 }
-std::array<unsigned char, 32> digest(std::string_view bytes) {
+std::array<unsigned char, 32> sha256(std::string_view bytes) {
   std::array<unsigned char, 32> sum{};
   unsigned int length = 0;
   EVP_Digest(bytes.data(), bytes.size(), sum.data(), &length, EVP_sha256(), nullptr);
   return sum;
 }
-int nibble(char letter) {
-  if (letter >= '0' && letter <= '9') return letter - '0';
-  if (letter >= 'a' && letter <= 'f') return letter - 'a' + 10;
+/// The value of a lower-case hexadecimal digit; -1 for any other character.
+int hexDigitValue(char digit) {
+  if (digit >= '0' && digit <= '9') return digit - '0';
+  if (digit >= 'a' && digit <= 'f') return digit - 'a' + 10;
   return -1;
 }
 }  // namespace
@@ -66,7 +68,7 @@
   if (text.size() != 32) return std::nullopt;
   BlockHash hash;
   for (std::size_t at = 0; at < 32; ++at) {
-    int value = nibble(text[at]);
+    int value = hexDigitValue(text[at]);
     if (value < 0) return std::nullopt;
     auto& half = at < 16 ? hash.high : hash.low;
     half = (half << 4) | static_cast<std::uint64_t>(value);
@@ -76,7 +78,7 @@
 
 std::string sha256Hex(std::string_view bytes) {
   std::string text;
-  for (unsigned char byte : digest(bytes)) {
+  for (unsigned char byte : sha256(bytes)) {
     char pair[3];
     std::snprintf(pair, sizeof pair, "%02x", byte);
     text += pair;
@@ -85,21 +87,23 @@
 }
 
 BlockHash sha256Block(std::string_view bytes) {
-  auto sum = digest(bytes);
+  auto sum = sha256(bytes);
   BlockHash hash;
   for (int at = 0; at < 8; ++at) hash.high = (hash.high << 8) | sum[at];
   for (int at = 8; at < 16; ++at) hash.low = (hash.low << 8) | sum[at];
   return hash;
 }
 
+/// The steps of FNV-1a (from another start value) over both names, each closed by the byte 0xff, which no UTF-8 text
+/// holds; then the 64-bit finalizer of MurmurHash3.
 std::uint64_t rendezvousHash(std::string_view one, std::string_view other) {
   std::uint64_t mixed = 1469598103934665603ULL;
-  auto fold = [&](std::string_view text) {
+  auto mixIn = [&](std::string_view text) {
     for (unsigned char byte : text) mixed = (mixed ^ byte) * 1099511628211ULL;
     mixed = (mixed ^ 0xff) * 1099511628211ULL;
   };
-  fold(one);
-  fold(other);
+  mixIn(one);
+  mixIn(other);
   mixed ^= mixed >> 33;
   mixed *= 0xff51afd7ed558ccdULL;
   mixed ^= mixed >> 33;
@@ -107,30 +111,31 @@
   return mixed ^ (mixed >> 33);
 }
 
+/// 0x1e closes each part. Within a part 0x1e is written as 0x1f 0x01, and 0x1f as 0x1f 0x02.
 std::string encodePromptParts(const std::vector<std::string>& parts) {
-  std::string laid;
+  std::string encoded;
   for (const auto& part : parts) {
     for (char byte : part) {
       if (byte == '\x1e')
-        laid += "\x1f\x01";
+        encoded += "\x1f\x01";
       else if (byte == '\x1f')
-        laid += "\x1f\x02";
+        encoded += "\x1f\x02";
       else
-        laid += byte;
+        encoded += byte;
     }
-    laid += '\x1e';
+    encoded += '\x1e';
   }
-  return laid;
+  return encoded;
 }
 
 std::vector<BlockHash> hashPrompt(const std::vector<std::string>& parts, std::string_view salt) {
-  std::string laid = encodePromptParts(parts);
+  std::string encoded = encodePromptParts(parts);
   std::vector<BlockHash> hashes;
   BlockHash last = sha256Block(salt);
-  for (std::size_t at = 0; at + blockBytes <= laid.size(); at += blockBytes) {
-    std::string link(reinterpret_cast<const char*>(&last), sizeof last);
-    link.append(laid, at, blockBytes);
-    last = sha256Block(link);
+  for (std::size_t at = 0; at + blockBytes <= encoded.size(); at += blockBytes) {
+    std::string chained(reinterpret_cast<const char*>(&last), sizeof last);
+    chained.append(encoded, at, blockBytes);
+    last = sha256Block(chained);
     hashes.push_back(last);
   }
   return hashes;
@@ -149,26 +154,27 @@
   return sha256Block(seed);
 }
 
+/// Counts bytes as encodePromptParts writes them: two for an escaped byte, one for the separator behind a part.
 std::vector<std::string> truncatePrompt(const std::vector<std::string>& parts, std::size_t blocks) {
-  std::vector<std::string> cut;
-  std::size_t room = blocks * blockBytes;
+  std::vector<std::string> truncated;
+  std::size_t remainingBytes = blocks * blockBytes;
   for (const auto& part : parts) {
     std::string kept;
     for (char byte : part) {
       std::size_t width = byte == '\x1e' || byte == '\x1f' ? 2 : 1;
-      if (room < width) {
-        room = 0;
+      if (remainingBytes < width) {
+        remainingBytes = 0;
         break;
       }
       kept += byte;
-      room -= width;
+      remainingBytes -= width;
     }
-    if (!kept.empty() || room) cut.push_back(kept);
-    if (room == 0) break;
-    room -= 1;
-    if (room == 0) break;
+    if (!kept.empty() || remainingBytes) truncated.push_back(kept);
+    if (remainingBytes == 0) break;
+    remainingBytes -= 1;
+    if (remainingBytes == 0) break;
   }
-  return cut;
+  return truncated;
 }
 
 }  // namespace tt
--- a/src/base/base.hpp
+++ b/src/base/base.hpp
@@ -17,79 +17,98 @@
 #include <variant>
 #include <vector>
 
+/// Types and functions that every part of the program uses: time, errors, hashes and prompts.
+
 namespace tt {
 
+/// All durations and time points of the program are on the steady clock, which never jumps. A time point of one process
+/// has no meaning in another.
 using Clock = std::chrono::steady_clock;
 using TimePoint = Clock::time_point;
 using Duration = Clock::duration;
 using namespace std::chrono_literals;
 
-/// Numbered result codes; the table is codes.def and docs/codes.md is made from it.
+/// Numbered result codes. They are defined in codes.def, from which docs/codes.md is generated too.
 enum class Code : int {
 #define TT_CODE(number, name, text, status) name = number,
 #include "codes.def"
 #undef TT_CODE
 };
 
-/// The short name of a code.
+/// Returns a code's identifier, such as "badJson"; the name of code 0 if the number is not known.
 const char* codeName(Code code);
-/// What a code means, in one sentence.
+/// Returns a sentence for clients that says what a code means.
 const char* codeText(Code code);
-/// The HTTP status that a code is sent with.
+/// Returns the HTTP status of a response that carries the code.
 int codeStatus(Code code);
-/// The whole table in Markdown, as docs/codes.md holds it.
+/// Returns all codes as a Markdown table; docs/codes.md must hold exactly this text.
 std::string codeTable();
 
-/// Why something was not done: a code, the field or thing it is about, and a short sentence.
+/// The reason why an operation failed.
 struct Error {
   Code code{Code::done};
+  /// The field, file or other thing that the error is about, such as "routes.chat.model".
   std::string subject;
+  /// One short sentence for a person.
   std::string text;
 };
+/// A value or an error. Access to the one that is not there is undefined, so callers check first.
 template <class T>
 using Result = boost::outcome_v2::unchecked<T, Error>;
-/// Makes a fault, using the code's own text where no other is given.
+/// Makes an error. Without a text it gets the code's own. An unknown field whose name is empty gets the subject `""`,
+/// so that a client always sees a subject.
 Error fault(Code code, std::string subject = {}, std::string text = {});
 
-/// A block's chained hash: 128 bits of SHA-256.
+/// The chained hash of a block of a prompt: the first 128 bits of a SHA-256 sum.
 struct BlockHash {
   std::uint64_t high{0};
   std::uint64_t low{0};
   bool operator==(const BlockHash& other) const { return high == other.high && low == other.low; }
   bool operator<(const BlockHash& other) const { return high != other.high ? high < other.high : low < other.low; }
+  /// Returns 32 lower-case hexadecimal digits.
   std::string hex() const;
+  /// Reads what hex() writes; any other text gives nothing.
   static std::optional<BlockHash> parse(std::string_view text);
 };
+/// Hashes block hashes for unordered containers. They are evenly distributed already, so 64 of their bits suffice.
 struct BlockHashHasher {
   std::size_t operator()(const BlockHash& hash) const { return hash.low; }
 };
 
-/// SHA-256 of some bytes, as lower-case hex.
+/// Returns the SHA-256 sum of the bytes as 64 lower-case hexadecimal digits.
 std::string sha256Hex(std::string_view bytes);
-/// The first 128 bits of SHA-256 of some bytes.
+/// Returns the first 128 bits of the SHA-256 sum of the bytes.
 BlockHash sha256Block(std::string_view bytes);
-/// A stable 64-bit mix of two names, for rendezvous hashing.
+/// Returns a 64-bit hash of an ordered pair of names for rendezvous (highest random weight) hashing. The value is the
+/// same on every machine and in every release, since processes must agree on it.
 std::uint64_t rendezvousHash(std::string_view one, std::string_view other);
 
+/// The size of one block of an encoded prompt.
 constexpr std::size_t blockBytes = 128;
-/// Lays a prompt's parts out as one run of bytes in which part ends cannot be forged.
+/// Joins a prompt's parts into one byte string. Each part ends with a separator byte, and the separator is escaped
+/// within parts, so that different lists of parts never give the same bytes.
 std::string encodePromptParts(const std::vector<std::string>& parts);
-/// The chained hashes of a prompt's whole blocks, seeded by model, weights and tenant domain.
+/// Returns one hash for each full block of the encoded prompt. Each hash covers its block and all blocks before it, and
+/// the chain starts from the salt (see cacheSalt), so that equal hashes mean equal prefixes under the same salt.
 std::vector<BlockHash> hashPrompt(const std::vector<std::string>& parts, std::string_view salt);
-/// The seed and cache salt of a model, weight version and tenant domain.
+/// Returns the salt under which blocks may be shared. It differs for each combination of model, weights version and
+/// tenant domain, so that no cached block is used under other weights or by a tenant of another domain.
 std::string cacheSalt(std::string_view model, std::string_view weights, std::string_view domain);
-/// The hash of one part of a prompt that is told by its id, seeded by a salt.
+/// Returns the hash of a part of a prompt that is known by its id instead of by its text.
 BlockHash hashPromptPart(std::string_view salt, std::string_view partId);
-/// Cuts a prompt so that it covers just its first blocks.
+/// Returns the beginning of a prompt, up to the end of its first `blocks` blocks; the whole prompt if it is shorter.
 std::vector<std::string> truncatePrompt(const std::vector<std::string>& parts, std::size_t blocks);
 
-/// Milliseconds of a span.
-inline std::int64_t toMilliseconds(Duration span) {
-  return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
+/// Returns the full milliseconds of a duration; fractions are dropped.
+inline std::int64_t toMilliseconds(Duration duration) {
+  return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
-inline std::int64_t toNanoseconds(TimePoint moment) {
-  return std::chrono::duration_cast<std::chrono::nanoseconds>(moment.time_since_epoch()).count();
+/// Returns the nanoseconds since the start of this machine's steady clock, as messages carry time points. Only the
+/// process that sent a time point can interpret it.
+inline std::int64_t toNanoseconds(TimePoint time) {
+  return std::chrono::duration_cast<std::chrono::nanoseconds>(time.time_since_epoch()).count();
 }
+/// The inverse of toNanoseconds.
 inline TimePoint fromNanoseconds(std::int64_t ns) { return TimePoint(std::chrono::nanoseconds(ns)); }
 
 }  // namespace tt
--- a/src/base/chart.cpp
+++ b/src/base/chart.cpp
@@ -16,7 +16,7 @@
     std::string state, event, arrow, next;
     if (!(words >> state)) continue;
     if (!(words >> event >> arrow >> next) || arrow != "->")
-      return fault(Code::badChart, "line " + std::to_string(lineNumber), "a row is: state event -> next actions");
+      return fault(Code::badChart, "line " + std::to_string(lineNumber), "expected: state event -> next-state action...");
     Step step{next, {}};
     for (std::string action; words >> action;)
       if (action != "-") {
@@ -24,14 +24,14 @@
         chart.actionNames.insert(action);
       }
     if (!chart.steps.emplace(std::make_pair(state, event), step).second)
-      return fault(Code::badChart, "line " + std::to_string(lineNumber), "this state and event stand twice");
+      return fault(Code::badChart, "line " + std::to_string(lineNumber), "duplicate transition for this state and event");
   }
   return chart;
 }
 
 const StateChart& StateChart::named(const std::string& name) {
   static const std::map<std::string, StateChart> charts = [] {
-    std::map<std::string, StateChart> made;
+    std::map<std::string, StateChart> parsed;
     for (const auto& [chartName, text] : chartTexts()) {
       auto read = StateChart::read(text);
       if (!read) {
@@ -39,9 +39,9 @@
                      read.error().text.c_str());
         std::abort();
       }
-      made.emplace(chartName, read.value());
+      parsed.emplace(chartName, read.value());
     }
-    return made;
+    return parsed;
   }();
   return charts.at(name);
 }
--- a/src/base/chart.hpp
+++ b/src/base/chart.hpp
@@ -3,19 +3,23 @@
 
 namespace tt {
 
-/// A state chart read from its file. Code asks it what comes next and does the actions it names.
+/// A table of state transitions, as a file in charts/ defines it. Each line has the form
+/// `state event -> next-state action...`, with `-` in place of no action; `#` begins a comment.
 class StateChart {
  public:
   struct Step {
     std::string next;
+    /// The names of the actions to run, in order.
     std::vector<std::string> actions;
   };
-  /// Reads a chart; a fault names the line.
+  /// Parses a chart; the error's subject is the number of the line.
   static Result<StateChart> read(std::string_view text);
-  /// One of the charts built into the program from charts/, by file name without ending.
+  /// Returns a chart that is built into the program, by its file's name without the extension. There must be one. A
+  /// built-in chart that cannot be parsed ends the program at the first call.
   static const StateChart& named(const std::string& name);
-  /// What an event leads to in a state; nothing where the chart has no such row.
+  /// Returns the transition for an event in a state; null if the chart has none.
   const Step* step(const std::string& state, const std::string& event) const;
+  /// The names of all actions of the chart.
   const std::set<std::string>& actions() const { return actionNames; }
 
  private:
@@ -23,7 +27,7 @@
   std::set<std::string> actionNames;
 };
 
-/// Walks a chart for one owner: an event moves the state and runs the named actions.
+/// One running instance of a state chart. It holds the state; the owner supplies member functions for the actions.
 template <class Owner, class... Args>
 class StateMachine {
  public:
@@ -31,7 +35,9 @@
   using Actions = std::map<std::string, Action>;
   StateMachine(const std::string& chartName, const Actions& actions, std::string startState)
       : chart(&StateChart::named(chartName)), actionsByName(&actions), current(std::move(startState)) {}
-  /// Whether the event meant anything in this state.
+  /// Changes to the next state and then runs its actions; an action may dispatch further events. Returns false, without
+  /// any effect, if the chart has no transition for the event in this state. Actions that the owner does not supply are
+  /// skipped.
   bool dispatch(Owner& owner, const std::string& event, Args... args) {
     const auto* step = chart->step(current, event);
     if (!step) return false;
@@ -51,7 +57,7 @@
   std::string current;
 };
 
-/// The chart files' names and texts, as built in.
+/// The texts of the built-in charts by name. The build generates this from charts/.
 const std::map<std::string, std::string>& chartTexts();
 
 }  // namespace tt
--- a/src/base/defences.hpp
+++ b/src/base/defences.hpp
@@ -5,43 +5,43 @@
 
 namespace tt {
 
-/// What keeps each line of "what must never happen", one row each, so that the sim can take one out and show what it is
-/// for.
-#define TT_DEFENCES(X)                                                                         \
-  X(syncBeforeCount, "an entry counts for the log only once it is synced")                     \
-  X(syncBeforeVote, "a vote is told only once it is synced")                                   \
-  X(commitByThree, "an entry is agreed by more than half of the voters")                       \
-  X(jointMembers, "a change of members is agreed among the old members and the new ones")      \
-  X(leaseLimits, "a holder acts only while its lease is good")                                 \
-  X(promiseBinds, "a voter grants no other ballot while it has promised")                      \
-  X(termFence, "a worker denies commands of an old term")                                      \
-  X(incarnationFence, "a worker denies commands meant for an earlier run of it")               \
-  X(changeIdOnce, "a change sent again under its id is not taken again")                       \
-  X(ackWaits, "an acknowledgement waits for all readers that may still be fresh")              \
-  X(freshnessWeighed, "a reader believes itself fresh only after hearing enough cores")        \
-  X(staleEndsStreams, "a proxy that is cut off ends its streams")                              \
-  X(revokeEndsStreams, "news of a revoked key ends its open orders")                           \
-  X(marksAtDraw, "only workers that the platform lists as staying are drawn")                  \
-  X(drawnAgain, "a worker is looked at again just before its order is sent")                   \
-  X(saltWeights, "block hashes are seeded by the weights")                                     \
-  X(saltTenant, "block hashes are seeded by the tenant's domain")                              \
-  X(hitsConfirmed, "hits count only as the exact index confirmed them")                        \
-  X(moveCut, "a move's prompt ends at the last confirmed block")                               \
-  X(lookupExpires, "a lookup unanswered in time is a miss")                                    \
-  X(retryBudget, "repeat tries have a budget")                                                 \
-  X(retryOnlyRepeatable, "what may have run is tried again only if it is repeatable")          \
-  X(unknownOnceSent, "what was sent and not denied is never called not run")                   \
-  X(retryBeforeBytes, "nothing is tried again once the caller has a piece of an answer")       \
-  X(brokenSaysSo, "an answer that broke off is never called done")                             \
-  X(commandAgain, "a command to a worker is sent again until its report shows it done")        \
-  X(oldWeightsEnd, "workers with old weights are drawn only while a roll-out may last")        \
-  X(endFromFirstNewer, "an old version's use ends a span after the first newer one was named") \
-  X(unbegunDropped, "an order that has not begun when its version's use ends is taken back")   \
-  X(leaveByKept, "an order is not written to its worker after its time, whatever held it up")  \
-  X(failedNotCounted, "a worker that cannot load does not hold up the others")                 \
-  X(listOrder, "lists of machines are ordered by when the platform was asked for them")        \
-  X(drainRefuses, "a proxy that leaves takes only what is sure to be over before its end")     \
-  X(drainAnswers, "a proxy that ends answers whatever it leaves unfinished")
+/// The mechanisms that uphold the safety invariants. A simulation can disable a single one, and must then find a
+/// violated invariant: this shows that the mechanism is needed and that the checks see its absence.
+#define TT_DEFENCES(X)                                                                                       \
+  X(syncBeforeCount, "an entry counts towards a commit only after it is synced to disk")                     \
+  X(syncBeforeVote, "a vote is sent only after it is synced to disk")                                        \
+  X(commitByThree, "an entry is committed by more than half of the voters")                                  \
+  X(jointMembers, "a membership change needs a majority of the old members and a majority of the new ones")  \
+  X(leaseLimits, "a lease holder acts only while its lease is valid")                                        \
+  X(promiseBinds, "a voter grants no other vote while the lease that it granted may be valid")               \
+  X(termFence, "a worker rejects commands of an older term")                                                 \
+  X(incarnationFence, "a worker rejects commands that are meant for an earlier run of it")                   \
+  X(changeIdOnce, "a change that is sent again under the same id is not applied again")                      \
+  X(ackWaits, "a change is acknowledged only after all readers that may still be fresh have it")             \
+  X(freshnessWeighed, "a reader counts itself as fresh only after enough cores have answered")               \
+  X(staleEndsStreams, "a proxy that is no longer fresh ends its streams")                                    \
+  X(revokeEndsStreams, "the update that revokes a key ends the open requests of that key")                   \
+  X(marksAtDraw, "only workers that the platform does not list as leaving are selected")                     \
+  X(drawnAgain, "a selected worker is checked again just before the request is sent to it")                  \
+  X(saltWeights, "block hashes are salted with the weights")                                                 \
+  X(saltTenant, "block hashes are salted with the tenant's domain")                                          \
+  X(hitsConfirmed, "only hits that the exact index confirmed are used")                                      \
+  X(moveCut, "the prompt of a transfer ends at the last confirmed block")                                    \
+  X(lookupExpires, "a lookup that is not answered in time counts as a miss")                                 \
+  X(retryBudget, "retries are limited by a budget")                                                          \
+  X(retryOnlyRepeatable, "a request that may have run is retried only if it is marked as repeatable")        \
+  X(unknownOnceSent, "a request that was sent and not rejected is never reported as not run")                \
+  X(retryBeforeBytes, "nothing is retried after the client has received a part of the response")             \
+  X(brokenSaysSo, "a response that broke off is never reported as complete")                                 \
+  X(commandAgain, "a command is sent to a worker again until its report shows the effect")                   \
+  X(oldWeightsEnd, "workers with old weights are selected only as long as a roll-out may take")              \
+  X(endFromFirstNewer, "the use of old weights ends a fixed time after the first newer ones were announced") \
+  X(unbegunDropped, "a request that has not started when the use of its weights ends is withdrawn")          \
+  X(leaveByKept, "a request is not sent to its worker after its send deadline, whatever delayed it")         \
+  X(failedNotCounted, "a worker that cannot load weights does not hold up the roll-out to others")           \
+  X(listOrder, "machine lists are ordered by the time at which the platform was asked")                      \
+  X(drainRefuses, "a draining proxy accepts only requests that are sure to end before it does")              \
+  X(drainAnswers, "a draining proxy sends a final response to every request that it leaves unfinished")
 
 enum class Defence : int {
 #define TT_DEFENCE(name, text) name,
@@ -50,11 +50,13 @@
       count
 };
 
-/// Which defences stand. All do, but in the sim's control runs; no program offers to take one out.
+/// The set of enabled defences. All are enabled except in negative controls of the simulator and the model checker;
+/// programs of a deployment have no option to disable one.
 class Defences {
  public:
-  bool isEnabled(Defence defence) const { return !out.test(static_cast<std::size_t>(defence)); }
-  void disable(Defence defence) { out.set(static_cast<std::size_t>(defence)); }
+  bool isEnabled(Defence defence) const { return !disabled.test(static_cast<std::size_t>(defence)); }
+  void disable(Defence defence) { disabled.set(static_cast<std::size_t>(defence)); }
+  /// Finds a defence by its identifier.
   static std::optional<Defence> named(std::string_view text) {
 #define TT_DEFENCE(name, about) \
   if (text == #name) return Defence::name;
@@ -64,7 +66,7 @@
   }
 
  private:
-  std::bitset<static_cast<std::size_t>(Defence::count)> out;
+  std::bitset<static_cast<std::size_t>(Defence::count)> disabled;
 };
 
 }  // namespace tt
--- a/src/base/effects.cpp
+++ b/src/base/effects.cpp
@@ -3,12 +3,16 @@
 #include <cstring>
 
 namespace tt {
+namespace {
+constexpr std::size_t maxKeptEvents = 2048;
+}
 
+/// Listeners get a copy, since an event that a listener appends in turn may remove the row.
 void Journal::append(TimePoint at, std::string kind, std::string subject, std::int64_t number) {
-  rows.push_back(Event{at, std::move(kind), std::move(subject), number});
-  ++countRows[rows.back().kind];
-  Event copy = rows.back();
-  if (rows.size() > 2048) rows.pop_front();
+  keptEvents.push_back(Event{at, std::move(kind), std::move(subject), number});
+  ++countByKind[keptEvents.back().kind];
+  Event copy = keptEvents.back();
+  if (keptEvents.size() > maxKeptEvents) keptEvents.pop_front();
   appended(copy);
 }
 
@@ -22,46 +26,47 @@
   return digest;
 }
 
-bool applyCellNews(CellNews& kept, const CellNews& news) {
-  if (std::make_pair(news.term, news.sequence) <= std::make_pair(kept.term, kept.sequence)) return false;
-  if (news.base > 0) {
-    if (kept.term != news.term || kept.sequence != news.base) return false;
+bool applyCellNews(CellNews& kept, const CellNews& update) {
+  if (std::make_pair(update.term, update.sequence) <= std::make_pair(kept.term, kept.sequence)) return false;
+  if (update.base > 0) {
+    if (kept.term != update.term || kept.sequence != update.base) return false;
     std::map<std::string, WorkerView> rows;
     for (auto& worker : kept.workers) rows[worker.name] = std::move(worker);
-    for (const auto& name : news.gone) rows.erase(name);
-    for (const auto& worker : news.workers) rows[worker.name] = worker;
+    for (const auto& name : update.gone) rows.erase(name);
+    for (const auto& worker : update.workers) rows[worker.name] = worker;
     kept.workers.clear();
     for (auto& [name, worker] : rows) kept.workers.push_back(std::move(worker));
-    kept.sequence = news.sequence;
-    kept.holder = news.holder;
-    kept.links = news.links;
+    kept.sequence = update.sequence;
+    kept.holder = update.holder;
+    kept.links = update.links;
     return true;
   }
-  CellNews taken = news;
-  if (news.omitsSummaries)
-    for (auto& worker : taken.workers)
+  CellNews merged = update;
+  if (update.omitsSummaries)
+    for (auto& worker : merged.workers)
       for (const auto& known : kept.workers)
         if (known.name == worker.name && known.weights == worker.weights && worker.confirmed)
           worker.summary = known.summary;
-  taken.omitsSummaries = false;
-  kept = std::move(taken);
+  merged.omitsSummaries = false;
+  kept = std::move(merged);
   return true;
 }
 
 namespace {
-std::string packVote(const std::string& duty, const Vote& vote) {
-  LogEntry row;
-  row.term = vote.term;
-  row.changeId = duty;
-  row.body = vote.votedFor;
-  return encodeEntry(row);
+/// A vote is stored in the form of a log entry: term, duty as the change id, candidate as the body.
+std::string encodeVote(const std::string& duty, const Vote& vote) {
+  LogEntry entry;
+  entry.term = vote.term;
+  entry.changeId = duty;
+  entry.body = vote.votedFor;
+  return encodeEntry(entry);
 }
 }  // namespace
 
 Record identityRecord(const std::string& id) { return {RecordKind::identity, id}; }
-Record voteRecord(const std::string& duty, const Vote& vote) { return {RecordKind::vote, packVote(duty, vote)}; }
+Record voteRecord(const std::string& duty, const Vote& vote) { return {RecordKind::vote, encodeVote(duty, vote)}; }
 Record entryRecord(const LogEntry& entry) { return {RecordKind::entry, encodeEntry(entry)}; }
-Record cutRecord(std::uint64_t firstGone) { return {RecordKind::cut, std::to_string(firstGone)}; }
+Record cutRecord(std::uint64_t firstRemoved) { return {RecordKind::cut, std::to_string(firstRemoved)}; }
 Record snapshotRecord(const Snapshot& snapshot) { return {RecordKind::snapshot, encodeSnapshot(snapshot)}; }
 Record installedRecord(const Snapshot& snapshot) { return {RecordKind::installed, encodeSnapshot(snapshot)}; }
 
@@ -71,28 +76,28 @@
       identity = record.bytes;
       return true;
     case RecordKind::vote: {
-      auto row = decodeEntry(record.bytes);
-      if (!row) return false;
-      votes[row.value().changeId] = Vote{row.value().term, row.value().body};
+      auto decoded = decodeEntry(record.bytes);
+      if (!decoded) return false;
+      votes[decoded.value().changeId] = Vote{decoded.value().term, decoded.value().body};
       return true;
     }
     case RecordKind::entry: {
-      auto row = decodeEntry(record.bytes);
-      if (!row) return false;
-      auto& entry = row.value();
+      auto decoded = decodeEntry(record.bytes);
+      if (!decoded) return false;
+      auto& entry = decoded.value();
       while (!entries.empty() && entries.back().index >= entry.index) entries.pop_back();
       entries.push_back(std::move(entry));
       return true;
     }
     case RecordKind::cut: {
-      std::uint64_t firstGone = std::strtoull(record.bytes.c_str(), nullptr, 10);
-      while (!entries.empty() && entries.back().index >= firstGone) entries.pop_back();
+      std::uint64_t firstRemoved = std::strtoull(record.bytes.c_str(), nullptr, 10);
+      while (!entries.empty() && entries.back().index >= firstRemoved) entries.pop_back();
       return true;
     }
     case RecordKind::snapshot: {
-      auto made = decodeSnapshot(record.bytes);
-      if (!made) return false;
-      snapshot = std::move(made).value();
+      auto decoded = decodeSnapshot(record.bytes);
+      if (!decoded) return false;
+      snapshot = std::move(decoded).value();
       std::vector<LogEntry> kept;
       for (auto& entry : entries)
         if (entry.index > snapshot->index) kept.push_back(std::move(entry));
@@ -100,9 +105,9 @@
       return true;
     }
     case RecordKind::installed: {
-      auto made = decodeSnapshot(record.bytes);
-      if (!made) return false;
-      snapshot = std::move(made).value();
+      auto decoded = decodeSnapshot(record.bytes);
+      if (!decoded) return false;
+      snapshot = std::move(decoded).value();
       entries.clear();
       return true;
     }
--- a/src/base/json.cpp
+++ b/src/base/json.cpp
@@ -4,7 +4,7 @@
 
 namespace tt {
 namespace {
-const Json* member(const JsonObject& object, const std::string& name) {
+const Json* findMember(const JsonObject& object, const std::string& name) {
   auto found = object.find(name);
   return found == object.end() ? nullptr : &found->second;
 }
@@ -12,19 +12,19 @@
 
 Result<Json> parseJson(std::string_view text) {
   Json value;
-  std::string trouble;
+  std::string problem;
   const char* start = text.data();
   try {
-    const char* end = picojson::parse(value, start, start + text.size(), &trouble);
-    if (!trouble.empty()) {
-      while (!trouble.empty() && trouble.back() == '\n') trouble.pop_back();
-      return fault(Code::badJson, "body", trouble);
+    const char* end = picojson::parse(value, start, start + text.size(), &problem);
+    if (!problem.empty()) {
+      while (!problem.empty() && problem.back() == '\n') problem.pop_back();
+      return fault(Code::badJson, "body", problem);
     }
     for (; end < start + text.size(); ++end)
       if (!std::isspace(static_cast<unsigned char>(*end)))
-        return fault(Code::badJson, "body", "more text after the value");
-  } catch (const std::exception& thrown) {
-    return fault(Code::badJson, "body", thrown.what());
+        return fault(Code::badJson, "body", "unexpected text after the value");
+  } catch (const std::exception& exception) {
+    return fault(Code::badJson, "body", exception.what());
   }
   return value;
 }
@@ -55,27 +55,27 @@
 }
 
 Result<std::string> stringField(const JsonObject& object, const std::string& name, const std::string& path) {
-  auto* value = member(object, name);
+  auto* value = findMember(object, name);
   if (!value) return fault(Code::missingField, fieldPath(path, name));
-  if (!value->is<std::string>()) return fault(Code::badField, fieldPath(path, name), "must be a text");
+  if (!value->is<std::string>()) return fault(Code::badField, fieldPath(path, name), "must be a string");
   return value->get<std::string>();
 }
 
 Result<std::int64_t> integerField(const JsonObject& object, const std::string& name, std::int64_t fallback,
-                                  std::int64_t least, std::int64_t most, const std::string& path) {
-  auto* value = member(object, name);
+                                  std::int64_t min, std::int64_t max, const std::string& path) {
+  auto* value = findMember(object, name);
   if (!value) return fallback;
   if (!value->is<double>() || std::floor(value->get<double>()) != value->get<double>())
-    return fault(Code::badField, fieldPath(path, name), "must be a whole number");
+    return fault(Code::badField, fieldPath(path, name), "must be an integer");
   double number = value->get<double>();
-  if (number < static_cast<double>(least) || number > static_cast<double>(most))
+  if (number < static_cast<double>(min) || number > static_cast<double>(max))
     return fault(Code::badField, fieldPath(path, name),
-                 "must be from " + std::to_string(least) + " to " + std::to_string(most));
+                 "must be from " + std::to_string(min) + " to " + std::to_string(max));
   return static_cast<std::int64_t>(number);
 }
 
 Result<bool> boolField(const JsonObject& object, const std::string& name, bool fallback, const std::string& path) {
-  auto* value = member(object, name);
+  auto* value = findMember(object, name);
   if (!value) return fallback;
   if (!value->is<bool>()) return fault(Code::badField, fieldPath(path, name), "must be true or false");
   return value->get<bool>();
@@ -83,33 +83,34 @@
 
 Result<std::vector<std::string>> stringListField(const JsonObject& object, const std::string& name,
                                                  const std::string& path) {
-  auto* value = member(object, name);
+  auto* value = findMember(object, name);
   if (!value) return fault(Code::missingField, fieldPath(path, name));
-  if (!value->is<JsonArray>()) return fault(Code::badField, fieldPath(path, name), "must be a list of texts");
-  std::vector<std::string> texts;
+  if (!value->is<JsonArray>()) return fault(Code::badField, fieldPath(path, name), "must be a list of strings");
+  std::vector<std::string> strings;
   for (const auto& item : value->get<JsonArray>()) {
     if (!item.is<std::string>())
-      return fault(Code::badField, fieldPath(path, name) + "[" + std::to_string(texts.size()) + "]", "must be a text");
-    texts.push_back(item.get<std::string>());
+      return fault(Code::badField, fieldPath(path, name) + "[" + std::to_string(strings.size()) + "]",
+                   "must be a string");
+    strings.push_back(item.get<std::string>());
   }
-  return texts;
+  return strings;
 }
 
 std::string stringOr(const Json& object, const std::string& name, const std::string& fallback) {
   if (!object.is<JsonObject>()) return fallback;
-  auto* value = member(object.get<JsonObject>(), name);
+  auto* value = findMember(object.get<JsonObject>(), name);
   return value && value->is<std::string>() ? value->get<std::string>() : fallback;
 }
 std::int64_t integerOr(const Json& object, const std::string& name, std::int64_t fallback) {
   if (!object.is<JsonObject>()) return fallback;
-  auto* value = member(object.get<JsonObject>(), name);
+  auto* value = findMember(object.get<JsonObject>(), name);
   if (!value || !value->is<double>()) return fallback;
   double number = value->get<double>();
   return std::abs(number) < 9e15 ? static_cast<std::int64_t>(number) : fallback;
 }
 bool boolOr(const Json& object, const std::string& name, bool fallback) {
   if (!object.is<JsonObject>()) return fallback;
-  auto* value = member(object.get<JsonObject>(), name);
+  auto* value = findMember(object.get<JsonObject>(), name);
   return value && value->is<bool>() ? value->get<bool>() : fallback;
 }
 
--- a/src/base/json.hpp
+++ b/src/base/json.hpp
@@ -9,25 +9,32 @@
 using JsonObject = picojson::object;
 using JsonArray = picojson::array;
 
-/// Reads a whole JSON text; a fault says where it is malformed.
+/// Parses a JSON text that holds one value. The error of a malformed text says where it is malformed.
 Result<Json> parseJson(std::string_view text);
-/// Reads a JSON text that must be one object with known fields only.
+/// Parses a JSON text that must be an object without other fields than the known ones.
 Result<JsonObject> parseObject(std::string_view text, const std::set<std::string>& knownFields);
-/// Merges a patch into a value as RFC 7396 says.
+/// Applies a JSON merge patch (RFC 7396).
 void mergePatch(Json& target, const Json& patch);
 
+/// These read a field of a client's object. A value of another type gives badField; a missing one gives missingField,
+/// or the fallback where there is one. `path` is the path of the object within the body; errors name the field by its
+/// path.
 Result<std::string> stringField(const JsonObject& object, const std::string& name, const std::string& path = {});
+/// Also numbers with a fraction and numbers outside [min, max] give badField.
 Result<std::int64_t> integerField(const JsonObject& object, const std::string& name, std::int64_t fallback,
-                                  std::int64_t least, std::int64_t most, const std::string& path = {});
+                                  std::int64_t min, std::int64_t max, const std::string& path = {});
 Result<bool> boolField(const JsonObject& object, const std::string& name, bool fallback, const std::string& path = {});
 Result<std::vector<std::string>> stringListField(const JsonObject& object, const std::string& name,
                                                  const std::string& path = {});
 inline Json jsonString(const std::string& text) { return Json(text); }
 inline Json jsonNumber(double number) { return Json(number); }
+/// The path of a field in an object, such as "routes.chat.model"; the name alone if the path is empty.
 inline std::string fieldPath(const std::string& path, const std::string& name) {
   return path.empty() ? name : path + "." + name;
 }
-/// An object's text member, or the empty text.
+/// These read a field of a value that was checked before or comes from a peer. Whatever cannot be used gives the
+/// fallback: a value that is no object, a missing field, another type, and a number of 9e15 or
+/// more (just below 2^53, up to which doubles hold every integer). Fractions are dropped.
 std::string stringOr(const Json& object, const std::string& name, const std::string& fallback = {});
 std::int64_t integerOr(const Json& object, const std::string& name, std::int64_t fallback);
 bool boolOr(const Json& object, const std::string& name, bool fallback);
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -13,22 +13,24 @@
 
 namespace tt {
 namespace {
+/// "[role name] ", as startLog set it.
 std::string prefix;
-std::string stampNow() {
+/// The only use of the wall clock: it may jump, so no decision rests on it.
+std::string utcTimestamp() {
   return date::format("%FT%TZ",
                       std::chrono::time_point_cast<std::chrono::milliseconds>(std::chrono::system_clock::now()));
 }
 }  // namespace
 
-void startLog(const std::string& part, const std::string& name, bool chatty) {
-  prefix = "[" + part + " " + name + "] ";
+void startLog(const std::string& role, const std::string& name, bool verbose) {
+  prefix = "[" + role + " " + name + "] ";
   boost::log::add_console_log(std::clog, boost::log::keywords::auto_flush = true);
   boost::log::core::get()->set_filter(boost::log::trivial::severity >=
-                                      (chatty ? boost::log::trivial::debug : boost::log::trivial::info));
+                                      (verbose ? boost::log::trivial::debug : boost::log::trivial::info));
 }
-void logInfo(const std::string& sentence) { BOOST_LOG_TRIVIAL(info) << stampNow() << " " << prefix << sentence; }
+void logInfo(const std::string& sentence) { BOOST_LOG_TRIVIAL(info) << utcTimestamp() << " " << prefix << sentence; }
 void logWarning(const std::string& sentence) {
-  BOOST_LOG_TRIVIAL(warning) << stampNow() << " " << prefix << "warning: " << sentence;
+  BOOST_LOG_TRIVIAL(warning) << utcTimestamp() << " " << prefix << "warning: " << sentence;
 }
 
 }  // namespace tt
--- a/src/base/log.hpp
+++ b/src/base/log.hpp
@@ -3,8 +3,9 @@
 
 namespace tt {
 
-/// Starts logging to standard error: one short sentence a line, behind the time and the part's prefix.
-void startLog(const std::string& part, const std::string& name, bool chatty);
+/// Starts logging to standard error. Each message is one line: the UTC time, a prefix of role and name, and one
+/// sentence. `verbose` also lets debug messages through.
+void startLog(const std::string& role, const std::string& name, bool verbose);
 void logInfo(const std::string& sentence);
 void logWarning(const std::string& sentence);
 
--- a/src/base/wire.cpp
+++ b/src/base/wire.cpp
@@ -1,3 +1,7 @@
+/// The binary form of messages, snapshots, entries and rejections: a 16-bit number of the kind (0 for what is no
+/// message), then the fields in order. Texts and lists begin with a 32-bit count. Numbers are in the machine's byte
+/// order, which must be little-endian.
+
 #include <boost/archive/binary_iarchive.hpp>
 #include <boost/archive/binary_oarchive.hpp>
 #include <streambuf>
@@ -7,14 +11,16 @@
 namespace tt {
 namespace {
 
+/// Reads from bytes that outlive it, without a copy.
 class FrameSource : public std::streambuf {
  public:
   explicit FrameSource(std::string_view frame) {
     char* start = const_cast<char*>(frame.data());
     setg(start, start, start + frame.size());
   }
-  std::size_t left() const { return static_cast<std::size_t>(egptr() - gptr()); }
+  std::size_t remaining() const { return static_cast<std::size_t>(egptr() - gptr()); }
 };
+/// Appends all that is written to a string.
 class FrameSink : public std::streambuf {
  public:
   std::string bytes;
@@ -30,17 +36,19 @@
   }
 };
 
-using Packer = boost::archive::binary_oarchive;
-using Unpacker = boost::archive::binary_iarchive;
+using Encoder = boost::archive::binary_oarchive;
+using Decoder = boost::archive::binary_iarchive;
 constexpr auto archiveFlags = boost::archive::no_header | boost::archive::no_codecvt | boost::archive::no_tracking;
 
 template <class T>
-struct IsRow : std::false_type {};
+struct IsVector : std::false_type {};
 template <class T>
-struct IsRow<std::vector<T>> : std::true_type {};
+struct IsVector<std::vector<T>> : std::true_type {};
 
 }  // namespace
 
+/// While loading, texts grow in steps of 4096 bytes and lists by one element at a time, so that a frame that claims
+/// more than it holds fails before much memory is allocated.
 template <class Archive, class T>
 void stow(Archive& archive, T& value) {
   constexpr bool loading = Archive::is_loading::value;
@@ -58,7 +66,7 @@
     } else {
       archive.save_binary(value.data(), value.size());
     }
-  } else if constexpr (IsRow<T>::value) {
+  } else if constexpr (IsVector<T>::value) {
     std::uint32_t size = static_cast<std::uint32_t>(value.size());
     archive& size;
     if constexpr (loading) {
@@ -88,35 +96,37 @@
 
 namespace {
 template <class T>
-std::string pack(const T& value, std::uint16_t kind) {
+std::string encode(const T& value, std::uint16_t kind) {
   FrameSink sink;
   {
-    Packer packer(sink, archiveFlags);
-    packer& kind;
-    stow(packer, const_cast<T&>(value));
+    Encoder encoder(sink, archiveFlags);
+    encoder& kind;
+    stow(encoder, const_cast<T&>(value));
   }
   return std::move(sink.bytes);
 }
+/// Any bytes that are missing or left over are an error.
 template <class T>
-Result<T> unpack(std::string_view bytes) {
+Result<T> decode(std::string_view bytes) {
   try {
     FrameSource source(bytes);
-    Unpacker unpacker(source, archiveFlags);
+    Decoder decoder(source, archiveFlags);
     std::uint16_t kind = 0;
-    unpacker& kind;
+    decoder& kind;
     T value{};
-    stow(unpacker, value);
-    if (source.left() != 0) return fault(Code::badFrame, "length");
+    stow(decoder, value);
+    if (source.remaining() != 0) return fault(Code::badFrame, "length");
     return value;
   } catch (const std::exception&) {
     return fault(Code::badFrame, "end");
   }
 }
+/// Finds the message type of a number among the alternatives of Message, from `at` on.
 template <std::size_t at = 1>
-Result<Message> unpackKind(std::uint16_t kind, std::string_view frame) {
+Result<Message> decodeKind(std::uint16_t kind, std::string_view frame) {
   if constexpr (at < std::variant_size_v<Message>) {
-    if (kind != at) return unpackKind<at + 1>(kind, frame);
-    auto value = unpack<std::variant_alternative_t<at, Message>>(frame);
+    if (kind != at) return decodeKind<at + 1>(kind, frame);
+    auto value = decode<std::variant_alternative_t<at, Message>>(frame);
     if (!value) return value.error();
     return Message(std::move(value).value());
   } else {
@@ -136,7 +146,7 @@
         if constexpr (std::is_same_v<std::decay_t<decltype(value)>, std::monostate>)
           return {};
         else
-          return pack(value, static_cast<std::uint16_t>(message.index()));
+          return encode(value, static_cast<std::uint16_t>(message.index()));
       },
       message);
 }
@@ -145,14 +155,14 @@
   if (frame.size() < 2) return fault(Code::badFrame, "length");
   std::uint16_t kind =
       static_cast<std::uint16_t>(static_cast<unsigned char>(frame[0]) | (static_cast<unsigned char>(frame[1]) << 8));
-  return unpackKind<>(kind, frame);
+  return decodeKind<>(kind, frame);
 }
 
-std::string encodeSnapshot(const Snapshot& snapshot) { return pack(snapshot, 0); }
-Result<Snapshot> decodeSnapshot(std::string_view bytes) { return unpack<Snapshot>(bytes); }
-std::string encodeRefusal(const Refusal& refusal) { return pack(refusal, 0); }
-Result<Refusal> decodeRefusal(std::string_view bytes) { return unpack<Refusal>(bytes); }
-std::string encodeEntry(const LogEntry& entry) { return pack(entry, 0); }
-Result<LogEntry> decodeEntry(std::string_view bytes) { return unpack<LogEntry>(bytes); }
+std::string encodeSnapshot(const Snapshot& snapshot) { return encode(snapshot, 0); }
+Result<Snapshot> decodeSnapshot(std::string_view bytes) { return decode<Snapshot>(bytes); }
+std::string encodeRefusal(const Refusal& refusal) { return encode(refusal, 0); }
+Result<Refusal> decodeRefusal(std::string_view bytes) { return decode<Refusal>(bytes); }
+std::string encodeEntry(const LogEntry& entry) { return encode(entry, 0); }
+Result<LogEntry> decodeEntry(std::string_view bytes) { return decode<LogEntry>(bytes); }
 
 }  // namespace tt
--- a/src/config/configuration.cpp
+++ b/src/config/configuration.cpp
@@ -7,8 +7,10 @@
 
 namespace tt {
 namespace {
-constexpr std::size_t changesRemembered = 4096;
-constexpr std::size_t refusalsRemembered = 1024;
+/// Bounds on what is remembered to recognize repeated requests. They are part of the replicated state: all members must
+/// evict alike.
+constexpr std::size_t maxRecentChanges = 4096;
+constexpr std::size_t maxRecentRefusals = 1024;
 }  // namespace
 
 Result<std::string> Configuration::preparePatch(const std::string& text, ChangeFormat changeFormat) const {
@@ -31,9 +33,9 @@
 void Configuration::setItem(const std::string& sectionName, const std::string& name, const Json* value) {
   auto& items = sections[sectionName];
   auto old = items.find(name);
-  foldItem(sectionName, name, old == items.end() ? nullptr : &old->second, value);
+  updateDerivedItem(sectionName, name, old == items.end() ? nullptr : &old->second, value);
   if (old != items.end()) {
-    weight -= std::min(weight, name.size() + old->second.serialize().size());
+    totalBytes -= std::min(totalBytes, name.size() + old->second.serialize().size());
     if (sectionName == "keys")
       if (auto known = keyIdByHash.find(stringOr(old->second, "hash"));
           known != keyIdByHash.end() && known->second == name)
@@ -45,21 +47,22 @@
     return;
   }
   items[name] = *value;
-  weight += name.size() + value->serialize().size();
+  totalBytes += name.size() + value->serialize().size();
   if (sectionName == "keys") keyIdByHash[stringOr(*value, "hash")] = name;
   if (sectionName == "policies" && value->is<std::string>())
     if (auto policy = Policy::read(value->get<std::string>())) policies[name] = policy.value();
 }
 
-void Configuration::foldItem(const std::string& sectionName, const std::string& name, const Json* old,
-                             const Json* value) {
-  if (sectionName == "tenants") foldTenant(name, old, value);
-  if (sectionName == "routes") foldRoute(name, value);
-  if (sectionName == "services") foldService(name, value);
-  if (sectionName == "limits" && name == "callers") limitsRow = value ? readCallerLimits(*value) : CallerLimits();
+void Configuration::updateDerivedItem(const std::string& sectionName, const std::string& name, const Json* old,
+                                      const Json* value) {
+  if (sectionName == "tenants") updateTenantSecrets(name, old, value);
+  if (sectionName == "routes") updateRoute(name, value);
+  if (sectionName == "services") updateService(name, value);
+  if (sectionName == "limits" && name == "callers")
+    currentCallerLimits = value ? readCallerLimits(*value) : CallerLimits();
 }
 
-void Configuration::foldTenant(const std::string& name, const Json* old, const Json* value) {
+void Configuration::updateTenantSecrets(const std::string& name, const Json* old, const Json* value) {
   if (old && old->is<JsonObject>())
     for (const auto& secret : readSecrets(*old))
       if (auto found = tenantByHash.find(sha256Hex(secret)); found != tenantByHash.end() && found->second == name)
@@ -68,18 +71,18 @@
     for (const auto& secret : readSecrets(*value)) tenantByHash[sha256Hex(secret)] = name;
 }
 
-void Configuration::foldRoute(const std::string& name, const Json* value) {
-  if (auto known = routeRows.find(name); known != routeRows.end()) {
-    if (known->second.matchesPath()) forgetPrefix(known->second);
-    routeRows.erase(known);
+void Configuration::updateRoute(const std::string& name, const Json* value) {
+  if (auto known = routesByName.find(name); known != routesByName.end()) {
+    if (known->second.matchesPath()) removeRoutePrefix(known->second);
+    routesByName.erase(known);
   }
   if (!value || !value->is<JsonObject>()) return;
   auto route = readRoute(name, *value);
   if (route.matchesPath()) routeByPrefix[route.host][route.prefix] = name;
-  routeRows[name] = std::move(route);
+  routesByName[name] = std::move(route);
 }
 
-void Configuration::forgetPrefix(const RouteView& route) {
+void Configuration::removeRoutePrefix(const RouteView& route) {
   auto& prefixes = routeByPrefix[route.host];
   if (auto found = prefixes.find(route.prefix); found != prefixes.end() && found->second == route.name)
     prefixes.erase(found);
@@ -87,18 +90,18 @@
 }
 
 const ServiceView* Configuration::findService(const std::string& name) const {
-  auto found = serviceRows.find(name);
-  return found == serviceRows.end() ? nullptr : &found->second;
+  auto found = servicesByName.find(name);
+  return found == servicesByName.end() ? nullptr : &found->second;
 }
 
-void Configuration::foldService(const std::string& name, const Json* value) {
-  for (auto row = storeRows.begin(); row != storeRows.end();)
-    row = row->service == name ? storeRows.erase(row) : std::next(row);
-  serviceRows.erase(name);
+void Configuration::updateService(const std::string& name, const Json* value) {
+  for (auto row = blockStores.begin(); row != blockStores.end();)
+    row = row->service == name ? blockStores.erase(row) : std::next(row);
+  servicesByName.erase(name);
   if (!value || !value->is<JsonObject>()) return;
-  serviceRows[name] = readService(*value);
+  servicesByName[name] = readService(*value);
   if (stringOr(*value, "storeAddress").empty()) return;
-  storeRows.push_back(StoreView{name, stringOr(*value, "storeAddress"), stringOr(*value, "locality")});
+  blockStores.push_back(StoreView{name, stringOr(*value, "storeAddress"), stringOr(*value, "locality")});
 }
 
 void Configuration::applyPatch(const JsonObject& patch) {
@@ -128,49 +131,49 @@
   if (kind == EntryKind::members) {
     LogEntry unpacked = entry;
     auto snapshot = decodeSnapshot(unpacked.body);
-    if (snapshot) memberRows = snapshot.value().members;
+    if (snapshot) currentMembers = snapshot.value().members;
   } else if (kind == EntryKind::change) {
     currentRevision = entry.revision ? entry.revision : currentRevision + 1;
     auto patch = parseJson(entry.body);
     if (patch && patch.value().is<JsonObject>()) applyPatch(patch.value().get<JsonObject>());
-    if (!entry.changeId.empty()) rememberChange(entry.changeId);
+    if (!entry.changeId.empty()) recordChange(entry.changeId);
   } else if (kind == EntryKind::refusal) {
-    rememberRefusal(entry);
+    recordRefusal(entry);
   }
 }
 
-void Configuration::rememberChange(const std::string& changeId) {
+void Configuration::recordChange(const std::string& changeId) {
   changeRevisions[changeId] = currentRevision;
-  changeOrder.push_back(changeId);
-  if (changeOrder.size() <= changesRemembered) return;
-  changeRevisions.erase(changeOrder.front());
-  changeOrder.pop_front();
+  recentChangeIds.push_back(changeId);
+  if (recentChangeIds.size() <= maxRecentChanges) return;
+  changeRevisions.erase(recentChangeIds.front());
+  recentChangeIds.pop_front();
 }
 
-void Configuration::rememberRefusal(const LogEntry& entry) {
+void Configuration::recordRefusal(const LogEntry& entry) {
   auto refusal = decodeRefusal(entry.body);
   if (!refusal) return;
-  refusals.push_back(std::move(refusal).value());
-  refusals.back().index = entry.index;
-  if (refusals.size() <= refusalsRemembered) return;
-  refusalsForgottenIndex = refusals.front().index;
-  refusals.pop_front();
+  recentRefusals.push_back(std::move(refusal).value());
+  recentRefusals.back().index = entry.index;
+  if (recentRefusals.size() <= maxRecentRefusals) return;
+  lastEvictedRefusalIndex = recentRefusals.front().index;
+  recentRefusals.pop_front();
 }
 
 Snapshot Configuration::snapshot() const {
-  Snapshot made;
-  made.index = appliedIndex;
-  made.term = appliedTerm;
-  made.revision = currentRevision;
-  made.configuration = text();
-  made.members = memberRows;
-  for (const auto& id : changeOrder) {
-    made.changeIds.push_back(id);
-    made.changeRevisions.push_back(changeRevisions.at(id));
+  Snapshot result;
+  result.index = appliedIndex;
+  result.term = appliedTerm;
+  result.revision = currentRevision;
+  result.configuration = text();
+  result.members = currentMembers;
+  for (const auto& id : recentChangeIds) {
+    result.changeIds.push_back(id);
+    result.changeRevisions.push_back(changeRevisions.at(id));
   }
-  made.refusals.assign(refusals.begin(), refusals.end());
-  made.refusalsForgotten = refusalsForgottenIndex;
-  return made;
+  result.refusals.assign(recentRefusals.begin(), recentRefusals.end());
+  result.refusalsForgotten = lastEvictedRefusalIndex;
+  return result;
 }
 
 Result<void> Configuration::adopt(const Snapshot& snapshot) {
@@ -182,13 +185,13 @@
   appliedIndex = snapshot.index;
   appliedTerm = snapshot.term;
   currentRevision = snapshot.revision;
-  memberRows = snapshot.members;
+  currentMembers = snapshot.members;
   for (std::size_t at = 0; at < snapshot.changeIds.size() && at < snapshot.changeRevisions.size(); ++at) {
-    changeOrder.push_back(snapshot.changeIds[at]);
+    recentChangeIds.push_back(snapshot.changeIds[at]);
     changeRevisions[snapshot.changeIds[at]] = snapshot.changeRevisions[at];
   }
-  refusals.assign(snapshot.refusals.begin(), snapshot.refusals.end());
-  refusalsForgottenIndex = snapshot.refusalsForgotten;
+  recentRefusals.assign(snapshot.refusals.begin(), snapshot.refusals.end());
+  lastEvictedRefusalIndex = snapshot.refusalsForgotten;
   return boost::outcome_v2::success();
 }
 
@@ -199,17 +202,17 @@
 }
 
 std::uint64_t Configuration::forgottenRevision() const {
-  return changeOrder.size() < changesRemembered ? 0 : changeRevisions.at(changeOrder.front()) - 1;
+  return recentChangeIds.size() < maxRecentChanges ? 0 : changeRevisions.at(recentChangeIds.front()) - 1;
 }
 
 const Refusal* Configuration::refusedAfter(const std::string& changeId, std::uint64_t index) const {
   if (changeId.empty()) return nullptr;
-  auto found = std::find_if(refusals.rbegin(), refusals.rend(),
+  auto found = std::find_if(recentRefusals.rbegin(), recentRefusals.rend(),
                             [&](const Refusal& row) { return row.changeId == changeId && row.index > index; });
-  return found == refusals.rend() ? nullptr : &*found;
+  return found == recentRefusals.rend() ? nullptr : &*found;
 }
 
-std::int64_t Configuration::weightsNumber(const std::string& model) const {
+std::int64_t Configuration::currentWeightsNumber(const std::string& model) const {
   auto weights = weightsOf(model);
   auto found = sections.find("weights");
   if (!weights || found == sections.end()) return 0;
@@ -224,16 +227,16 @@
   if (!named.is<JsonObject>() || named.get<JsonObject>().empty()) return false;
   for (const auto& [name, row] : named.get<JsonObject>()) {
     std::int64_t number = integerOr(row, "number", 0);
-    if (number == 0 || number > weightsNumber(stringOr(row, "model"))) return false;
+    if (number == 0 || number > currentWeightsNumber(stringOr(row, "model"))) return false;
   }
   return true;
 }
 
 std::string Configuration::text() const {
-  JsonObject whole;
+  JsonObject content;
   for (const auto& [name, items] : sections)
-    if (!items.empty()) whole[name] = Json(items);
-  return Json(whole).serialize();
+    if (!items.empty()) content[name] = Json(items);
+  return Json(content).serialize();
 }
 
 JsonObject Configuration::section(const std::string& name) const {
@@ -259,14 +262,16 @@
   return tenant;
 }
 
+/// Cuts the path back from slash to slash, so the longest prefix is found first.
 const RouteView* Configuration::routeFor(const std::string& host, const std::string& path) const {
   auto prefixes = routeByPrefix.find(host);
   if (prefixes == routeByPrefix.end()) return nullptr;
-  std::string known = path.substr(0, path.find('?'));
-  for (auto slash = known.rfind('/'); slash != std::string::npos;
-       slash = slash == 0 ? std::string::npos : known.rfind('/', slash - 1)) {
-    known.resize(slash + 1);
-    if (auto found = prefixes->second.find(known); found != prefixes->second.end()) return &routeRows.at(found->second);
+  std::string prefix = path.substr(0, path.find('?'));
+  for (auto slash = prefix.rfind('/'); slash != std::string::npos;
+       slash = slash == 0 ? std::string::npos : prefix.rfind('/', slash - 1)) {
+    prefix.resize(slash + 1);
+    if (auto found = prefixes->second.find(prefix); found != prefixes->second.end())
+      return &routesByName.at(found->second);
   }
   return nullptr;
 }
@@ -279,8 +284,8 @@
 }
 
 std::optional<RouteView> Configuration::findRoute(const std::string& name) const {
-  auto found = routeRows.find(name);
-  if (found == routeRows.end()) return std::nullopt;
+  auto found = routesByName.find(name);
+  if (found == routesByName.end()) return std::nullopt;
   return found->second;
 }
 
--- a/src/config/item_edits.cpp
+++ b/src/config/item_edits.cpp
@@ -9,37 +9,41 @@
 const std::set<std::string> orderedSections{"routes", "services", "tenants"};
 const std::set<std::string> editNames{"set", "drop", "upsert", "remove"};
 
+/// Null if the member is missing or is no object.
 const JsonObject* objectAt(const JsonObject& object, const std::string& name) {
   auto found = object.find(name);
   return found == object.end() || !found->second.is<JsonObject>() ? nullptr : &found->second.get<JsonObject>();
 }
 
-/// The place after all items that are there.
-double nextPlace(const JsonObject& items) {
-  double place = 0;
-  for (const auto& [name, item] : items) place = std::max(place, static_cast<double>(integerOr(item, "at", -1)) + 1);
-  return place;
+/// The first position behind all present items.
+double nextPosition(const JsonObject& items) {
+  double position = 0;
+  for (const auto& [name, item] : items)
+    position = std::max(position, static_cast<double>(integerOr(item, "at", -1)) + 1);
+  return position;
 }
 
-void placeItems(JsonObject& asked, const JsonObject& known) {
-  std::vector<std::pair<std::int64_t, std::string>> fresh;
-  for (auto& [name, item] : asked) {
+/// New items without a position come last, in the order of their names.
+void assignPositions(JsonObject& change, const JsonObject& present) {
+  std::vector<std::pair<std::int64_t, std::string>> added;
+  for (auto& [name, item] : change) {
     if (!item.is<JsonObject>()) continue;
     auto& fields = item.get<JsonObject>();
-    const auto* old = objectAt(known, name);
+    const auto* old = objectAt(present, name);
     if (!old) {
-      fresh.emplace_back(integerOr(item, "at", std::numeric_limits<std::int64_t>::max()), name);
+      added.emplace_back(integerOr(item, "at", std::numeric_limits<std::int64_t>::max()), name);
       continue;
     }
     fields.erase("at");
-    if (auto place = old->find("at"); place != old->end()) fields["at"] = place->second;
+    if (auto position = old->find("at"); position != old->end()) fields["at"] = position->second;
   }
-  std::sort(fresh.begin(), fresh.end());
-  double place = nextPlace(known);
-  for (const auto& row : fresh) asked[row.second].get<JsonObject>()["at"] = Json(place++);
+  std::sort(added.begin(), added.end());
+  double position = nextPosition(present);
+  for (const auto& row : added) change[row.second].get<JsonObject>()["at"] = Json(position++);
 }
 
-Result<std::string> rowsField(const Json& edit, const std::string& rowsName, const std::string& path) {
+/// Checks the form of one edit of a list and returns the name of the field by which rows are identified.
+Result<std::string> identifyingField(const Json& edit, const std::string& rowsName, const std::string& path) {
   if (!edit.is<JsonObject>()) return fault(Code::badField, path, "must be an object");
   const auto& fields = edit.get<JsonObject>();
   auto rows = fields.find(rowsName);
@@ -48,6 +52,7 @@
   return stringField(fields, "by", path);
 }
 
+/// Rows without the field are always appended.
 void upsertRows(Json& list, const std::string& field, const JsonArray& rows) {
   if (!list.is<JsonArray>()) list = Json(JsonArray());
   auto& target = list.get<JsonArray>();
@@ -76,13 +81,13 @@
 Result<void> editRows(JsonObject& item, const JsonObject& edits, const std::string& path) {
   if (const auto* upserts = objectAt(edits, "upsert"))
     for (const auto& [member, edit] : *upserts) {
-      auto field = rowsField(edit, "rows", path + ".upsert." + member);
+      auto field = identifyingField(edit, "rows", path + ".upsert." + member);
       if (!field) return field.error();
       upsertRows(item[member], field.value(), edit.get("rows").get<JsonArray>());
     }
   if (const auto* removals = objectAt(edits, "remove"))
     for (const auto& [member, edit] : *removals) {
-      auto field = rowsField(edit, "keys", path + ".remove." + member);
+      auto field = identifyingField(edit, "keys", path + ".remove." + member);
       if (!field) return field.error();
       if (auto list = item.find(member); list != item.end())
         removeRows(list->second, field.value(), edit.get("keys").get<JsonArray>());
@@ -103,8 +108,9 @@
   return editRows(item, edits, path);
 }
 
-Result<void> editItems(JsonObject& asked, const JsonObject& known) {
-  for (auto row = asked.begin(); row != asked.end();) {
+/// An edit that leaves a new item empty is removed from the change.
+Result<void> editItems(JsonObject& change, const JsonObject& present) {
+  for (auto row = change.begin(); row != change.end();) {
     auto& [name, edits] = *row;
     std::string path = std::string(editedSection) + "." + name;
     if (edits.is<picojson::null>()) {
@@ -112,11 +118,11 @@
       continue;
     }
     if (!edits.is<JsonObject>()) return fault(Code::badField, path, "must be an object");
-    const auto* old = objectAt(known, name);
+    const auto* old = objectAt(present, name);
     JsonObject item = old ? *old : JsonObject();
     if (auto edited = editItem(item, edits.get<JsonObject>(), path); !edited) return edited.error();
     if (!old && item.empty()) {
-      row = asked.erase(row);
+      row = change.erase(row);
       continue;
     }
     edits = Json(item);
@@ -126,15 +132,15 @@
 }
 }  // namespace
 
-Result<void> resolveEdits(JsonObject& asked, const std::map<std::string, JsonObject>& sections) {
-  static const JsonObject nothing;
-  for (auto& [sectionName, content] : asked) {
+Result<void> resolveEdits(JsonObject& change, const std::map<std::string, JsonObject>& sections) {
+  static const JsonObject noItems;
+  for (auto& [sectionName, content] : change) {
     if (!content.is<JsonObject>()) continue;
     auto found = sections.find(sectionName);
-    const auto& known = found == sections.end() ? nothing : found->second;
-    if (orderedSections.count(sectionName)) placeItems(content.get<JsonObject>(), known);
+    const auto& present = found == sections.end() ? noItems : found->second;
+    if (orderedSections.count(sectionName)) assignPositions(content.get<JsonObject>(), present);
     if (sectionName != editedSection) continue;
-    if (auto edited = editItems(content.get<JsonObject>(), known); !edited) return edited.error();
+    if (auto edited = editItems(content.get<JsonObject>(), present); !edited) return edited.error();
   }
   return boost::outcome_v2::success();
 }
--- a/src/config/item_edits.hpp
+++ b/src/config/item_edits.hpp
@@ -3,15 +3,17 @@
 
 namespace tt {
 
-/// Turns edits, which say nothing of the version that they build on, into whole items as they stand after it.
+/// Turns edits into complete items as they will be after the change, in place. Edits do not depend on the version of
+/// the configuration that their author saw:
 ///
-/// - An item's `at` only orders the items that are new: they come after all that are there, and an item that is there
-///   keeps its place.
-/// - An item of the section `extra` is an object of edits of the one that is there:
+/// - `at` is the position of an item in the sections `routes`, `services` and `tenants`. In an edit it only orders the
+/// new
+///   items among themselves: they follow all present items, and a present item keeps its position.
+/// - An item of the section `extra` is an object of edits of the present item:
 ///   `{"set": {MEMBER: VALUE}, "drop": [MEMBER], "upsert": {MEMBER: {"by": FIELD, "rows": [...]}},
-///   "remove": {MEMBER: {"by": FIELD, "keys": [...]}}}`. `upsert` puts rows into a list, each in the place of the one
-///   whose FIELD is the same, else at the end; `remove` takes out the rows whose FIELD is among the keys, and makes no
-///   list where there is none.
-Result<void> resolveEdits(JsonObject& asked, const std::map<std::string, JsonObject>& sections);
+///   "remove": {MEMBER: {"by": FIELD, "keys": [...]}}}`. They are applied in the order drop, set, upsert, remove.
+///   `upsert` puts rows into a list: each replaces the row with the same FIELD, or is appended if there is none.
+///   `remove` removes the rows whose FIELD is one of the keys; it creates no list.
+Result<void> resolveEdits(JsonObject& change, const std::map<std::string, JsonObject>& sections);
 
 }  // namespace tt
--- a/src/config/item_readers.cpp
+++ b/src/config/item_readers.cpp
@@ -6,30 +6,31 @@
 namespace tt {
 namespace {
 
-/// A span in milliseconds; no clock reaches further than the most.
-Duration spanOr(const Json& item, const std::string& name, std::int64_t fallbackMs) {
-  constexpr std::int64_t mostMs = 1000000000000;
-  return std::chrono::milliseconds(std::clamp(integerOr(item, name, fallbackMs), -mostMs, mostMs));
+/// Reads a number of milliseconds. It is limited to 10^12 (31 years), since more nanoseconds may not fit into a
+/// Duration.
+Duration durationOr(const Json& item, const std::string& name, std::int64_t fallbackMs) {
+  constexpr std::int64_t maxMs = 1000000000000;
+  return std::chrono::milliseconds(std::clamp(integerOr(item, name, fallbackMs), -maxMs, maxMs));
 }
 
 std::size_t bytesOr(const Json& item, const std::string& name, std::int64_t fallback) {
   return static_cast<std::size_t>(std::max<std::int64_t>(0, integerOr(item, name, fallback)));
 }
 
-/// A figure that may have a fraction; 0 where there is none, or none that can be meant.
-double figureOr(const Json& item, const std::string& name) {
-  constexpr double most = 1e15;
+/// Reads a positive number below 10^15, which may have a fraction; anything else gives 0.
+double positiveNumberOr0(const Json& item, const std::string& name) {
+  constexpr double limit = 1e15;
   if (!item.is<JsonObject>() || !item.contains(name) || !item.get(name).is<double>()) return 0;
-  double figure = item.get(name).get<double>();
-  return figure > 0 && figure < most ? figure : 0;
+  double number = item.get(name).get<double>();
+  return number > 0 && number < limit ? number : 0;
 }
 
 int intOr(const Json& item, const std::string& name, int fallback) {
-  constexpr std::int64_t least = std::numeric_limits<int>::min(), most = std::numeric_limits<int>::max();
-  return static_cast<int>(std::clamp(integerOr(item, name, fallback), least, most));
+  constexpr std::int64_t min = std::numeric_limits<int>::min(), max = std::numeric_limits<int>::max();
+  return static_cast<int>(std::clamp(integerOr(item, name, fallback), min, max));
 }
 
-/// The elements of a list field; none if the item has no such list.
+/// The elements of a list field; none if the item, which must be an object, has no such list.
 const JsonArray& listOf(const Json& item, const std::string& name) {
   static const JsonArray none;
   const auto& fields = item.get<JsonObject>();
@@ -37,13 +38,14 @@
   return found != fields.end() && found->second.is<JsonArray>() ? found->second.get<JsonArray>() : none;
 }
 
-RetryMode readRepeat(const Json& item) {
+RetryMode readRetryMode(const Json& item) {
   std::string repeat = stringOr(item, "repeat");
   if (repeat == "safe") return RetryMode::safe;
   if (repeat == "stream") return RetryMode::stream;
   return RetryMode::once;
 }
 
+/// A route names one service, a list of them with weights, or both.
 std::vector<std::pair<std::string, double>> readSplit(const Json& item) {
   std::vector<std::pair<std::string, double>> split;
   if (auto service = stringOr(item, "service"); !service.empty()) split.emplace_back(service, 1);
@@ -65,9 +67,9 @@
   } else if (item.contains("engine") && item.get("engine").is<JsonObject>()) {
     service.kind = ServiceKind::engine;
   }
-  const Json& figures = service.kind == ServiceKind::engine ? item.get("engine") : item;
-  service.tokenBytes = figureOr(figures, "tokenBytes");
-  service.linkMbps = figureOr(figures, "linkMbps");
+  const Json& capacity = service.kind == ServiceKind::engine ? item.get("engine") : item;
+  service.tokenBytes = positiveNumberOr0(capacity, "tokenBytes");
+  service.linkMbps = positiveNumberOr0(capacity, "linkMbps");
   return service;
 }
 
@@ -81,10 +83,10 @@
   route.prefix = normalizedPrefix(stringOr(item, "prefix"));
   for (const auto& tenant : listOf(item, "tenants")) route.tenants.insert(tenant.to_str());
   route.split = readSplit(item);
-  route.repeat = readRepeat(item);
-  route.timeout = spanOr(item, "timeoutMs", 0);
-  route.targetLatency = spanOr(item, "aimMs", 0);
-  route.gap = spanOr(item, "gapMs", 0);
+  route.repeat = readRetryMode(item);
+  route.timeout = durationOr(item, "timeoutMs", 0);
+  route.targetLatency = durationOr(item, "aimMs", 0);
+  route.gap = durationOr(item, "gapMs", 0);
   route.tries = intOr(item, "tries", 0);
   route.priority = intOr(item, "priority", 5);
   route.open = boolOr(item, "open", false);
@@ -96,8 +98,8 @@
   CallerLimits limits;
   limits.maxHeaderBytes = bytesOr(item, "headerBytes", 16384);
   limits.maxBodyBytes = bytesOr(item, "bodyBytes", 4 << 20);
-  limits.headerTimeout = std::max(Duration(0), spanOr(item, "headerMs", 3000));
-  limits.idleTimeout = std::max(Duration(0), spanOr(item, "idleMs", 15000));
+  limits.headerTimeout = std::max(Duration(0), durationOr(item, "headerMs", 3000));
+  limits.idleTimeout = std::max(Duration(0), durationOr(item, "idleMs", 15000));
   return limits;
 }
 
--- a/src/config/item_readers.hpp
+++ b/src/config/item_readers.hpp
@@ -3,17 +3,18 @@
 
 namespace tt {
 
-/// What the configuration's items mean to the logic: each reader turns one item, already checked, into a typed row.
+/// Readers of items that were checked when they were declared. Missing and unusable fields get their defaults.
 
 /// Reads an item of the section `routes`.
 RouteView readRoute(const std::string& name, const Json& item);
 /// Reads an item of the section `services`, which must be an object.
 ServiceView readService(const Json& item);
-/// Reads the item `callers` of the section `limits`.
+/// Reads the item `callers` of the section `limits`. This section is not checked in advance; negative numbers count as
+/// 0.
 CallerLimits readCallerLimits(const Json& item);
-/// The secrets of an item of the section `tenants`, in clear.
+/// Returns the secrets of an item of the section `tenants` in plain text.
 Strings readSecrets(const Json& item);
-/// A path prefix as routes compare it: with a slash at its end.
+/// Returns a path prefix with a slash at its end, as routes compare it; an empty one stays empty.
 std::string normalizedPrefix(const std::string& prefix);
 
 }  // namespace tt
--- a/src/config/manifests.hpp
+++ b/src/config/manifests.hpp
@@ -3,8 +3,9 @@
 
 namespace tt {
 
-/// Turns HTTPRoute manifests in the manner of the Gateway API (one, or a List, as JSON) into an ordinary patch of
-/// routes. What the fleet has no meaning for is denied by name.
+/// Turns HTTPRoute manifests of the Kubernetes Gateway API (one, or a List, as JSON) into a patch of the section
+/// `routes`. A route needs one rule with one backend, which names the model. Fields beyond that are rejected by name,
+/// so that no setting is silently ignored.
 Result<std::string> patchFromManifests(const std::string& text);
 
 }  // namespace tt
--- a/src/config/patch_checks.cpp
+++ b/src/config/patch_checks.cpp
@@ -5,10 +5,11 @@
 namespace tt {
 namespace {
 
-constexpr std::size_t hashDigits = 64;
-constexpr std::int64_t highestWeightsNumber = std::int64_t(1) << 53;
+constexpr std::size_t sha256HexDigits = 64;
+/// Up to here a double holds every integer, and numbers in JSON are doubles.
+constexpr std::int64_t maxWeightsNumber = std::int64_t(1) << 53;
 
-/// A section whose items refer to items of other sections.
+/// A section whose items refer to items of other sections, the targets.
 struct Reference {
   std::string referrer;
   std::set<std::string> targets;
@@ -22,8 +23,8 @@
   return boost::outcome_v2::success();
 }
 
-bool isHash(const std::string& text) {
-  return text.size() == hashDigits && text.find_first_not_of("0123456789abcdef") == std::string::npos;
+bool isSha256Hex(const std::string& text) {
+  return text.size() == sha256HexDigits && text.find_first_not_of("0123456789abcdef") == std::string::npos;
 }
 
 }  // namespace
@@ -94,17 +95,16 @@
   return boost::outcome_v2::success();
 }
 
-/// Untouched items are checked again where an item that they may refer to is removed, or a version of weights changes.
 Result<void> PatchChecks::checkReferrers() {
-  std::set<std::string> disturbed;
+  std::set<std::string> changedSections;
   for (const auto& [sectionName, items] : merged)
     for (const auto& [name, item] : items)
-      if (!item || sectionName == "weights") disturbed.insert(sectionName);
+      if (!item || sectionName == "weights") changedSections.insert(sectionName);
   for (const auto& [referrer, targets] : references) {
-    bool again = false;
-    for (const auto& target : targets) again = again || disturbed.count(target);
+    bool affected = false;
+    for (const auto& target : targets) affected = affected || changedSections.count(target);
     auto present = sections.find(referrer);
-    if (!again || present == sections.end()) continue;
+    if (!affected || present == sections.end()) continue;
     for (const auto& [name, item] : present->second) {
       if (merged.count(referrer) && merged.at(referrer).count(name)) continue;
       if (auto checked = checkItem(referrer, name, item); !checked) return checked.error();
@@ -139,7 +139,7 @@
 Result<void> PatchChecks::checkWeights(const CheckedItem& checked) const {
   auto model = stringField(checked.fields, "model", checked.path);
   if (!model) return model.error();
-  auto number = integerField(checked.fields, "number", 0, 0, highestWeightsNumber, checked.path);
+  auto number = integerField(checked.fields, "number", 0, 0, maxWeightsNumber, checked.path);
   if (!number) return number.error();
   return boost::outcome_v2::success();
 }
@@ -151,10 +151,10 @@
   auto secrets = stringListField(checked.fields, "secrets", checked.path);
   if (!secrets) return secrets.error();
   for (const auto& secret : secrets.value()) {
-    if (secret.empty()) return fault(Code::badField, checked.path + ".secrets", "a key is empty");
+    if (secret.empty()) return fault(Code::badField, checked.path + ".secrets", "a secret is empty");
     auto owner = tenantBySecret.emplace(secret, checked.name).first->second;
     if (owner != checked.name)
-      return fault(Code::blueprintBad, checked.path + ".secrets", "tenant " + owner + " has this key too");
+      return fault(Code::blueprintBad, checked.path + ".secrets", "tenant " + owner + " has the same secret");
   }
   return boost::outcome_v2::success();
 }
@@ -166,14 +166,14 @@
     return fault(Code::blueprintBad, checked.path + ".tenant", "no such tenant: " + tenant.value());
   auto hash = stringField(checked.fields, "hash", checked.path);
   if (!hash) return fault(hash.error().code, checked.path + ".secret", hash.error().text);
-  if (!isHash(hash.value())) return fault(Code::badField, checked.path + ".hash", "must be 64 hexadecimal digits");
+  if (!isSha256Hex(hash.value())) return fault(Code::badField, checked.path + ".hash", "must be 64 hexadecimal digits");
   if (auto known = keyIdByHash.find(hash.value()); known != keyIdByHash.end() && known->second != checked.name) {
     const Json* other = findItem("keys", known->second);
     if (other && stringOr(*other, "hash") == hash.value())
-      return fault(Code::blueprintBad, checked.path + ".secret", "another key has this secret");
+      return fault(Code::blueprintBad, checked.path + ".secret", "another key has the same secret");
   }
   if (!keyByHash.emplace(hash.value(), checked.name).second)
-    return fault(Code::blueprintBad, checked.path + ".secret", "another key has this secret");
+    return fault(Code::blueprintBad, checked.path + ".secret", "another key has the same secret");
   return boost::outcome_v2::success();
 }
 
@@ -193,7 +193,7 @@
   if (owner != checked.name)
     return fault(Code::blueprintBad, checked.path, "route " + owner + " has the same host and prefix");
   if (checked.fields.count("timeoutMs") && route.timeout <= Duration(0))
-    return fault(Code::blueprintBad, checked.path + ".timeoutMs", "must be more than 0");
+    return fault(Code::blueprintBad, checked.path + ".timeoutMs", "must be greater than 0");
   return checkSplit(route.split, checked.path);
 }
 
@@ -203,7 +203,7 @@
   for (const auto& [service, weight] : split) {
     if (!findItem("services", service))
       return fault(Code::blueprintBad, path + ".service", "no such service: " + service);
-    if (weight < 0) return fault(Code::blueprintBad, path + ".split", "a weight is below 0");
+    if (weight < 0) return fault(Code::blueprintBad, path + ".split", "a weight is negative");
     sum += weight;
   }
   if (sum <= 0) return fault(Code::blueprintBad, path + ".split", "the weights sum to 0");
--- a/src/config/patch_shape.cpp
+++ b/src/config/patch_shape.cpp
@@ -5,6 +5,7 @@
 
 const std::set<std::string> sectionNames{"models",   "weights",  "tenants", "keys", "routes",
                                          "policies", "services", "limits",  "extra"};
+/// Sections whose items may have any fields.
 const std::set<std::string> freeSections{"limits", "extra"};
 const std::map<std::string, std::set<std::string>> itemFields{
     {"models", {"weights"}},
@@ -18,26 +19,26 @@
      {"at", "healthPath", "connections", "protocol", "tls", "engine", "storeAddress", "locality", "tokens", "linkMbps",
       "reports", "extra"}},
 };
-constexpr std::size_t longestName = 128;
-constexpr std::size_t shortestSecret = 8;
+constexpr std::size_t maxNameBytes = 128;
+constexpr std::size_t minSecretBytes = 8;
 
-/// The merge patch that makes one value into another; nothing if they are the same.
+/// The merge patch that turns one value into another; nothing if they are equal.
 std::optional<Json> differenceOf(const Json& old, const Json& wanted) {
   if (old == wanted) return std::nullopt;
   if (!old.is<JsonObject>() || !wanted.is<JsonObject>()) return wanted;
-  JsonObject rows;
+  JsonObject changes;
   for (const auto& [name, value] : wanted.get<JsonObject>()) {
     const auto& known = old.get<JsonObject>();
     auto found = known.find(name);
     if (found == known.end()) {
-      rows[name] = value;
+      changes[name] = value;
     } else if (auto difference = differenceOf(found->second, value)) {
-      rows[name] = *difference;
+      changes[name] = *difference;
     }
   }
   for (const auto& [name, value] : old.get<JsonObject>())
-    if (!wanted.get<JsonObject>().count(name)) rows[name] = Json();
-  return Json(rows);
+    if (!wanted.get<JsonObject>().count(name)) changes[name] = Json();
+  return Json(changes);
 }
 
 /// A patch of one section that removes all its items.
@@ -49,14 +50,14 @@
   return Json(removal);
 }
 
-/// Replaces a key's secret by its hash, as the log must not hold secrets.
+/// Replaces a key's secret by its hash, since the log must not hold secrets.
 Result<void> hashSecret(JsonObject& fields, const std::string& path) {
   if (!fields.count("secret")) return boost::outcome_v2::success();
-  if (fields.count("hash")) return fault(Code::badField, path + ".hash", "not beside a secret");
+  if (fields.count("hash")) return fault(Code::badField, path + ".hash", "not allowed together with a secret");
   auto secret = stringField(fields, "secret", path);
   if (!secret) return secret.error();
-  if (secret.value().size() < shortestSecret)
-    return fault(Code::badField, path + ".secret", "must have 8 letters or more");
+  if (secret.value().size() < minSecretBytes)
+    return fault(Code::badField, path + ".secret", "must have at least 8 bytes");
   fields["hash"] = Json(sha256Hex(secret.value()));
   fields.erase("secret");
   return boost::outcome_v2::success();
@@ -64,13 +65,13 @@
 
 Result<void> normalizeItem(const std::string& sectionName, const std::string& name, Json& item, bool whole) {
   std::string path = sectionName + "." + name;
-  if (name.empty() || name.size() > longestName) return fault(Code::badField, path, "names have 1 to 128 letters");
+  if (name.empty() || name.size() > maxNameBytes) return fault(Code::badField, path, "a name must have 1 to 128 bytes");
   if (item.is<picojson::null>()) {
-    if (whole) return fault(Code::badField, path, "a whole blueprint has no null");
+    if (whole) return fault(Code::badField, path, "a complete configuration has no null");
     return boost::outcome_v2::success();
   }
   if (sectionName == "policies") {
-    if (!item.is<std::string>()) return fault(Code::badField, path, "must be a text");
+    if (!item.is<std::string>()) return fault(Code::badField, path, "must be a string");
     return boost::outcome_v2::success();
   }
   if (!item.is<JsonObject>()) return fault(Code::badField, path, "must be an object");
@@ -88,6 +89,7 @@
     if (!wanted.count(fieldName)) wanted[fieldName] = Json();
 }
 
+/// As the complete items are merged over the present ones, only fields and items that are to go need a null.
 void reduceWholeItem(const std::string& name, const Json& present, JsonObject& wanted) {
   auto found = wanted.find(name);
   if (found == wanted.end()) {
--- a/src/config/patch_shape.hpp
+++ b/src/config/patch_shape.hpp
@@ -3,21 +3,22 @@
 
 namespace tt {
 
-/// The configuration's content: the items of each section, by the section's name.
+/// The content of a configuration: the items of each section, by the section's name.
 using Sections = std::map<std::string, JsonObject>;
 
-/// Whether a section's items are checked field by field where the logic reads them, and not when they are declared.
+/// Whether a section accepts items with any fields. Their readers must cope with unusable values.
 bool isFreeSection(const std::string& section);
 
-/// Checks that an operator's patch has only known sections, items and fields of the right shape, whatever the
-/// configuration holds. Secrets of keys are replaced by their hashes, and a section that is null by a removal of each
-/// of its items. A whole configuration may hold no null.
+/// Checks that an operator's patch consists of known sections, and of items with known fields and of the right type,
+/// and normalizes it in place: secrets of keys are replaced by their hashes, and a section that is null by a removal of
+/// each of its items. With `whole` the patch is a complete configuration, which may hold no null.
 Result<void> normalizeShape(JsonObject& patch, const Sections& sections, bool whole);
 
-/// Reduces a whole configuration to the merge patch that makes the present one into it.
+/// Turns a complete configuration into the merge patch that leads to it from the present one.
 void reduceWhole(JsonObject& patch, const Sections& sections);
 
-/// Reduces whole items to what differs from the present ones; items that the patch doesn't name are removed on request.
+/// Turns complete items into the merge patch that leads to them from the present ones. With removeUnnamed, the present
+/// items that a touched section of the patch does not name are removed.
 void reduceItems(JsonObject& patch, const Sections& sections, bool removeUnnamed);
 
 }  // namespace tt
--- a/src/config/policy.cpp
+++ b/src/config/policy.cpp
@@ -5,6 +5,9 @@
 #include <sstream>
 
 namespace tt {
+namespace {
+constexpr std::size_t maxPolicyLines = 32;
+}
 
 Result<Policy> Policy::read(const std::string& text) {
   Policy policy;
@@ -15,63 +18,65 @@
     ++lineNumber;
     if (auto hash = line.find('#'); hash != std::string::npos) line.resize(hash);
     std::istringstream words(line);
-    std::vector<std::string> row;
-    for (std::string word; words >> word;) row.push_back(word);
-    if (row.empty()) continue;
-    auto wrong = [&](const std::string& reason) {
+    std::vector<std::string> tokens;
+    for (std::string token; words >> token;) tokens.push_back(token);
+    if (tokens.empty()) continue;
+    auto lineError = [&](const std::string& reason) {
       return fault(Code::badField, "line " + std::to_string(lineNumber), reason);
     };
-    Line made;
+    Line parsed;
     std::size_t at = 0;
-    if (row[0] == "recompute") {
-      made.action = Line::Action::recompute;
+    if (tokens[0] == "recompute") {
+      parsed.action = Line::Action::recompute;
       at = 1;
-    } else if (row[0] == "fetch") {
-      if (row.size() < 2 || (row[1] != "peer" && row[1] != "store"))
-        return wrong("after 'fetch' comes 'peer' or 'store'");
-      made.action = row[1] == "peer" ? Line::Action::fetchPeer : Line::Action::fetchStore;
+    } else if (tokens[0] == "fetch") {
+      if (tokens.size() < 2 || (tokens[1] != "peer" && tokens[1] != "store"))
+        return lineError("expected 'peer' or 'store' after 'fetch'");
+      parsed.action = tokens[1] == "peer" ? Line::Action::fetchPeer : Line::Action::fetchStore;
       at = 2;
     } else {
-      return wrong("a line starts with 'fetch' or 'recompute', not '" + row[0] + "'");
+      return lineError("expected 'fetch' or 'recompute', got '" + tokens[0] + "'");
     }
-    if (at < row.size()) {
-      if (row[at] != "when") return wrong("'when' was expected, not '" + row[at] + "'");
+    if (at < tokens.size()) {
+      if (tokens[at] != "when") return lineError("expected 'when', got '" + tokens[at] + "'");
       while (true) {
-        if (at + 4 > row.size()) return wrong("a condition is a field, a sign and a number");
-        Test test{row[at + 1], row[at + 2], 0};
+        if (at + 4 > tokens.size()) return lineError("expected a condition: field, sign and number");
+        Test test{tokens[at + 1], tokens[at + 2], 0};
         if (test.field != "hits" && test.field != "speed" && test.field != "busyness")
-          return wrong("unknown field '" + test.field + "'; known are hits, speed, busyness");
+          return lineError("unknown field '" + test.field + "'; known are hits, speed, busyness");
         if (test.sign != ">=" && test.sign != "<=" && test.sign != ">" && test.sign != "<")
-          return wrong("unknown sign '" + test.sign + "'");
-        const std::string& number = row[at + 3];
+          return lineError("unknown sign '" + test.sign + "'");
+        const std::string& number = tokens[at + 3];
         auto read = std::from_chars(number.data(), number.data() + number.size(), test.bound);
         if (read.ec != std::errc() || read.ptr != number.data() + number.size() || !std::isfinite(test.bound))
-          return wrong("'" + number + "' is not a number");
-        made.tests.push_back(test);
+          return lineError("'" + number + "' is not a number");
+        parsed.tests.push_back(test);
         at += 4;
-        if (at == row.size()) break;
-        if (row[at] != "and") return wrong("'and' was expected, not '" + row[at] + "'");
+        if (at == tokens.size()) break;
+        if (tokens[at] != "and") return lineError("expected 'and', got '" + tokens[at] + "'");
       }
     }
-    policy.lines.push_back(made);
-    if (policy.lines.size() > 32) return wrong("a policy has 32 lines at most");
+    policy.lines.push_back(parsed);
+    if (policy.lines.size() > maxPolicyLines) return lineError("a policy may have at most 32 lines");
   }
   return policy;
 }
 
-bool Policy::fetches(const FetchCandidate& facts) const {
+bool Policy::fetches(const FetchCandidate& candidate) const {
   for (const auto& line : lines) {
-    if (line.action == Line::Action::fetchPeer && facts.fromStore) continue;
-    if (line.action == Line::Action::fetchStore && !facts.fromStore) continue;
-    bool fits = true;
+    if (line.action == Line::Action::fetchPeer && candidate.fromStore) continue;
+    if (line.action == Line::Action::fetchStore && !candidate.fromStore) continue;
+    bool matches = true;
     for (const auto& test : line.tests) {
-      double value = test.field == "hits" ? facts.hits : test.field == "speed" ? facts.speed : facts.busyness;
-      fits = fits && (test.sign == ">="   ? value >= test.bound
-                      : test.sign == "<=" ? value <= test.bound
-                      : test.sign == ">"  ? value > test.bound
-                                          : value < test.bound);
+      double value = test.field == "hits"    ? candidate.hits
+                     : test.field == "speed" ? candidate.speed
+                                             : candidate.busyness;
+      matches = matches && (test.sign == ">="   ? value >= test.bound
+                            : test.sign == "<=" ? value <= test.bound
+                            : test.sign == ">"  ? value > test.bound
+                                                : value < test.bound);
     }
-    if (fits) return line.action != Line::Action::recompute;
+    if (matches) return line.action != Line::Action::recompute;
   }
   return false;
 }
--- a/src/config/policy.hpp
+++ b/src/config/policy.hpp
@@ -3,20 +3,27 @@
 
 namespace tt {
 
-/// What a policy may look at for one candidate source.
+/// What a policy may test about one candidate source of cached blocks.
 struct FetchCandidate {
+  /// Whether the source is a block store and not another worker (a peer).
   bool fromStore{false};
+  /// Length of the prefix that the source has: in blocks, or in tokens for a prompt whose parts are known by ids.
   double hits{0};
+  /// The speed of transfers from the source in blocks per second.
   double speed{0};
+  /// The load of the source: busy slots per slot.
   double busyness{0};
 };
 
-/// A few lines of which the first that fits says whether a prefix is fetched; no line that fits means recompute.
+/// An operator's rule on fetching cached blocks, as at most 32 lines of the form
+/// `fetch peer|store [when FIELD SIGN NUMBER [and ...]]` or `recompute [when ...]`; `#` begins a comment. The first
+/// line that matches decides, and if none matches, the blocks are computed again.
 class Policy {
  public:
-  /// Reads a policy; a fault names the line and the reason.
+  /// Parses a policy; the error's subject is the number of the line.
   static Result<Policy> read(const std::string& text);
-  bool fetches(const FetchCandidate& facts) const;
+  /// Whether blocks should be fetched from a candidate.
+  bool fetches(const FetchCandidate& candidate) const;
 
  private:
   struct Test {
--- a/tests/fleet_bench.hpp
+++ b/tests/fleet_bench.hpp
@@ -9,9 +9,11 @@
 
 namespace tt {
 
-/// Real cores and agents on links that can be cut one by one and in one direction, under one clock that the test moves.
+/// Runs the logic of cores and agents on a simulated network and disk, under one clock that the test advances. Links
+/// can be cut one by one and in one direction. After each step it checks that no agent counts itself as fresh without a
+/// change that was acknowledged.
 struct FleetHarness {
-  struct Mail {
+  struct Envelope {
     std::string from, to;
     Message message;
   };
@@ -20,26 +22,29 @@
     std::unique_ptr<Node> node;
     Core* core{nullptr};
     Agent* agent{nullptr};
+    /// What is synced; it survives a stop.
     RecoveredState disk;
-    std::vector<Effects::Save> syncing;
-    TimePoint syncedAt{};
-    std::uint64_t life{0};
+    std::vector<Effects::Save> pendingSaves;
+    TimePoint nextSyncAt{};
+    /// Counts starts and stops, so that messages to an earlier run of the machine are dropped.
+    std::uint64_t incarnation{0};
     bool alive() const { return node != nullptr; }
   };
   TimingGuard kept;
   TimePoint now{std::chrono::hours(3)};
   std::mt19937_64 randomSource;
   std::map<std::string, Machine> machines;
-  std::multimap<TimePoint, std::pair<std::uint64_t, Mail>> due;
+  std::multimap<TimePoint, std::pair<std::uint64_t, Envelope>> inFlight;
+  /// Pairs of sender and receiver between which messages are lost.
   std::set<std::pair<std::string, std::string>> cutLinks;
   std::map<std::string, OperatorResponse> replies;
-  /// What was sent to addresses at which nothing runs, such as proxies.
+  /// Messages to addresses at which nothing runs, such as proxies.
   std::vector<std::pair<std::string, Message>> outside;
   std::map<std::string, ReadResponse> reads;
-  std::map<std::string, int> notes;
+  std::map<std::string, int> eventCounts;
   std::uint64_t acknowledgedIndex{0};
-  int askCount{0};
-  /// Readers found fresh without an entry that had been acknowledged.
+  int requestCount{0};
+  /// Names of agents that were found fresh without an acknowledged entry, once per step.
   Strings staleReaders;
 
   explicit FleetHarness(std::uint64_t seed = 1) : randomSource(seed) {
@@ -47,14 +52,14 @@
     timing.minVoters = 3;
   }
 
-  Machine& machineNamed(const std::string& name) {
+  Machine& findOrCreateMachine(const std::string& name) {
     auto& machine = machines[name];
     machine.name = name;
     machine.address = name + ":1";
     return machine;
   }
   void startCore(const std::string& name, bool mayForm) {
-    auto& machine = machineNamed(name);
+    auto& machine = findOrCreateMachine(name);
     CoreSettings settings;
     settings.name = name;
     settings.address = machine.address;
@@ -67,15 +72,15 @@
     auto core = std::make_unique<Core>(settings, machine.disk, randomSource, now);
     machine.core = core.get();
     core->journal.appended.connect([this](const Event& event) {
-      ++notes[event.kind];
+      ++eventCounts[event.kind];
       if (event.kind == "change acked")
         acknowledgedIndex = std::max(acknowledgedIndex, static_cast<std::uint64_t>(event.number));
     });
     machine.node = std::move(core);
-    ++machine.life;
+    ++machine.incarnation;
   }
   void startAgent(const std::string& name) {
-    auto& machine = machineNamed(name);
+    auto& machine = findOrCreateMachine(name);
     AgentSettings settings;
     settings.name = name;
     settings.address = machine.address;
@@ -84,15 +89,15 @@
     auto agent = std::make_unique<Agent>(settings);
     machine.agent = agent.get();
     machine.node = std::move(agent);
-    ++machine.life;
+    ++machine.incarnation;
   }
   void stop(const std::string& name) {
     auto& machine = machines.at(name);
     machine.node.reset();
     machine.core = nullptr;
     machine.agent = nullptr;
-    machine.syncing.clear();
-    ++machine.life;
+    machine.pendingSaves.clear();
+    ++machine.incarnation;
   }
   Machine* at(const std::string& address) {
     for (auto& [name, machine] : machines)
@@ -111,6 +116,7 @@
     for (const auto& one : oneSide)
       for (const auto& other : otherSide) cut(one, other);
   }
+  /// Runs an action on a machine's node and carries out its effects. Messages take 1 to 8 ms, those to itself none.
   void with(Machine& machine, const std::function<void(Effects&)>& action) {
     Effects effects{now, randomSource, machine.node->journal, {}, {}};
     action(effects);
@@ -120,55 +126,61 @@
       } else if (auto* read = std::get_if<ReadResponse>(&message)) {
         reads[read->requestId] = *read;
       } else if (to == machine.address) {
-        due.emplace(now, std::make_pair(machine.life, Mail{machine.address, to, std::move(message)}));
+        inFlight.emplace(now, std::make_pair(machine.incarnation, Envelope{machine.address, to, std::move(message)}));
       } else if (auto* other = at(to)) {
-        due.emplace(now + std::chrono::milliseconds(1 + randomSource() % 8),
-                    std::make_pair(other->life, Mail{machine.address, to, std::move(message)}));
+        inFlight.emplace(now + std::chrono::milliseconds(1 + randomSource() % 8),
+                         std::make_pair(other->incarnation, Envelope{machine.address, to, std::move(message)}));
       } else {
         outside.emplace_back(to, std::move(message));
       }
     }
-    for (auto& save : effects.saves) machine.syncing.push_back(std::move(save));
+    for (auto& save : effects.saves) machine.pendingSaves.push_back(std::move(save));
   }
+  /// Makes all pending records durable at once, but only once every 6 ms.
   void sync(Machine& machine) {
-    if (machine.syncing.empty() || now < machine.syncedAt) return;
-    machine.syncedAt = now + 6ms;
-    auto saves = std::move(machine.syncing);
-    machine.syncing.clear();
+    if (machine.pendingSaves.empty() || now < machine.nextSyncAt) return;
+    machine.nextSyncAt = now + 6ms;
+    auto saves = std::move(machine.pendingSaves);
+    machine.pendingSaves.clear();
     for (const auto& save : saves) cr_assert(machine.disk.applyRecord(save.record));
     with(machine, [&](Effects& effects) {
       for (auto& save : saves)
         if (save.then) save.then(effects);
     });
   }
-  void deliver(Mail mail, std::uint64_t life) {
-    auto& machine = *at(mail.to);
-    const auto* sender = at(mail.from);
-    if (!machine.alive() || machine.life != life || (sender && cutLinks.count({sender->name, machine.name}))) return;
-    with(machine, [&](Effects& effects) { machine.node->handle(effects, mail.from, mail.message); });
+  void deliver(Envelope envelope, std::uint64_t incarnation) {
+    auto& machine = *at(envelope.to);
+    const auto* sender = at(envelope.from);
+    if (!machine.alive() || machine.incarnation != incarnation ||
+        (sender && cutLinks.count({sender->name, machine.name})))
+      return;
+    with(machine, [&](Effects& effects) { machine.node->handle(effects, envelope.from, envelope.message); });
   }
-  void watchReaders() {
+  /// Records agents that are fresh without an acknowledged entry.
+  void checkReaders() {
     for (auto& [name, machine] : machines)
       if (machine.agent && machine.agent->fresh(now) && machine.agent->configuration().index() < acknowledgedIndex)
         staleReaders.push_back(name);
   }
+  /// Advances the clock by 5 ms.
   void step() {
     now += 5ms;
-    while (!due.empty() && due.begin()->first <= now) {
-      auto [life, mail] = std::move(due.begin()->second);
-      due.erase(due.begin());
-      deliver(std::move(mail), life);
+    while (!inFlight.empty() && inFlight.begin()->first <= now) {
+      auto [incarnation, envelope] = std::move(inFlight.begin()->second);
+      inFlight.erase(inFlight.begin());
+      deliver(std::move(envelope), incarnation);
     }
     for (auto& [name, machine] : machines) {
       if (!machine.alive()) continue;
       with(machine, [&, node = machine.node.get()](Effects& effects) { node->tick(effects); });
       sync(machine);
     }
-    watchReaders();
+    checkReaders();
   }
   void run(Duration span) {
     for (TimePoint until = now + span; now < until;) step();
   }
+  /// Returns whether the condition came true within the time.
   bool runUntil(const std::function<bool()>& reached, Duration most) {
     for (TimePoint until = now + most; now < until && !reached();) step();
     return reached();
@@ -190,6 +202,7 @@
       if (machine.core && name != leader()) names.push_back(name);
     return names;
   }
+  /// Starts cores and waits until they have formed one group with a leader.
   void form(int cores) {
     for (int number = 1; number <= cores; ++number) startCore("core-" + std::to_string(number), true);
     cr_assert(runUntil(
@@ -201,11 +214,12 @@
         40s));
   }
   bool agentFresh(const std::string& name) { return machines.at(name).agent->fresh(now); }
+  /// Requests a change that adds weights of a name; returns the id of the request.
   std::string ask(const std::string& name, const std::string& changeName) {
     return askWith(name, changeName, R"({"weights":{")" + changeName + R"(":{"model":"moss"}}})");
   }
   std::string askWith(const std::string& name, const std::string& changeName, const std::string& body) {
-    std::string requestId = "ask-" + std::to_string(++askCount);
+    std::string requestId = "ask-" + std::to_string(++requestCount);
     OperatorRequest change;
     change.requestId = requestId;
     change.body = body;
@@ -214,17 +228,19 @@
     with(machines.at(name), [&](Effects& effects) { machines.at(name).node->handle(effects, "operator", change); });
     return requestId;
   }
+  /// Requests a consistent read; returns the id of the request.
   std::string read(const std::string& name) {
-    std::string requestId = "read-" + std::to_string(++askCount);
+    std::string requestId = "read-" + std::to_string(++requestCount);
     with(machines.at(name),
          [&](Effects& effects) { machines.at(name).node->handle(effects, requestId, ReadRequest{requestId}); });
     return requestId;
   }
-  ReadResponse readThrough(const std::string& name) {
+  ReadResponse readFrom(const std::string& name) {
     auto requestId = read(name);
-    cr_assert(runUntil([&] { return reads.count(requestId) > 0; }, 1s), "a read is answered or turned away in time");
+    cr_assert(runUntil([&] { return reads.count(requestId) > 0; }, 1s), "the core must respond to a read within 1 s");
     return reads[requestId];
   }
+  /// The names of all cores except one.
   Strings allBut(const std::string& left) {
     Strings names;
     for (auto& [name, machine] : machines)
@@ -235,6 +251,7 @@
     auto found = replies.find(requestId);
     return found != replies.end() && found->second.code == static_cast<int>(Code::changeTaken);
   }
+  /// Whether a core's configuration has the weights of a change made by ask().
   bool has(const std::string& name, const std::string& changeName) {
     return logOf(name).configuration().section("weights").count(changeName) > 0;
   }
--- a/tests/freshness.cpp
+++ b/tests/freshness.cpp
@@ -6,7 +6,9 @@
 
 using namespace tt;
 
-Test(freshness, a_core_that_restarted_does_not_vouch_for_the_readers_that_it_forgot) {
+/// A core holds in memory which readers follow it and how far they are. If a core that lost this by a restart counted
+/// as having no readers, a change could be acknowledged while a partitioned reader still counts itself as fresh.
+Test(freshness, a_change_is_not_acknowledged_on_the_word_of_a_restarted_core_that_lost_its_readers) {
   FleetHarness bench;
   bench.form(4);
   std::string leader = bench.leader();
@@ -16,7 +18,7 @@
   cr_assert(bench.runUntil([&] { return bench.agentFresh("edge-1"); }, 5s));
   bench.cutSides({"edge-1", cutWithReader}, {leader, third});
   bench.run(4s);
-  cr_assert(bench.agentFresh("edge-1"), "two of four are heard");
+  cr_assert(bench.agentFresh("edge-1"), "two of four cores respond");
   bench.cutSides({"edge-1", cutWithReader}, {restarted});
   bench.stop(restarted);
   bench.run(50ms);
@@ -25,11 +27,13 @@
   auto requestId = bench.ask(leader, "late");
   cr_assert(bench.runUntil([&] { return bench.acknowledged(requestId); }, 5s));
   bench.run(3s);
-  cr_expect(bench.staleReaders.empty(), "fresh without an acknowledged change on %d occasions",
+  cr_expect(bench.staleReaders.empty(), "%d times an agent was fresh without an acknowledged change",
             static_cast<int>(bench.staleReaders.size()));
 }
 
-Test(freshness, a_change_before_a_removal_that_is_not_agreed_needs_the_quorum_of_the_old_members) {
+/// While a member's removal is not committed, readers still rely on the old members. Counting only the new ones would
+/// let a change be acknowledged that such a reader lacks.
+Test(freshness, a_change_before_an_uncommitted_member_removal_needs_a_majority_of_the_old_members) {
   FleetHarness bench;
   bench.form(4);
   std::string leader = bench.leader();
@@ -45,11 +49,13 @@
   bench.cut(far, near);
   bench.ask(leader, "lone");
   bench.run(20s);
-  cr_expect(bench.staleReaders.empty(), "fresh without an acknowledged change on %d occasions",
+  cr_expect(bench.staleReaders.empty(), "%d times an agent was fresh without an acknowledged change",
             static_cast<int>(bench.staleReaders.size()));
 }
 
-Test(freshness, readers_with_the_old_members_are_waited_for_from_when_the_new_ones_are_agreed) {
+/// A reader that has not heard of a membership change stays fresh on responses of old members. The time for which the
+/// leader waits for it begins when the new members are committed, not when the change was appended.
+Test(freshness, readers_that_know_only_the_old_members_are_waited_for_after_a_membership_change) {
   FleetHarness bench;
   bench.form(4);
   bench.startAgent("edge-1");
@@ -64,19 +70,20 @@
   std::uint64_t membersIndex = bench.logOf(leader).logEnd();
   bench.cutSides({far, farther}, {leader, near, "core-5"});
   bench.run(2s);
-  cr_assert(bench.agentFresh("edge-1"), "two of the four that it knows are heard");
-  cr_assert_lt(bench.logOf(leader).commit(), membersIndex, "two of the four old members do not agree");
+  cr_assert(bench.agentFresh("edge-1"), "two of the four cores that it knows respond");
+  cr_assert_lt(bench.logOf(leader).commit(), membersIndex, "two of the four old members do not commit it");
   bench.join(far, leader);
   cr_assert(bench.runUntil([&] { return bench.logOf(leader).commit() >= membersIndex; }, 2s));
   bench.cut(far, leader);
   auto requestId = bench.ask(leader, "late");
   cr_assert(bench.runUntil([&] { return bench.acknowledged(requestId); }, 5s));
   bench.run(3s);
-  cr_expect(bench.staleReaders.empty(), "fresh without an acknowledged change on %d occasions",
+  cr_expect(bench.staleReaders.empty(), "%d times an agent was fresh without an acknowledged change",
             static_cast<int>(bench.staleReaders.size()));
 }
 
-Test(freshness, a_core_that_is_cut_off_reads_back_nothing_older_than_what_was_acknowledged) {
+/// A core without contact to a majority may lack acknowledged changes, so it must not confirm reads of operators.
+Test(freshness, a_partitioned_core_confirms_no_read_older_than_an_acknowledged_change) {
   for (int cores : {4, 5, 8}) {
     FleetHarness bench;
     timing.maxStaleness = 4s;
@@ -85,35 +92,39 @@
     bench.run(2s);
     for (int round = 0; round < 2; ++round) {
       std::string leader = bench.leader(), cutOff = bench.followers()[0], name = "late-" + std::to_string(round);
-      cr_assert(bench.readThrough(cutOff).confirmed, "in touch it reads");
+      cr_assert(bench.readFrom(cutOff).confirmed, "a connected core confirms reads");
       bench.cutSides({cutOff}, bench.allBut(cutOff));
       auto requestId = bench.ask(leader, name);
       cr_assert(bench.runUntil([&] { return bench.acknowledged(requestId); }, 3s));
       cr_assert_not(bench.has(cutOff, name));
-      cr_expect_not(bench.readThrough(cutOff).confirmed, "%d cores, round %d: no majority, no read", cores, round);
-      auto kept = bench.readThrough(leader);
+      cr_expect_not(bench.readFrom(cutOff).confirmed, "%d cores, round %d: confirmed without a majority", cores, round);
+      auto kept = bench.readFrom(leader);
       cr_expect(kept.confirmed && kept.index >= bench.acknowledgedIndex);
       bench.cutLinks.clear();
       cr_assert(bench.runUntil([&] { return bench.has(cutOff, name); }, 5s));
-      auto healed = bench.readThrough(cutOff);
-      cr_expect(healed.confirmed && healed.index >= bench.acknowledgedIndex, "%d cores: back in touch it reads", cores);
+      auto healed = bench.readFrom(cutOff);
+      cr_expect(healed.confirmed && healed.index >= bench.acknowledgedIndex,
+                "%d cores: a reconnected core confirms reads", cores);
     }
   }
 }
 
-Test(freshness, a_read_needs_a_majority_asked_after_it_came) {
+/// With four cores in two halves, neither half may confirm a read, although half of the voters suffices for freshness.
+Test(freshness, a_read_needs_responses_of_a_majority_requested_after_it_arrived) {
   FleetHarness bench;
   bench.form(4);
   bench.run(1s);
   bench.cutSides({"core-1", "core-2"}, {"core-3", "core-4"});
   for (const char* name : {"core-1", "core-2", "core-3", "core-4"})
-    cr_expect_not(bench.readThrough(name).confirmed, "%s hears two of four", name);
+    cr_expect_not(bench.readFrom(name).confirmed, "%s has contact to two of four cores only", name);
   bench.cutLinks.clear();
   cr_assert(bench.runUntil([&] { return !bench.leader().empty(); }, 10s));
-  for (const char* name : {"core-1", "core-2", "core-3", "core-4"}) cr_expect(bench.readThrough(name).confirmed);
+  for (const char* name : {"core-1", "core-2", "core-3", "core-4"}) cr_expect(bench.readFrom(name).confirmed);
 }
 
-Test(freshness, a_leader_that_hears_nobody_reads_refuses_and_confirms_nothing) {
+/// A leader that was replaced without its knowledge has an outdated configuration. It must neither confirm reads nor
+/// judge changes by it, also while its own messages still arrive at others.
+Test(freshness, a_leader_that_receives_nothing_confirms_no_read_and_decides_no_change) {
   for (int cores : {4, 5, 8}) {
     for (bool hears : {false, true}) {
       FleetHarness bench;
@@ -134,7 +145,7 @@
       bench.with(bench.machines.at(old),
                  [&](Effects& effects) { bench.machines.at(old).node->handle(effects, "operator", stale); });
       bench.run(hears ? Duration(5s) : Duration(12s));
-      cr_expect_not(bench.readThrough(old).confirmed);
+      cr_expect_not(bench.readFrom(old).confirmed);
       for (const auto* requestId : {&lone, &stale.requestId}) {
         if (!bench.replies.count(*requestId)) continue;
         auto code = static_cast<Code>(bench.replies[*requestId].code);
@@ -145,8 +156,8 @@
   }
 }
 
-Test(freshness, reads_while_links_come_and_go_are_never_older_than_what_was_acknowledged) {
-  int confirmed = 0, deniedReads = 0, acked = 0;
+Test(freshness, under_random_link_failures_confirmed_reads_are_never_older_than_acknowledged_changes) {
+  int confirmed = 0, rejectedReads = 0, acked = 0;
   for (int cores : {4, 5, 8})
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
       FleetHarness bench(seed);
@@ -159,11 +170,11 @@
       for (int round = 0; round < 400; ++round) {
         const auto& one = names[bench.randomSource() % names.size()];
         const auto& other = names[bench.randomSource() % names.size()];
-        auto randomBelow = bench.randomSource() % 12;
-        if (randomBelow < 2 && one != other) bench.cutLinks.insert({one, other});
-        if (randomBelow == 2) bench.cutSides({one}, bench.allBut(one));
-        if (randomBelow == 3) bench.cutLinks.clear();
-        if (randomBelow == 4) openChanges.push_back(bench.ask(one, "change-" + std::to_string(round)));
+        auto dice = bench.randomSource() % 12;
+        if (dice < 2 && one != other) bench.cutLinks.insert({one, other});
+        if (dice == 2) bench.cutSides({one}, bench.allBut(one));
+        if (dice == 3) bench.cutLinks.clear();
+        if (dice == 4) openChanges.push_back(bench.ask(one, "change-" + std::to_string(round)));
         openReads[bench.read(other)] = bench.acknowledgedIndex;
         bench.run(std::chrono::milliseconds(25 + bench.randomSource() % 100));
         for (auto open = openReads.begin(); open != openReads.end();) {
@@ -173,7 +184,7 @@
             continue;
           }
           confirmed += found->second.confirmed;
-          deniedReads += !found->second.confirmed;
+          rejectedReads += !found->second.confirmed;
           cr_expect(!found->second.confirmed || found->second.index >= open->second,
                     "%d cores, seed %d, round %d: read %d after %d was acknowledged", cores, static_cast<int>(seed),
                     round, static_cast<int>(found->second.index), static_cast<int>(open->second));
@@ -183,14 +194,14 @@
       for (const auto& requestId : openChanges) acked += bench.acknowledged(requestId);
     }
   cr_expect_gt(confirmed, 3000);
-  cr_expect_gt(deniedReads, 1000);
+  cr_expect_gt(rejectedReads, 1000);
   cr_expect_gt(acked, 100);
-  cr_log_info("%d reads confirmed, %d turned away, %d changes acknowledged", confirmed, deniedReads, acked);
+  cr_log_info("%d reads confirmed, %d rejected, %d changes acknowledged", confirmed, rejectedReads, acked);
 }
 
 namespace {
-/// The words of some voters about one log, as one reader hears them.
-struct HeardVoters {
+/// A reader that has applied entry 5, and gets responses of a subset of the voters. Sets of voters are bit masks.
+struct ReaderHarness {
   std::size_t voters;
   Configuration view;
   ClusterView reader{ReaderSettings{"reader", "reader:1", "north-a", {}, true, {}}};
@@ -198,26 +209,26 @@
   std::mt19937_64 randomSource{1};
   TimePoint now{std::chrono::hours(3)};
 
-  explicit HeardVoters(std::size_t count) : voters(count) {
+  explicit ReaderHarness(std::size_t count) : voters(count) {
     std::vector<Member> members;
     for (std::size_t at = 0; at < voters; ++at)
       members.push_back(Member{nameOf(at), nameOf(at), nameOf(at) + ":1", "north-a", true});
     view.apply(LogEntry{5, 1, static_cast<int>(EntryKind::members), encodeMembers(members), {}, 0});
   }
   static std::string nameOf(std::size_t at) { return "core-" + std::to_string(at); }
-  /// Whether the reader, which has applied up to 5, thinks that complete after these words.
-  bool completeAfter(unsigned heard, const std::function<LogEndResponse(std::size_t)>& wordOf) {
+  /// Whether the reader counts its view as complete after the responses of the voters in `heard`.
+  bool completeAfter(unsigned heard, const std::function<LogEndResponse(std::size_t)>& responseOf) {
     reader = ClusterView(ReaderSettings{"reader", "reader:1", "north-a", {}, true, {}});
     Effects asking{now, randomSource, journal, {}, {}};
     reader.ask(asking, 5, {}, view);
     for (const auto& [to, message] : asking.sends)
       for (std::size_t at = 0; at < voters; ++at) {
         if (to != nameOf(at) + ":1" || !(heard >> at & 1)) continue;
-        auto word = wordOf(at);
-        word.requestId = std::get<LogEndRequest>(message).requestId;
-        word.core = nameOf(at);
-        Effects taking{now, randomSource, journal, {}, {}};
-        reader.handle(taking, to, word, view);
+        auto response = responseOf(at);
+        response.requestId = std::get<LogEndRequest>(message).requestId;
+        response.core = nameOf(at);
+        Effects handling{now, randomSource, journal, {}, {}};
+        reader.handle(handling, to, response, view);
       }
     return reader.completeAsOf() != TimePoint{};
   }
@@ -225,44 +236,49 @@
 std::size_t countOf(unsigned set) { return static_cast<std::size_t>(__builtin_popcount(set)); }
 }  // namespace
 
-Test(freshness, no_subset_of_voters_makes_a_reader_complete_without_an_entry_that_a_quorum_has) {
+/// Tries all combinations: which majority has entry 6, which voters respond, and which other voter still counts itself
+/// as leader of the older term. A reader that has applied entry 5 must never count as complete. Without entry 6 it must
+/// count as complete just when enough voters respond.
+Test(freshness, no_set_of_responses_makes_a_reader_complete_without_an_entry_that_a_majority_has) {
   for (std::size_t voters : {3u, 4u, 5u, 8u}) {
-    HeardVoters bench(voters);
+    ReaderHarness bench(voters);
     std::size_t quorum = voters / 2 + 1, complete = 0;
-    for (unsigned having = 0; having < 1u << voters; ++having) {
-      if (countOf(having) != quorum) continue;
+    for (unsigned holders = 0; holders < 1u << voters; ++holders) {
+      if (countOf(holders) != quorum) continue;
       for (unsigned heard = 1; heard < 1u << voters; ++heard) {
-        for (std::size_t deposed = 0; deposed <= voters; ++deposed) {
-          if (deposed < voters && having >> deposed & 1) continue;
+        for (std::size_t oldLeader = 0; oldLeader <= voters; ++oldLeader) {
+          if (oldLeader < voters && holders >> oldLeader & 1) continue;
           bool done = bench.completeAfter(heard, [&](std::size_t at) {
-            bool has = having >> at & 1;
-            LogEndResponse word;
-            word.term = has ? 2 : 1;
-            word.leads = at == deposed;
-            word.lastIndex = has ? 6 : 5;
-            word.commit = 5;
-            return word;
+            bool has = holders >> at & 1;
+            LogEndResponse response;
+            response.term = has ? 2 : 1;
+            response.leads = at == oldLeader;
+            response.lastIndex = has ? 6 : 5;
+            response.commit = 5;
+            return response;
           });
           complete += done;
-          cr_expect_not(done, "%d voters, entry 6 on %x, heard %x, deposed leader %d", static_cast<int>(voters), having,
-                        heard, static_cast<int>(deposed));
+          cr_expect_not(done, "%d voters, entry 6 on %x, heard %x, old leader %d", static_cast<int>(voters), holders,
+                        heard, static_cast<int>(oldLeader));
         }
       }
     }
     for (unsigned heard = 1; heard < 1u << voters; ++heard) {
       bool done = bench.completeAfter(heard, [](std::size_t) {
-        LogEndResponse word;
-        word.term = 1;
-        word.lastIndex = word.commit = 5;
-        return word;
+        LogEndResponse response;
+        response.term = 1;
+        response.lastIndex = response.commit = 5;
+        return response;
       });
-      cr_expect_eq(done, countOf(heard) + quorum > voters, "%d voters, nothing beyond, heard %x",
-                   static_cast<int>(voters), heard);
+      cr_expect_eq(done, countOf(heard) + quorum > voters, "%d voters, no entry 6, heard %x", static_cast<int>(voters),
+                   heard);
     }
   }
 }
 
-Test(freshness, an_agent_that_restarted_does_not_speak_for_proxies_that_it_has_not_heard) {
+/// After a restart an agent does not know its proxies. One that it has not heard yet may still be fresh by a response
+/// of the earlier run, so the agent must not tell the cores that all its proxies have applied an index.
+Test(freshness, a_restarted_agent_reports_index_0_while_unheard_proxies_may_be_fresh) {
   TimingGuard kept;
   AgentSettings settings;
   settings.name = "edge-1";
@@ -271,14 +287,14 @@
   Agent agent(settings);
   std::mt19937_64 randomSource(1);
   TimePoint now{std::chrono::hours(3)};
-  std::optional<Uint64> told;
+  std::optional<Uint64> reportedIndex;
   auto with = [&](const std::function<void(Effects&)>& action) {
     Effects effects{now, randomSource, agent.journal, {}, {}};
     action(effects);
     for (const auto& [to, message] : effects.sends)
-      if (auto* ask = std::get_if<LogEndRequest>(&message)) told = ask->applied;
+      if (auto* ask = std::get_if<LogEndRequest>(&message)) reportedIndex = ask->applied;
   };
-  auto passTime = [&](Duration span) {
+  auto advance = [&](Duration span) {
     for (TimePoint until = now + span; now < until; now += 10ms) with([&](Effects& effects) { agent.tick(effects); });
   };
   with([&](Effects& effects) { agent.tick(effects); });
@@ -291,37 +307,38 @@
     with([&](Effects& effects) { agent.handle(effects, proxy, FeedAsk{toNanoseconds(now), applied, {}, 0}); });
   };
   feedFrom("proxy-1", 1);
-  passTime(300ms);
-  cr_expect_eq(told.value_or(9), 0u, "proxy-2 may still be fresh by the word of this agent's earlier run");
-  passTime(timing.readerAckTimeout);
+  advance(300ms);
+  cr_expect_eq(reportedIndex.value_or(9), 0u, "proxy-2 may still be fresh by a response of the agent's earlier run");
+  advance(timing.readerAckTimeout);
   feedFrom("proxy-1", 1);
-  passTime(300ms);
-  cr_expect_eq(told.value_or(9), 1u);
+  advance(300ms);
+  cr_expect_eq(reportedIndex.value_or(9), 1u);
 }
 
-Test(freshness, logic_is_given_a_moment_read_after_it_may_run) {
-  struct Clocked : Node {
-    std::vector<TimePoint> moments;
-    void handle(Effects& effects, const std::string&, const Message&) override { moments.push_back(effects.now); }
+/// If the host read the clock before waiting for the lock, the node could take an expired lease for valid.
+Test(freshness, a_node_is_given_a_time_read_after_the_wait_for_the_lock) {
+  struct TimeRecorder : Node {
+    std::vector<TimePoint> times;
+    void handle(Effects& effects, const std::string&, const Message&) override { times.push_back(effects.now); }
     void tick(Effects&) override {}
   };
-  Clocked node;
+  TimeRecorder node;
   asio::io_context context;
   NodeHost host(node, context, 20ms);
   host.sendMessage = [](const std::string&, Message&&) {};
-  std::atomic<bool> comes{false};
+  std::atomic<bool> started{false};
   TimePoint released{};
   std::thread late;
   host.with([&](Effects&) {
     late = std::thread([&] {
-      comes = true;
+      started = true;
       host.handle("peer", FeedReply{});
     });
-    while (!comes) std::this_thread::yield();
+    while (!started) std::this_thread::yield();
     for (int round = 0; round < 1000; ++round) std::this_thread::yield();
     released = Clock::now();
   });
   late.join();
-  cr_assert_eq(node.moments.size(), 1u);
-  cr_expect(node.moments[0] >= released, "a lease is never judged by a moment from before the wait for the lock");
+  cr_assert_eq(node.times.size(), 1u);
+  cr_expect(node.times[0] >= released, "the time given to the node is from before the wait for the lock");
 }
--- a/tests/fuzz_findings.cpp
+++ b/tests/fuzz_findings.cpp
@@ -7,14 +7,17 @@
 
 using namespace tt;
 
-/// What the fuzzer found, each as a test of its own.
-Test(fuzz_findings, a_refusal_names_a_subject_also_where_the_field_has_no_name) {
+/// Regression tests for inputs that fuzzing found.
+
+/// An unknown field with an empty name gave an error without a subject.
+Test(fuzz_findings, an_error_has_a_subject_even_if_the_unknown_field_has_an_empty_name) {
   cr_assert_neq(Configuration().preparePatch(R"({"":{}})", false).error().subject, "");
   cr_assert_neq(readCallerOrder(R"({"":{}})").error().subject, "");
   cr_assert_neq(patchFromManifests(R"("")").error().subject, "");
 }
 
-Test(fuzz_findings, spans_beyond_all_clocks_are_long_and_not_negative) {
+/// Very large numbers of milliseconds overflowed when they were converted to nanoseconds and gave negative durations.
+Test(fuzz_findings, durations_beyond_the_clocks_range_are_long_and_not_negative) {
   Configuration view;
   auto patch = view.preparePatch(
       R"({"services":{"mill":{}},"routes":{"r":{"host":"h","prefix":"/","service":"mill","timeoutMs":10000000000000,"aimMs":8e15,"gapMs":8e15}},
@@ -28,10 +31,11 @@
   cr_assert(limits.headerTimeout > 1h);
   cr_assert(limits.idleTimeout == Duration(0));
   cr_assert_eq(limits.maxBodyBytes, 0u);
-  cr_assert_eq(limits.maxHeaderBytes, 16384u, "a number beyond all whole ones is as if it were not there");
+  cr_assert_eq(limits.maxHeaderBytes, 16384u, "a number beyond the exact integers gives the default");
 }
 
-Test(fuzz_findings, numbers_of_a_report_that_do_not_fit_are_taken_as_far_as_they_go) {
+/// Numbers that do not fit the field's type are limited to its range instead of wrapping around.
+Test(fuzz_findings, numbers_of_a_report_are_limited_to_the_range_of_their_type) {
   auto report =
       readReport(R"({"worker":"w","running":4294967297,"slots":-4294967297,"sequence":-3,"term":-2147483648})");
   cr_assert(bool(report));
@@ -41,10 +45,11 @@
   cr_assert_eq(report.value().term, 0u);
 }
 
-Test(fuzz_findings, a_scenario_line_without_its_number_is_told) {
+/// A missing or unusable number in a scenario must give an error with the line, not a default or a crash.
+Test(fuzz_findings, a_scenario_line_without_its_number_is_an_error_that_names_the_line) {
   for (const char* text : {"seed\n", "until\n", "fleet localities 1e300\n", "fleet edges -4\n", "at 3\n"}) {
-    auto troubles = checkScenario(text);
-    cr_assert_eq(troubles.size(), 1u, "%s", text);
-    cr_assert_eq(troubles[0].rfind("line 1: ", 0), 0u, "%s", troubles[0].c_str());
+    auto errors = checkScenario(text);
+    cr_assert_eq(errors.size(), 1u, "%s", text);
+    cr_assert_eq(errors[0].rfind("line 1: ", 0), 0u, "%s", errors[0].c_str());
   }
 }
--- a/tests/parts.cpp
+++ b/tests/parts.cpp
@@ -18,6 +18,7 @@
 using namespace tt;
 
 namespace {
+/// The files of a ring log in memory.
 class MemoryFiles : public RingFiles {
  public:
   explicit MemoryFiles(int files = 4, std::size_t bytes = 16384)
@@ -32,84 +33,84 @@
   std::size_t size() const override { return rows[0].size(); }
   std::vector<std::string> rows;
 };
-LogEntry entryAt(std::uint64_t index) { return LogEntry{index, 1, 1, "body " + std::to_string(index), {}}; }
+LogEntry entryWithIndex(std::uint64_t index) { return LogEntry{index, 1, 1, "body " + std::to_string(index), {}}; }
 }  // namespace
 
-Test(ring, keeps_what_was_synced_over_many_turns) {
+Test(ring, keeps_synced_records_while_files_are_reused_many_times) {
   MemoryFiles files;
   {
     auto ring = Ring::open(files);
     cr_assert(bool(ring));
     cr_assert(bool(ring.value()->append({identityRecord("core-x"), voteRecord("accord", Vote{3, "core-y"})})));
     for (std::uint64_t index = 1; index <= 2000; ++index) {
-      cr_assert(bool(ring.value()->append({entryRecord(entryAt(index))})));
+      cr_assert(bool(ring.value()->append({entryRecord(entryWithIndex(index))})));
       if (index % 50 == 0) {
         Snapshot snapshot;
         snapshot.index = index - 10;
         cr_assert(bool(ring.value()->append({snapshotRecord(snapshot)})));
       }
     }
-    cr_assert_gt(ring.value()->generation(), 8u, "the ring must have gone round");
+    cr_assert_gt(ring.value()->generation(), 8u, "all files must have been reused");
   }
-  auto again = Ring::open(files);
-  cr_assert(bool(again));
-  cr_assert_eq(again.value()->held().identity, "core-x");
-  cr_assert_eq(again.value()->held().votes.at("accord").term, 3u);
-  cr_assert_eq(again.value()->held().snapshot->index, 1990u);
-  cr_assert_eq(again.value()->held().entries.back().index, 2000u);
-  cr_assert_eq(again.value()->held().entries.size(), 10u);
+  auto reopened = Ring::open(files);
+  cr_assert(bool(reopened));
+  cr_assert_eq(reopened.value()->held().identity, "core-x");
+  cr_assert_eq(reopened.value()->held().votes.at("accord").term, 3u);
+  cr_assert_eq(reopened.value()->held().snapshot->index, 1990u);
+  cr_assert_eq(reopened.value()->held().entries.back().index, 2000u);
+  cr_assert_eq(reopened.value()->held().entries.size(), 10u);
 }
 
-Test(ring, drops_a_torn_end_and_tells_damage_from_it) {
+Test(ring, drops_a_torn_tail_and_reports_damage_before_the_tail) {
   MemoryFiles files;
   auto ring = Ring::open(files);
   cr_assert(bool(ring.value()->append({identityRecord("core-x")})));
   for (std::uint64_t index = 1; index <= 20; ++index)
-    cr_assert(bool(ring.value()->append({entryRecord(entryAt(index))})));
+    cr_assert(bool(ring.value()->append({entryRecord(entryWithIndex(index))})));
   MemoryFiles torn = files;
   std::size_t file = 0;
   for (std::size_t at = 0; at < torn.rows.size(); ++at)
     if (torn.rows[at].find("body 20") != std::string::npos) file = at;
   torn.rows[file][torn.rows[file].find("body 20") + 3] ^= 1;
   auto opened = Ring::open(torn);
-  cr_assert(bool(opened), "a torn end is no damage");
+  cr_assert(bool(opened), "a torn tail is no damage");
   cr_assert(opened.value()->tornTailDropped());
   cr_assert_eq(opened.value()->held().entries.back().index, 19u);
-  cr_assert(bool(opened.value()->append({entryRecord(entryAt(20))})));
+  cr_assert(bool(opened.value()->append({entryRecord(entryWithIndex(20))})));
   cr_assert_eq(Ring::open(torn).value()->held().entries.back().index, 20u);
 
   MemoryFiles damaged = files;
   damaged.rows[file][damaged.rows[file].find("body 7") + 3] ^= 1;
-  cr_assert_not(bool(Ring::open(damaged)), "sound records behind an unsound one are damage");
+  cr_assert_not(bool(Ring::open(damaged)), "valid records behind a corrupt one are damage");
 }
 
-Test(ring, bent_bytes_never_crash_it_nor_bring_back_what_was_not_written) {
+Test(ring, corrupt_bytes_neither_crash_it_nor_return_records_that_were_not_written) {
   MemoryFiles files;
   auto ring = Ring::open(files);
   cr_assert(bool(ring.value()->append({identityRecord("core-x")})));
   for (std::uint64_t index = 1; index <= 150; ++index)
-    cr_assert(bool(ring.value()->append({entryRecord(entryAt(index))})));
+    cr_assert(bool(ring.value()->append({entryRecord(entryWithIndex(index))})));
   std::mt19937_64 randomSource(3);
-  int faults = 0;
+  int rejected = 0;
   for (int round = 0; round < 400; ++round) {
-    MemoryFiles bent = files;
-    for (int bend = 0; bend < 4; ++bend) {
-      auto& row = bent.rows[randomSource() % bent.rows.size()];
-      row[randomSource() % row.size()] = static_cast<char>(randomSource());
+    MemoryFiles corrupt = files;
+    for (int flip = 0; flip < 4; ++flip) {
+      auto& file = corrupt.rows[randomSource() % corrupt.rows.size()];
+      file[randomSource() % file.size()] = static_cast<char>(randomSource());
     }
-    auto opened = Ring::open(bent);
+    auto opened = Ring::open(corrupt);
     if (!opened) {
-      ++faults;
+      ++rejected;
       continue;
     }
     const auto& held = opened.value()->held();
     for (const auto& entry : held.entries) cr_assert_eq(entry.body, "body " + std::to_string(entry.index));
   }
-  cr_assert_gt(faults, 20);
+  cr_assert_gt(rejected, 20);
 }
 
-Test(wire, every_frame_cut_short_or_bent_is_a_fault_or_a_message) {
-  NewsMsg news{7, {entryAt(5), entryAt(6)}, {}};
+Test(wire, a_truncated_or_corrupt_frame_is_an_error_or_a_message) {
+  NewsMsg news{7, {entryWithIndex(5), entryWithIndex(6)}, {}};
   std::string frame = encodeMessage(news);
   auto read = decodeMessage(frame);
   cr_assert(bool(read));
@@ -117,16 +118,16 @@
   for (std::size_t size = 0; size < frame.size(); ++size) cr_assert_not(bool(decodeMessage(frame.substr(0, size))));
   cr_assert_not(bool(decodeMessage(frame + "x")));
   std::mt19937_64 randomSource(1);
-  int kept = 0;
+  int decoded = 0;
   for (int round = 0; round < 20000; ++round) {
-    std::string bent = frame;
-    for (int bend = 0; bend < 3; ++bend) bent[randomSource() % bent.size()] = static_cast<char>(randomSource());
-    kept += bool(decodeMessage(bent));
+    std::string corrupt = frame;
+    for (int flip = 0; flip < 3; ++flip) corrupt[randomSource() % corrupt.size()] = static_cast<char>(randomSource());
+    decoded += bool(decodeMessage(corrupt));
   }
-  cr_assert_lt(kept, 20000);
+  cr_assert_lt(decoded, 20000);
 }
 
-Test(policy, first_line_that_fits_wins_and_faults_name_the_line) {
+Test(policy, the_first_matching_line_decides_and_errors_name_the_line) {
   auto policy = Policy::read("recompute when hits < 8\nfetch peer when hits >= 8 and speed > 50 # near\nfetch store\n");
   cr_assert(bool(policy));
   cr_assert_not(policy.value().fetches({false, 4, 100, 0}));
@@ -140,7 +141,7 @@
   cr_assert_not(bool(Policy::read("fetch peer when hits >= 3 or speed > 1")));
 }
 
-Test(modes, only_decoder_target_with_kv_source_may_be_combined) {
+Test(modes, only_a_decoder_target_and_a_kv_source_may_be_combined) {
   cr_assert(bool(checkTransferModes({})));
   cr_assert(bool(checkTransferModes({"remote_decoder", "remote_kv_source"})));
   cr_assert(bool(checkTransferModes({"remote_prefiller"})));
@@ -151,7 +152,7 @@
   cr_assert_eq(checkTransferModes({"remote_moon"}).error().code, Code::unknownField);
 }
 
-Test(blocks, hashes_chain_and_are_kept_apart_by_salt) {
+Test(blocks, hashes_cover_all_blocks_before_and_differ_by_salt) {
   std::vector<std::string> parts{std::string(1000, 'a'), "tail"};
   auto hashes = hashPrompt(parts, cacheSalt("m", "w1", "shared"));
   cr_assert_eq(hashes.size(), 7u);
@@ -167,26 +168,26 @@
                                                                     "b"}));
 }
 
-Test(configuration, changes_are_checked_whole_and_faults_name_the_field) {
+Test(configuration, a_change_is_applied_completely_or_not_at_all_and_errors_name_the_field) {
   Configuration view;
   std::uint64_t index = 0;
-  auto take = [&](const std::string& text, bool whole) {
+  auto submit = [&](const std::string& text, bool whole) {
     auto patch = view.preparePatch(text, whole);
     if (patch) view.apply(LogEntry{++index, 1, 1, patch.value(), "c" + std::to_string(index)});
     return patch;
   };
-  cr_assert(bool(take(R"({"weights":{"w1":{"model":"m"}},"models":{"m":{"weights":"w1"}},"tenants":{"t":{}},)"
-                      R"("keys":{"k":{"tenant":"t","secret":"abcdefgh"}},"policies":{"p":"fetch peer"},)"
-                      R"("routes":{"r":{"model":"m","policy":"p","tenants":["t"]}}})",
-                      true)));
+  cr_assert(bool(submit(R"({"weights":{"w1":{"model":"m"}},"models":{"m":{"weights":"w1"}},"tenants":{"t":{}},)"
+                        R"("keys":{"k":{"tenant":"t","secret":"abcdefgh"}},"policies":{"p":"fetch peer"},)"
+                        R"("routes":{"r":{"model":"m","policy":"p","tenants":["t"]}}})",
+                        true)));
   cr_assert(view.findKey(sha256Hex("abcdefgh")).has_value());
-  cr_assert(view.text().find("abcdefgh") == std::string::npos, "keys are kept hashed");
-  cr_assert_eq(take(R"({"tenants":{"t":null}})", false).error().subject, "keys.k.tenant");
-  cr_assert_eq(take(R"({"routes":{"r":{"model":"x"}}})", false).error().subject, "routes.r.model");
-  cr_assert_eq(take(R"({"routes":{"r":{"modle":"x"}}})", false).error().subject, "routes.r.modle");
-  cr_assert_eq(take(R"({"policies":{"p":"fetch peer\nfetch moon"}})", false).error().subject, "policies.p");
-  cr_assert_eq(view.revision(), 1u, "nothing of a denied change may stick");
-  cr_assert(bool(take(R"({"keys":{"k":null}})", false)));
+  cr_assert(view.text().find("abcdefgh") == std::string::npos, "secrets must be hashed");
+  cr_assert_eq(submit(R"({"tenants":{"t":null}})", false).error().subject, "keys.k.tenant");
+  cr_assert_eq(submit(R"({"routes":{"r":{"model":"x"}}})", false).error().subject, "routes.r.model");
+  cr_assert_eq(submit(R"({"routes":{"r":{"modle":"x"}}})", false).error().subject, "routes.r.modle");
+  cr_assert_eq(submit(R"({"policies":{"p":"fetch peer\nfetch moon"}})", false).error().subject, "policies.p");
+  cr_assert_eq(view.revision(), 1u, "a rejected change must not be applied");
+  cr_assert(bool(submit(R"({"keys":{"k":null}})", false)));
   cr_assert_not(view.findKey(sha256Hex("abcdefgh")).has_value());
   Configuration copy;
   cr_assert(bool(copy.adopt(view.snapshot())));
@@ -194,20 +195,21 @@
   cr_assert_eq(copy.revisionOfChange("c2").value(), 2u);
 }
 
-Test(configuration, bent_texts_are_denied_with_a_field_or_taken_whole) {
+Test(configuration, a_corrupt_change_is_rejected_with_a_field_or_can_be_applied) {
   std::string good =
       R"({"weights":{"w1":{"model":"m"}},"models":{"m":{"weights":"w1"}},"tenants":{"t":{"isolated":true}},)"
       R"("keys":{"k":{"tenant":"t","secret":"abcdefgh"}},"policies":{"p":"fetch peer when hits > 3"},"routes":{"r":{"model":"m"}}})";
   std::mt19937_64 randomSource(4);
-  int denied = 0;
+  int rejected = 0;
   for (int round = 0; round < 5000; ++round) {
-    std::string bent = good;
-    for (int bend = 0; bend < 2; ++bend) bent[randomSource() % bent.size()] = static_cast<char>(randomSource() % 128);
+    std::string corrupt = good;
+    for (int flip = 0; flip < 2; ++flip)
+      corrupt[randomSource() % corrupt.size()] = static_cast<char>(randomSource() % 128);
     Configuration view;
-    auto patch = view.preparePatch(bent, round % 2 == 0);
+    auto patch = view.preparePatch(corrupt, round % 2 == 0);
     if (!patch) {
       cr_assert_not(patch.error().subject.empty());
-      ++denied;
+      ++rejected;
       continue;
     }
     view.apply(LogEntry{1, 1, 1, patch.value(), {}});
@@ -215,10 +217,10 @@
     cr_assert(bool(copy.adopt(view.snapshot())));
     cr_assert_eq(copy.text(), view.text());
   }
-  cr_assert_gt(denied, 500);
+  cr_assert_gt(rejected, 500);
 }
 
-Test(manifests, become_routes_and_what_is_not_supported_is_denied_by_name) {
+Test(manifests, become_routes_and_unsupported_fields_are_rejected_by_name) {
   std::string good =
       R"({"apiVersion":"gateway.networking.k8s.io/v1","kind":"HTTPRoute","metadata":{"name":"r","annotations":)"
       R"({"trouttally/policy":"p"}},"spec":{"rules":[{"backendRefs":[{"name":"m"}]}]}})";
@@ -241,7 +243,8 @@
   cr_assert_eq(with("HTTPRoute", "TLSRoute"), "kind");
 }
 
-Test(logic, reads_no_clock_but_the_one_it_is_handed) {
+/// Logic that read a clock or random device itself could not be replayed in the simulator.
+Test(logic, reads_no_clock_or_random_device_itself) {
   for (const char* name :
        {"consensus/election", "consensus/replicated_log", "consensus/membership", "consensus/snapshot",
         "consensus/change_requests", "index/cell", "cluster/core", "cluster/core_operators", "cluster/core_membership",
@@ -258,7 +261,7 @@
   }
 }
 
-Test(contract, bent_caller_json_never_gets_through_unseen) {
+Test(contract, a_corrupt_client_request_is_rejected_with_a_field_or_is_valid) {
   std::string good = R"({"route":"r","model":"m","parts":["a","b"],"repeatable":true,"maxTokens":4})";
   cr_assert(bool(readCallerOrder(good)));
   cr_assert_eq(readCallerOrder(R"({"route":"r","model":"m","parts":["a"],"repeat":true})").error().subject, "repeat");
@@ -268,20 +271,20 @@
   cr_assert_eq(readCallerOrder(std::string(100000, '[')).error().code, Code::badJson);
   cr_assert_eq(readCallerOrder(std::string((1 << 20) + 1, ' ')).error().code, Code::tooLarge);
   std::mt19937_64 randomSource(2);
-  int denied = 0;
+  int rejected = 0;
   for (int round = 0; round < 20000; ++round) {
-    std::string bent = good;
-    bent[randomSource() % bent.size()] = static_cast<char>(randomSource());
-    auto read = readCallerOrder(bent);
+    std::string corrupt = good;
+    corrupt[randomSource() % corrupt.size()] = static_cast<char>(randomSource());
+    auto read = readCallerOrder(corrupt);
     if (!read) {
       cr_assert_not(read.error().subject.empty());
-      ++denied;
+      ++rejected;
     }
   }
-  cr_assert_gt(denied, 1000);
+  cr_assert_gt(rejected, 1000);
 }
 
-Test(codes, the_table_in_the_docs_is_the_one_in_the_code) {
+Test(codes, the_table_in_the_docs_equals_the_one_in_the_code) {
   std::string text;
   if (FILE* file = std::fopen(TT_SOURCE "/docs/codes.md", "r")) {
     char bytes[4096];
@@ -292,25 +295,25 @@
             "docs/codes.md must hold the table that trouttally-sim --codes prints");
 }
 
-Test(watch, nobody_follows_a_higher_rank_so_no_ring_can_form) {
-  Strings fellows;
-  for (int number = 0; number < 90; ++number) fellows.push_back("127.0.0.1:" + std::to_string(9000 + number));
-  int deepest = 0;
-  for (const auto& fellow : fellows) {
-    std::string at = fellow;
+Test(watch, agents_follow_only_lower_ranks_so_no_cycle_can_form) {
+  Strings agents;
+  for (int number = 0; number < 90; ++number) agents.push_back("127.0.0.1:" + std::to_string(9000 + number));
+  int maxDepth = 0;
+  for (const auto& agent : agents) {
+    std::string at = agent;
     int depth = 0;
-    for (auto watch = selectUpstreams(at, fellows, 3); !watch.empty(); watch = selectUpstreams(at, fellows, 3)) {
+    for (auto watch = selectUpstreams(at, agents, 3); !watch.empty(); watch = selectUpstreams(at, agents, 3)) {
       cr_assert_lt(rendezvousHash("rank", watch[0]), rendezvousHash("rank", at));
       at = watch[0];
       ++depth;
     }
-    deepest = std::max(deepest, depth);
+    maxDepth = std::max(maxDepth, depth);
   }
-  cr_assert_leq(deepest, 9, "90 agents: the depth is a logarithm");
-  cr_assert_geq(deepest, 1);
+  cr_assert_leq(maxDepth, 9, "the depth of 90 agents must be logarithmic");
+  cr_assert_geq(maxDepth, 1);
 }
 
-Test(configuration, says_where_its_memory_of_change_ids_ends) {
+Test(configuration, reports_up_to_which_revision_change_ids_are_evicted) {
   Configuration view;
   auto change = [&](std::uint64_t number) {
     view.apply(LogEntry{number, 1, static_cast<int>(EntryKind::change), "{\"weights\":{\"w\":{\"model\":\"m\"}}}",
@@ -322,27 +325,27 @@
   cr_assert_eq(view.forgottenRevision(), 4200u - 4096u);
   cr_assert_not(view.revisionOfChange("id-104").has_value());
   cr_assert_eq(*view.revisionOfChange("id-105"), 105u);
-  Configuration again;
-  cr_assert(bool(again.adopt(view.snapshot())));
-  cr_assert_eq(again.forgottenRevision(), view.forgottenRevision(),
-               "a capture must not make it forget where its memory ends");
+  Configuration restored;
+  cr_assert(bool(restored.adopt(view.snapshot())));
+  cr_assert_eq(restored.forgottenRevision(), view.forgottenRevision(), "a snapshot must keep the bound of evicted ids");
 }
 
-Test(clocks, only_the_log_looks_at_a_clock_that_may_jump) {
-  // Leases, freshness and order of lists rest on steady clocks, so that no jump of a wall clock can move them.
+/// Leases, freshness and the order of machine lists rest on the steady clock, so that a jump of the wall clock cannot
+/// affect them.
+Test(clocks, only_log_messages_use_the_wall_clock) {
   std::filesystem::path folder = std::filesystem::path(TT_SOURCE) / "src";
-  std::size_t looked = 0;
+  std::size_t checkedFiles = 0;
   for (const auto& file : std::filesystem::recursive_directory_iterator(folder)) {
     if (!file.is_regular_file()) continue;
     std::ifstream source(file.path());
     std::stringstream text;
     text << source.rdbuf();
-    ++looked;
+    ++checkedFiles;
     if (file.path().filename() == "log.cpp") continue;
     for (const char* word : {"system_clock", "gettimeofday", "time(nullptr)", "CLOCK_REALTIME"})
       cr_assert_eq(text.str().find(word), std::string::npos, "%s uses %s", file.path().filename().c_str(), word);
   }
-  cr_assert_gt(looked, 40u);
+  cr_assert_gt(checkedFiles, 40u);
 }
 
 namespace {
@@ -384,8 +387,8 @@
   row["revision"] = Json(static_cast<double>(revision));
   return Json(row).serialize();
 }
-// A run in which nothing is wrong.
-AuditRecords soundRecords() {
+/// The records of a run without violations.
+AuditRecords validRecords() {
   AuditRecords records;
   records.isolated = {"tenant-b"};
   for (int number = 0; number < 100; ++number) {
@@ -402,16 +405,18 @@
 }
 }  // namespace
 
-Test(audit, finds_nothing_in_a_sound_run) {
-  auto result = auditRecords(soundRecords());
+Test(audit, finds_no_violation_in_a_valid_run) {
+  auto result = auditRecords(validRecords());
   cr_assert_eq(result.breachCount(), 0);
   cr_assert_eq(result.orders, 100);
   cr_assert_eq(result.runs, 100);
 }
 
-Test(audit, finds_each_planted_breach_and_only_that) {
-  using Plant = std::function<void(AuditRecords&)>;
-  std::map<std::string, Plant> plants{
+/// A check that finds nothing proves nothing unless it is seen to fail, so every line of the audit needs an injection
+/// here.
+Test(audit, finds_each_injected_violation_and_no_other) {
+  using Injection = std::function<void(AuditRecords&)>;
+  std::map<std::string, Injection> injections{
       {"runs-twice",
        [](AuditRecords& records) {
          records.workers.push_back(workerLine("worker-2", "ran for", "p/5.1 w1 tenant-a mark-1-5-1", 12));
@@ -470,37 +475,37 @@
          records.workers.push_back(workerLine("worker-1", "command taken", "worker-1 core-2 load", 12, 3));
        }}};
   for (const auto& line : auditedLines()) {
-    cr_assert(plants.count(line) > 0, "no breach is planted for %s", line.c_str());
-    auto records = soundRecords();
-    plants[line](records);
+    cr_assert(injections.count(line) > 0, "no injection for %s", line.c_str());
+    auto records = validRecords();
+    injections[line](records);
     auto result = auditRecords(records);
     for (const auto& [found, rows] : result.breaches)
       if (!rows.empty())
-        cr_expect_eq(found, line, "planted %s, found %s: %s", line.c_str(), found.c_str(), rows.front().c_str());
-    cr_expect_gt(result.breachCount(), 0, "%s was planted and not found", line.c_str());
+        cr_expect_eq(found, line, "injected %s, found %s: %s", line.c_str(), found.c_str(), rows.front().c_str());
+    cr_expect_gt(result.breachCount(), 0, "%s was injected and not found", line.c_str());
   }
 }
 
-Test(style, comments_in_code_document_items_only) {
-  std::size_t looked = 0;
+Test(style, comment_lines_in_src_are_doc_comments) {
+  std::size_t checkedFiles = 0;
   for (const auto& file : std::filesystem::recursive_directory_iterator(std::filesystem::path(TT_SOURCE) / "src")) {
     if (!file.is_regular_file()) continue;
     std::ifstream source(file.path());
-    ++looked;
+    ++checkedFiles;
     for (std::string line; std::getline(source, line);) {
       auto start = line.find_first_not_of(' ');
       if (start == std::string::npos || line.compare(start, 2, "//") != 0) continue;
       cr_assert_eq(line.compare(start, 3, "///"), 0, "%s: %s", file.path().filename().c_str(), line.c_str());
     }
   }
-  cr_assert_gt(looked, 40u);
+  cr_assert_gt(checkedFiles, 40u);
 }
 
 namespace {
-// A worker of the worst kind: reads so many bytes, says so much, and closes.
-class CutWorker {
+/// A worker that reads a number of bytes, writes an answer and closes the connection.
+class ClosingWorker {
  public:
-  CutWorker(std::size_t readBytes, std::string answer)
+  ClosingWorker(std::size_t readBytes, std::string answer)
       : acceptor(io, asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)) {
     thread = std::thread([this, readBytes, answer = std::move(answer)] {
       asio::error_code error;
@@ -513,7 +518,7 @@
       socket.close(error);
     });
   }
-  ~CutWorker() { thread.join(); }
+  ~ClosingWorker() { thread.join(); }
   std::string url() { return "http://127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()) + "/v1/orders"; }
 
  private:
@@ -521,7 +526,7 @@
   asio::ip::tcp::acceptor acceptor;
   std::thread thread;
 };
-WorkerEnd callCutWorker(const std::string& url) {
+WorkerEnd callClosingWorker(const std::string& url) {
   WebClient calls;
   WebCall call;
   call.method = "POST";
@@ -533,15 +538,18 @@
 }
 }  // namespace
 
-Test(web, an_order_counts_as_unsent_or_denied_only_if_that_is_sure) {
-  std::string gone;
+/// A request that counts as not sent or as rejected is sent to another worker, even if it must run at most once. So a
+/// connection that breaks at any other point must count as broken.
+Test(web, a_request_counts_as_not_sent_or_rejected_only_if_that_is_certain) {
+  std::string unreachable;
   {
     asio::io_context io;
     asio::ip::tcp::acceptor acceptor(io, asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
-    gone = "http://127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()) + "/v1/orders";
+    unreachable = "http://127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()) + "/v1/orders";
   }
-  cr_expect_eq(callCutWorker(gone).outcome, static_cast<int>(OrderOutcome::brokenBeforeSend), "nobody listens there");
-  std::string denial = writeWorkerEnd(
+  cr_expect_eq(callClosingWorker(unreachable).outcome, static_cast<int>(OrderOutcome::brokenBeforeSend),
+               "no process listens there");
+  std::string rejection = writeWorkerEnd(
       WorkerEnd{"send", static_cast<int>(OrderOutcome::denied), static_cast<int>(Code::workerFull), 0, 0, 0});
   auto answer = [&](const std::string& body, std::size_t claimed) {
     return "HTTP/1.1 503 Busy\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(claimed) +
@@ -555,14 +563,14 @@
   };
   std::vector<Case> cases{
       {"closed before anything was read", 0, "", OrderOutcome::broken},
-      {"closed within the head", 10, "", OrderOutcome::broken},
-      {"closed before the last byte", 200000, "", OrderOutcome::broken},
-      {"closed after the last byte", 300100, "", OrderOutcome::broken},
-      {"a denial that is cut", 300100, answer(denial.substr(0, 5), denial.size()), OrderOutcome::broken},
-      {"a whole denial", 300100, answer(denial, denial.size()), OrderOutcome::denied}};
+      {"closed within the request head", 10, "", OrderOutcome::broken},
+      {"closed before the last byte of the request", 200000, "", OrderOutcome::broken},
+      {"closed after the last byte of the request", 300100, "", OrderOutcome::broken},
+      {"a truncated rejection", 300100, answer(rejection.substr(0, 5), rejection.size()), OrderOutcome::broken},
+      {"a complete rejection", 300100, answer(rejection, rejection.size()), OrderOutcome::denied}};
   for (auto& row : cases) {
-    CutWorker worker(row.readBytes, row.answer);
-    auto end = callCutWorker(worker.url());
+    ClosingWorker worker(row.readBytes, row.answer);
+    auto end = callClosingWorker(worker.url());
     cr_expect_eq(end.outcome, static_cast<int>(row.wanted), "%s", row.about);
     if (row.wanted == OrderOutcome::denied) cr_expect_eq(end.code, static_cast<int>(Code::workerFull));
   }
