--- a/tests/drain.cpp
+++ b/tests/drain.cpp
@@ -1,43 +1,43 @@
 #include "proxy_fixture.hpp"
 
-/// What processes that were told to stop do with what they still take: real processes, real signals.
+/// Draining of processes that got a signal to stop: how open and new requests end. Uses real processes and signals.
 using namespace tt;
 using namespace tt::proxytest;
 
 namespace {
 
-/// A worker that answers each request some time after it came, on every connection that the proxy makes.
+/// A worker that responds to each request after a delay, on every connection that the proxy opens.
 class SlowWorker {
  public:
-  SlowWorker(Proxy& calledBy, Duration answersAfter) : proxy(calledBy), delay(answersAfter) {}
+  SlowWorker(Proxy& callingProxy, Duration responseDelay) : proxy(callingProxy), delay(responseDelay) {}
   void step() {
-    if (proxy.isCalled(0ms)) sides.push_back(Side{proxy.accept(), {}, {}});
-    for (auto& side : sides) {
-      if (side.request.empty()) take(side);
-      if (!side.request.empty() && Clock::now() >= side.answerAt) answer(side);
+    if (proxy.isCalled(0ms)) connections.push_back(Connection{proxy.accept(), {}, {}});
+    for (auto& side : connections) {
+      if (side.request.empty()) readRequest(side);
+      if (!side.request.empty() && Clock::now() >= side.respondAt) respond(side);
     }
   }
-  /// The attempts that have reached it.
+  /// Ids of the attempts that have reached the worker.
   std::set<std::string> attempts;
 
  private:
-  struct Side {
-    WorkerSide connection;
+  struct Connection {
+    WorkerConnection connection;
     std::string request;
-    TimePoint answerAt;
+    TimePoint respondAt;
   };
   Proxy& proxy;
   Duration delay;
-  std::vector<Side> sides;
+  std::vector<Connection> connections;
 
-  void take(Side& side) {
+  void readRequest(Connection& side) {
     side.request = side.connection.request(0ms);
     if (side.request.empty()) return;
-    side.answerAt = Clock::now() + delay;
+    side.respondAt = Clock::now() + delay;
     attempts.insert(headerOf(side.request, "X-Attempt-Id"));
   }
-  static void answer(Side& side) {
-    side.connection.say(answerTo(side.request, "s", "well"));
+  static void respond(Connection& side) {
+    side.connection.say(responseTo(side.request, "s", "well"));
     side.request.clear();
   }
 };
@@ -48,23 +48,23 @@
   std::string attempt;
 };
 
-bool isWholeAnswer(const std::string& answer) {
-  auto bodyAt = answer.find("\r\n\r\n");
-  auto length = headerOf(answer, "Content-Length");
-  return bodyAt != std::string::npos && !length.empty() && answer.size() - bodyAt - 4 == std::stoul(length);
+bool isCompleteResponse(const std::string& response) {
+  auto bodyAt = response.find("\r\n\r\n");
+  auto length = headerOf(response, "Content-Length");
+  return bodyAt != std::string::npos && !length.empty() && response.size() - bodyAt - 4 == std::stoul(length);
 }
 
-/// A core that waits for seeds that never come, in a process of its own.
-class LonelyCore {
+/// A core in a process of its own that waits for seeds that never start.
+class IsolatedCore {
  public:
-  explicit LonelyCore(Duration grace) : base(freePorts(3)) {
+  explicit IsolatedCore(Duration grace) : firstPort(freePorts(3)) {
     cr_assert(::mkdtemp(folder) != nullptr);
     SiteSettings settings;
     settings.nodeName = "core-1";
     settings.ip = "127.0.0.1";
     settings.zone = "north-a";
     settings.regionByZone["north-a"] = "north";
-    settings.internalPortFirst = settings.internalPortLast = base;
+    settings.internalPortFirst = settings.internalPortLast = firstPort;
     settings.controlAddress = "127.0.0.1:" + std::to_string(control());
     settings.dataDir = folder;
     settings.bootstrap = true;
@@ -73,12 +73,12 @@
     process = std::make_unique<RoleProcess>(settings, runCore);
     cr_assert(soon([this] { return listens(); }, 10s), "the core must listen");
   }
-  unsigned short control() const { return static_cast<unsigned short>(base + 1); }
+  unsigned short control() const { return static_cast<unsigned short>(firstPort + 1); }
   void signal(int number) { process->signal(number); }
   bool hasEnded(Duration wait) { return process->hasEnded(wait); }
 
  private:
-  unsigned short base;
+  unsigned short firstPort;
   char folder[32] = "/tmp/trouttally-drain-XXXXXX";
   std::unique_ptr<RoleProcess> process;
   bool listens() const {
@@ -90,18 +90,18 @@
 
 }  // namespace
 
-Test(drain, every_request_that_a_leaving_proxy_passes_on_is_answered_whole) {
+Test(drain, every_request_that_a_draining_proxy_passes_on_gets_a_complete_response) {
   Proxy proxy(1, 4s);
   SlowWorker worker(proxy, 400ms);
   std::vector<Client> clients;
-  std::size_t turnedAway = 0;
+  std::size_t rejected = 0;
   proxy.signal(SIGTERM);
   for (bool ended = false; !ended; ended = proxy.hasEnded(10ms)) {
     worker.step();
     asio::error_code error;
     auto caller = std::make_unique<Caller>(proxy.front(), error);
     if (error) {
-      ++turnedAway;
+      ++rejected;
       continue;
     }
     clients.push_back(Client{std::move(caller), "a" + std::to_string(clients.size() + 1)});
@@ -109,17 +109,17 @@
   }
   std::size_t served = 0;
   for (auto& client : clients) {
-    auto answer = client.caller->all();
-    if (!answer.empty() || worker.attempts.count(client.attempt))
-      cr_expect(isWholeAnswer(answer), "%s got \"%s\"", client.attempt.c_str(), answer.c_str());
-    served += statusOf(answer) == 200;
-    if (statusOf(answer) != 503) continue;
-    ++turnedAway;
-    cr_expect_not(worker.attempts.count(client.attempt), "what is refused has not run");
-    cr_expect(has(answer, "Retry-After: ") && has(answer, "Connection: close"), "got \"%s\"", answer.c_str());
+    auto response = client.caller->all();
+    if (!response.empty() || worker.attempts.count(client.attempt))
+      cr_expect(isCompleteResponse(response), "%s got \"%s\"", client.attempt.c_str(), response.c_str());
+    served += statusOf(response) == 200;
+    if (statusOf(response) != 503) continue;
+    ++rejected;
+    cr_expect_not(worker.attempts.count(client.attempt), "a rejected request must not have reached the worker");
+    cr_expect(has(response, "Retry-After: ") && has(response, "Connection: close"), "got \"%s\"", response.c_str());
   }
-  cr_expect_gt(served, 0u, "it serves while callers still come to it");
-  cr_expect_gt(turnedAway, 0u, "it does not take what it could not finish");
+  cr_expect_gt(served, 0u, "requests that arrive during the drain must be served");
+  cr_expect_gt(rejected, 0u, "requests that could not finish in time must be rejected");
 }
 
 Test(drain, a_request_on_a_kept_connection_is_answered_too) {
@@ -136,14 +136,14 @@
   kept.send(ask("/once/second", "a2"));
   worker.say("rest");
   cr_assert(has(kept.until("rest"), "rest"));
-  auto answer = kept.all();
-  cr_expect(isWholeAnswer(answer), "got \"%s\"", answer.c_str());
-  cr_expect_eq(statusOf(answer), 503);
+  auto response = kept.all();
+  cr_expect(isCompleteResponse(response), "got \"%s\"", response.c_str());
+  cr_expect_eq(statusOf(response), 503);
   cr_expect(proxy.hasEnded(8s));
 }
 
-Test(drain, a_leaving_core_answers_the_operators_that_wait_at_it) {
-  LonelyCore core(1s);
+Test(drain, a_stopping_core_responds_to_waiting_operators) {
+  IsolatedCore core(1s);
   Caller change(core.control());
   change.send(
       "PUT /config HTTP/1.1\r\nHost: a\r\nIf-Match: 0\r\nContent-Length: 44\r\n\r\n"
@@ -151,7 +151,7 @@
       "    ");
   std::this_thread::sleep_for(100ms);
   core.signal(SIGTERM);
-  auto answer = change.until("}");
-  cr_expect(statusOf(answer) == 503 || statusOf(answer) == 504, "got \"%s\"", answer.c_str());
+  auto response = change.until("}");
+  cr_expect(statusOf(response) == 503 || statusOf(response) == 504, "got \"%s\"", response.c_str());
   cr_expect(core.hasEnded(8s));
 }
--- a/tests/leave_by.cpp
+++ b/tests/leave_by.cpp
@@ -5,75 +5,75 @@
 using namespace raw;
 
 namespace {
-/// The translation between callers and workers alone: the test plays the logic.
-struct LeaveBench : Bench {
-  std::vector<Message> told;
+/// Drives the translation between clients and workers alone; the test stands in for the router.
+struct SendDeadlineHarness : Bench {
+  std::vector<Message> delivered;
   Exchanges exchanges{calls, "proxy-1",
-                      [this](const std::string&, const Message& message) { told.push_back(message); }};
-  HttpServer gate{io, "127.0.0.1:0", [this](HttpRequest request, std::shared_ptr<ResponseWriter> answer) {
-                    exchanges.handle(std::move(request), std::move(answer));
-                  }};
+                      [this](const std::string&, const Message& message) { delivered.push_back(message); }};
+  HttpServer server{io, "127.0.0.1:0", [this](HttpRequest request, std::shared_ptr<ResponseWriter> response) {
+                      exchanges.handle(std::move(request), std::move(response));
+                    }};
   RawServer worker{io, [](const RawServer::Held& held, const std::string&) { held->say(okay("well")); }};
-  asio::ip::tcp::socket caller{io};
-  int asked{0};
+  asio::ip::tcp::socket client{io};
+  int requestCount{0};
 
-  LeaveBench() { cr_assert(bool(gate.open())); }
-  ~LeaveBench() { gate.close(); }
+  SendDeadlineHarness() { cr_assert(bool(server.open())); }
+  ~SendDeadlineHarness() { server.close(); }
   template <class T>
-  const T* lastTold() const {
-    for (auto row = told.rbegin(); row != told.rend(); ++row)
+  const T* lastDelivered() const {
+    for (auto row = delivered.rbegin(); row != delivered.rend(); ++row)
       if (auto* found = std::get_if<T>(&*row)) return found;
     return nullptr;
   }
-  /// A caller's request, made into the order that the logic would send.
-  WorkerOrder nextOrder() {
-    told.clear();
+  /// Sends a client's request and returns the message with which the router would pass it to a worker.
+  WorkerOrder nextRequest() {
+    delivered.clear();
     asio::error_code ignored;
-    caller.close(ignored);
-    caller.connect({asio::ip::address_v4::loopback(), gate.port()});
-    std::string attempt = "a-" + std::to_string(++asked);
-    asio::write(caller, asio::buffer("GET /x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: " + attempt + "\r\n\r\n"));
-    cr_assert(until([&] { return lastTold<CallerOrder>() != nullptr; }));
+    client.close(ignored);
+    client.connect({asio::ip::address_v4::loopback(), server.port()});
+    std::string attempt = "a-" + std::to_string(++requestCount);
+    asio::write(client, asio::buffer("GET /x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: " + attempt + "\r\n\r\n"));
+    cr_assert(until([&] { return lastDelivered<CallerOrder>() != nullptr; }));
     WorkerOrder order;
-    order.callerOrderId = lastTold<CallerOrder>()->orderId;
+    order.callerOrderId = lastDelivered<CallerOrder>()->orderId;
     order.orderId = order.callerOrderId + ".1";
     order.deadlineMs = 4000;
     return order;
   }
   void send(const WorkerOrder& order) { cr_assert(exchanges.sendMessage(worker.address(), order)); }
-  std::size_t arrived() const { return worker.copies("X-Attempt-Id: a-" + std::to_string(asked) + "\r\n"); }
+  std::size_t arrived() const { return worker.copies("X-Attempt-Id: a-" + std::to_string(requestCount) + "\r\n"); }
   void expectUnsent() {
-    cr_assert(until([&] { return lastTold<WorkerEnd>() != nullptr; }), "the logic is told of the end");
-    cr_expect_eq(lastTold<WorkerEnd>()->outcome, static_cast<int>(OrderOutcome::brokenBeforeSend));
+    cr_assert(until([&] { return lastDelivered<WorkerEnd>() != nullptr; }), "the end must be delivered to the router");
+    cr_expect_eq(lastDelivered<WorkerEnd>()->outcome, static_cast<int>(OrderOutcome::brokenBeforeSend));
     pass(50ms);
     cr_expect_eq(arrived(), 0u);
   }
 };
 }  // namespace
 
-Test(leave_by, an_order_without_a_last_moment_or_before_it_leaves) {
-  LeaveBench bench;
+Test(leave_by, a_request_without_a_send_deadline_or_before_it_is_sent) {
+  SendDeadlineHarness harness;
   for (std::int64_t sendDeadline : {std::int64_t{0}, toNanoseconds(Clock::now() + 1h)}) {
-    auto order = bench.nextOrder();
+    auto order = harness.nextRequest();
     order.sendDeadline = sendDeadline;
-    bench.send(order);
-    cr_assert(bench.until([&] { return bench.arrived() == 1; }));
+    harness.send(order);
+    cr_assert(harness.until([&] { return harness.arrived() == 1; }));
   }
 }
 
-Test(leave_by, an_order_past_its_last_moment_is_not_sent) {
-  LeaveBench bench;
-  auto order = bench.nextOrder();
+Test(leave_by, a_request_past_its_send_deadline_is_not_sent) {
+  SendDeadlineHarness harness;
+  auto order = harness.nextRequest();
   order.sendDeadline = toNanoseconds(Clock::now() - 1ms);
-  bench.send(order);
-  bench.expectUnsent();
+  harness.send(order);
+  harness.expectUnsent();
 }
 
-Test(leave_by, an_order_whose_last_moment_passes_before_it_is_written_is_not_sent) {
-  LeaveBench bench;
-  auto order = bench.nextOrder();
+Test(leave_by, a_request_whose_send_deadline_passes_before_it_is_written_is_not_sent) {
+  SendDeadlineHarness harness;
+  auto order = harness.nextRequest();
   order.sendDeadline = toNanoseconds(Clock::now() + 20ms);
-  bench.send(order);
+  harness.send(order);
   std::this_thread::sleep_for(30ms);
-  bench.expectUnsent();
+  harness.expectUnsent();
 }
--- a/tests/list_faults.cpp
+++ b/tests/list_faults.cpp
@@ -14,8 +14,8 @@
   return R"({"Instances":[)" + rows + R"(],"NextToken":)" + (next.empty() ? "null" : "\"" + next + "\"") + "}";
 }
 
-/// Lists that are asked of a platform that answers with scripts, and what comes of them.
-struct ListBench : Bench {
+/// Requests lists from a scripted platform and records those that are delivered.
+struct ListHarness : Bench {
   std::vector<MachinesReply> lists;
   void ask(const RawServer& server, std::int64_t askedAt = 1) {
     std::make_shared<ListReader>(calls, server.address(), askedAt, [this](const MachinesReply& reply) {
@@ -28,63 +28,63 @@
     return ids;
   }
 };
-std::string tokenOf(const std::string& request) {
+std::string pageTokenOf(const std::string& request) {
   auto at = request.find("PageToken=");
   return at == std::string::npos ? std::string() : request.substr(at + 10, request.find(' ', at) - at - 10);
 }
 
 }  // namespace
 
-Test(list_faults, pages_make_one_list) {
-  ListBench bench;
-  RawServer server(bench.io, [](const RawServer::Held& held, const std::string& request) {
-    auto token = tokenOf(request);
+Test(list_faults, pages_are_joined_to_one_list) {
+  ListHarness harness;
+  RawServer server(harness.io, [](const RawServer::Held& held, const std::string& request) {
+    auto token = pageTokenOf(request);
     held->say(okay(token.empty() ? page({"a", "b"}, "p-2") : token == "p-2" ? page({"c"}, "p-3") : page({"d"}, "")));
   });
-  bench.ask(server, 77);
-  cr_assert(bench.until([&] { return bench.lists.size() == 1; }));
-  cr_expect_eq(bench.lists[0].askedAt, 77);
-  cr_expect(bench.idsOf(0) == (Strings{"a", "b", "c", "d"}));
+  harness.ask(server, 77);
+  cr_assert(harness.until([&] { return harness.lists.size() == 1; }));
+  cr_expect_eq(harness.lists[0].askedAt, 77);
+  cr_expect(harness.idsOf(0) == (Strings{"a", "b", "c", "d"}));
 }
 
-Test(list_faults, a_token_is_one_value_of_the_query_whatever_it_holds) {
-  ListBench bench;
+Test(list_faults, a_page_token_is_percent_encoded) {
+  ListHarness harness;
   std::vector<std::string> tokens;
-  RawServer server(bench.io, [&](const RawServer::Held& held, const std::string& request) {
-    tokens.push_back(tokenOf(request));
+  RawServer server(harness.io, [&](const RawServer::Held& held, const std::string& request) {
+    tokens.push_back(pageTokenOf(request));
     held->say(okay(tokens.size() == 1 ? page({"a"}, "p 50&Zone=x#%/+") : page({"b"}, "")));
   });
-  bench.ask(server);
-  cr_assert(bench.until([&] { return bench.lists.size() == 1; }, 2s), "the second page is asked for");
+  harness.ask(server);
+  cr_assert(harness.until([&] { return harness.lists.size() == 1; }, 2s), "the second page must be requested");
   cr_expect_eq(tokens.back(), "p%2050%26Zone%3Dx%23%25%2F%2B");
 }
 
-Test(list_faults, a_worker_on_two_pages_is_one_and_leaves_if_either_says_so) {
-  ListBench bench;
-  RawServer server(bench.io, [](const RawServer::Held& held, const std::string& request) {
+Test(list_faults, a_worker_on_two_pages_is_listed_once_and_leaving_if_either_page_says_so) {
+  ListHarness harness;
+  RawServer server(harness.io, [](const RawServer::Held& held, const std::string& request) {
     auto first = page({"a", "b"}, "p-2");
-    if (tokenOf(request).empty()) return held->say(okay(first.replace(first.rfind("ready"), 5, "draining")));
+    if (pageTokenOf(request).empty()) return held->say(okay(first.replace(first.rfind("ready"), 5, "draining")));
     held->say(okay(page({"b", "c"}, "")));
   });
-  bench.ask(server);
-  cr_assert(bench.until([&] { return bench.lists.size() == 1; }));
-  cr_expect(bench.idsOf(0) == (Strings{"a", "b", "c"}));
-  cr_expect_not(bench.lists[0].machines[0].leaving);
-  cr_expect(bench.lists[0].machines[1].leaving);
+  harness.ask(server);
+  cr_assert(harness.until([&] { return harness.lists.size() == 1; }));
+  cr_expect(harness.idsOf(0) == (Strings{"a", "b", "c"}));
+  cr_expect_not(harness.lists[0].machines[0].leaving);
+  cr_expect(harness.lists[0].machines[1].leaving);
 }
 
-Test(list_faults, pages_that_go_round_end) {
-  ListBench bench;
-  RawServer server(bench.io, [](const RawServer::Held& held, const std::string& request) {
-    held->say(okay(page({}, tokenOf(request) == "p-2" ? "p-3" : "p-2")));
+Test(list_faults, reading_stops_if_page_tokens_repeat) {
+  ListHarness harness;
+  RawServer server(harness.io, [](const RawServer::Held& held, const std::string& request) {
+    held->say(okay(page({}, pageTokenOf(request) == "p-2" ? "p-3" : "p-2")));
   });
-  bench.ask(server);
-  bench.pass(60ms);
-  cr_expect(bench.lists.empty());
-  cr_expect_leq(server.copies("GET /instances"), 4u, "calls to the platform are few");
+  harness.ask(server);
+  harness.pass(60ms);
+  cr_expect(harness.lists.empty());
+  cr_expect_leq(server.copies("GET /instances"), 4u, "the number of calls to the platform must be bounded");
 }
 
-Test(list_faults, a_page_lost_midway_hands_nothing_over) {
+Test(list_faults, an_incomplete_list_is_not_delivered) {
   const std::vector<std::function<void(const RawServer::Held&)>> faults{
       [](const RawServer::Held& held) { held->reset(); },
       [](const RawServer::Held& held) { held->close(); },
@@ -102,35 +102,36 @@
       [](const RawServer::Held& held) { held->say(okay(R"({"Instances":[{"Id":"c"}],"NextToken":null})")); },
   };
   for (const auto& fault : faults) {
-    ListBench bench;
-    RawServer server(bench.io, [&](const RawServer::Held& held, const std::string& request) {
-      if (tokenOf(request).empty()) return held->say(okay(page({"a", "b"}, "p-2")));
+    ListHarness harness;
+    RawServer server(harness.io, [&](const RawServer::Held& held, const std::string& request) {
+      if (pageTokenOf(request).empty()) return held->say(okay(page({"a", "b"}, "p-2")));
       fault(held);
     });
-    bench.ask(server);
-    cr_assert(bench.until([&] { return server.copies("PageToken=p-2") == 1; }));
-    bench.pass(15ms);
-    cr_expect(bench.lists.empty());
-    cr_expect_eq(server.copies("GET /instances"), 2u, "no call that the rate does not know of");
+    harness.ask(server);
+    cr_assert(harness.until([&] { return server.copies("PageToken=p-2") == 1; }));
+    harness.pass(15ms);
+    cr_expect(harness.lists.empty());
+    cr_expect_eq(server.copies("GET /instances"), 2u,
+                 "a page must not be requested again, as the rate limit does not count such a call");
   }
 }
 
-Test(list_faults, a_late_list_bears_the_moment_when_it_was_asked_for) {
-  ListBench bench;
+Test(list_faults, a_late_list_has_the_time_of_its_request) {
+  ListHarness harness;
   RawServer::Held waiting;
-  RawServer server(bench.io, [&](const RawServer::Held& held, const std::string&) {
+  RawServer server(harness.io, [&](const RawServer::Held& held, const std::string&) {
     if (!waiting) {
       waiting = held;
       return;
     }
     held->say(okay(page({"new"}, "")));
   });
-  bench.ask(server, 100);
-  cr_assert(bench.until([&] { return waiting != nullptr; }));
-  bench.ask(server, 200);
-  cr_assert(bench.until([&] { return bench.lists.size() == 1; }));
+  harness.ask(server, 100);
+  cr_assert(harness.until([&] { return waiting != nullptr; }));
+  harness.ask(server, 200);
+  cr_assert(harness.until([&] { return harness.lists.size() == 1; }));
   waiting->say(okay(page({"old"}, "")));
-  cr_assert(bench.until([&] { return bench.lists.size() == 2; }));
-  cr_expect_eq(bench.lists[0].askedAt, 200);
-  cr_expect_eq(bench.lists[1].askedAt, 100, "whoever keeps lists can tell that it is older");
+  cr_assert(harness.until([&] { return harness.lists.size() == 2; }));
+  cr_expect_eq(harness.lists[0].askedAt, 200);
+  cr_expect_eq(harness.lists[1].askedAt, 100, "the receiver must be able to tell that this list is older");
 }
--- a/tests/platform.cpp
+++ b/tests/platform.cpp
@@ -14,7 +14,7 @@
 using namespace tt;
 
 namespace {
-const std::string wholeConfig = R"({"Revision":12,"Routes":[
+const std::string fullConfig = R"({"Revision":12,"Routes":[
   {"Name":"r-zeta","Hostname":"one.example","PathPrefix":"/alpha/","RouteKind":"streaming","TimeoutMs":9000,
    "TargetLatencyMs":750,"Priority":2,"TrafficSplit":[{"Backend":"mill","Weight":70},{"Backend":"mill","Weight":30,"Note":"späť/\"x\""}],
    "MaxAttempts":3,"Public":false,"Sticky":true,"Resumable":true,"GapTargetMs":350,"Fresh":{"Deep":[1,null,{"a":0.1}]}},
@@ -37,20 +37,20 @@
   return read.value();
 }
 JsonObject sectionsOf(const OperatorChange& change) { return parsed(change.sections).get<JsonObject>(); }
-JsonObject readWhole(const std::string& text) {
+JsonObject readFullConfig(const std::string& text) {
   auto change = readConfig(text);
   cr_assert(bool(change), "%s: %s", change.error().subject.c_str(), change.error().text.c_str());
   return sectionsOf(change.value());
 }
-/// A patch's edits made into whole items of the version that they build on.
+/// Resolves the edits of a patch into complete items, based on the current sections.
 JsonObject resolved(const JsonObject& sections, JsonObject patch) {
-  std::map<std::string, JsonObject> known;
-  for (const auto& [section, items] : sections) known[section] = items.get<JsonObject>();
-  auto done = resolveEdits(patch, known);
+  std::map<std::string, JsonObject> currentItems;
+  for (const auto& [section, items] : sections) currentItems[section] = items.get<JsonObject>();
+  auto done = resolveEdits(patch, currentItems);
   cr_assert(bool(done), "%s", bool(done) ? "" : done.error().subject.c_str());
   return patch;
 }
-/// Puts a patch in force as items that are replaced whole.
+/// Applies a patch by replacing complete items.
 void replaceItems(JsonObject& sections, const JsonObject& edits) {
   for (const auto& [section, items] : resolved(sections, edits))
     for (const auto& [name, item] : items.get<JsonObject>()) {
@@ -61,35 +61,36 @@
         target[name] = item;
     }
 }
-std::string replaced(std::string text, const std::string& old, const std::string& fresh) {
-  auto place = text.find(old);
-  cr_assert_neq(place, std::string::npos, "%s", old.c_str());
-  return text.replace(place, old.size(), fresh);
+std::string replaced(std::string text, const std::string& old, const std::string& replacement) {
+  auto position = text.find(old);
+  cr_assert_neq(position, std::string::npos, "%s", old.c_str());
+  return text.replace(position, old.size(), replacement);
 }
+/// Reads 4000 random mutations of a valid text; the seed is fixed.
 template <class Read>
 void mutate(const std::string& valid, Read read) {
   std::mt19937 random(20240817);
-  const std::string signs = "\"\\{}[]:,0123456789-+.eEu\n\x01\xff tfn";
+  const std::string characters = "\"\\{}[]:,0123456789-+.eEu\n\x01\xff tfn";
   auto pick = [&](std::size_t count) { return std::uniform_int_distribution<std::size_t>(0, count - 1)(random); };
   for (int round = 0; round < 4000; ++round) {
     std::string text = valid;
     for (std::size_t left = 1 + pick(4); left && !text.empty(); --left) {
-      std::size_t place = pick(text.size());
+      std::size_t position = pick(text.size());
       switch (pick(5)) {
         case 0:
-          text[place] = static_cast<char>(pick(256));
+          text[position] = static_cast<char>(pick(256));
           break;
         case 1:
-          text[place] = signs[pick(signs.size())];
+          text[position] = characters[pick(characters.size())];
           break;
         case 2:
-          text.erase(place, 1 + pick(8));
+          text.erase(position, 1 + pick(8));
           break;
         case 3:
-          text.insert(place, text.substr(pick(text.size()), pick(20)));
+          text.insert(position, text.substr(pick(text.size()), pick(20)));
           break;
         default:
-          text.resize(place);
+          text.resize(position);
       }
     }
     read(text);
@@ -127,13 +128,13 @@
     R"({"Phase":"colocated","Models":[{"Name":"moss7","Revision":4}],"Saturated":true,"CallSeq":5,"Queued":2,"Active":11,"KvUsed":4100,"KvTotal":9000,"Handles":0})";
 }  // namespace
 
-Test(operator_wire, gives_back_what_was_sent) {
-  auto change = readConfig(wholeConfig);
+Test(operator_wire, a_configuration_round_trips) {
+  auto change = readConfig(fullConfig);
   cr_assert(bool(change), "%s", change.error().subject.c_str());
   cr_assert_eq(change.value().revision, 12u);
   auto sections = sectionsOf(change.value());
   auto again = parsed(writeConfig(12, sections));
-  cr_assert(again == parsed(wholeConfig), "%s", again.serialize().c_str());
+  cr_assert(again == parsed(fullConfig), "%s", again.serialize().c_str());
   for (const char* section : {"routes", "services", "tenants", "limits", "extra"}) cr_assert(sections.count(section));
   auto route = sections["routes"].get("r-zeta");
   cr_assert_eq(stringOr(route, "repeat"), "stream");
@@ -149,18 +150,18 @@
   cr_assert(boolOr(sections["tenants"].get("olm"), "isolated", false));
 }
 
-Test(operator_wire, keeps_what_is_absent_absent) {
+Test(operator_wire, absent_lists_stay_absent) {
   for (std::string text : {R"({"Revision":1})", R"({"Revision":1,"Routes":[],"Backends":[],"Tenants":[],"Limits":{}})",
                            R"({"Revision":1,"Routes":null,"Limits":null,"Tenants":[]})"}) {
-    auto sections = readWhole(text);
+    auto sections = readFullConfig(text);
     for (const char* section : {"routes", "services", "tenants", "limits", "extra"})
       cr_assert(sections.count(section) && sections[section].is<JsonObject>());
     cr_assert(parsed(writeConfig(1, sections)) == parsed(text), "%s", writeConfig(1, sections).c_str());
   }
 }
 
-Test(operator_wire, patches_named_items_in_their_places) {
-  auto sections = readWhole(wholeConfig);
+Test(operator_wire, patched_items_keep_their_order) {
+  auto sections = readFullConfig(fullConfig);
   auto change = readConfigPatch(R"({"Revision":15,"Upsert":{
       "Routes":[{"Name":"r-new","Backend":"weir","PathPrefix":"/n/"},{"Name":"r-zeta","Backend":"mill","TimeoutMs":10},{"Name":"r-newer","Backend":"weir"}],
       "Tenants":[{"Name":"olm","ApiKeys":["key-c"]}],"Limits":{"IdleTimeoutMs":7},"Later":[{"Name":"l-1","X":5},{"Name":"l-3"}]},
@@ -185,8 +186,8 @@
   cr_assert(config.get("Mark") == parsed("9007199254740991"));
 }
 
-Test(operator_wire, patch_brings_in_a_list_that_was_absent) {
-  auto sections = readWhole(R"({"Revision":1,"Backends":[]})");
+Test(operator_wire, a_patch_adds_an_absent_list) {
+  auto sections = readFullConfig(R"({"Revision":1,"Backends":[]})");
   auto change = readConfigPatch(R"({"Revision":2,"Upsert":{"Tenants":[{"Name":"olm","ApiKeys":["k"]}]}})");
   cr_assert(bool(change));
   replaceItems(sections, sectionsOf(change.value()));
@@ -197,9 +198,9 @@
   cr_assert(config == parsed(R"({"Revision":3,"Backends":[],"Tenants":[]})"), "%s", config.serialize().c_str());
 }
 
-Test(operator_wire, faults_name_the_item) {
+Test(operator_wire, errors_name_the_item) {
   struct Case {
-    std::string old, fresh, subject;
+    std::string old, replacement, subject;
     Code code;
   };
   const std::vector<Case> cases{
@@ -238,9 +239,9 @@
       {"\"key-a\"", "7", "Tenants.olm.ApiKeys[1]", Code::badField},
       {"\"ApiKeys\":[]", "\"ApiKeys\":[\"key-a\"]", "Tenants.asp.ApiKeys", Code::blueprintBad},
   };
-  for (const auto& [old, fresh, subject, code] : cases) {
-    auto change = readConfig(replaced(wholeConfig, old, fresh));
-    cr_assert_not(bool(change), "%s", fresh.c_str());
+  for (const auto& [old, replacement, subject, code] : cases) {
+    auto change = readConfig(replaced(fullConfig, old, replacement));
+    cr_assert_not(bool(change), "%s", replacement.c_str());
     cr_expect_eq(change.error().subject, subject, "%s: %s", subject.c_str(), change.error().subject.c_str());
     cr_expect_eq(change.error().code, code, "%s: %s", subject.c_str(), codeName(change.error().code));
     cr_expect_eq(codeStatus(change.error().code), 400);
@@ -264,7 +265,7 @@
   }
 }
 
-Test(operator_wire, reads_the_number_of_new_weights) {
+Test(operator_wire, reads_the_new_weights_revision) {
   auto put = readVersionPut(R"({"Model":"moss7","Revision":3,"More":[]})");
   cr_assert(bool(put));
   cr_assert_eq(put.value().first, "moss7");
@@ -299,10 +300,10 @@
   cr_assert_eq(site.cloudAddress, "10.200.0.1:8600");
   cr_assert_eq(site.cloudRatePerS, 33.5);
   cr_assert(site.cloudDuties.empty() && site.cloudMaxLag == 650ms);
-  cr_assert(site.unreadFields.empty());
+  cr_assert(site.invalidFields.empty());
 }
 
-Test(settings, faults_name_the_needed_field) {
+Test(settings, errors_name_the_required_field) {
   for (std::string field : {"NodeName", "Ip", "Zone", "InternalPorts", "SeedPeers", "ListenAddrs.Front",
                             "ListenAddrs.Readiness", "ListenAddrs.Control", "DataDir"}) {
     auto read = readSettings(withoutField(field));
@@ -332,13 +333,13 @@
   }
 }
 
-Test(settings, needs_only_what_the_role_serves) {
+Test(settings, requires_only_the_fields_of_its_duties) {
   auto read = readSettings(
       "NodeName=n\nServes=\nIp=10.0.0.1\nZone=z\nInternalPorts=5,5\nSeedPeers=\nLimits.MaxFds=many\nstray\n");
   cr_assert(bool(read), "%s", read.error().subject.c_str());
   cr_assert(read.value().seedPeers.empty() && read.value().serves.empty());
   cr_assert_eq(read.value().maxFds, 4100);
-  cr_assert_eq(read.value().unreadFields.size(), 2u);
+  cr_assert_eq(read.value().invalidFields.size(), 2u);
 }
 
 Test(settings, reads_the_file_that_is_named) {
@@ -388,8 +389,8 @@
   cr_assert_eq(readWorkerReport(replaced(reportBody, "true", "1")).error().subject, "Saturated");
 }
 
-Test(backend_wire, reads_kept_parts) {
-  auto events = readKeptEvents(eventsBody);
+Test(backend_wire, reads_cached_parts) {
+  auto events = readCachedPartEvents(eventsBody);
   cr_assert(bool(events), "%s", events.error().text.c_str());
   cr_assert(events.value().epoch == 9912 && events.value().nextToken == 502 && !events.value().lost);
   const auto& rows = events.value().events;
@@ -398,44 +399,45 @@
             rows[0].tokens == 640);
   cr_assert(!rows[1].added && rows[1].salt.empty() && rows[1].id == "cd\"34\xf0\x9f\x98\x80" &&
             rows[1].model == "moss7");
-  auto list = readKeptList(listBody);
+  auto list = readCachedPartList(listBody);
   cr_assert(bool(list), "%s", list.error().text.c_str());
   cr_assert(list.value().held.size() == 2 && list.value().held[1].id == "cd34" && list.value().held[1].model == "fern");
-  cr_assert(readKeptEvents(R"( { "Events" : [ ] , "Lost" : true , "Epoch" : 18446744073709551615 , "NextToken" : 0 } )")
-                .value()
-                .lost);
+  cr_assert(
+      readCachedPartEvents(R"( { "Events" : [ ] , "Lost" : true , "Epoch" : 18446744073709551615 , "NextToken" : 0 } )")
+          .value()
+          .lost);
 }
 
-Test(backend_wire, turns_malformed_rows_away) {
+Test(backend_wire, rejects_malformed_rows) {
   const std::string row = R"([501,"+","salt-1","ab12",640,"moss7"])";
-  for (std::string fresh :
+  for (std::string replacement :
        {R"([501,"*","s","ab12",640,"m"])", R"([501,"+","s","ab12",640])", R"([501,"+","s","ab12",640,"m",1])",
         R"(["501","+","s","ab12",640,"m"])", R"([501,"+","s","ab12",-1,"m"])", R"([501,"+","s","ab12",6.5,"m"])",
         R"([501,"+","s","ab12",99999999999,"m"])", R"([501,"+",null,"ab12",640,"m"])", R"([501,"+","s","",640,"m"])",
         R"([501,"+","s","ab12",0640,"m"])", R"([501,"+","s","ab\x",640,"m"])", R"([501,"+","s","a\ud800",640,"m"])",
         R"([501 "+","s","ab12",640,"m"])", R"([])", R"({})", R"(7)", R"(null)", "",
         "[501,\"+\",\"s\n\",\"ab12\",640,\"m\"]"})
-    cr_assert_not(bool(readKeptEvents(replaced(eventsBody, row, fresh))), "%s", fresh.c_str());
+    cr_assert_not(bool(readCachedPartEvents(replaced(eventsBody, row, replacement))), "%s", replacement.c_str());
   for (const char* field : {"Epoch", "NextToken", "Lost", "Events"})
-    cr_assert_eq(readKeptEvents(replaced(eventsBody, field, "Else")).error().subject, field);
+    cr_assert_eq(readCachedPartEvents(replaced(eventsBody, field, "Else")).error().subject, field);
   for (const char* field : {"Epoch", "NextToken", "Held"})
-    cr_assert_eq(readKeptList(replaced(listBody, field, "Else")).error().subject, field);
+    cr_assert_eq(readCachedPartList(replaced(listBody, field, "Else")).error().subject, field);
   for (std::size_t length = 0; length < eventsBody.size(); ++length)
-    cr_assert_not(bool(readKeptEvents(eventsBody.substr(0, length))), "%zu", length);
+    cr_assert_not(bool(readCachedPartEvents(eventsBody.substr(0, length))), "%zu", length);
   for (std::size_t length = 0; length < listBody.size(); ++length)
-    cr_assert_not(bool(readKeptList(listBody.substr(0, length))));
-  cr_assert_not(bool(readKeptEvents(eventsBody + "x")));
-  cr_assert_not(bool(readKeptList(replaced(listBody, "[[", R"([["s",[],1,"m"],[)"))));
+    cr_assert_not(bool(readCachedPartList(listBody.substr(0, length))));
+  cr_assert_not(bool(readCachedPartEvents(eventsBody + "x")));
+  cr_assert_not(bool(readCachedPartList(replaced(listBody, "[[", R"([["s",[],1,"m"],[)"))));
   cr_assert_not(
-      bool(readKeptList(replaced(listBody, "\"Epoch\"", "\"Deep\":" + std::string(100000, '[') + ",\"Epoch\""))));
+      bool(readCachedPartList(replaced(listBody, "\"Epoch\"", "\"Deep\":" + std::string(100000, '[') + ",\"Epoch\""))));
 }
 
-Test(backend_wire, writes_an_order_and_reads_headers) {
+Test(backend_wire, writes_a_command_and_reads_headers) {
   cr_assert(
-      parsed(writeRevisionOrder("moss7", 4, "retain", "node-2", 77, 9)) ==
+      parsed(writeRevisionCommand("moss7", 4, "retain", "node-2", 77, 9)) ==
       parsed(
           R"({"OpKind":"Revision","Model":"moss7","Revision":4,"Method":"retain","Holder":"node-2","FenceToken":77,"ExpectedCount":9})"));
-  cr_assert_not(parsed(writeRevisionOrder("m", 1, "queue", "n", 1, std::nullopt)).contains("ExpectedCount"));
+  cr_assert_not(parsed(writeRevisionCommand("m", 1, "queue", "n", 1, std::nullopt)).contains("ExpectedCount"));
   auto parts = readPromptPrefix("ab12:800, cd34:41");
   cr_assert(bool(parts));
   const std::vector<std::pair<std::string, int>> wanted{{"ab12", 800}, {"cd34", 41}};
@@ -452,11 +454,11 @@
 }
 
 Test(platform, survives_mutated_bodies) {
-  auto sections = readWhole(wholeConfig);
+  auto sections = readFullConfig(fullConfig);
   const std::string patch =
       R"({"Revision":15,"Upsert":{"Routes":[{"Name":"r-new","Backend":"weir","TrafficSplit":[{"Backend":"mill","Weight":3}]}],)"
       R"("Limits":{"IdleTimeoutMs":7},"Later":[{"Name":"l-1"}]},"Remove":{"Routes":["r-alpha"],"Later":["l-2"]}})";
-  mutate(wholeConfig, [](const std::string& text) {
+  mutate(fullConfig, [](const std::string& text) {
     auto change = readConfig(text);
     if (!change) {
       cr_assert_neq(change.error().subject, "");
@@ -489,16 +491,16 @@
     cr_assert_eq(whole.get(list).get<JsonArray>().size(), rows, "%s", text.c_str());
   };
   mutate(eventsBody, [&](const std::string& text) {
-    auto kept = readKeptEvents(text);
+    auto kept = readCachedPartEvents(text);
     check(text, bool(kept), kept ? kept.value().events.size() : 0, "Events");
   });
   mutate(listBody, [&](const std::string& text) {
-    auto kept = readKeptList(text);
+    auto kept = readCachedPartList(text);
     check(text, bool(kept), kept ? kept.value().held.size() : 0, "Held");
   });
 }
 
-Test(platform, product_holds_no_word_of_the_platforms_wire) {
+Test(platform, sources_contain_no_names_of_the_platforms_wire_format) {
   const std::vector<std::string> words{
       "X-Attempt-Id",      "X-Deadline-Ms",     "X-Prompt-Prefix", "X-Server-Seal", "X-Tenant",
       "X-Target-Instance", "X-Instance-Load",   "X-Not-Executed",  "X-Instance-Id", "X-Token-Counts",
@@ -517,7 +519,7 @@
       text << std::ifstream(entry.path(), std::ios::binary).rdbuf();
       ++filesRead;
       for (const auto& word : words)
-        cr_expect_eq(text.str().find(word), std::string::npos, "%s holds %s", entry.path().c_str(), word.c_str());
+        cr_expect_eq(text.str().find(word), std::string::npos, "%s contains %s", entry.path().c_str(), word.c_str());
     }
   cr_assert_gt(filesRead, 20);
 }
--- a/tests/proxy_bench.hpp
+++ b/tests/proxy_bench.hpp
@@ -3,71 +3,74 @@
 #include "exchanges.hpp"
 #include "raw_server.hpp"
 
-/// A proxy's whole way between callers and workers, over real sockets: gate, logic, calls, and workers that answer with
-/// scripts of raw bytes. Only its agent is played.
+/// Test harness for a proxy's path between clients and workers over real sockets: HTTP server, router, calls, and
+/// workers that respond with scripted raw bytes. The agent is simulated.
 namespace raw {
 
-/// What a caller got.
-struct Got {
+/// The response that a client received.
+struct ClientResponse {
   int status{0};
   HttpHeaders headers;
   std::string body, text;
-  /// The answer's end came as its head said that it would.
-  bool whole{false};
+  /// Whether the body ended as its framing requires.
+  bool complete{false};
   std::string header(const std::string& name) const {
     const auto* found = findHeader(headers, name);
     return found ? *found : std::string();
   }
 };
 
-inline Got readAnswer(const std::string& text) {
-  Got got;
-  got.text = text;
+/// Parses the bytes that a client received until its connection ended.
+inline ClientResponse parseResponse(const std::string& text) {
+  ClientResponse response;
+  response.text = text;
   auto end = text.find("\r\n\r\n");
-  if (text.rfind("HTTP/1.1 ", 0) != 0 || end == std::string::npos) return got;
-  got.status = std::stoi(text.substr(9, 3));
+  if (text.rfind("HTTP/1.1 ", 0) != 0 || end == std::string::npos) return response;
+  response.status = std::stoi(text.substr(9, 3));
   for (std::size_t line = text.find("\r\n") + 2; line < end + 2;) {
     auto stop = text.find("\r\n", line);
     auto colon = text.find(": ", line);
-    got.headers.emplace_back(text.substr(line, colon - line), text.substr(colon + 2, stop - colon - 2));
+    response.headers.emplace_back(text.substr(line, colon - line), text.substr(colon + 2, stop - colon - 2));
     line = stop + 2;
   }
   std::string rest = text.substr(end + 4);
-  if (got.header("Transfer-Encoding") != "chunked") {
-    got.body = rest;
-    got.whole = rest.size() == std::stoul("0" + got.header("Content-Length"));
-    return got;
+  if (response.header("Transfer-Encoding") != "chunked") {
+    response.body = rest;
+    response.complete = rest.size() == std::stoul("0" + response.header("Content-Length"));
+    return response;
   }
   while (true) {
     auto line = rest.find("\r\n");
-    if (line == std::string::npos) return got;
+    if (line == std::string::npos) return response;
     std::size_t size = std::stoul(rest.substr(0, line), nullptr, 16);
     if (size == 0) {
-      got.whole = rest == "0\r\n\r\n";
-      return got;
+      response.complete = rest == "0\r\n\r\n";
+      return response;
     }
-    got.body += rest.substr(line + 2, size);
-    if (rest.size() < line + 2 + size + 2) return got;
+    response.body += rest.substr(line + 2, size);
+    if (rest.size() < line + 2 + size + 2) return response;
     rest.erase(0, line + 2 + size + 2);
   }
 }
 
+/// The value of a request's header; empty if it is absent.
 inline std::string headerIn(const std::string& request, const std::string& name) {
   auto at = request.find("\r\n" + name + ": ");
   if (at == std::string::npos) return {};
   at += name.size() + 4;
   return request.substr(at, request.find("\r\n", at) - at);
 }
-/// The two headers that every answer of a worker to this request carries.
-inline std::string stamped(const std::string& request, const std::string& seal = "seal-1") {
+/// The two headers that a worker sets in each response to this request.
+inline std::string workerHeaders(const std::string& request, const std::string& seal = "seal-1") {
   return "X-Attempt-Id: " + headerIn(request, "X-Attempt-Id") + "\r\nX-Server-Seal: " + seal + "\r\n";
 }
 
-class ProxyBench {
+/// A proxy with scripted workers on one event loop, which the test runs.
+class ProxyHarness {
  public:
   using Script = std::function<void(const RawServer::Held& held, const std::string& request)>;
 
-  explicit ProxyBench(std::size_t workers = 2, Duration pendingTimeout = 1500ms) {
+  explicit ProxyHarness(std::size_t workers = 2, Duration pendingTimeout = 1500ms) {
     ProxyRouterSettings settings;
     settings.name = "proxy-1";
     settings.address = "proxy-1:1";
@@ -77,21 +80,21 @@
     settings.pendingTimeout = pendingTimeout;
     settings.fetchWithinRequest = settings.letOpenRequestsFinish = true;
     settings.minRetriesPerWindow = 10000;
-    edge = std::make_unique<ProxyRouter>(settings);
-    host = std::make_unique<NodeHost>(*edge, io, 20ms);
+    router = std::make_unique<ProxyRouter>(settings);
+    host = std::make_unique<NodeHost>(*router, io, 20ms);
     calls = std::make_unique<HttpClient>(io);
     exchanges = std::make_unique<Exchanges>(
         *calls, "proxy-1", [this](const std::string& from, const Message& message) { host->handle(from, message); },
-        [this] { return edge->fresh(Clock::now()); });
-    gate = std::make_unique<HttpServer>(io, "127.0.0.1:0",
-                                        [this](HttpRequest request, std::shared_ptr<ResponseWriter> answer) {
-                                          exchanges->handle(std::move(request), std::move(answer));
-                                        });
+        [this] { return router->fresh(Clock::now()); });
+    server = std::make_unique<HttpServer>(io, "127.0.0.1:0",
+                                          [this](HttpRequest request, std::shared_ptr<ResponseWriter> response) {
+                                            exchanges->handle(std::move(request), std::move(response));
+                                          });
     host->sendMessage = [this](const std::string& to, Message&& message) {
       if (exchanges->sendMessage(to, message)) return;
-      if (auto* ask = std::get_if<FeedAsk>(&message); ask && feeds)
+      if (auto* ask = std::get_if<FeedAsk>(&message); ask && feedEnabled)
         asio::post(io, [this, sentAt = ask->sentAt] {
-          host->handle("agent:1", FeedReply{sentAt, 0, edge->configuration().index(), true});
+          host->handle("agent:1", FeedReply{sentAt, 0, router->configuration().index(), true});
         });
     };
     for (std::size_t number = 0; number < workers; ++number)
@@ -100,27 +103,27 @@
             ++arrivals;
             script(held, request);
           }));
-    cr_assert(bool(gate->open()));
+    cr_assert(bool(server->open()));
     host->start();
     declare();
-    tellWorkers();
-    cr_assert(until([&] { return edge->ready(Clock::now()); }));
+    publishWorkers();
+    cr_assert(until([&] { return router->ready(Clock::now()); }));
   }
-  ~ProxyBench() {
+  ~ProxyHarness() {
     host->stop();
-    gate->close();
+    server->close();
     calls.reset();
   }
-  bool until(const std::function<bool()>& done, Duration most = 5s) {
-    auto limit = Clock::now() + most;
+  bool until(const std::function<bool()>& done, Duration maxWait = 5s) {
+    auto limit = Clock::now() + maxWait;
     while (!done() && Clock::now() < limit) {
       io.restart();
       io.run_one_until(limit);
     }
     return done();
   }
-  void pass(Duration span) {
-    until([] { return false; }, span);
+  void pass(Duration duration) {
+    until([] { return false; }, duration);
   }
 
   struct Client {
@@ -133,7 +136,7 @@
   std::shared_ptr<Client> begin(const std::string& target, const std::string& headers = {},
                                 const std::string& body = "body") {
     auto client = std::make_shared<Client>(io);
-    client->socket.connect({asio::ip::address_v4::loopback(), gate->port()});
+    client->socket.connect({asio::ip::address_v4::loopback(), server->port()});
     std::string id = "X-Attempt-Id: a-" + std::to_string(++lastAttempt) + "\r\n";
     if (headers.find("X-Attempt-Id") != std::string::npos) id.clear();
     std::string deadline = headers.find("X-Deadline-Ms") == std::string::npos ? "X-Deadline-Ms: 4000\r\n" : "";
@@ -144,11 +147,11 @@
     read(client);
     return client;
   }
-  Got finish(const std::shared_ptr<Client>& client) {
-    cr_assert(until([&] { return client->ended; }), "the caller's connection must end");
-    return readAnswer(client->text);
+  ClientResponse finish(const std::shared_ptr<Client>& client) {
+    cr_assert(until([&] { return client->ended; }), "the client's connection must end");
+    return parseResponse(client->text);
   }
-  Got ask(const std::string& target, const std::string& headers = {}, const std::string& body = "body") {
+  ClientResponse ask(const std::string& target, const std::string& headers = {}, const std::string& body = "body") {
     return finish(begin(target, headers, body));
   }
   std::size_t copies(const std::string& marker) const {
@@ -156,11 +159,11 @@
     for (const auto& server : servers) count += server->copies(marker);
     return count;
   }
-  void tellWorkers() {
-    CellNews news;
-    news.zone = "north-a";
-    news.term = 1;
-    news.sequence = ++newsCount;
+  void publishWorkers() {
+    CellNews update;
+    update.zone = "north-a";
+    update.term = 1;
+    update.sequence = ++updateCount;
     std::vector<Machine> machines;
     for (std::size_t number = 0; number < servers.size(); ++number) {
       WorkerView row;
@@ -171,7 +174,7 @@
       row.slots = 64;
       row.alive = row.confirmed = true;
       row.service = "mill";
-      news.workers.push_back(row);
+      update.workers.push_back(row);
       Machine machine;
       machine.name = row.name;
       machine.address = row.address;
@@ -180,24 +183,24 @@
       machine.service = "mill";
       machines.push_back(machine);
     }
-    host->handle("agent:1", news);
+    host->handle("agent:1", update);
     host->handle("agent:1", MarksMsg{0, machines});
   }
 
   asio::io_context io;
-  std::unique_ptr<ProxyRouter> edge;
+  std::unique_ptr<ProxyRouter> router;
   std::unique_ptr<NodeHost> host;
   std::unique_ptr<HttpClient> calls;
   std::unique_ptr<Exchanges> exchanges;
-  std::unique_ptr<HttpServer> gate;
+  std::unique_ptr<HttpServer> server;
   std::vector<std::unique_ptr<RawServer>> servers;
   Script script;
   std::size_t arrivals{0};
-  bool feeds{true};
+  bool feedEnabled{true};
 
  private:
   int lastAttempt{0};
-  Uint64 newsCount{0};
+  Uint64 updateCount{0};
 
   void declare() {
     Configuration view;
@@ -211,10 +214,10 @@
         ChangeFormat::patch);
     cr_assert(bool(patch));
     view.apply(LogEntry{1, 1, static_cast<int>(EntryKind::change), patch.value(), {}, 1});
-    NewsMsg news;
-    news.commit = 1;
-    news.snapshots.push_back(view.snapshot());
-    host->handle("agent:1", news);
+    NewsMsg update;
+    update.commit = 1;
+    update.snapshots.push_back(view.snapshot());
+    host->handle("agent:1", update);
   }
   void read(const std::shared_ptr<Client>& client) {
     client->socket.async_read_some(asio::buffer(client->piece),
--- a/tests/proxy_fixture.hpp
+++ b/tests/proxy_fixture.hpp
@@ -8,13 +8,14 @@
 #include "gate_fixture.hpp"
 #include "roles.hpp"
 
-/// What tests of a whole proxy share: a proxy in a process of its own, an agent that feeds it, and workers on raw
-/// sockets whose every byte the test writes.
+/// Fixture for tests of a proxy process: a proxy in a process of its own, an agent that sends it updates, and workers
+/// on raw sockets for which the test writes every byte.
 namespace tt::proxytest {
 using namespace tt::gatetest;
 
+/// Returns the first of count consecutive free ports. The range depends on the process id, as tests run in parallel.
 inline unsigned short freePorts(int count) {
-  for (int base = 21000 + ::getpid() % 2000 * 10; base < 60000; base += count) {
+  for (int firstPort = 21000 + ::getpid() % 2000 * 10; firstPort < 60000; firstPort += count) {
     asio::io_context io;
     std::vector<asio::ip::tcp::acceptor> held;
     asio::error_code error;
@@ -22,26 +23,27 @@
       held.emplace_back(io);
       held.back().open(asio::ip::tcp::v4(), error);
       if (!error)
-        held.back().bind({asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(base + at)}, error);
+        held.back().bind({asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(firstPort + at)}, error);
     }
-    if (!error) return static_cast<unsigned short>(base);
+    if (!error) return static_cast<unsigned short>(firstPort);
   }
   cr_assert_fail("no free ports");
   return 0;
 }
 
-/// A worker's connection: what the proxy sent on it, and what the worker says.
-class WorkerSide {
+/// The worker's end of a connection from the proxy.
+class WorkerConnection {
  public:
-  explicit WorkerSide(int accepted) : handle(accepted) {}
-  WorkerSide(WorkerSide&& other) noexcept : handle(std::exchange(other.handle, -1)), unread(std::move(other.unread)) {}
-  WorkerSide& operator=(WorkerSide&& other) noexcept {
+  explicit WorkerConnection(int accepted) : handle(accepted) {}
+  WorkerConnection(WorkerConnection&& other) noexcept
+      : handle(std::exchange(other.handle, -1)), unread(std::move(other.unread)) {}
+  WorkerConnection& operator=(WorkerConnection&& other) noexcept {
     std::swap(handle, other.handle);
     std::swap(unread, other.unread);
     return *this;
   }
-  ~WorkerSide() { close(); }
-  /// The next request with its body; empty if none comes or the connection ends.
+  ~WorkerConnection() { close(); }
+  /// The next request with its body; empty if none arrives in time or the connection ends.
   std::string request(Duration wait = 5s) {
     while (true) {
       auto end = unread.find("\r\n\r\n");
@@ -49,15 +51,15 @@
         std::size_t size = end + 4;
         if (auto length = unread.find("Content-Length: "); length < end) size += std::stoul(unread.substr(length + 16));
         if (unread.size() >= size) {
-          auto whole = unread.substr(0, size);
+          auto complete = unread.substr(0, size);
           unread.erase(0, size);
-          return whole;
+          return complete;
         }
       }
       if (!fill(wait)) return {};
     }
   }
-  /// Whether the proxy has ended the connection.
+  /// Whether the proxy closes the connection within the time.
   bool ended(Duration wait = 5s) {
     while (fill(wait)) {
     }
@@ -79,8 +81,8 @@
   std::string unread;
   bool over{false};
   bool fill(Duration wait) {
-    pollfd facts{handle, POLLIN, 0};
-    if (::poll(&facts, 1, static_cast<int>(toMilliseconds(wait))) <= 0) return false;
+    pollfd descriptors{handle, POLLIN, 0};
+    if (::poll(&descriptors, 1, static_cast<int>(toMilliseconds(wait))) <= 0) return false;
     char bytes[16384];
     auto size = ::recv(handle, bytes, sizeof bytes, 0);
     over = size <= 0;
@@ -89,10 +91,10 @@
   }
 };
 
-/// Where a worker listens.
-class WorkerDoor {
+/// Listening socket of a worker.
+class WorkerListener {
  public:
-  WorkerDoor() : acceptor(io, asio::ip::tcp::endpoint(asio::ip::address_v4::loopback(), 0)) {}
+  WorkerListener() : acceptor(io, asio::ip::tcp::endpoint(asio::ip::address_v4::loopback(), 0)) {}
   std::string address() const { return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()); }
   int handle() { return acceptor.native_handle(); }
 
@@ -101,7 +103,7 @@
   asio::ip::tcp::acceptor acceptor;
 };
 
-/// A role of the platform's program in a process of its own, which dies with the test.
+/// Runs a role of the platform's program in a child process that is killed when the test ends.
 class RoleProcess {
  public:
   RoleProcess(const SiteSettings& settings, int (*role)(const SiteSettings&)) : id(::fork()) {
@@ -118,7 +120,7 @@
     ::waitpid(id, nullptr, 0);
   }
   void signal(int number) { ::kill(id, number); }
-  /// Waits for the process's own end.
+  /// Whether the process exits within the time.
   bool hasEnded(Duration wait) {
     bool over = soon([this] { return ::waitpid(id, nullptr, WNOHANG) == id; }, wait);
     if (over) id = 0;
@@ -129,26 +131,27 @@
   pid_t id;
 };
 
+/// A proxy process with its simulated agent and workers.
 class Proxy {
  public:
   explicit Proxy(std::size_t workers = 1, Duration grace = 8s)
-      : base(freePorts(5)), doors(workers), context(), work(context.get_executor()) {
+      : firstPort(freePorts(5)), listeners(workers), context(), work(context.get_executor()) {
     SiteSettings settings;
     settings.nodeName = "edge-1";
     settings.ip = "127.0.0.1";
     settings.zone = "north-a";
-    settings.internalPortFirst = base;
-    settings.internalPortLast = base + 2;
+    settings.internalPortFirst = firstPort;
+    settings.internalPortLast = firstPort + 2;
     settings.frontAddress = at(3);
     settings.readinessAddress = at(4);
     settings.bounds.grace = grace;
     process = std::make_unique<RoleProcess>(settings, runProxy);
-    hub = std::make_unique<PeerTransport>(context, at(1), [this](const std::string& from, Message message) {
+    transport = std::make_unique<PeerTransport>(context, at(1), [this](const std::string& from, Message message) {
       if (auto* ask = std::get_if<FeedAsk>(&message)) feed(from, *ask);
     });
-    cr_assert(bool(hub->listen()));
+    cr_assert(bool(transport->listen()));
     thread = std::thread([this] { context.run(); });
-    declare(R"({"services":{"mill":{}},"routes":{
+    applyPatch(R"({"services":{"mill":{}},"routes":{
       "safe":{"host":"a","prefix":"/","service":"mill","repeat":"safe","tries":3,"timeoutMs":8000},
       "once":{"host":"a","prefix":"/once/","service":"mill","repeat":"once","tries":1,"timeoutMs":8000}}})");
     cr_assert(soon([this] { return isReady(); }, 10s), "the proxy must become ready");
@@ -158,9 +161,9 @@
     context.stop();
     thread.join();
   }
-  unsigned short front() const { return static_cast<unsigned short>(base + 3); }
-  /// Brings a change into force and waits until the proxy has it.
-  void declare(const std::string& patch) {
+  unsigned short front() const { return static_cast<unsigned short>(firstPort + 3); }
+  /// Applies a configuration patch and waits until the proxy has applied it.
+  void applyPatch(const std::string& patch) {
     std::uint64_t index = 0;
     {
       std::lock_guard<std::mutex> guard(lock);
@@ -171,41 +174,41 @@
     }
     cr_assert(soon([&] { return applied >= index; }, 10s));
   }
-  /// Names a model's weights, which all workers have from now on, and waits until the proxy knows of both.
+  /// Announces a model's weights version, which all workers report from now on, and waits until the proxy has both.
   void name(const std::string& model, const std::string& weights) {
     {
       std::lock_guard<std::mutex> guard(lock);
       workersModel = model;
       workersWeights = weights;
     }
-    declare(R"({"weights":{")" + weights + R"(":{"model":")" + model + R"("}},"models":{")" + model +
-            R"(":{"weights":")" + weights + R"("}}})");
+    applyPatch(R"({"weights":{")" + weights + R"(":{"model":")" + model + R"("}},"models":{")" + model +
+               R"(":{"weights":")" + weights + R"("}}})");
     auto enough = fed + 2;
     cr_assert(soon([&] { return fed >= enough; }, 10s));
   }
-  /// The next connection that the proxy makes to any worker.
-  WorkerSide accept(Duration wait = 5s) {
-    std::vector<pollfd> facts;
-    for (auto& door : doors) facts.push_back(pollfd{door.handle(), POLLIN, 0});
-    cr_assert_gt(::poll(facts.data(), facts.size(), static_cast<int>(toMilliseconds(wait))), 0,
-                 "the proxy calls a worker");
-    for (const auto& row : facts)
-      if (row.revents & POLLIN) return WorkerSide(::accept(row.fd, nullptr, nullptr));
-    return WorkerSide(-1);
+  /// Accepts the next connection from the proxy to any worker.
+  WorkerConnection accept(Duration wait = 5s) {
+    std::vector<pollfd> descriptors;
+    for (auto& listener : listeners) descriptors.push_back(pollfd{listener.handle(), POLLIN, 0});
+    cr_assert_gt(::poll(descriptors.data(), descriptors.size(), static_cast<int>(toMilliseconds(wait))), 0,
+                 "the proxy must call a worker");
+    for (const auto& row : descriptors)
+      if (row.revents & POLLIN) return WorkerConnection(::accept(row.fd, nullptr, nullptr));
+    return WorkerConnection(-1);
   }
   bool isCalled(Duration wait = 100ms) {
-    std::vector<pollfd> facts;
-    for (auto& door : doors) facts.push_back(pollfd{door.handle(), POLLIN, 0});
-    return ::poll(facts.data(), facts.size(), static_cast<int>(toMilliseconds(wait))) > 0;
+    std::vector<pollfd> descriptors;
+    for (auto& listener : listeners) descriptors.push_back(pollfd{listener.handle(), POLLIN, 0});
+    return ::poll(descriptors.data(), descriptors.size(), static_cast<int>(toMilliseconds(wait))) > 0;
   }
-  /// Whether it says that it takes new connections.
+  /// Whether the readiness address responds with 200.
   bool isReady() {
     asio::io_context io;
     asio::ip::tcp::socket socket(io);
     asio::error_code error;
-    socket.connect({asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(base + 4)}, error);
+    socket.connect({asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(firstPort + 4)}, error);
     if (error) return false;
-    Caller caller(static_cast<unsigned short>(base + 4));
+    Caller caller(static_cast<unsigned short>(firstPort + 4));
     caller.send("GET /ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
     return has(caller.until("\r\n\r\n"), " 200 ");
   }
@@ -213,11 +216,11 @@
   bool hasEnded(Duration wait) { return process->hasEnded(wait); }
 
  private:
-  unsigned short base;
-  std::vector<WorkerDoor> doors;
+  unsigned short firstPort;
+  std::vector<WorkerListener> listeners;
   asio::io_context context;
   asio::executor_work_guard<asio::io_context::executor_type> work;
-  std::unique_ptr<PeerTransport> hub;
+  std::unique_ptr<PeerTransport> transport;
   std::thread thread;
   std::mutex lock;
   Configuration view;
@@ -226,7 +229,7 @@
   std::string workersModel, workersWeights;
   std::unique_ptr<RoleProcess> process;
 
-  std::string at(int port) const { return "127.0.0.1:" + std::to_string(base + port); }
+  std::string at(int port) const { return "127.0.0.1:" + std::to_string(firstPort + port); }
   void feed(const std::string& to, const FeedAsk& ask) {
     std::lock_guard<std::mutex> guard(lock);
     applied = ask.applied;
@@ -234,17 +237,17 @@
       NewsMsg news;
       news.commit = view.index();
       news.snapshots.push_back(view.snapshot());
-      hub->send(to, news);
+      transport->send(to, news);
     }
     CellNews cell;
     cell.zone = "north-a";
     cell.term = 1;
     cell.sequence = ++sequence;
     MarksMsg marks;
-    for (auto& door : doors) {
+    for (auto& listener : listeners) {
       WorkerView worker;
-      worker.name = "i-" + door.address();
-      worker.address = door.address();
+      worker.name = "i-" + listener.address();
+      worker.address = listener.address();
       worker.zone = "north-a";
       worker.kind = "language";
       worker.slots = 64;
@@ -261,25 +264,26 @@
       cell.workers.push_back(worker);
       marks.machines.push_back(machine);
     }
-    hub->send(to, cell);
-    hub->send(to, marks);
-    hub->send(to, FeedReply{ask.sentAt, 0, view.index(), true});
+    transport->send(to, cell);
+    transport->send(to, marks);
+    transport->send(to, FeedReply{ask.sentAt, 0, view.index(), true});
     ++fed;
   }
 };
 
-/// The value of a request's header.
+/// The value of a header; empty if it is absent.
 inline std::string headerOf(const std::string& text, const std::string& name) {
   auto at = text.find("\r\n" + name + ": ");
   if (at == std::string::npos) return {};
   at += name.size() + 4;
   return text.substr(at, text.find("\r\n", at) - at);
 }
-/// A worker's whole answer to a request, under the request's own id.
-inline std::string answerTo(const std::string& request, const std::string& seal, const std::string& body) {
+/// A worker's complete response to a request, with the attempt id of the request.
+inline std::string responseTo(const std::string& request, const std::string& seal, const std::string& body) {
   return "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + headerOf(request, "X-Attempt-Id") + "\r\nX-Server-Seal: " + seal +
          "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
+/// A GET request with an attempt id.
 inline std::string ask(const std::string& path, const std::string& attempt, const std::string& more = {}) {
   return "GET " + path + " HTTP/1.1\r\nHost: a\r\nX-Attempt-Id: " + attempt + "\r\nX-Deadline-Ms: 8000\r\n" + more +
          "\r\n";
