--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -93,7 +93,7 @@
   /// are engine workers, one of these must be alive.
   bool ready(TimePoint now) const;
   const Configuration& configuration() const { return config; }
-  std::size_t openOrders() const { return requests.size(); }
+  std::size_t openRequests() const { return requests.size(); }
   /// Starts a drain: from now on only the requests that the plan accepts are admitted, and what is open at the plan's
   /// end is ended.
   void drain(const DrainPlan& plan) { drainPlan = plan; }
--- a/src/sim/sim_drain.cpp
+++ b/src/sim/sim_drain.cpp
@@ -27,7 +27,7 @@
   auto& actor = *actors.at(name);
   if (actor.life != life || !actor.alive) return;
   const auto& plan = drains.at(name);
-  bool isEmpty = clock >= plan.refusesFrom && edge(name)->openOrders() == 0;
+  bool isEmpty = clock >= plan.refusesFrom && edge(name)->openRequests() == 0;
   bool safeToStop = clock >= actor.frozenUntil && (isEmpty || clock >= plan.exitsBy);
   if (!safeToStop) return later(stepEvery, [this, name, life] { leaveFurther(name, life); });
   checkGivenUp(name);
--- a/src/tools/main_proxy.cpp
+++ b/src/tools/main_proxy.cpp
@@ -191,7 +191,7 @@
     host.with([&](Effects&) { edge.drain(plan); });
     for (std::size_t open = 1; open > 0 && Clock::now() < plan.exitsBy;) {
       std::this_thread::sleep_for(50ms);
-      host.with([&](Effects&) { open = edge.openOrders(); });
+      host.with([&](Effects&) { open = edge.openRequests(); });
     }
     std::this_thread::sleep_for(lastAnswers);
     server.close();
--- a/tests/drain_plan.cpp
+++ b/tests/drain_plan.cpp
@@ -92,7 +92,7 @@
     cr_expect_eq(status.code, static_cast<int>(Code::stopping));
   }
   cr_expect_eq(proxy.dropCount - dropsBefore, 2u, "their workers are told to drop them");
-  cr_expect_eq(proxy.router->openOrders(), 0u);
+  cr_expect_eq(proxy.router->openRequests(), 0u);
 }
 
 Test(drain_plan, a_pending_request_at_the_end_is_not_run) {
@@ -140,7 +140,7 @@
             !proxy.attemptsOf(row.orderId).empty())
           proxy.finishAttempt(row.orderId, row.outcome);
     }
-    cr_expect_eq(proxy.router->openOrders(), 0u, "seed %lu", seed);
+    cr_expect_eq(proxy.router->openRequests(), 0u, "seed %lu", seed);
     for (const auto& row : submittedRequests) {
       auto status = proxy.finalStatusOf(row.orderId);
       bool endedByDrain = status.code == static_cast<int>(Code::stopping) && status.verdict != "not run";
--- a/tests/load.cpp
+++ b/tests/load.cpp
@@ -636,7 +636,7 @@
   int shed = harness.countShed(400);
   cr_expect_geq(shed, 180, "%d", shed);
   cr_expect_leq(shed, 300, "%d", shed);
-  cr_expect_eq(harness.router->openOrders(), 0u);
+  cr_expect_eq(harness.router->openRequests(), 0u);
   cr_expect_eq(harness.countShed(200, promptTokens, "/free/x"), 0, "a route without a target latency sheds nothing");
   harness.run(950ms);
   cr_expect_gt(harness.countShed(50), 0);
--- a/tests/path_routes.cpp
+++ b/tests/path_routes.cpp
@@ -544,7 +544,7 @@
   harness.run(3s);
   cr_expect_eq(harness.attemptsOf(orderId).size(), 1u);
   cr_expect_eq(harness.finalStatusesOf(orderId).size(), 1u);
-  cr_expect_eq(harness.router->openOrders(), 0u);
+  cr_expect_eq(harness.router->openRequests(), 0u);
 }
 
 Test(path_orders, a_denied_request_with_two_attempts_goes_to_one_other_worker) {
@@ -649,7 +649,7 @@
   for (const auto& chunk : harness.all<CallerChunk>()) text += chunk.text;
   cr_expect_eq(text, "one two three four");
   cr_expect_eq(harness.finalStatusOf(orderId).verdict, "done");
-  cr_expect_eq(harness.router->openOrders(), 0u);
+  cr_expect_eq(harness.router->openRequests(), 0u);
 }
 
 Test(path_orders, a_broken_stream_ends_after_its_last_attempt_and_other_routes_do_not_resume) {
@@ -808,7 +808,7 @@
   harness.replyToLookups({});
   harness.run(1s);
   cr_expect(harness.attemptsOf(waiting).empty());
-  cr_expect_eq(harness.router->openOrders(), 0u);
+  cr_expect_eq(harness.router->openRequests(), 0u);
 }
 
 Test(path_orders, a_revoked_key_ends_no_open_stream_and_admits_no_new_one) {
