--- a/src/cluster/core.cpp
+++ b/src/cluster/core.cpp
@@ -79,7 +79,7 @@
     cell->election.restore(Vote{}, startedAt);
     cell->election.setVoters(replicatedLog->members(), replicatedLog->outgoingMembers());
     cell->setMachines(machinesWithStores());
-    cell->allNews = &cellUpdates;
+    cell->latestUpdates = &cellUpdates;
     cell->versions = &clusterView->versions();
     cell->publish = [this](Effects& effects, const CellNews& update) { handleCellUpdate(effects, update, true); };
   }
@@ -128,7 +128,7 @@
   row.at = effects.now;
   for (const auto& cellVersion : request.cells)
     if (auto cell = cells.find(cellVersion.zone); cell != cells.end())
-      cell->second->recordAgentMark(from, cellVersion, effects.now);
+      cell->second->recordAgentVersion(from, cellVersion, effects.now);
   if (!replicatedLog->formed()) return;
   if (!platformResponded && !settings.platformAddress.empty() && effects.now - startedAt < firstListTimeout) return;
   if (request.relays &&
--- a/src/cluster/core_report.cpp
+++ b/src/cluster/core_report.cpp
@@ -42,14 +42,14 @@
       JsonObject row;
       row["locality"] = Json(zone);
       row["kind"] = Json(cacheNode.machine.kind);
-      row["weights"] = Json(cacheNode.last.weights);
-      row["model"] = Json(cacheNode.last.model);
-      row["running"] = jsonNumber(cacheNode.last.running);
+      row["weights"] = Json(cacheNode.lastReport.weights);
+      row["model"] = Json(cacheNode.lastReport.model);
+      row["running"] = jsonNumber(cacheNode.lastReport.running);
       row["leaving"] = Json(cacheNode.machine.leaving);
       row["indexConfirmed"] = Json(cacheNode.confirmed);
       row["kept"] = jsonNumber(static_cast<double>(cacheNode.kept.size()));
       row["reportAgeMs"] =
-          jsonNumber(cacheNode.known ? static_cast<double>(toMilliseconds(now - cacheNode.heardAt)) : -1);
+          jsonNumber(cacheNode.known ? static_cast<double>(toMilliseconds(now - cacheNode.lastReportAt)) : -1);
       row["rollout"] = Json(cell->rolloutState(name));
       workers[name] = Json(row);
     }
--- a/src/index/cell.cpp
+++ b/src/index/cell.cpp
@@ -68,9 +68,9 @@
     node.reportPending = false;
     node.kept.clear();
     node.summaryStale = true;
-    node.heardAt = effects.now;
+    node.lastReportAt = effects.now;
     node.known = false;
-    node.last.countsOrders = false;
+    node.lastReport.countsOrders = false;
     node.statusAt = node.statusRequestedAt = TimePoint{};
   }
   rollouts.clear();
@@ -91,9 +91,9 @@
     if (node.machine.address != machine.address) node = CacheNode{};
     if (node.machine.leaving != machine.leaving || node.machine.name.empty()) updatePending = true;
     if (settings.separateStatus && node.statusAt == TimePoint{}) {
-      node.last.weights = machine.weights;
-      node.last.model = machine.model;
-      node.last.slots = machine.slots;
+      node.lastReport.weights = machine.weights;
+      node.lastReport.model = machine.model;
+      node.lastReport.slots = machine.slots;
     }
     node.machine = machine;
   }
@@ -123,7 +123,7 @@
 void Cell::requestReports(Effects& effects) {
   for (auto& [name, node] : nodes) {
     if (!sendsReports(node)) continue;
-    if (node.known && effects.now - node.heardAt > settings.reportTimeout) markUnconfirmed(effects, node, "late");
+    if (node.known && effects.now - node.lastReportAt > settings.reportTimeout) markUnconfirmed(effects, node, "late");
     if (settings.separateStatus) requestStatus(effects, node);
     if (node.reportPending ? effects.now - node.reportRequestedAt < reportRetryTimeout
                            : effects.now - node.reportRequestedAt < settings.reportInterval)
@@ -138,7 +138,7 @@
     node.reportPending = true;
     node.reportRequestedAt = effects.now;
     effects.send(node.machine.address,
-                 ReportAsk{node.appliedSequence, node.last.incarnation, requestsFull || !node.confirmed,
+                 ReportAsk{node.appliedSequence, node.lastReport.incarnation, requestsFull || !node.confirmed,
                            static_cast<int>(settings.separateStatus ? ReportScope::index : ReportScope::all), name});
   }
   if (effects.now - fullReportRequestedAt > 2 * settings.fullReportInterval) lastFullReportNode.clear();
@@ -160,19 +160,19 @@
 }
 
 void Cell::onStatus(Effects& effects, CacheNode& node, const Report& report) {
-  bool changed = node.last.weights != report.weights || node.last.draining != report.draining ||
-                 node.statusAt == TimePoint{} || node.last.waiting != report.waiting ||
-                 node.last.running / 4 != report.running / 4;
+  bool changed = node.lastReport.weights != report.weights || node.lastReport.draining != report.draining ||
+                 node.statusAt == TimePoint{} || node.lastReport.waiting != report.waiting ||
+                 node.lastReport.running / 4 != report.running / 4;
   node.statusAt = effects.now;
-  node.last.weights = report.weights;
-  node.last.model = report.model;
-  node.last.running = report.running;
-  node.last.waiting = report.waiting;
-  node.last.memory = report.memory;
-  node.last.slots = report.slots;
-  node.last.draining = report.draining;
-  node.last.countsOrders = report.countsOrders;
-  node.last.orders = report.orders;
+  node.lastReport.weights = report.weights;
+  node.lastReport.model = report.model;
+  node.lastReport.running = report.running;
+  node.lastReport.waiting = report.waiting;
+  node.lastReport.memory = report.memory;
+  node.lastReport.slots = report.slots;
+  node.lastReport.draining = report.draining;
+  node.lastReport.countsOrders = report.countsOrders;
+  node.lastReport.orders = report.orders;
   updatePending = updatePending || changed;
   updateRollouts(effects, *lastConfiguration);
 }
@@ -191,27 +191,27 @@
     return;
   }
   bool indexOnly = report.scope == static_cast<int>(ReportScope::index);
-  bool changed =
-      !node.known || (!indexOnly && (node.last.running != report.running || node.last.weights != report.weights ||
-                                     node.last.draining != report.draining));
-  if (node.known && node.last.incarnation != report.incarnation) {
+  bool changed = !node.known || (!indexOnly && (node.lastReport.running != report.running ||
+                                                node.lastReport.weights != report.weights ||
+                                                node.lastReport.draining != report.draining));
+  if (node.known && node.lastReport.incarnation != report.incarnation) {
     markUnconfirmed(effects, node, "new incarnation");
     node.appliedSequence = 0;
   }
-  if (node.confirmed && !indexOnly && node.last.weights != report.weights)
+  if (node.confirmed && !indexOnly && node.lastReport.weights != report.weights)
     markUnconfirmed(effects, node, "other weights");
-  node.heardAt = effects.now;
+  node.lastReportAt = effects.now;
   node.known = true;
   if (indexOnly) {
-    node.last.incarnation = report.incarnation;
-    node.last.sequence = report.sequence;
+    node.lastReport.incarnation = report.incarnation;
+    node.lastReport.sequence = report.sequence;
     if (report.lost) markUnconfirmed(effects, node, "gap");
     if (node.confirmed && !report.whole && report.sequence < node.appliedSequence)
       return effects.note("report late", report.worker);
   } else {
-    node.last = report;
-    node.last.kept.clear();
-    node.last.events.clear();
+    node.lastReport = report;
+    node.lastReport.kept.clear();
+    node.lastReport.events.clear();
   }
   updatePending = updatePending || changed;
   if (report.whole) {
@@ -286,9 +286,9 @@
     auto& node = found->second;
     if (node.machine.kind == "store" && node.confirmed && !request.hashes.empty())
       adjustStoreShare(node, request.hashes.back(), effects.now);
-    bool usable = node.confirmed && effects.now - node.heardAt < settings.reportTimeout &&
-                  (!node.last.draining || settings.separateStatus) && !node.machine.leaving &&
-                  (node.machine.kind == "store" || node.last.weights == request.weights);
+    bool usable = node.confirmed && effects.now - node.lastReportAt < settings.reportTimeout &&
+                  (!node.lastReport.draining || settings.separateStatus) && !node.machine.leaving &&
+                  (node.machine.kind == "store" || node.lastReport.weights == request.weights);
     for (const auto& hash : request.hashes) reply.hits.push_back(usable && node.kept.count(hash) ? 1 : 0);
     auto load = prefills.loadOf(request.keeper, effects.now);
     reply.waitingTokens = load.tokens;
@@ -309,7 +309,7 @@
   return count;
 }
 
-void Cell::recordAgentMark(const std::string& agent, const CellVersion& version, TimePoint now) {
+void Cell::recordAgentVersion(const std::string& agent, const CellVersion& version, TimePoint now) {
   agentVersions[agent] = AgentVersion{version, now};
 }
 
@@ -395,16 +395,16 @@
       node.summaryStale = false;
     }
     auto rollout = rollouts.find(name);
-    auto wanted = lastConfiguration ? lastConfiguration->weightsOf(node.last.model) : std::nullopt;
-    bool hasWanted = !wanted || node.last.weights == *wanted;
-    bool withheld = (node.last.draining && (!settings.singleLoadCommand || !hasWanted)) ||
+    auto wanted = lastConfiguration ? lastConfiguration->weightsOf(node.lastReport.model) : std::nullopt;
+    bool hasWanted = !wanted || node.lastReport.weights == *wanted;
+    bool withheld = (node.lastReport.draining && (!settings.singleLoadCommand || !hasWanted)) ||
                     (rollout != rollouts.end() && !rollout->second.stateMachine->in("serving"));
-    bool alive = !sendsReports(node) || (node.known && effects.now - node.heardAt < settings.workerTimeout);
-    update.workers.push_back(WorkerView{name, node.machine.address, zoneName, node.machine.kind, node.last.weights,
-                                        node.last.model, node.last.running, node.last.slots, withheld, alive,
-                                        node.confirmed, node.kept.size(), node.last.sequence,
-                                        omitsSummaries ? std::string() : node.summary, node.machine.service,
-                                        node.last.waiting, node.last.memory, node.savedPermille});
+    bool alive = !sendsReports(node) || (node.known && effects.now - node.lastReportAt < settings.workerTimeout);
+    update.workers.push_back(WorkerView{
+        name, node.machine.address, zoneName, node.machine.kind, node.lastReport.weights, node.lastReport.model,
+        node.lastReport.running, node.lastReport.slots, withheld, alive, node.confirmed, node.kept.size(),
+        node.lastReport.sequence, omitsSummaries ? std::string() : node.summary, node.machine.service,
+        node.lastReport.waiting, node.lastReport.memory, node.savedPermille});
   }
   if (!settings.publishSummaries) reduceToChanges(update);
   for (auto speed = transferSpeeds.begin(); speed != transferSpeeds.end();) {
--- a/src/index/cell.hpp
+++ b/src/index/cell.hpp
@@ -20,8 +20,8 @@
 struct CacheNode {
   Machine machine;
   /// The node's last status, without its block lists.
-  Report last;
-  TimePoint heardAt{}, reportRequestedAt{}, fullReportRequestedAt{}, statusAt{}, statusRequestedAt{};
+  Report lastReport;
+  TimePoint lastReportAt{}, reportRequestedAt{}, fullReportRequestedAt{}, statusAt{}, statusRequestedAt{};
   /// `known`: a report was received under the current lease. `confirmed`: the index was built from a full report and no
   /// event has been missed since, so the cached blocks in `kept` can be relied on.
   bool known{false}, confirmed{false}, reportPending{false};
@@ -65,7 +65,7 @@
   /// How often a changed cell update is published.
   Duration publishInterval{60ms};
   /// How long a roll-out waits, at most, for the agents to apply the update that withholds a worker.
-  Duration markTimeout{1s};
+  Duration withholdTimeout{1s};
   /// The part of a model's workers in this zone that may change weights at once: one in this many.
   int rolloutParts{3};
   /// How long a roll-out waits for further announcements before it starts its first worker.
@@ -88,11 +88,11 @@
   void tick(Effects& effects, const Configuration& configuration);
   void handle(Effects& effects, const std::string& from, const Message& message);
   /// Records the newest cell update that an agent is known to have applied.
-  void recordAgentMark(const std::string& agent, const CellVersion& version, TimePoint now);
+  void recordAgentVersion(const std::string& agent, const CellVersion& version, TimePoint now);
   /// Called with each new cell update, which goes to the other cores and to the agents that follow this core.
   std::function<void(Effects&, const CellNews&)> publish;
   /// The newest update of every cell, so that zones with a single worker of a model can change one after the other.
-  const std::map<std::string, CellNews>* allNews{nullptr};
+  const std::map<std::string, CellNews>* latestUpdates{nullptr};
   /// When weights versions were announced, as this core knows it.
   const VersionTimeline* versions{nullptr};
   const std::string& zone() const { return zoneName; }
--- a/src/index/cell_rollouts.cpp
+++ b/src/index/cell_rollouts.cpp
@@ -37,11 +37,11 @@
   rollout.sentAt = effects.now;
   if (found == nodes.end() || !election.holdsLease(effects.now) || effects.now - leaseWonAt < timing.commandHoldoff)
     return;
-  const auto& last = found->second.last;
+  const auto& lastReport = found->second.lastReport;
   rollout.commandNumber = ++lastCommand;
   effects.send(found->second.machine.address,
-               ControlAsk{election.term(), selfId, action, rollout.model, rollout.weights, last.incarnation, worker,
-                          rollout.commandNumber, last.countsOrders, last.orders});
+               ControlAsk{election.term(), selfId, action, rollout.model, rollout.weights, lastReport.incarnation,
+                          worker, rollout.commandNumber, lastReport.countsOrders, lastReport.orders});
 }
 
 void Cell::withholdWorker(Effects& effects, const std::string& worker) {
@@ -97,7 +97,7 @@
 }
 
 bool Cell::takesPartInRollout(const CacheNode& node, TimePoint now) const {
-  return node.machine.kind == "language" && node.known && now - node.heardAt <= settings.workerTimeout;
+  return node.machine.kind == "language" && node.known && now - node.lastReportAt <= settings.workerTimeout;
 }
 
 TimePoint Cell::supersededAt(const Report& report, const std::string& wanted) const {
@@ -109,7 +109,7 @@
 }
 
 RolloutStep Cell::stepOf(const std::string& worker, bool hasWanted) const {
-  if (settings.singleLoadCommand && !hasWanted && nodes.at(worker).last.draining) return RolloutStep::changing;
+  if (settings.singleLoadCommand && !hasWanted && nodes.at(worker).lastReport.draining) return RolloutStep::changing;
   auto found = rollouts.find(worker);
   if (found == rollouts.end() || !found->second.stateMachine) return RolloutStep::serving;
   if (found->second.failed && defences.isEnabled(Defence::failedNotCounted)) return RolloutStep::failed;
@@ -119,11 +119,11 @@
 std::set<std::string> Cell::workersDue(TimePoint now, const Configuration& configuration) const {
   std::map<std::string, std::vector<RolloutWorker>> workersByModel;
   for (const auto& [name, node] : nodes) {
-    auto wanted = configuration.weightsOf(node.last.model);
+    auto wanted = configuration.weightsOf(node.lastReport.model);
     if (!wanted || !takesPartInRollout(node, now) || node.machine.leaving) continue;
-    bool hasWanted = node.last.weights == *wanted;
-    workersByModel[node.last.model].push_back(
-        RolloutWorker{name, supersededAt(node.last, *wanted), stepOf(name, hasWanted)});
+    bool hasWanted = node.lastReport.weights == *wanted;
+    workersByModel[node.lastReport.model].push_back(
+        RolloutWorker{name, supersededAt(node.lastReport, *wanted), stepOf(name, hasWanted)});
   }
   RolloutLimits limits{settings.rolloutSettleDelay, settings.rolloutSpan, timing.rolloutStartTimeout(),
                        2 * timing.oldWeightsOrderTimeout, settings.rolloutParts};
@@ -136,8 +136,8 @@
 }
 
 bool Cell::loadedElsewhere(const std::string& model) const {
-  if (!allNews || !versions) return false;
-  for (const auto& [zone, update] : *allNews)
+  if (!latestUpdates || !versions) return false;
+  for (const auto& [zone, update] : *latestUpdates)
     for (const auto& worker : update.workers)
       if (zone != zoneName && worker.alive && worker.model == model && versions->isNewest(model, worker.weights))
         return true;
@@ -145,10 +145,10 @@
 }
 
 bool Cell::waitsForEarlierZones(const std::string& model, TimePoint superseded, TimePoint now) const {
-  if (!allNews || superseded == TimePoint::max()) return false;
+  if (!latestUpdates || superseded == TimePoint::max()) return false;
   int earlierZones = 0;
   bool unfinished = false;
-  for (const auto& [zone, update] : *allNews) {
+  for (const auto& [zone, update] : *latestUpdates) {
     if (zone >= zoneName) break;
     const WorkerView* sole = nullptr;
     int workers = 0;
@@ -168,7 +168,7 @@
 void Cell::updateRollouts(Effects& effects, const Configuration& configuration) {
   auto due = workersDue(effects.now, configuration);
   for (auto& [name, node] : nodes) {
-    auto wanted = configuration.weightsOf(node.last.model);
+    auto wanted = configuration.weightsOf(node.lastReport.model);
     if (!wanted || node.machine.kind != "language" || !node.known) continue;
     auto& rollout = rolloutFor(name);
     if (!takesPartInRollout(node, effects.now) || (settings.separateStatus && node.machine.leaving)) continue;
@@ -182,7 +182,7 @@
 
 void Cell::startRollout(Effects& effects, const CacheNode& node, Rollout& rollout, const std::string& wanted,
                         bool due) {
-  const auto& report = node.last;
+  const auto& report = node.lastReport;
   bool hasWanted = report.weights == wanted;
   if (settings.singleLoadCommand && (hasWanted || report.draining)) return;
   if (hasWanted && !report.draining) return;
@@ -194,7 +194,7 @@
 }
 
 void Cell::continueRollout(Effects& effects, const CacheNode& node, Rollout& rollout, const std::string& wanted) {
-  const auto& report = node.last;
+  const auto& report = node.lastReport;
   const auto& worker = node.machine.name;
   bool finishing =
       settings.singleLoadCommand && rollout.stateMachine->in("loading") && rollout.acceptedAt >= rollout.sentAt;
@@ -217,7 +217,7 @@
   }
   if (rollout.stateMachine->in("marking")) {
     bool applied = sequence >= rollout.withheldSequence && agentsHaveApplied(rollout.withheldSequence, effects.now);
-    if (applied || elapsed >= settings.markTimeout)
+    if (applied || elapsed >= settings.withholdTimeout)
       dispatch(hasWanted && (report.draining || settings.singleLoadCommand) ? "settled" : "cleared");
   } else if (rollout.stateMachine->in("draining")) {
     if (hasWanted && report.draining)
--- a/src/sim/scale/fleet_fixtures.cpp
+++ b/src/sim/scale/fleet_fixtures.cpp
@@ -112,7 +112,7 @@
   settings.reportTimeout = 1500ms;
   settings.workerTimeout = 2s;
   settings.publishInterval = 100ms;
-  settings.markTimeout = 400ms;
+  settings.withholdTimeout = 400ms;
   settings.rolloutSpan = 7800ms;
   return settings;
 }
--- a/tests/cell_bench.hpp
+++ b/tests/cell_bench.hpp
@@ -17,7 +17,7 @@
   settings.reportTimeout = 1500ms;
   settings.workerTimeout = 2s;
   settings.publishInterval = 100ms;
-  settings.markTimeout = 400ms;
+  settings.withholdTimeout = 400ms;
   settings.rolloutSettleDelay = 400ms;
   settings.rolloutSpan = 7800ms;
   return settings;
--- a/tests/version_ends_cell.cpp
+++ b/tests/version_ends_cell.cpp
@@ -340,7 +340,7 @@
   auto cellUpdatesByZone = zonesBefore();
   for (int announcementCount : {1, 4}) {
     RolloutHarness harness(1);
-    for (auto& [address, core] : harness.cores) core.cell->allNews = &cellUpdatesByZone;
+    for (auto& [address, core] : harness.cores) core.cell->latestUpdates = &cellUpdatesByZone;
     harness.start();
     harness.announceEvery(4s, announcementCount);
     harness.runAndCheck(14s);
