--- a/src/consensus/change_requests.cpp
+++ b/src/consensus/change_requests.cpp
@@ -24,10 +24,10 @@
     effects.send(from, std::move(response));
     return;
   }
-  bool alreadyWaiting = std::any_of(waiters.begin(), waiters.end(), [&](const PendingResponse& row) {
+  bool alreadyWaiting = std::any_of(pendingResponses.begin(), pendingResponses.end(), [&](const PendingResponse& row) {
     return row.from == from && row.response.requestId == response.requestId && row.index == index;
   });
-  if (!alreadyWaiting) waiters.push_back(PendingResponse{from, index, std::move(response)});
+  if (!alreadyWaiting) pendingResponses.push_back(PendingResponse{from, index, std::move(response)});
 }
 
 std::uint64_t ReplicatedLog::indexOfChange(const std::string& changeId) const {
@@ -95,7 +95,8 @@
 void ReplicatedLog::proposeChange(Effects& effects, const std::string& from, const ChangeRequest& request) {
   if (!election.holdsLease(effects.now)) return respond(effects, from, request, Code::notLeading, "accord");
   if (respondIfKnown(effects, from, request)) return;
-  if (waiters.size() >= maxPendingResponses) return respond(effects, from, request, Code::changesFull, "changes");
+  if (pendingResponses.size() >= maxPendingResponses)
+    return respond(effects, from, request, Code::changesFull, "changes");
   bool weights = static_cast<ChangeFormat>(request.changeFormat) == ChangeFormat::weights;
   if (weights && head.revision() == 0) return respond(effects, from, request, Code::notLeading, "revision");
   auto patch = validateChange(request);
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -39,7 +39,7 @@
       selfId(std::move(self)),
       campaignDelay(initialCampaignDelay),
       defences(initialDefences),
-      walk("election", actions(), "idle") {}
+      stateMachine("election", actions(), "idle") {}
 
 void Election::restore(const Vote& saved, TimePoint now) {
   vote = saved;
@@ -107,7 +107,7 @@
     campaignAt =
         effects.now + timing.minElectionTimeout + campaignDelay + std::chrono::milliseconds(effects.randomBelow(300));
   }
-  if (walk.in("holding")) {
+  if (stateMachine.in("holding")) {
     if (!voter() || !mayCampaign) {
       resign(effects);
     } else if (effects.now >= lastHeartbeatAt + timing.heartbeatInterval) {
@@ -115,12 +115,12 @@
     }
     return;
   }
-  if (walk.in("idle")) {
+  if (stateMachine.in("idle")) {
     if (effects.now >= campaignAt && effects.now >= voteBlockedUntil && voter() && mayCampaign)
-      walk.dispatch(*this, "vacant", effects);
+      stateMachine.dispatch(*this, "vacant", effects);
   } else if (effects.now >=
-             votesRequestedAt + timing.voteTimeout + (walk.in("asking") ? syncAllowance() : Duration(0))) {
-    walk.dispatch(*this, "lapsed", effects);
+             votesRequestedAt + timing.voteTimeout + (stateMachine.in("asking") ? syncAllowance() : Duration(0))) {
+    stateMachine.dispatch(*this, "lapsed", effects);
   }
 }
 
@@ -129,7 +129,7 @@
   grants = {selfId};
   auto end = logEnd ? logEnd() : std::make_pair<std::uint64_t, std::uint64_t>(0, 0);
   broadcast(effects, VoteRequest{dutyName, vote.term + 1, selfId, true, end.first, end.second});
-  if (elected()) walk.dispatch(*this, "granted", effects);
+  if (elected()) stateMachine.dispatch(*this, "granted", effects);
 }
 
 void Election::voteSelf(Effects& effects) {
@@ -141,12 +141,12 @@
   votesRequestedAt = effects.now + timing.maxSyncAllowance;
   effects.save(voteRecord(dutyName, vote), [this, askedTerm, savedAt](Effects& later) {
     lastSyncDuration = later.now - savedAt;
-    if (!walk.in("asking") || vote.term != askedTerm) return;
+    if (!stateMachine.in("asking") || vote.term != askedTerm) return;
     votesRequestedAt = later.now;
     grants.insert(selfId);
     auto end = logEnd ? logEnd() : std::make_pair<std::uint64_t, std::uint64_t>(0, 0);
     broadcast(later, VoteRequest{dutyName, vote.term, selfId, false, end.first, end.second});
-    if (elected()) walk.dispatch(*this, "granted", later);
+    if (elected()) stateMachine.dispatch(*this, "granted", later);
   });
 }
 
@@ -188,14 +188,14 @@
     auto release = successor.empty() ? releasedToAll : id == successor ? releasedToSuccessor : releasedToOther;
     effects.send(address, Heartbeat{dutyName, vote.term, selfId, release});
   }
-  walk.dispatch(*this, "resigned", effects);
+  stateMachine.dispatch(*this, "resigned", effects);
   campaignAt = effects.now + timing.minElectionTimeout;
 }
 
 void Election::observeTerm(Effects& effects, std::uint64_t term) {
   if (term <= vote.term) return;
   seenTerm = term;
-  walk.dispatch(*this, "higher", effects);
+  stateMachine.dispatch(*this, "higher", effects);
 }
 
 void Election::onVoteRequest(Effects& effects, const std::string& from, const VoteRequest& request) {
@@ -234,7 +234,7 @@
   knownHolder.clear();
   campaignAt = effects.now + campaignDelay + std::chrono::milliseconds(effects.randomBelow(100));
   if (release == releasedToOther) campaignAt += 2 * timing.voteTimeout + syncAllowance();
-  if (release == releasedToSuccessor && voter() && mayCampaign) walk.dispatch(*this, "named", effects);
+  if (release == releasedToSuccessor && voter() && mayCampaign) stateMachine.dispatch(*this, "named", effects);
 }
 
 void Election::onHeartbeat(Effects& effects, const std::string& from, const Heartbeat& heartbeat) {
@@ -250,7 +250,7 @@
   knownHolder = heartbeat.holder;
   voteBlockedUntil = effects.now + timing.minElectionTimeout;
   campaignAt = voteBlockedUntil + campaignDelay + std::chrono::milliseconds(effects.randomBelow(300));
-  walk.dispatch(*this, "held", effects);
+  stateMachine.dispatch(*this, "held", effects);
   effects.send(from, HeartbeatResponse{dutyName, heartbeat.term, selfId, heartbeat.sentAt, true});
 }
 
@@ -263,11 +263,11 @@
       return;
     }
     if (!reply->granted || !addressById.count(reply->voter)) return;
-    bool expected =
-        (reply->probe && walk.in("probing")) || (!reply->probe && walk.in("asking") && reply->term == vote.term);
+    bool expected = (reply->probe && stateMachine.in("probing")) ||
+                    (!reply->probe && stateMachine.in("asking") && reply->term == vote.term);
     if (!expected) return;
     grants.insert(reply->voter);
-    if (elected() && grants.count(selfId)) walk.dispatch(*this, "granted", effects);
+    if (elected() && grants.count(selfId)) stateMachine.dispatch(*this, "granted", effects);
   } else if (auto* heartbeat = std::get_if<Heartbeat>(&message)) {
     onHeartbeat(effects, from, *heartbeat);
   } else if (auto* acknowledgement = std::get_if<HeartbeatResponse>(&message)) {
--- a/src/consensus/election.hpp
+++ b/src/consensus/election.hpp
@@ -85,7 +85,7 @@
   /// Whether this core holds a valid lease now. Checked immediately before each command is sent.
   bool holdsLease(TimePoint now) const;
   /// Whether this core was elected in the current term. Its lease may have expired.
-  bool won() const { return walk.in("holding"); }
+  bool won() const { return stateMachine.in("holding"); }
   /// Gives up the duty without waiting for the lease to end. If a successor is given, it starts an election immediately
   /// and the other voters wait for it.
   void resign(Effects& effects, const std::string& successor = {});
@@ -94,7 +94,7 @@
   std::uint64_t term() const { return vote.term; }
   const std::string& holder() const { return knownHolder; }
   const std::string& duty() const { return dutyName; }
-  std::string state() const { return walk.state(); }
+  std::string state() const { return stateMachine.state(); }
   std::size_t quorum() const { return voters.size() / 2 + 1; }
   /// Whether this core is a voter.
   bool voter() const { return addressById.count(selfId) > 0; }
@@ -120,7 +120,7 @@
   std::set<std::string> grants;
   std::map<std::string, TimePoint> renewals;
   std::uint64_t seenTerm{0};
-  StateMachine<Election, Effects&> walk;
+  StateMachine<Election, Effects&> stateMachine;
 
   static const StateMachine<Election, Effects&>::Actions& actions();
   /// Actions of the state chart.
--- a/src/consensus/replicated_log.cpp
+++ b/src/consensus/replicated_log.cpp
@@ -111,10 +111,10 @@
 void ReplicatedLog::onLeadershipChanged(Effects& effects, bool won) {
   followers.clear();
   if (!won) {
-    for (const auto& waiter : waiters)
+    for (const auto& waiter : pendingResponses)
       effects.send(waiter.from, ChangeResponse{waiter.response.requestId, static_cast<int>(Code::changeUnsure),
                                                "accord", codeText(Code::changeUnsure), 0, 0, 0});
-    waiters.clear();
+    pendingResponses.clear();
     return;
   }
   head = applied;
@@ -195,8 +195,8 @@
     if (entry.kind == static_cast<int>(EntryKind::members)) reloadMembers(&effects);
     if (onEntryApplied) onEntryApplied(effects, entry);
   }
-  auto waiting = std::move(waiters);
-  waiters.clear();
+  auto waiting = std::move(pendingResponses);
+  pendingResponses.clear();
   for (auto& waiter : waiting) respondOnceCommitted(effects, waiter.from, std::move(waiter.response), waiter.index);
   compactLog(effects);
 }
--- a/src/consensus/replicated_log.hpp
+++ b/src/consensus/replicated_log.hpp
@@ -47,7 +47,7 @@
   const Configuration& configuration() const { return applied; }
   /// The entries that are in memory: those after the last snapshot, and some before it that followers still need.
   const std::vector<LogEntry>& entries() const { return log; }
-  std::size_t pendingChanges() const { return waiters.size(); }
+  std::size_t pendingChanges() const { return pendingResponses.size(); }
   /// The committed entries after an index, at most `most`. If the last snapshot is newer than the index, the
   /// update begins with that snapshot.
   NewsMsg updateAfter(std::uint64_t index, std::size_t most = 256) const;
@@ -92,7 +92,7 @@
   Configuration applied, head;
   std::uint64_t commitIndex{0}, syncedIndex{0};
   std::map<std::string, Follower> followers;
-  std::vector<PendingResponse> waiters;
+  std::vector<PendingResponse> pendingResponses;
   std::size_t logBytes{0};
   /// The index up to which this follower's log is known to match the log of the leader of `verifiedTerm`.
   std::uint64_t verifiedTerm{0}, verifiedEnd{0};
--- a/src/model/state_dump.cpp
+++ b/src/model/state_dump.cpp
@@ -41,7 +41,7 @@
   out.number(election.vote.term);
   out.word(election.vote.votedFor);
   out.word(election.knownHolder);
-  out.word(election.walk.state());
+  out.word(election.stateMachine.state());
   out.number(election.started + 2 * election.mayCampaign);
   out.number(static_cast<std::uint64_t>(election.lastSyncDuration.count()));
   out.groups.emplace_back();
@@ -72,7 +72,7 @@
   for (const auto& [id, follower] : log.followers)
     out.groups.back().push_back(rowOf(id, {follower.next, follower.matched, follower.sentCommit, follower.pending,
                                            follower.sentEnd, follower.round, follower.transfer.has_value()}));
-  for (const auto& waiter : log.waiters) {
+  for (const auto& waiter : log.pendingResponses) {
     out.word(waiter.response.requestId);
     out.number(static_cast<std::uint64_t>(waiter.response.code));
     out.number(waiter.index);
