--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -114,7 +114,7 @@
   clusterView.observeCommit(update.commit);
   for (const auto& snapshot : update.snapshots) {
     if (snapshot.index <= view.index()) continue;
-    if (!view.adopt(snapshot)) continue;
+    if (!view.installSnapshot(snapshot)) continue;
     clusterView.noteVersions(view);
     recentEntries.clear();
     forwardDownstream(effects, NewsMsg{update.commit, {}, {snapshot}});
--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -30,7 +30,7 @@
   /// Whether a proxy has requested updates within the last second.
   bool feedsProxy(TimePoint now) const;
   /// The address of the upstream; empty before the first was selected.
-  const std::string& parentAddress() const { return upstream; }
+  const std::string& upstreamAddress() const { return upstream; }
 
  private:
   AgentSettings settings;
--- a/src/base/base.cpp
+++ b/src/base/base.cpp
@@ -51,7 +51,7 @@
   return table;
 }
 
-Error fault(Code code, std::string subject, std::string text) {
+Error makeError(Code code, std::string subject, std::string text) {
   if (text.empty()) text = codeText(code);
   if (subject.empty() && code == Code::unknownField) subject = "\"\"";
   return Error{code, std::move(subject), std::move(text)};
--- a/src/base/base.hpp
+++ b/src/base/base.hpp
@@ -57,7 +57,7 @@
 using Result = boost::outcome_v2::unchecked<T, Error>;
 /// Makes an error. Without a text it gets the code's own. An unknown field whose name is empty gets the subject `""`,
 /// so that a client always sees a subject.
-Error fault(Code code, std::string subject = {}, std::string text = {});
+Error makeError(Code code, std::string subject = {}, std::string text = {});
 
 /// The chained hash of a block of a prompt: the first 128 bits of a SHA-256 sum.
 struct BlockHash {
--- a/src/base/chart.cpp
+++ b/src/base/chart.cpp
@@ -16,7 +16,8 @@
     std::string state, event, arrow, next;
     if (!(words >> state)) continue;
     if (!(words >> event >> arrow >> next) || arrow != "->")
-      return fault(Code::badChart, "line " + std::to_string(lineNumber), "expected: state event -> next-state action...");
+      return makeError(Code::badChart, "line " + std::to_string(lineNumber),
+                       "expected: state event -> next-state action...");
     Step step{next, {}};
     for (std::string action; words >> action;)
       if (action != "-") {
@@ -24,7 +25,8 @@
         chart.actionNames.insert(action);
       }
     if (!chart.steps.emplace(std::make_pair(state, event), step).second)
-      return fault(Code::badChart, "line " + std::to_string(lineNumber), "duplicate transition for this state and event");
+      return makeError(Code::badChart, "line " + std::to_string(lineNumber),
+                       "duplicate transition for this state and event");
   }
   return chart;
 }
--- a/src/base/chart.hpp
+++ b/src/base/chart.hpp
@@ -49,7 +49,7 @@
     return true;
   }
   const std::string& state() const { return current; }
-  bool in(const char* state) const { return current == state; }
+  bool isIn(const char* state) const { return current == state; }
 
  private:
   const StateChart* chart;
--- a/src/base/effects.cpp
+++ b/src/base/effects.cpp
@@ -66,7 +66,7 @@
 Record identityRecord(const std::string& id) { return {RecordKind::identity, id}; }
 Record voteRecord(const std::string& duty, const Vote& vote) { return {RecordKind::vote, encodeVote(duty, vote)}; }
 Record entryRecord(const LogEntry& entry) { return {RecordKind::entry, encodeEntry(entry)}; }
-Record cutRecord(std::uint64_t firstRemoved) { return {RecordKind::cut, std::to_string(firstRemoved)}; }
+Record truncationRecord(std::uint64_t firstRemoved) { return {RecordKind::cut, std::to_string(firstRemoved)}; }
 Record snapshotRecord(const Snapshot& snapshot) { return {RecordKind::snapshot, encodeSnapshot(snapshot)}; }
 Record installedRecord(const Snapshot& snapshot) { return {RecordKind::installed, encodeSnapshot(snapshot)}; }
 
--- a/src/base/effects.hpp
+++ b/src/base/effects.hpp
@@ -85,7 +85,7 @@
 Record voteRecord(const std::string& duty, const Vote& vote);
 Record entryRecord(const LogEntry& entry);
 /// The index is that of the first removed entry.
-Record cutRecord(std::uint64_t firstRemoved);
+Record truncationRecord(std::uint64_t firstRemoved);
 Record snapshotRecord(const Snapshot& snapshot);
 /// A snapshot that replaces the entire log, also entries behind its index. This is one record and not a snapshot and a
 /// cut, so that a crash cannot leave just one of the two.
--- a/src/base/json.cpp
+++ b/src/base/json.cpp
@@ -18,13 +18,13 @@
     const char* end = picojson::parse(value, start, start + text.size(), &problem);
     if (!problem.empty()) {
       while (!problem.empty() && problem.back() == '\n') problem.pop_back();
-      return fault(Code::badJson, "body", problem);
+      return makeError(Code::badJson, "body", problem);
     }
     for (; end < start + text.size(); ++end)
       if (!std::isspace(static_cast<unsigned char>(*end)))
-        return fault(Code::badJson, "body", "unexpected text after the value");
+        return makeError(Code::badJson, "body", "unexpected text after the value");
   } catch (const std::exception& exception) {
-    return fault(Code::badJson, "body", exception.what());
+    return makeError(Code::badJson, "body", exception.what());
   }
   return value;
 }
@@ -32,10 +32,10 @@
 Result<JsonObject> parseObject(std::string_view text, const std::set<std::string>& knownFields) {
   auto value = parseJson(text);
   if (!value) return value.error();
-  if (!value.value().is<JsonObject>()) return fault(Code::badField, "body", "must be an object");
+  if (!value.value().is<JsonObject>()) return makeError(Code::badField, "body", "must be an object");
   auto object = value.value().get<JsonObject>();
   for (const auto& [name, ignored] : object)
-    if (!knownFields.count(name)) return fault(Code::unknownField, name);
+    if (!knownFields.count(name)) return makeError(Code::unknownField, name);
   return object;
 }
 
@@ -56,8 +56,8 @@
 
 Result<std::string> stringField(const JsonObject& object, const std::string& name, const std::string& path) {
   auto* value = findMember(object, name);
-  if (!value) return fault(Code::missingField, fieldPath(path, name));
-  if (!value->is<std::string>()) return fault(Code::badField, fieldPath(path, name), "must be a string");
+  if (!value) return makeError(Code::missingField, fieldPath(path, name));
+  if (!value->is<std::string>()) return makeError(Code::badField, fieldPath(path, name), "must be a string");
   return value->get<std::string>();
 }
 
@@ -66,31 +66,31 @@
   auto* value = findMember(object, name);
   if (!value) return fallback;
   if (!value->is<double>() || std::floor(value->get<double>()) != value->get<double>())
-    return fault(Code::badField, fieldPath(path, name), "must be an integer");
+    return makeError(Code::badField, fieldPath(path, name), "must be an integer");
   double number = value->get<double>();
   if (number < static_cast<double>(min) || number > static_cast<double>(max))
-    return fault(Code::badField, fieldPath(path, name),
-                 "must be from " + std::to_string(min) + " to " + std::to_string(max));
+    return makeError(Code::badField, fieldPath(path, name),
+                     "must be from " + std::to_string(min) + " to " + std::to_string(max));
   return static_cast<std::int64_t>(number);
 }
 
 Result<bool> boolField(const JsonObject& object, const std::string& name, bool fallback, const std::string& path) {
   auto* value = findMember(object, name);
   if (!value) return fallback;
-  if (!value->is<bool>()) return fault(Code::badField, fieldPath(path, name), "must be true or false");
+  if (!value->is<bool>()) return makeError(Code::badField, fieldPath(path, name), "must be true or false");
   return value->get<bool>();
 }
 
 Result<std::vector<std::string>> stringListField(const JsonObject& object, const std::string& name,
                                                  const std::string& path) {
   auto* value = findMember(object, name);
-  if (!value) return fault(Code::missingField, fieldPath(path, name));
-  if (!value->is<JsonArray>()) return fault(Code::badField, fieldPath(path, name), "must be a list of strings");
+  if (!value) return makeError(Code::missingField, fieldPath(path, name));
+  if (!value->is<JsonArray>()) return makeError(Code::badField, fieldPath(path, name), "must be a list of strings");
   std::vector<std::string> strings;
   for (const auto& item : value->get<JsonArray>()) {
     if (!item.is<std::string>())
-      return fault(Code::badField, fieldPath(path, name) + "[" + std::to_string(strings.size()) + "]",
-                   "must be a string");
+      return makeError(Code::badField, fieldPath(path, name) + "[" + std::to_string(strings.size()) + "]",
+                       "must be a string");
     strings.push_back(item.get<std::string>());
   }
   return strings;
--- a/src/base/messages.hpp
+++ b/src/base/messages.hpp
@@ -19,7 +19,7 @@
 
 /* clang-format off */
 #define TT_FIELD(r, data, pair) BOOST_PP_TUPLE_ELEM(2, 0, pair) BOOST_PP_TUPLE_ELEM(2, 1, pair){};
-#define TT_SERIALIZE_FIELD(r, data, pair) stow(archive, BOOST_PP_TUPLE_ELEM(2, 1, pair));
+#define TT_SERIALIZE_FIELD(r, data, pair) serializeField(archive, BOOST_PP_TUPLE_ELEM(2, 1, pair));
 #define TT_STRUCT(Name, fields)                              \
   struct Name {                                              \
     BOOST_PP_SEQ_FOR_EACH(TT_FIELD, _, fields)               \
@@ -31,7 +31,7 @@
 
 /// Reads or writes one field, as the archive's direction says. wire.cpp defines it for all types that fields have.
 template <class Archive, class T>
-void stow(Archive& archive, T& value);
+void serializeField(Archive& archive, T& value);
 
 /// Structs that messages carry. Ages and times are in nanoseconds unless their name ends in "Ms".
 
@@ -73,7 +73,7 @@
 /// recognize repeated requests; `changeRevisions` belongs to `changeIds` element by element.
 TT_STRUCT(Snapshot, ((Uint64, index))((Uint64, term))((Uint64, revision))((std::string, configuration))
           ((std::vector<Member>, members))((Strings, changeIds))((std::vector<Uint64>, changeRevisions))
-          ((std::vector<Refusal>, refusals))((Uint64, refusalsForgotten)))
+          ((std::vector<Refusal>, refusals))((Uint64, lastEvictedRefusal)))
 
 /// All messages with their fields. The table makes the structs, the variant Message and the binary form.
 /// Fields that recur: `duty` is what is elected (the log's leadership or the holding of a cell), `holder` is the
--- a/src/base/wire.cpp
+++ b/src/base/wire.cpp
@@ -50,7 +50,7 @@
 /// While loading, texts grow in steps of 4096 bytes and lists by one element at a time, so that a frame that claims
 /// more than it holds fails before much memory is allocated.
 template <class Archive, class T>
-void stow(Archive& archive, T& value) {
+void serializeField(Archive& archive, T& value) {
   constexpr bool loading = Archive::is_loading::value;
   if constexpr (std::is_same_v<T, std::string>) {
     std::uint32_t size = static_cast<std::uint32_t>(value.size());
@@ -73,10 +73,10 @@
       value.clear();
       for (std::uint32_t at = 0; at < size; ++at) {
         value.emplace_back();
-        stow(archive, value.back());
+        serializeField(archive, value.back());
       }
     } else {
-      for (auto& item : value) stow(archive, item);
+      for (auto& item : value) serializeField(archive, item);
     }
   } else if constexpr (std::is_same_v<T, BlockHash>) {
     archive& value.high;
@@ -101,7 +101,7 @@
   {
     Encoder encoder(sink, archiveFlags);
     encoder& kind;
-    stow(encoder, const_cast<T&>(value));
+    serializeField(encoder, const_cast<T&>(value));
   }
   return std::move(sink.bytes);
 }
@@ -114,11 +114,11 @@
     std::uint16_t kind = 0;
     decoder& kind;
     T value{};
-    stow(decoder, value);
-    if (source.remaining() != 0) return fault(Code::badFrame, "length");
+    serializeField(decoder, value);
+    if (source.remaining() != 0) return makeError(Code::badFrame, "length");
     return value;
   } catch (const std::exception&) {
-    return fault(Code::badFrame, "end");
+    return makeError(Code::badFrame, "end");
   }
 }
 /// Finds the message type of a number among the alternatives of Message, from `at` on.
@@ -130,7 +130,7 @@
     if (!value) return value.error();
     return Message(std::move(value).value());
   } else {
-    return fault(Code::badFrame, "kind");
+    return makeError(Code::badFrame, "kind");
   }
 }
 constexpr const char* messageNames[] = {"none"
@@ -152,7 +152,7 @@
 }
 
 Result<Message> decodeMessage(std::string_view frame) {
-  if (frame.size() < 2) return fault(Code::badFrame, "length");
+  if (frame.size() < 2) return makeError(Code::badFrame, "length");
   std::uint16_t kind =
       static_cast<std::uint16_t>(static_cast<unsigned char>(frame[0]) | (static_cast<unsigned char>(frame[1]) << 8));
   return decodeKind<>(kind, frame);
--- a/src/config/configuration.cpp
+++ b/src/config/configuration.cpp
@@ -16,7 +16,7 @@
 Result<std::string> Configuration::preparePatch(const std::string& text, ChangeFormat changeFormat) const {
   auto read = parseJson(text);
   if (!read) return read.error();
-  if (!read.value().is<JsonObject>()) return fault(Code::badField, "body", "must be an object");
+  if (!read.value().is<JsonObject>()) return makeError(Code::badField, "body", "must be an object");
   JsonObject patch = read.value().get<JsonObject>();
   if (changeFormat == ChangeFormat::edits)
     if (auto resolved = resolveEdits(patch, sections); !resolved) return resolved.error();
@@ -59,7 +59,7 @@
   if (sectionName == "routes") updateRoute(name, value);
   if (sectionName == "services") updateService(name, value);
   if (sectionName == "limits" && name == "callers")
-    currentCallerLimits = value ? readCallerLimits(*value) : CallerLimits();
+    currentCallerLimits = value ? readClientLimits(*value) : ClientLimits();
 }
 
 void Configuration::updateTenantSecrets(const std::string& name, const Json* old, const Json* value) {
@@ -172,14 +172,14 @@
     result.changeRevisions.push_back(changeRevisions.at(id));
   }
   result.refusals.assign(recentRefusals.begin(), recentRefusals.end());
-  result.refusalsForgotten = lastEvictedRefusalIndex;
+  result.lastEvictedRefusal = lastEvictedRefusalIndex;
   return result;
 }
 
-Result<void> Configuration::adopt(const Snapshot& snapshot) {
+Result<void> Configuration::installSnapshot(const Snapshot& snapshot) {
   auto read = parseJson(snapshot.configuration);
   if (!read) return read.error();
-  if (!read.value().is<JsonObject>()) return fault(Code::badField, "capture");
+  if (!read.value().is<JsonObject>()) return makeError(Code::badField, "capture");
   *this = Configuration();
   applyPatch(read.value().get<JsonObject>());
   appliedIndex = snapshot.index;
@@ -191,7 +191,7 @@
     changeRevisions[snapshot.changeIds[at]] = snapshot.changeRevisions[at];
   }
   recentRefusals.assign(snapshot.refusals.begin(), snapshot.refusals.end());
-  lastEvictedRefusalIndex = snapshot.refusalsForgotten;
+  lastEvictedRefusalIndex = snapshot.lastEvictedRefusal;
   return boost::outcome_v2::success();
 }
 
@@ -201,11 +201,11 @@
   return found->second;
 }
 
-std::uint64_t Configuration::forgottenRevision() const {
+std::uint64_t Configuration::lastEvictedRevision() const {
   return recentChangeIds.size() < maxRecentChanges ? 0 : changeRevisions.at(recentChangeIds.front()) - 1;
 }
 
-const Refusal* Configuration::refusedAfter(const std::string& changeId, std::uint64_t index) const {
+const Refusal* Configuration::findRefusalAfter(const std::string& changeId, std::uint64_t index) const {
   if (changeId.empty()) return nullptr;
   auto found = std::find_if(recentRefusals.rbegin(), recentRefusals.rend(),
                             [&](const Refusal& row) { return row.changeId == changeId && row.index > index; });
--- a/src/config/configuration.hpp
+++ b/src/config/configuration.hpp
@@ -55,7 +55,7 @@
   double tokenBytes{0}, linkMbps{0};
 };
 /// What clients may send, in bytes, and how long they may take.
-struct CallerLimits {
+struct ClientLimits {
   std::size_t maxHeaderBytes{16384}, maxBodyBytes{4u << 20};
   Duration headerTimeout{3s}, idleTimeout{15s};
 };
@@ -74,7 +74,7 @@
   void apply(const LogEntry& entry);
   Snapshot snapshot() const;
   /// Replaces the entire state by a snapshot. On an error nothing changes.
-  Result<void> adopt(const Snapshot& snapshot);
+  Result<void> installSnapshot(const Snapshot& snapshot);
 
   std::uint64_t index() const { return appliedIndex; }
   std::uint64_t term() const { return appliedTerm; }
@@ -84,12 +84,12 @@
   std::optional<std::uint64_t> revisionOfChange(const std::string& changeId) const;
   /// Ids of changes up to this revision may be evicted, so revisionOfChange cannot tell whether they were applied; 0
   /// while all are known.
-  std::uint64_t forgottenRevision() const;
+  std::uint64_t lastEvictedRevision() const;
   /// The newest rejection of a change that was committed behind an index of the log; null if none is among the last
   /// 1024 rejections.
-  const Refusal* refusedAfter(const std::string& changeId, std::uint64_t index) const;
+  const Refusal* findRefusalAfter(const std::string& changeId, std::uint64_t index) const;
   /// Rejections committed up to this index are evicted.
-  std::uint64_t refusalsForgotten() const { return lastEvictedRefusalIndex; }
+  std::uint64_t lastEvictedRefusal() const { return lastEvictedRefusalIndex; }
   /// Whether a change of weights is already in force: each of its models has the named number or a higher one.
   bool hasWeights(const std::string& change) const;
   /// The configuration as JSON; empty sections are left out.
@@ -110,7 +110,7 @@
   /// Null if there is no service of that name.
   const ServiceView* findService(const std::string& name) const;
   const std::map<std::string, ServiceView>& services() const { return servicesByName; }
-  const CallerLimits& callerLimits() const { return currentCallerLimits; }
+  const ClientLimits& clientLimits() const { return currentCallerLimits; }
   /// Finds a section without copying it; null if it has no items.
   const JsonObject* findSection(const std::string& name) const;
   /// The weights that a model should have; nothing for an unknown model.
@@ -135,7 +135,7 @@
   std::map<std::string, std::map<std::string, std::string>> routeByPrefix;
   std::vector<StoreView> blockStores;
   std::map<std::string, ServiceView> servicesByName;
-  CallerLimits currentCallerLimits;
+  ClientLimits currentCallerLimits;
   std::map<std::string, Policy> policies;
   std::vector<Member> currentMembers;
   std::deque<std::string> recentChangeIds;
--- a/src/config/item_edits.cpp
+++ b/src/config/item_edits.cpp
@@ -44,11 +44,11 @@
 
 /// Checks the form of one edit of a list and returns the name of the field by which rows are identified.
 Result<std::string> identifyingField(const Json& edit, const std::string& rowsName, const std::string& path) {
-  if (!edit.is<JsonObject>()) return fault(Code::badField, path, "must be an object");
+  if (!edit.is<JsonObject>()) return makeError(Code::badField, path, "must be an object");
   const auto& fields = edit.get<JsonObject>();
   auto rows = fields.find(rowsName);
   if (rows == fields.end() || !rows->second.is<JsonArray>())
-    return fault(Code::badField, path + "." + rowsName, "must be a list");
+    return makeError(Code::badField, path + "." + rowsName, "must be a list");
   return stringField(fields, "by", path);
 }
 
@@ -97,9 +97,9 @@
 
 Result<void> editItem(JsonObject& item, const JsonObject& edits, const std::string& path) {
   for (const auto& [name, edit] : edits) {
-    if (!editNames.count(name)) return fault(Code::unknownField, path + "." + name);
+    if (!editNames.count(name)) return makeError(Code::unknownField, path + "." + name);
     bool wellFormed = name == "drop" ? edit.is<JsonArray>() : edit.is<JsonObject>();
-    if (!wellFormed) return fault(Code::badField, path + "." + name);
+    if (!wellFormed) return makeError(Code::badField, path + "." + name);
   }
   if (auto dropped = edits.find("drop"); dropped != edits.end())
     for (const auto& member : dropped->second.get<JsonArray>()) item.erase(member.to_str());
@@ -117,7 +117,7 @@
       ++row;
       continue;
     }
-    if (!edits.is<JsonObject>()) return fault(Code::badField, path, "must be an object");
+    if (!edits.is<JsonObject>()) return makeError(Code::badField, path, "must be an object");
     const auto* old = objectAt(present, name);
     JsonObject item = old ? *old : JsonObject();
     if (auto edited = editItem(item, edits.get<JsonObject>(), path); !edited) return edited.error();
--- a/src/config/item_readers.cpp
+++ b/src/config/item_readers.cpp
@@ -94,8 +94,8 @@
   return route;
 }
 
-CallerLimits readCallerLimits(const Json& item) {
-  CallerLimits limits;
+ClientLimits readClientLimits(const Json& item) {
+  ClientLimits limits;
   limits.maxHeaderBytes = bytesOr(item, "headerBytes", 16384);
   limits.maxBodyBytes = bytesOr(item, "bodyBytes", 4 << 20);
   limits.headerTimeout = std::max(Duration(0), durationOr(item, "headerMs", 3000));
--- a/src/config/item_readers.hpp
+++ b/src/config/item_readers.hpp
@@ -11,7 +11,7 @@
 ServiceView readService(const Json& item);
 /// Reads the item `callers` of the section `limits`. This section is not checked in advance; negative numbers count as
 /// 0.
-CallerLimits readCallerLimits(const Json& item);
+ClientLimits readClientLimits(const Json& item);
 /// Returns the secrets of an item of the section `tenants` in plain text.
 Strings readSecrets(const Json& item);
 /// Returns a path prefix with a slash at its end, as routes compare it; an empty one stays empty.
--- a/src/config/manifests.cpp
+++ b/src/config/manifests.cpp
@@ -6,37 +6,37 @@
 Result<void> checkKnownFields(const JsonObject& object, const std::set<std::string>& known, const std::string& path) {
   for (const auto& [name, value] : object)
     if (!known.count(name))
-      return fault(Code::unknownField, fieldPath(path, name), "this field of a manifest is not supported");
+      return makeError(Code::unknownField, fieldPath(path, name), "this field of a manifest is not supported");
   return boost::outcome_v2::success();
 }
 
 Result<const JsonObject*> objectAt(const JsonObject& object, const std::string& name, const std::string& path) {
   auto found = object.find(name);
-  if (found == object.end()) return fault(Code::missingField, fieldPath(path, name));
-  if (!found->second.is<JsonObject>()) return fault(Code::badField, fieldPath(path, name), "must be an object");
+  if (found == object.end()) return makeError(Code::missingField, fieldPath(path, name));
+  if (!found->second.is<JsonObject>()) return makeError(Code::badField, fieldPath(path, name), "must be an object");
   return &found->second.get<JsonObject>();
 }
 
 /// The element of a list that must hold just one object.
 Result<const JsonObject*> singleObject(const JsonObject& object, const std::string& name, const std::string& path) {
   auto found = object.find(name);
-  if (found == object.end()) return fault(Code::missingField, fieldPath(path, name));
+  if (found == object.end()) return makeError(Code::missingField, fieldPath(path, name));
   if (!found->second.is<JsonArray>() || found->second.get<JsonArray>().size() != 1 ||
       !found->second.get<JsonArray>().front().is<JsonObject>())
-    return fault(Code::badField, fieldPath(path, name), "must be a list of one object");
+    return makeError(Code::badField, fieldPath(path, name), "must be a list of one object");
   return &found->second.get<JsonArray>().front().get<JsonObject>();
 }
 
 /// `path` is the path of the manifest within the body; empty if it is the body.
 Result<void> addRoute(const Json& manifest, const std::string& path, JsonObject& routes) {
-  if (!manifest.is<JsonObject>()) return fault(Code::badField, path.empty() ? "body" : path, "must be an object");
+  if (!manifest.is<JsonObject>()) return makeError(Code::badField, path.empty() ? "body" : path, "must be an object");
   const auto& fields = manifest.get<JsonObject>();
   if (auto known = checkKnownFields(fields, {"apiVersion", "kind", "metadata", "spec"}, path); !known)
     return known.error();
   if (stringOr(manifest, "apiVersion") != "gateway.networking.k8s.io/v1")
-    return fault(Code::badField, fieldPath(path, "apiVersion"), "must be gateway.networking.k8s.io/v1");
+    return makeError(Code::badField, fieldPath(path, "apiVersion"), "must be gateway.networking.k8s.io/v1");
   if (stringOr(manifest, "kind") != "HTTPRoute")
-    return fault(Code::badField, fieldPath(path, "kind"), "only HTTPRoute is supported");
+    return makeError(Code::badField, fieldPath(path, "kind"), "only HTTPRoute is supported");
   auto metadata = objectAt(fields, "metadata", path);
   if (!metadata) return metadata.error();
   if (auto known = checkKnownFields(*metadata.value(), {"name", "annotations"}, fieldPath(path, "metadata")); !known)
@@ -75,7 +75,7 @@
   if (!model) return model.error();
   route["model"] = Json(model.value());
   if (!routes.emplace(name.value(), Json(route)).second)
-    return fault(Code::badField, fieldPath(path, "metadata.name"), "duplicate route: " + name.value());
+    return makeError(Code::badField, fieldPath(path, "metadata.name"), "duplicate route: " + name.value());
   return boost::outcome_v2::success();
 }
 
@@ -89,7 +89,7 @@
     const auto& list = read.value().get<JsonObject>();
     if (auto known = checkKnownFields(list, {"apiVersion", "kind", "items"}, {}); !known) return known.error();
     auto items = list.find("items");
-    if (items == list.end() || !items->second.is<JsonArray>()) return fault(Code::missingField, "items");
+    if (items == list.end() || !items->second.is<JsonArray>()) return makeError(Code::missingField, "items");
     std::size_t at = 0;
     for (const auto& item : items->second.get<JsonArray>())
       if (auto added = addRoute(item, "items[" + std::to_string(at++) + "]", routes); !added) return added.error();
--- a/src/config/patch_checks.cpp
+++ b/src/config/patch_checks.cpp
@@ -19,7 +19,7 @@
 
 Result<void> checkPolicy(const Json& item, const std::string& path) {
   auto policy = Policy::read(item.get<std::string>());
-  if (!policy) return fault(Code::badField, path, policy.error().subject + ": " + policy.error().text);
+  if (!policy) return makeError(Code::badField, path, policy.error().subject + ": " + policy.error().text);
   return boost::outcome_v2::success();
 }
 
@@ -130,9 +130,9 @@
   auto weights = stringField(checked.fields, "weights", checked.path);
   if (!weights) return weights.error();
   auto* version = findItem("weights", weights.value());
-  if (!version) return fault(Code::blueprintBad, checked.path + ".weights", "no such weights: " + weights.value());
+  if (!version) return makeError(Code::blueprintBad, checked.path + ".weights", "no such weights: " + weights.value());
   if (stringOr(*version, "model") != checked.name)
-    return fault(Code::blueprintBad, checked.path + ".weights", "these weights belong to another model");
+    return makeError(Code::blueprintBad, checked.path + ".weights", "these weights belong to another model");
   return boost::outcome_v2::success();
 }
 
@@ -151,10 +151,10 @@
   auto secrets = stringListField(checked.fields, "secrets", checked.path);
   if (!secrets) return secrets.error();
   for (const auto& secret : secrets.value()) {
-    if (secret.empty()) return fault(Code::badField, checked.path + ".secrets", "a secret is empty");
+    if (secret.empty()) return makeError(Code::badField, checked.path + ".secrets", "a secret is empty");
     auto owner = tenantBySecret.emplace(secret, checked.name).first->second;
     if (owner != checked.name)
-      return fault(Code::blueprintBad, checked.path + ".secrets", "tenant " + owner + " has the same secret");
+      return makeError(Code::blueprintBad, checked.path + ".secrets", "tenant " + owner + " has the same secret");
   }
   return boost::outcome_v2::success();
 }
@@ -163,23 +163,24 @@
   auto tenant = stringField(checked.fields, "tenant", checked.path);
   if (!tenant) return tenant.error();
   if (!findItem("tenants", tenant.value()))
-    return fault(Code::blueprintBad, checked.path + ".tenant", "no such tenant: " + tenant.value());
+    return makeError(Code::blueprintBad, checked.path + ".tenant", "no such tenant: " + tenant.value());
   auto hash = stringField(checked.fields, "hash", checked.path);
-  if (!hash) return fault(hash.error().code, checked.path + ".secret", hash.error().text);
-  if (!isSha256Hex(hash.value())) return fault(Code::badField, checked.path + ".hash", "must be 64 hexadecimal digits");
+  if (!hash) return makeError(hash.error().code, checked.path + ".secret", hash.error().text);
+  if (!isSha256Hex(hash.value()))
+    return makeError(Code::badField, checked.path + ".hash", "must be 64 hexadecimal digits");
   if (auto known = keyIdByHash.find(hash.value()); known != keyIdByHash.end() && known->second != checked.name) {
     const Json* other = findItem("keys", known->second);
     if (other && stringOr(*other, "hash") == hash.value())
-      return fault(Code::blueprintBad, checked.path + ".secret", "another key has the same secret");
+      return makeError(Code::blueprintBad, checked.path + ".secret", "another key has the same secret");
   }
   if (!keyByHash.emplace(hash.value(), checked.name).second)
-    return fault(Code::blueprintBad, checked.path + ".secret", "another key has the same secret");
+    return makeError(Code::blueprintBad, checked.path + ".secret", "another key has the same secret");
   return boost::outcome_v2::success();
 }
 
 Result<void> PatchChecks::checkService(const CheckedItem& checked) const {
   if (checked.fields.count("storeAddress") && stringOr(checked.item, "storeAddress").empty())
-    return fault(Code::badField, checked.path + ".storeAddress", "must be ip:port");
+    return makeError(Code::badField, checked.path + ".storeAddress", "must be ip:port");
   return boost::outcome_v2::success();
 }
 
@@ -191,9 +192,9 @@
   auto route = readRoute(checked.name, checked.item);
   auto owner = routeByPrefix.emplace(std::make_pair(route.host, route.prefix), checked.name).first->second;
   if (owner != checked.name)
-    return fault(Code::blueprintBad, checked.path, "route " + owner + " has the same host and prefix");
+    return makeError(Code::blueprintBad, checked.path, "route " + owner + " has the same host and prefix");
   if (checked.fields.count("timeoutMs") && route.timeout <= Duration(0))
-    return fault(Code::blueprintBad, checked.path + ".timeoutMs", "must be greater than 0");
+    return makeError(Code::blueprintBad, checked.path + ".timeoutMs", "must be greater than 0");
   return checkSplit(route.split, checked.path);
 }
 
@@ -202,11 +203,11 @@
   double sum = 0;
   for (const auto& [service, weight] : split) {
     if (!findItem("services", service))
-      return fault(Code::blueprintBad, path + ".service", "no such service: " + service);
-    if (weight < 0) return fault(Code::blueprintBad, path + ".split", "a weight is negative");
+      return makeError(Code::blueprintBad, path + ".service", "no such service: " + service);
+    if (weight < 0) return makeError(Code::blueprintBad, path + ".split", "a weight is negative");
     sum += weight;
   }
-  if (sum <= 0) return fault(Code::blueprintBad, path + ".split", "the weights sum to 0");
+  if (sum <= 0) return makeError(Code::blueprintBad, path + ".split", "the weights sum to 0");
   return boost::outcome_v2::success();
 }
 
@@ -214,7 +215,7 @@
   auto model = stringField(checked.fields, "model", checked.path);
   if (!model) return model.error();
   if (!findItem("models", model.value()))
-    return fault(Code::blueprintBad, checked.path + ".model", "no such model: " + model.value());
+    return makeError(Code::blueprintBad, checked.path + ".model", "no such model: " + model.value());
   if (auto kind = checkKind(checked); !kind) return kind.error();
   if (auto tenants = checkTenantReferences(checked); !tenants) return tenants.error();
   return checkPolicyReference(checked);
@@ -225,7 +226,7 @@
   auto kind = stringField(checked.fields, "kind", checked.path);
   if (!kind) return kind.error();
   if (kind.value() != "language" && kind.value() != "app")
-    return fault(Code::badField, checked.path + ".kind", "must be language or app");
+    return makeError(Code::badField, checked.path + ".kind", "must be language or app");
   return boost::outcome_v2::success();
 }
 
@@ -235,7 +236,7 @@
   if (!tenants) return tenants.error();
   for (const auto& tenant : tenants.value())
     if (!findItem("tenants", tenant))
-      return fault(Code::blueprintBad, checked.path + ".tenants", "no such tenant: " + tenant);
+      return makeError(Code::blueprintBad, checked.path + ".tenants", "no such tenant: " + tenant);
   return boost::outcome_v2::success();
 }
 
@@ -244,7 +245,7 @@
   auto policy = stringField(checked.fields, "policy", checked.path);
   if (!policy) return policy.error();
   if (!findItem("policies", policy.value()))
-    return fault(Code::blueprintBad, checked.path + ".policy", "no such policy: " + policy.value());
+    return makeError(Code::blueprintBad, checked.path + ".policy", "no such policy: " + policy.value());
   return boost::outcome_v2::success();
 }
 
--- a/src/config/patch_shape.cpp
+++ b/src/config/patch_shape.cpp
@@ -53,11 +53,11 @@
 /// Replaces a key's secret by its hash, since the log must not hold secrets.
 Result<void> hashSecret(JsonObject& fields, const std::string& path) {
   if (!fields.count("secret")) return boost::outcome_v2::success();
-  if (fields.count("hash")) return fault(Code::badField, path + ".hash", "not allowed together with a secret");
+  if (fields.count("hash")) return makeError(Code::badField, path + ".hash", "not allowed together with a secret");
   auto secret = stringField(fields, "secret", path);
   if (!secret) return secret.error();
   if (secret.value().size() < minSecretBytes)
-    return fault(Code::badField, path + ".secret", "must have at least 8 bytes");
+    return makeError(Code::badField, path + ".secret", "must have at least 8 bytes");
   fields["hash"] = Json(sha256Hex(secret.value()));
   fields.erase("secret");
   return boost::outcome_v2::success();
@@ -65,20 +65,21 @@
 
 Result<void> normalizeItem(const std::string& sectionName, const std::string& name, Json& item, bool whole) {
   std::string path = sectionName + "." + name;
-  if (name.empty() || name.size() > maxNameBytes) return fault(Code::badField, path, "a name must have 1 to 128 bytes");
+  if (name.empty() || name.size() > maxNameBytes)
+    return makeError(Code::badField, path, "a name must have 1 to 128 bytes");
   if (item.is<picojson::null>()) {
-    if (whole) return fault(Code::badField, path, "a complete configuration has no null");
+    if (whole) return makeError(Code::badField, path, "a complete configuration has no null");
     return boost::outcome_v2::success();
   }
   if (sectionName == "policies") {
-    if (!item.is<std::string>()) return fault(Code::badField, path, "must be a string");
+    if (!item.is<std::string>()) return makeError(Code::badField, path, "must be a string");
     return boost::outcome_v2::success();
   }
-  if (!item.is<JsonObject>()) return fault(Code::badField, path, "must be an object");
+  if (!item.is<JsonObject>()) return makeError(Code::badField, path, "must be an object");
   if (isFreeSection(sectionName)) return boost::outcome_v2::success();
   auto& fields = item.get<JsonObject>();
   for (const auto& [fieldName, value] : fields)
-    if (!itemFields.at(sectionName).count(fieldName)) return fault(Code::unknownField, path + "." + fieldName);
+    if (!itemFields.at(sectionName).count(fieldName)) return makeError(Code::unknownField, path + "." + fieldName);
   if (sectionName == "keys") return hashSecret(fields, path);
   return boost::outcome_v2::success();
 }
@@ -120,9 +121,9 @@
 
 Result<void> normalizeShape(JsonObject& patch, const Sections& sections, bool whole) {
   for (auto& [sectionName, content] : patch) {
-    if (!sectionNames.count(sectionName)) return fault(Code::unknownField, sectionName);
+    if (!sectionNames.count(sectionName)) return makeError(Code::unknownField, sectionName);
     if (!whole && content.is<picojson::null>()) content = removalOfAll(sectionName, sections);
-    if (!content.is<JsonObject>()) return fault(Code::badField, sectionName, "must be an object");
+    if (!content.is<JsonObject>()) return makeError(Code::badField, sectionName, "must be an object");
     for (auto& [name, item] : content.get<JsonObject>())
       if (auto normalized = normalizeItem(sectionName, name, item, whole); !normalized) return normalized.error();
   }
--- a/src/config/policy.cpp
+++ b/src/config/policy.cpp
@@ -22,7 +22,7 @@
     for (std::string token; words >> token;) tokens.push_back(token);
     if (tokens.empty()) continue;
     auto lineError = [&](const std::string& reason) {
-      return fault(Code::badField, "line " + std::to_string(lineNumber), reason);
+      return makeError(Code::badField, "line " + std::to_string(lineNumber), reason);
     };
     Line parsed;
     std::size_t at = 0;
--- a/src/consensus/change_requests.cpp
+++ b/src/consensus/change_requests.cpp
@@ -49,7 +49,7 @@
     respondOnceCommitted(effects, from, accepted, logEnd());
     return true;
   }
-  if (const auto* refusal = head.refusedAfter(request.changeId, request.seen)) {
+  if (const auto* refusal = head.findRefusalAfter(request.changeId, request.seen)) {
     respondOnceCommitted(
         effects, from,
         ChangeResponse{request.requestId, refusal->code, refusal->subject, refusal->text, refusal->revision, 0, 0},
@@ -57,22 +57,22 @@
     return true;
   }
   bool mayBeAccepted =
-      request.toRevision > 0 && static_cast<std::uint64_t>(request.toRevision) <= head.forgottenRevision();
-  bool mayBeRefused = request.seen < head.refusalsForgotten();
+      request.toRevision > 0 && static_cast<std::uint64_t>(request.toRevision) <= head.lastEvictedRevision();
+  bool mayBeRefused = request.seen < head.lastEvictedRefusal();
   if (mayBeAccepted || mayBeRefused) respond(effects, from, request, Code::changeUnsure, "changeId");
   return mayBeAccepted || mayBeRefused;
 }
 
 Result<std::string> ReplicatedLog::validateChange(const ChangeRequest& request) const {
-  if (request.sinceRevision > 0 && head.forgottenRevision() > static_cast<std::uint64_t>(request.sinceRevision))
-    return fault(Code::changeForgotten, "changeId");
+  if (request.sinceRevision > 0 && head.lastEvictedRevision() > static_cast<std::uint64_t>(request.sinceRevision))
+    return makeError(Code::changeForgotten, "changeId");
   if (request.ifRevision >= 0 && static_cast<std::uint64_t>(request.ifRevision) != head.revision())
-    return fault(Code::staleRevision, "ifRevision");
+    return makeError(Code::staleRevision, "ifRevision");
   if (request.toRevision > 0 && static_cast<std::uint64_t>(request.toRevision) <= head.revision())
-    return fault(Code::revisionOld, "revision");
+    return makeError(Code::revisionOld, "revision");
   auto patch = head.preparePatch(request.body,
                                  request.whole ? ChangeFormat::whole : static_cast<ChangeFormat>(request.changeFormat));
-  if (patch && head.bytes() + patch.value().size() > capacityBytes) return fault(Code::blueprintLarge, "body");
+  if (patch && head.bytes() + patch.value().size() > capacityBytes) return makeError(Code::blueprintLarge, "body");
   return patch;
 }
 
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -107,7 +107,7 @@
     campaignAt =
         effects.now + timing.minElectionTimeout + campaignDelay + std::chrono::milliseconds(effects.randomBelow(300));
   }
-  if (stateMachine.in("holding")) {
+  if (stateMachine.isIn("holding")) {
     if (!voter() || !mayCampaign) {
       resign(effects);
     } else if (effects.now >= lastHeartbeatAt + timing.heartbeatInterval) {
@@ -115,11 +115,11 @@
     }
     return;
   }
-  if (stateMachine.in("idle")) {
+  if (stateMachine.isIn("idle")) {
     if (effects.now >= campaignAt && effects.now >= voteBlockedUntil && voter() && mayCampaign)
       stateMachine.dispatch(*this, "vacant", effects);
   } else if (effects.now >=
-             votesRequestedAt + timing.voteTimeout + (stateMachine.in("asking") ? syncAllowance() : Duration(0))) {
+             votesRequestedAt + timing.voteTimeout + (stateMachine.isIn("asking") ? syncAllowance() : Duration(0))) {
     stateMachine.dispatch(*this, "lapsed", effects);
   }
 }
@@ -141,7 +141,7 @@
   votesRequestedAt = effects.now + timing.maxSyncAllowance;
   effects.save(voteRecord(dutyName, vote), [this, askedTerm, savedAt](Effects& later) {
     lastSyncDuration = later.now - savedAt;
-    if (!stateMachine.in("asking") || vote.term != askedTerm) return;
+    if (!stateMachine.isIn("asking") || vote.term != askedTerm) return;
     votesRequestedAt = later.now;
     grants.insert(selfId);
     auto end = logEnd ? logEnd() : std::make_pair<std::uint64_t, std::uint64_t>(0, 0);
@@ -263,8 +263,8 @@
       return;
     }
     if (!reply->granted || !addressById.count(reply->voter)) return;
-    bool expected = (reply->probe && stateMachine.in("probing")) ||
-                    (!reply->probe && stateMachine.in("asking") && reply->term == vote.term);
+    bool expected = (reply->probe && stateMachine.isIn("probing")) ||
+                    (!reply->probe && stateMachine.isIn("asking") && reply->term == vote.term);
     if (!expected) return;
     grants.insert(reply->voter);
     if (elected() && grants.count(selfId)) stateMachine.dispatch(*this, "granted", effects);
--- a/src/consensus/election.hpp
+++ b/src/consensus/election.hpp
@@ -85,7 +85,7 @@
   /// Whether this core holds a valid lease now. Checked immediately before each command is sent.
   bool holdsLease(TimePoint now) const;
   /// Whether this core was elected in the current term. Its lease may have expired.
-  bool won() const { return stateMachine.in("holding"); }
+  bool won() const { return stateMachine.isIn("holding"); }
   /// Gives up the duty without waiting for the lease to end. If a successor is given, it starts an election immediately
   /// and the other voters wait for it.
   void resign(Effects& effects, const std::string& successor = {});
--- a/src/consensus/replicated_log.cpp
+++ b/src/consensus/replicated_log.cpp
@@ -28,7 +28,7 @@
 void ReplicatedLog::restore(const RecoveredState& recovered, TimePoint now) {
   if (recovered.snapshot) {
     lastSnapshot = *recovered.snapshot;
-    (void)applied.adopt(lastSnapshot);
+    (void)applied.installSnapshot(lastSnapshot);
     commitIndex = lastSnapshot.index;
   }
   log = recovered.entries;
@@ -242,7 +242,7 @@
         log.pop_back();
       }
       syncedIndex = std::min(syncedIndex, logEnd());
-      effects.save(cutRecord(entry.index));
+      effects.save(truncationRecord(entry.index));
       reloadMembers(&effects);
     }
     if (entry.index != logEnd() + 1) return;
--- a/src/consensus/snapshot.cpp
+++ b/src/consensus/snapshot.cpp
@@ -123,7 +123,7 @@
   logBytes = 0;
   for (const auto& entry : log) logBytes += entry.body.size();
   if (!tailMatches) syncedIndex = 0;
-  (void)applied.adopt(lastSnapshot);
+  (void)applied.installSnapshot(lastSnapshot);
   commitIndex = lastSnapshot.index;
   std::uint64_t index = lastSnapshot.index;
   effects.save(tailMatches ? snapshotRecord(lastSnapshot) : installedRecord(lastSnapshot),
--- a/src/consensus/timing_check.cpp
+++ b/src/consensus/timing_check.cpp
@@ -48,7 +48,7 @@
       {"votersLeast >= 1", durations.minVoters >= 1},
   };
   for (const auto& inequality : inequalities)
-    if (!inequality.holds) return fault(Code::badProps, "Bounds", std::string("does not hold: ") + inequality.text);
+    if (!inequality.holds) return makeError(Code::badProps, "Bounds", std::string("does not hold: ") + inequality.text);
   return boost::outcome_v2::success();
 }
 
--- a/src/fuzz/configurations.cpp
+++ b/src/fuzz/configurations.cpp
@@ -51,7 +51,7 @@
   std::set<std::string> stores;
   for (const auto& store : view.stores()) stores.insert(store.service + "," + store.address + "," + store.zone);
   for (const auto& store : stores) text += "|" + store;
-  const auto& limits = view.callerLimits();
+  const auto& limits = view.clientLimits();
   text += "|" + std::to_string(limits.maxHeaderBytes) + "," + std::to_string(limits.maxBodyBytes) + "," +
           std::to_string(limits.headerTimeout.count()) + "," + std::to_string(limits.idleTimeout.count());
   for (const auto& [name, item] : view.section("models")) text += "|" + name + ">" + view.weightsOf(name).value_or("");
@@ -78,7 +78,7 @@
     twin.apply(entry);
     if (listed(twin) != listed(view)) return broken("two replicas apply it differently", input);
     Configuration whole;
-    if (!whole.adopt(view.snapshot())) return broken("its snapshot cannot be adopted", input);
+    if (!whole.installSnapshot(view.snapshot())) return broken("its snapshot cannot be adopted", input);
     if (listed(whole) != listed(view))
       return broken("whole it reads otherwise than applied:\n" + listed(whole) + "\n" + listed(view), input);
     auto again = view.preparePatch(view.text(), ChangeFormat::whole);
--- a/src/fuzz/frames.cpp
+++ b/src/fuzz/frames.cpp
@@ -8,7 +8,7 @@
   if constexpr (at < std::variant_size_v<Message>) {
     if (wanted != at) return drawMessage<at + 1>(filler, wanted);
     std::variant_alternative_t<at, Message> made{};
-    stow(filler, made);
+    serializeField(filler, made);
     return made;
   } else {
     return std::monostate{};
@@ -23,7 +23,7 @@
 T drawn(Mutator& mutator) {
   Filler filler(mutator);
   T made{};
-  stow(filler, made);
+  serializeField(filler, made);
   return made;
 }
 
--- a/src/fuzz/fuzz.hpp
+++ b/src/fuzz/fuzz.hpp
@@ -34,21 +34,21 @@
   explicit Filler(Mutator& drawn) : mutator(drawn) {}
   Mutator& mutator;
 };
-void stow(Filler& filler, std::string& value);
-void stow(Filler& filler, bool& value);
-void stow(Filler& filler, int& value);
-void stow(Filler& filler, double& value);
-void stow(Filler& filler, std::int64_t& value);
-void stow(Filler& filler, Uint64& value);
-void stow(Filler& filler, BlockHash& value);
+void serializeField(Filler& filler, std::string& value);
+void serializeField(Filler& filler, bool& value);
+void serializeField(Filler& filler, int& value);
+void serializeField(Filler& filler, double& value);
+void serializeField(Filler& filler, std::int64_t& value);
+void serializeField(Filler& filler, Uint64& value);
+void serializeField(Filler& filler, BlockHash& value);
 template <class T>
-void stow(Filler& filler, T& value) {
+void serializeField(Filler& filler, T& value) {
   value.serialize(filler, 0);
 }
 template <class T>
-void stow(Filler& filler, std::vector<T>& rows) {
+void serializeField(Filler& filler, std::vector<T>& rows) {
   rows.resize(filler.mutator.randomBelow(4));
-  for (auto& row : rows) stow(filler, row);
+  for (auto& row : rows) serializeField(filler, row);
 }
 
 /// What one round came to. A broken property is told with the input that broke it.
--- a/src/fuzz/mutation.cpp
+++ b/src/fuzz/mutation.cpp
@@ -228,20 +228,22 @@
   return bytes;
 }
 
-void stow(Filler& filler, std::string& value) {
+void serializeField(Filler& filler, std::string& value) {
   value = filler.mutator.word();
   if (filler.mutator.chance(8)) value += std::string(filler.mutator.randomBelow(600), 'x');
 }
-void stow(Filler& filler, bool& value) { value = filler.mutator.chance(2); }
-void stow(Filler& filler, int& value) { value = static_cast<int>(filler.mutator.randomBelow(4)); }
-void stow(Filler& filler, double& value) { value = static_cast<double>(filler.mutator.randomBelow(1000)) / 8; }
-void stow(Filler& filler, std::int64_t& value) {
+void serializeField(Filler& filler, bool& value) { value = filler.mutator.chance(2); }
+void serializeField(Filler& filler, int& value) { value = static_cast<int>(filler.mutator.randomBelow(4)); }
+void serializeField(Filler& filler, double& value) {
+  value = static_cast<double>(filler.mutator.randomBelow(1000)) / 8;
+}
+void serializeField(Filler& filler, std::int64_t& value) {
   value = static_cast<std::int64_t>(filler.mutator.randomBelow(1u << 30));
 }
-void stow(Filler& filler, Uint64& value) {
+void serializeField(Filler& filler, Uint64& value) {
   value = filler.mutator.chance(4) ? filler.mutator.source()() : filler.mutator.randomBelow(100);
 }
-void stow(Filler& filler, BlockHash& value) {
+void serializeField(Filler& filler, BlockHash& value) {
   value.high = filler.mutator.source()();
   value.low = filler.mutator.source()();
 }
--- a/src/fuzz/records.cpp
+++ b/src/fuzz/records.cpp
@@ -53,7 +53,7 @@
       snapshot.configuration = "{}";
       batch.push_back(snapshotRecord(snapshot));
     } else if (mutator.chance(20) && index > 1) {
-      batch.push_back(cutRecord(index--));
+      batch.push_back(truncationRecord(index--));
     } else {
       LogEntry entry{++index, term,
                      1,       std::string(mutator.randomBelow(300), static_cast<char>('a' + mutator.randomBelow(26))),
--- a/src/index/cell.cpp
+++ b/src/index/cell.cpp
@@ -147,8 +147,8 @@
 void Cell::requestStatus(Effects& effects, CacheNode& node) {
   if (node.machine.kind != "language" || node.machine.leaving) return;
   auto rollout = rollouts.find(node.machine.name);
-  bool changing = rollout != rollouts.end() && !rollout->second.stateMachine->in("serving") &&
-                  !rollout->second.stateMachine->in("marking");
+  bool changing = rollout != rollouts.end() && !rollout->second.stateMachine->isIn("serving") &&
+                  !rollout->second.stateMachine->isIn("marking");
   if (node.statusAt != TimePoint{} && !changing && settings.statusInterval == Duration(0)) return;
   Duration interval = changing                       ? rolloutStatusInterval
                       : node.statusAt == TimePoint{} ? reportRetryTimeout
@@ -351,8 +351,8 @@
       else
         transfer.stateMachine->dispatch(*this, "accepted", effects, transfer);
     }
-    entry = transfer.stateMachine->in("finished") || transfer.stateMachine->in("failed") ? transfers.erase(entry)
-                                                                                         : std::next(entry);
+    entry = transfer.stateMachine->isIn("finished") || transfer.stateMachine->isIn("failed") ? transfers.erase(entry)
+                                                                                             : std::next(entry);
   }
 }
 
@@ -398,7 +398,7 @@
     auto wanted = lastConfiguration ? lastConfiguration->weightsOf(node.lastReport.model) : std::nullopt;
     bool hasWanted = !wanted || node.lastReport.weights == *wanted;
     bool withheld = (node.lastReport.draining && (!settings.singleLoadCommand || !hasWanted)) ||
-                    (rollout != rollouts.end() && !rollout->second.stateMachine->in("serving"));
+                    (rollout != rollouts.end() && !rollout->second.stateMachine->isIn("serving"));
     bool alive = !sendsReports(node) || (node.known && effects.now - node.lastReportAt < settings.workerTimeout);
     update.workers.push_back(WorkerView{
         name, node.machine.address, zoneName, node.machine.kind, node.lastReport.weights, node.lastReport.model,
--- a/src/index/cell_rollouts.cpp
+++ b/src/index/cell_rollouts.cpp
@@ -113,7 +113,7 @@
   auto found = rollouts.find(worker);
   if (found == rollouts.end() || !found->second.stateMachine) return RolloutStep::serving;
   if (found->second.failed && defences.isEnabled(Defence::failedNotCounted)) return RolloutStep::failed;
-  return found->second.stateMachine->in("serving") ? RolloutStep::serving : RolloutStep::changing;
+  return found->second.stateMachine->isIn("serving") ? RolloutStep::serving : RolloutStep::changing;
 }
 
 std::set<std::string> Cell::workersDue(TimePoint now, const Configuration& configuration) const {
@@ -173,7 +173,7 @@
     auto& rollout = rolloutFor(name);
     if (!takesPartInRollout(node, effects.now) || (settings.separateStatus && node.machine.leaving)) continue;
     if (effects.now - leaseWonAt < timing.commandHoldoff) continue;
-    if (rollout.stateMachine->in("serving"))
+    if (rollout.stateMachine->isIn("serving"))
       startRollout(effects, node, rollout, *wanted, due.count(name) > 0);
     else
       continueRollout(effects, node, rollout, *wanted);
@@ -197,7 +197,7 @@
   const auto& report = node.lastReport;
   const auto& worker = node.machine.name;
   bool finishing =
-      settings.singleLoadCommand && rollout.stateMachine->in("loading") && rollout.acceptedAt >= rollout.sentAt;
+      settings.singleLoadCommand && rollout.stateMachine->isIn("loading") && rollout.acceptedAt >= rollout.sentAt;
   std::string target = finishing ? rollout.weights : wanted;
   bool hasWanted = report.weights == target;
   bool unanswered = rollout.acceptedAt < rollout.sentAt && effects.now - rollout.sentAt >= commandRetryInterval;
@@ -215,11 +215,11 @@
     dispatch("wanted");
     elapsed = effects.now - rollout.stateSince;
   }
-  if (rollout.stateMachine->in("marking")) {
+  if (rollout.stateMachine->isIn("marking")) {
     bool applied = sequence >= rollout.withheldSequence && agentsHaveApplied(rollout.withheldSequence, effects.now);
     if (applied || elapsed >= settings.withholdTimeout)
       dispatch(hasWanted && (report.draining || settings.singleLoadCommand) ? "settled" : "cleared");
-  } else if (rollout.stateMachine->in("draining")) {
+  } else if (rollout.stateMachine->isIn("draining")) {
     if (hasWanted && report.draining)
       dispatch("settled");
     else if (report.draining && report.running == 0)
@@ -228,21 +228,21 @@
       dispatch("overdue");
     else if (resend)
       dispatch("again");
-  } else if (rollout.stateMachine->in("loading")) {
+  } else if (rollout.stateMachine->isIn("loading")) {
     if (hasWanted)
       dispatch("loaded");
     else if (elapsed >= loadTimeout)
       dispatch("overdue");
     else if (resend)
       dispatch("again");
-  } else if (rollout.stateMachine->in("admitting")) {
+  } else if (rollout.stateMachine->isIn("admitting")) {
     if (hasWanted && !report.draining)
       dispatch("admitted");
     else if (!hasWanted)
       dispatch("wanted");
     else if (resend)
       dispatch("again");
-  } else if (rollout.stateMachine->in("broken")) {
+  } else if (rollout.stateMachine->isIn("broken")) {
     if (hasWanted)
       dispatch("loaded");
     else if (elapsed >= retryDelay)
--- a/src/model/setup.cpp
+++ b/src/model/setup.cpp
@@ -25,11 +25,11 @@
   std::istringstream words(line);
   std::string word;
   words >> word;
-  if (word != setupWord) return fault(Code::badField, "setup", "a run begins with its setup");
+  if (word != setupWord) return makeError(Code::badField, "setup", "a run begins with its setup");
   Setup setup;
   while (words >> word) {
     auto equals = word.find('=');
-    if (equals == std::string::npos) return fault(Code::badField, word, "must be name=value");
+    if (equals == std::string::npos) return makeError(Code::badField, word, "must be name=value");
     std::string name = word.substr(0, equals), value = word.substr(equals + 1);
     if (name == "without") {
       setup.without.insert(value);
@@ -40,7 +40,7 @@
       continue;
     }
     if (value.empty() || value.find_first_not_of("0123456789") != std::string::npos || value.size() > 9)
-      return fault(Code::badField, name, "must be a number");
+      return makeError(Code::badField, name, "must be a number");
     int number = std::stoi(value);
     if (name == "voters") {
       setup.voters = number;
@@ -63,11 +63,11 @@
     } else if (name == "networkRoom") {
       setup.networkRoom = static_cast<std::size_t>(number);
     } else {
-      return fault(Code::unknownField, name);
+      return makeError(Code::unknownField, name);
     }
   }
   if (setup.voters < 1 || setup.machines() > mostMachines)
-    return fault(Code::badField, "voters", "1 to 9 replicas in all");
+    return makeError(Code::badField, "voters", "1 to 9 replicas in all");
   if (auto defences = setup.defences(); !defences) return defences.error();
   return setup;
 }
@@ -76,7 +76,7 @@
   Defences standing;
   for (const auto& name : without) {
     auto defence = Defences::named(name);
-    if (!defence) return fault(Code::badField, name, "is no defence");
+    if (!defence) return makeError(Code::badField, name, "is no defence");
     standing.disable(*defence);
   }
   return standing;
--- a/src/net/contract.cpp
+++ b/src/net/contract.cpp
@@ -32,7 +32,7 @@
   Hashes hashes;
   for (const auto& text : texts.value()) {
     auto hash = BlockHash::parse(text);
-    if (!hash) return fault(Code::badField, name, "a hash is 32 hexadecimal digits");
+    if (!hash) return makeError(Code::badField, name, "a hash is 32 hexadecimal digits");
     hashes.push_back(*hash);
   }
   return hashes;
@@ -40,7 +40,7 @@
 Result<JsonObject> parseAnyObject(const std::string& text) {
   auto value = parseJson(text);
   if (!value) return value.error();
-  if (!value.value().is<JsonObject>()) return fault(Code::badField, "body", "must be an object");
+  if (!value.value().is<JsonObject>()) return makeError(Code::badField, "body", "must be an object");
   return value.value().get<JsonObject>();
 }
 }  // namespace
@@ -200,11 +200,11 @@
   report.kept = kept.value();
   if (auto events = body.find("events"); events != body.end() && events->second.is<JsonArray>())
     for (const auto& row : events->second.get<JsonArray>()) {
-      if (!row.is<JsonObject>()) return fault(Code::badField, "events");
+      if (!row.is<JsonObject>()) return makeError(Code::badField, "events");
       CacheEvent event;
       event.sequence = countOr(row, "sequence");
       std::string kind = stringOr(row, "kind");
-      if (kind != "stored" && kind != "removed" && kind != "cleared") return fault(Code::badField, "events.kind");
+      if (kind != "stored" && kind != "removed" && kind != "cleared") return makeError(Code::badField, "events.kind");
       event.kind = static_cast<int>(kind == "stored"    ? CacheEventKind::stored
                                     : kind == "removed" ? CacheEventKind::removed
                                                         : CacheEventKind::cleared);
@@ -235,7 +235,7 @@
   auto action = stringField(body, "action");
   if (!action) return action.error();
   if (action.value() != "drain" && action.value() != "load" && action.value() != "admit")
-    return fault(Code::badField, "action", "must be drain, load or admit");
+    return makeError(Code::badField, "action", "must be drain, load or admit");
   Json object(body);
   return ControlAsk{static_cast<Uint64>(term.value()), stringOr(object, "holder"),  action.value(),
                     stringOr(object, "model"),         stringOr(object, "weights"), stringOr(object, "incarnation")};
@@ -290,7 +290,7 @@
   return Json(body).serialize();
 }
 Result<Machine> readMachine(const Json& value) {
-  if (!value.is<JsonObject>()) return fault(Code::badField, "machines");
+  if (!value.is<JsonObject>()) return makeError(Code::badField, "machines");
   Machine machine;
   for (auto [name, field] : std::initializer_list<std::pair<const char*, std::string*>>{{"name", &machine.name},
                                                                                         {"address", &machine.address},
@@ -301,7 +301,7 @@
     *field = text.value();
   }
   if (machine.kind != "language" && machine.kind != "app" && machine.kind != "store")
-    return fault(Code::badField, "machines.kind", "must be language, app or store");
+    return makeError(Code::badField, "machines.kind", "must be language, app or store");
   machine.leaving = boolOr(value, "leaving", false);
   return machine;
 }
@@ -310,7 +310,7 @@
   if (!parsed) return parsed.error();
   MachinesReply reply;
   auto rows = parsed.value().find("machines");
-  if (rows == parsed.value().end() || !rows->second.is<JsonArray>()) return fault(Code::missingField, "machines");
+  if (rows == parsed.value().end() || !rows->second.is<JsonArray>()) return makeError(Code::missingField, "machines");
   for (const auto& row : rows->second.get<JsonArray>()) {
     auto machine = readMachine(row);
     if (!machine) return machine.error();
@@ -321,7 +321,7 @@
 
 Result<CallerOrder> readCallerOrder(const std::string& text) {
   if (text.size() > maxCallerBodyBytes)
-    return fault(Code::tooLarge, "body", "the body exceeds " + std::to_string(maxCallerBodyBytes) + " bytes");
+    return makeError(Code::tooLarge, "body", "the body exceeds " + std::to_string(maxCallerBodyBytes) + " bytes");
   auto parsed =
       parseObject(text, {"route", "model", "parts", "repeatable", "maxTokens", "tenant", "kv_transfer_params"});
   if (!parsed) return parsed.error();
@@ -335,7 +335,7 @@
   order.model = model.value();
   auto parts = stringListField(body, "parts");
   if (!parts) return parts.error();
-  if (parts.value().empty()) return fault(Code::badField, "parts", "must not be empty");
+  if (parts.value().empty()) return makeError(Code::badField, "parts", "must not be empty");
   order.parts = parts.value();
   auto repeatable = boolField(body, "repeatable", false);
   if (!repeatable) return repeatable.error();
@@ -349,10 +349,10 @@
     order.tenant = tenant.value();
   }
   if (auto params = body.find("kv_transfer_params"); params != body.end()) {
-    if (!params->second.is<JsonObject>()) return fault(Code::badField, "kv_transfer_params", "must be an object");
+    if (!params->second.is<JsonObject>()) return makeError(Code::badField, "kv_transfer_params", "must be an object");
     for (const auto& [name, value] : params->second.get<JsonObject>()) {
       order.modes.push_back(name);
-      if (!value.is<JsonObject>()) return fault(Code::badField, "kv_transfer_params." + name, "must be an object");
+      if (!value.is<JsonObject>()) return makeError(Code::badField, "kv_transfer_params." + name, "must be an object");
       auto id = stringField(value.get<JsonObject>(), "kv_request_id", "kv_transfer_params." + name);
       if (!id) return id.error();
     }
--- a/src/net/gate.cpp
+++ b/src/net/gate.cpp
@@ -26,7 +26,7 @@
   if (error) {
     asio::error_code ignored;
     acceptor.close(ignored);
-    return fault(Code::badProps, address, error.message());
+    return makeError(Code::badProps, address, error.message());
   }
   accept();
   return boost::outcome_v2::success();
--- a/src/net/host.cpp
+++ b/src/net/host.cpp
@@ -39,14 +39,14 @@
 
 Result<Address> parseAddress(const std::string& text) {
   auto colon = text.rfind(':');
-  if (colon == std::string::npos) return fault(Code::badProps, text, "an address is ip:port");
+  if (colon == std::string::npos) return makeError(Code::badProps, text, "an address is ip:port");
   asio::error_code error;
   auto ip = asio::ip::make_address(text.substr(0, colon), error);
-  if (error) return fault(Code::badProps, text, "the IP address is not valid");
+  if (error) return makeError(Code::badProps, text, "the IP address is not valid");
   std::string port = text.substr(colon + 1);
   if (port.empty() || port.size() > 5 || port.find_first_not_of("0123456789") != std::string::npos ||
       std::stoul(port) > 65535 || std::stoul(port) == 0)
-    return fault(Code::badProps, text, "the port must be from 1 to 65535");
+    return makeError(Code::badProps, text, "the port must be from 1 to 65535");
   return Address{ip.to_string(), static_cast<unsigned short>(std::stoul(port))};
 }
 
@@ -209,7 +209,8 @@
   if (!error) acceptor.bind(endpoint, error);
   if (!error) acceptor.listen(128, error);
   if (error)
-    return fault(Code::badProps, listenAddress == self ? "address" : "listen", listenAddress + ": " + error.message());
+    return makeError(Code::badProps, listenAddress == self ? "address" : "listen",
+                     listenAddress + ": " + error.message());
   accept();
   return boost::outcome_v2::success();
 }
--- a/src/net/process.cpp
+++ b/src/net/process.cpp
@@ -59,7 +59,7 @@
 }
 
 Result<void> Settings::set(Setting& setting, const Json& value) {
-  auto invalid = [&](const std::string& reason) { return fault(Code::badProps, setting.key, reason); };
+  auto invalid = [&](const std::string& reason) { return makeError(Code::badProps, setting.key, reason); };
   if (setting.text) {
     if (!value.is<std::string>()) return invalid("must be a string");
     *setting.text = value.get<std::string>();
@@ -93,17 +93,17 @@
 
 Result<void> Settings::readFile() {
   std::ifstream source(file);
-  if (!source) return fault(Code::badProps, "props", "cannot read " + file);
+  if (!source) return makeError(Code::badProps, "props", "cannot read " + file);
   std::stringstream bytes;
   bytes << source.rdbuf();
   auto read = parseJson(bytes.str());
-  if (!read) return fault(Code::badProps, "props", file + ": " + read.error().text);
-  if (!read.value().is<JsonObject>()) return fault(Code::badProps, "props", file + ": must be an object");
+  if (!read) return makeError(Code::badProps, "props", file + ": " + read.error().text);
+  if (!read.value().is<JsonObject>()) return makeError(Code::badProps, "props", file + ": must be an object");
   for (const auto& [key, value] : read.value().get<JsonObject>()) {
     Setting* found = nullptr;
     for (auto& setting : settings)
       if (setting->key == key) found = setting.get();
-    if (!found) return fault(Code::badProps, key, "not a known key of " + program);
+    if (!found) return makeError(Code::badProps, key, "not a known key of " + program);
     if (auto done = set(*found, value); !done) return done.error();
   }
   return boost::outcome_v2::success();
@@ -130,14 +130,14 @@
       auto read = parseJson(setting->rawValue);
       if (!read)
         return reportStartFailure(
-            fault(Code::badProps, setting->key, "'" + setting->rawValue + "' is not a valid value"));
+            makeError(Code::badProps, setting->key, "'" + setting->rawValue + "' is not a valid value"));
       value = read.value();
     }
     if (auto done = set(*setting, value); !done) return reportStartFailure(done.error());
   }
   for (const auto& setting : settings)
     if (setting->required && setting->text && setting->text->empty())
-      return reportStartFailure(fault(Code::badProps, setting->key, "must be given"));
+      return reportStartFailure(makeError(Code::badProps, setting->key, "must be given"));
   if (checkOnly) {
     std::cout << "props are good\n";
     return 0;
--- a/src/net/web.cpp
+++ b/src/net/web.cpp
@@ -164,11 +164,11 @@
 WebServer::~WebServer() = default;
 
 Result<void> WebServer::open() {
-  if (!impl->server) return fault(Code::badProps, "address");
+  if (!impl->server) return makeError(Code::badProps, "address");
   try {
     impl->server->open_sync();
   } catch (const std::exception& exception) {
-    return fault(Code::badProps, impl->ip + ":" + std::to_string(impl->port), exception.what());
+    return makeError(Code::badProps, impl->ip + ":" + std::to_string(impl->port), exception.what());
   }
   return boost::outcome_v2::success();
 }
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -62,9 +62,9 @@
   if (found == requests.end()) return;
   auto& request = *found->second;
   request.stateMachine->dispatch(*this, event, effects, request);
-  if (request.stateMachine->in("again"))
+  if (request.stateMachine->isIn("again"))
     request.stateMachine->dispatch(*this, request.retryRequested ? "retry" : "giveUp", effects, request);
-  if (!request.stateMachine->in("ended")) return;
+  if (!request.stateMachine->isIn("ended")) return;
   freeWorker(effects, request);
   orderIdByAttempt.erase(request.attemptId);
   requests.erase(orderId);
@@ -180,7 +180,7 @@
 }
 
 bool ProxyRouter::isUnstartedPastWeightsEnd(const Request& request, TimePoint now) const {
-  return request.stateMachine->in("sent") && settings.defences.isEnabled(Defence::unbegunDropped) &&
+  return request.stateMachine->isIn("sent") && settings.defences.isEnabled(Defence::unbegunDropped) &&
          now >= weightsUseEndsAt(request.plan.model, request.plan.weights, timing.unstartedOrderTimeout);
 }
 
@@ -220,17 +220,17 @@
       dispatch(effects, orderId, "revoked");
       continue;
     }
-    if (request.stateMachine->in("lookup") && effects.now - request.lookupStartedAt >= settings.lookupTimeout &&
+    if (request.stateMachine->isIn("lookup") && effects.now - request.lookupStartedAt >= settings.lookupTimeout &&
         settings.defences.isEnabled(Defence::lookupExpires))
       finishLookup(effects, request);
     else if (isUnstartedPastWeightsEnd(request, effects.now)) {
       effects.note("unbegun dropped", orderId + " " + request.plan.worker);
       dispatch(effects, orderId, "silent");
-    } else if (request.route.matchesPath() && !request.stateMachine->in("pending")) {
+    } else if (request.route.matchesPath() && !request.stateMachine->isIn("pending")) {
       if (effects.now >= request.deadline + deadlineGrace) dispatch(effects, orderId, "silent");
-    } else if (request.stateMachine->in("sent") && effects.now - request.lastActivityAt >= settings.firstByteTimeout)
+    } else if (request.stateMachine->isIn("sent") && effects.now - request.lastActivityAt >= settings.firstByteTimeout)
       dispatch(effects, orderId, "silent");
-    else if (request.stateMachine->in("streaming") && effects.now - request.lastActivityAt >= settings.chunkTimeout)
+    else if (request.stateMachine->isIn("streaming") && effects.now - request.lastActivityAt >= settings.chunkTimeout)
       dispatch(effects, orderId, "silent");
   }
   std::vector<std::string> expired;
@@ -257,10 +257,10 @@
 }
 
 const char* ProxyRouter::chartEventFor(const Request& request, OrderOutcome outcome) const {
-  bool canResume = request.stateMachine->in("streaming") && request.route.resumable;
+  bool canResume = request.stateMachine->isIn("streaming") && request.route.resumable;
   bool connectionBroke =
       outcome == OrderOutcome::broken || outcome == OrderOutcome::denied || outcome == OrderOutcome::brokenBeforeSend;
-  if (outcome == OrderOutcome::broken && request.stateMachine->in("streaming") &&
+  if (outcome == OrderOutcome::broken && request.stateMachine->isIn("streaming") &&
       !settings.defences.isEnabled(Defence::retryBeforeBytes))
     return "brokenAnew";
   if (canResume && connectionBroke) return "cut";
@@ -335,7 +335,7 @@
 void ProxyRouter::onConfigurationUpdate(Effects& effects, const NewsMsg& update) {
   Uint64 before = config.index();
   for (const auto& snapshot : update.snapshots)
-    if (snapshot.index > config.index() && config.adopt(snapshot)) recordCurrentWeights();
+    if (snapshot.index > config.index() && config.installSnapshot(snapshot)) recordCurrentWeights();
   for (const auto& entry : update.entries) {
     if (entry.index != config.index() + 1) continue;
     config.apply(entry);
@@ -376,7 +376,7 @@
   std::string orderId = row->second;
   orderIdByLookup.erase(row);
   auto found = requests.find(orderId);
-  if (found == requests.end() || !found->second->stateMachine->in("lookup")) return;
+  if (found == requests.end() || !found->second->stateMachine->isIn("lookup")) return;
   auto& request = *found->second;
   if (effects.now - request.lookupStartedAt < settings.lookupTimeout) request.replies[reply.keeper] = reply;
   if (request.replies.size() == request.plan.candidates.size()) finishLookup(effects, request);
--- a/src/routing/edge_admission.cpp
+++ b/src/routing/edge_admission.cpp
@@ -144,7 +144,7 @@
 void ProxyRouter::servePending(Effects& effects) {
   std::map<std::string, std::deque<std::string>> byTenant;
   for (const auto& orderId : pending)
-    if (auto found = requests.find(orderId); found != requests.end() && found->second->stateMachine->in("pending"))
+    if (auto found = requests.find(orderId); found != requests.end() && found->second->stateMachine->isIn("pending"))
       byTenant[found->second->tenant].push_back(orderId);
   pending.clear();
   std::deque<std::string> remaining;
--- a/src/routing/edge_sources.cpp
+++ b/src/routing/edge_sources.cpp
@@ -23,12 +23,12 @@
   std::set<std::string> given(modes.begin(), modes.end());
   for (const auto& mode : given)
     if (mode != "remote_decoder" && mode != "remote_prefiller" && mode != "remote_kv_source")
-      return fault(Code::unknownField, "kv_transfer_params." + mode);
+      return makeError(Code::unknownField, "kv_transfer_params." + mode);
   if (given.count("remote_prefiller") && given.size() > 1)
-    return fault(Code::badMode, "kv_transfer_params",
-                 given.count("remote_kv_source")
-                     ? "a request may have only one fetch source: remote_prefiller or remote_kv_source"
-                     : "remote_prefiller and remote_decoder may not be combined");
+    return makeError(Code::badMode, "kv_transfer_params",
+                     given.count("remote_kv_source")
+                         ? "a request may have only one fetch source: remote_prefiller or remote_kv_source"
+                         : "remote_prefiller and remote_decoder may not be combined");
   return boost::outcome_v2::success();
 }
 
--- a/src/sim/history_lines.cpp
+++ b/src/sim/history_lines.cpp
@@ -25,9 +25,9 @@
 
 Result<std::vector<ItemChange>> itemsOf(const Json& list) {
   std::vector<ItemChange> items;
-  if (!list.is<JsonArray>()) return fault(Code::badField, "items", "must be a list");
+  if (!list.is<JsonArray>()) return makeError(Code::badField, "items", "must be a list");
   for (const auto& row : list.get<JsonArray>()) {
-    if (!row.is<JsonObject>()) return fault(Code::badField, "items", "must hold objects");
+    if (!row.is<JsonObject>()) return makeError(Code::badField, "items", "must hold objects");
     const auto& fields = row.get<JsonObject>();
     auto name = stringField(fields, "name", "items");
     if (!name) return name.error();
@@ -47,7 +47,7 @@
   if (!text) return text.error();
   if (text.value().empty() || text.value().find_first_not_of("0123456789") != std::string::npos ||
       text.value().size() > 18)
-    return fault(Code::badField, name, "must be nanoseconds in digits");
+    return makeError(Code::badField, name, "must be nanoseconds in digits");
   return static_cast<std::int64_t>(std::stoll(text.value()));
 }
 
@@ -56,7 +56,7 @@
   if (!revision) return revision.error();
   history.initialRevision = static_cast<std::uint64_t>(revision.value());
   auto found = fields.find("items");
-  if (found == fields.end()) return fault(Code::missingField, "items");
+  if (found == fields.end()) return makeError(Code::missingField, "items");
   auto items = itemsOf(found->second);
   if (!items) return items.error();
   for (const auto& item : items.value())
@@ -73,8 +73,8 @@
   if (!client) return client.error();
   auto knownKind = namedIn<OperationKind>(kindNames, kind.value());
   auto knownOutcome = namedIn<OperationOutcome>(outcomeNames, outcome.value());
-  if (!knownKind) return fault(Code::badField, "kind");
-  if (!knownOutcome) return fault(Code::badField, "outcome");
+  if (!knownKind) return makeError(Code::badField, "kind");
+  if (!knownOutcome) return makeError(Code::badField, "outcome");
   operation.kind = *knownKind;
   operation.outcome = *knownOutcome;
   operation.client = client.value();
@@ -89,7 +89,7 @@
     if (!ended) return ended.error();
     operation.ended = ended.value();
   }
-  if (operation.outcome != OperationOutcome::unclear && !operation.ended) return fault(Code::missingField, "ended");
+  if (operation.outcome != OperationOutcome::unclear && !operation.ended) return makeError(Code::missingField, "ended");
   for (auto [name, target] : {std::pair{"revision", &operation.revision}, {"seen", &operation.seenRevision}}) {
     auto number = integerField(fields, name, 0, 0, mostRevision);
     if (!number) return number.error();
@@ -163,16 +163,16 @@
   for (std::size_t at = 0; at < lines.size(); ++at) {
     std::string place = "line " + std::to_string(at + 1);
     auto read = parseJson(lines[at]);
-    if (!read || !read.value().is<JsonObject>()) return fault(Code::badJson, place, "is no JSON object");
+    if (!read || !read.value().is<JsonObject>()) return makeError(Code::badJson, place, "is no JSON object");
     const auto& fields = read.value().get<JsonObject>();
     if (stringOr(read.value(), "kind") == "initial") {
       if (auto done = readInitial(history, fields); !done)
-        return fault(done.error().code, place + " " + done.error().subject, done.error().text);
+        return makeError(done.error().code, place + " " + done.error().subject, done.error().text);
       continue;
     }
     auto operation = readOperation(fields);
     if (!operation)
-      return fault(operation.error().code, place + " " + operation.error().subject, operation.error().text);
+      return makeError(operation.error().code, place + " " + operation.error().subject, operation.error().text);
     history.operations.push_back(std::move(operation.value()));
   }
   return history;
--- a/src/sim/scale/fleet_trial.cpp
+++ b/src/sim/scale/fleet_trial.cpp
@@ -74,7 +74,7 @@
       fleet.runUntil(fleet.now() + 200ms);
     voters = static_cast<std::int64_t>(fleet.countVoters());
     if (voters == size.cores) return boost::outcome_v2::success();
-    return fault(Code::notLeading, "cores", fmt::format("{} of {} cores vote", voters, size.cores));
+    return makeError(Code::notLeading, "cores", fmt::format("{} of {} cores vote", voters, size.cores));
   }
 
   Result<void> waitUntilFresh() {
@@ -86,9 +86,10 @@
     int first = fleet.changes().at("first").code, models = fleet.changes().at("models").code;
     constexpr int taken = static_cast<int>(Code::changeTaken);
     if (first != taken || models != taken)
-      return fault(Code::blueprintBad, "blueprint", fmt::format("first changes ended with {} and {}", first, models));
+      return makeError(Code::blueprintBad, "blueprint",
+                       fmt::format("first changes ended with {} and {}", first, models));
     if (freshAgents == size.daemons) return boost::outcome_v2::success();
-    return fault(Code::staleEdge, "daemons", fmt::format("{} of {} are fresh", freshAgents, size.daemons));
+    return makeError(Code::staleEdge, "daemons", fmt::format("{} of {} are fresh", freshAgents, size.daemons));
   }
 
   /// Requests warm the fleet up before it is measured; changes come only while it is.
@@ -134,7 +135,7 @@
     cost.freshAgents = freshAgents;
     for (const auto& [changeId, change] : fleet.changes()) {
       if (change.code > 0 && change.code != static_cast<int>(Code::changeTaken))
-        return fault(static_cast<Code>(change.code), changeId);
+        return makeError(static_cast<Code>(change.code), changeId);
       if (change.ackedAt != TimePoint{}) cost.ackMs.push_back(toMilliseconds(change.ackedAt - change.askedAt));
       if (change.agentsAt != TimePoint{}) cost.agentsMs.push_back(toMilliseconds(change.agentsAt - change.askedAt));
       if (change.proxiesAt != TimePoint{}) cost.proxiesMs.push_back(toMilliseconds(change.proxiesAt - change.askedAt));
--- a/src/sim/scale/hollow_fleet.cpp
+++ b/src/sim/scale/hollow_fleet.cpp
@@ -353,7 +353,7 @@
   total.configurationBytes = static_cast<std::int64_t>(core(0).consensusLog().configuration().bytes());
   collectCells(total);
   std::map<std::string, int> followersByAddress;
-  for (std::size_t number = 0; number < agents.size(); ++number) ++followersByAddress[agent(number).parentAddress()];
+  for (std::size_t number = 0; number < agents.size(); ++number) ++followersByAddress[agent(number).upstreamAddress()];
   for (const auto& process : processes)
     total.daemonsByRole[process->role].push_back(costOf(*process, followersByAddress));
   return total;
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -617,7 +617,7 @@
         std::string at = name;
         int depth = 1;
         for (; depth < 20; ++depth) {
-          std::string next = world->nameAt(world->agent(at)->parentAddress());
+          std::string next = world->nameAt(world->agent(at)->upstreamAddress());
           if (next.rfind("agent-", 0) != 0) break;
           at = next;
         }
--- a/src/sim/sim.cpp
+++ b/src/sim/sim.cpp
@@ -22,7 +22,7 @@
 }
 
 Result<void> SimDisk::write(int file, std::size_t offset, std::string_view bytes) {
-  if (full) return fault(Code::diskFault, "write", "no space");
+  if (full) return makeError(Code::diskFault, "write", "no space");
   lastFile = static_cast<std::size_t>(file);
   lastOffset = offset;
   lastSize = bytes.size();
--- a/src/storage/ring.cpp
+++ b/src/storage/ring.cpp
@@ -20,7 +20,7 @@
 /// The smallest unit that a disk writes or loses as a whole.
 constexpr std::size_t sectorSize = 512;
 
-Error diskFault(const std::string& what) { return fault(Code::diskFault, what, std::strerror(errno)); }
+Error diskFault(const std::string& what) { return makeError(Code::diskFault, what, std::strerror(errno)); }
 
 }  // namespace
 
@@ -95,7 +95,7 @@
 }
 
 Result<void> FaultInjectingFiles::write(int file, std::size_t offset, std::string_view bytes) {
-  if (readFault().first == "full") return fault(Code::diskFault, "write", "no space left (injected fault)");
+  if (readFault().first == "full") return makeError(Code::diskFault, "write", "no space left (injected fault)");
   return inner.write(file, offset, bytes);
 }
 
@@ -186,7 +186,8 @@
   info.syncedSequence = syncedSequence;
   info.rotations = rotations + 1;
   std::string bytes = encodeBatch(info, records);
-  if (bytes.size() > files.size()) return fault(Code::diskFault, "ring", "the checkpoint is larger than a ring file");
+  if (bytes.size() > files.size())
+    return makeError(Code::diskFault, "ring", "the checkpoint is larger than a ring file");
   int nextFile = (currentFile + 1) % files.count();
   auto& used = usedBytes[static_cast<std::size_t>(nextFile)];
   std::size_t checkpointBytes = bytes.size();
@@ -203,7 +204,7 @@
 
 Result<void> Ring::writeBatch(const std::vector<Record>& records) {
   for (const auto& record : records)
-    if (!logState.applyRecord(record)) return fault(Code::diskFault, "record");
+    if (!logState.applyRecord(record)) return makeError(Code::diskFault, "record");
   BatchInfo info;
   info.generation = info.syncedGeneration = currentGeneration;
   info.sequence = nextSequence;
@@ -218,7 +219,7 @@
 }
 
 Result<void> Ring::append(const std::vector<Record>& records) {
-  if (failed) return fault(Code::diskFault, "ring", "an earlier write failed; the ring must be opened again");
+  if (failed) return makeError(Code::diskFault, "ring", "an earlier write failed; the ring must be opened again");
   if (records.empty()) return boost::outcome_v2::success();
   auto written = writeBatch(records);
   failed = !written;
--- a/src/storage/ring_recovery.cpp
+++ b/src/storage/ring_recovery.cpp
@@ -110,12 +110,12 @@
     const auto& scan = scans[file];
     std::string name = "ring-" + std::to_string(file);
     if (scan.unreadable && scan.generation >= generation)
-      return fault(Code::ringDamaged, name, "a record cannot be decoded");
+      return makeError(Code::ringDamaged, name, "a record cannot be decoded");
     if (batchesProveMissing(scan, generation, nextSequence) || legacyProvesMissing(scan, generation))
-      return fault(Code::ringDamaged, name, "synced records are missing");
+      return makeError(Code::ringDamaged, name, "synced records are missing");
   }
   if (best && nextFileErased(scans, *best))
-    return fault(Code::ringDamaged, "ring", "a file that should hold records does not start with one");
+    return makeError(Code::ringDamaged, "ring", "a file that should hold records does not start with one");
   return std::nullopt;
 }
 
--- a/src/tools/main_audit.cpp
+++ b/src/tools/main_audit.cpp
@@ -21,12 +21,13 @@
 Result<void> checkNote(const EventNote& note) {
   static const std::set<std::string> events{"revoked", "leaving", "staying", "naming", "named"};
   if (!events.count(note.event))
-    return fault(Code::badProps, "note", "must be revoked, leaving, staying, naming or named");
-  if (note.isNaming() && note.name.empty()) return fault(Code::badProps, "of", "must be given with a naming");
-  if (note.isNaming() && note.model.empty()) return fault(Code::badProps, "model", "must be given with a naming");
-  if (note.isNaming() && note.changeId.empty()) return fault(Code::badProps, "change", "must be given with a naming");
+    return makeError(Code::badProps, "note", "must be revoked, leaving, staying, naming or named");
+  if (note.isNaming() && note.name.empty()) return makeError(Code::badProps, "of", "must be given with a naming");
+  if (note.isNaming() && note.model.empty()) return makeError(Code::badProps, "model", "must be given with a naming");
+  if (note.isNaming() && note.changeId.empty())
+    return makeError(Code::badProps, "change", "must be given with a naming");
   if (note.event == "named" && note.revision < 1)
-    return fault(Code::badProps, "revision", "must be given with an acknowledgement");
+    return makeError(Code::badProps, "revision", "must be given with an acknowledgement");
   return boost::outcome_v2::success();
 }
 
@@ -59,7 +60,7 @@
   std::vector<std::string> lines;
   for (const auto& file : files) {
     std::ifstream source(file);
-    if (!source) return fault(Code::badProps, file, "cannot be read");
+    if (!source) return makeError(Code::badProps, file, "cannot be read");
     for (std::string line; std::getline(source, line);)
       if (!line.empty()) lines.push_back(line);
   }
@@ -71,8 +72,8 @@
   auto lines = readLines({file});
   if (!lines) return lines.error();
   auto history = readHistory(lines.value());
-  if (!history) return fault(history.error().code, file + ": " + history.error().subject, history.error().text);
-  if (history.value().operations.empty()) return fault(Code::badProps, file, "holds no operation");
+  if (!history) return makeError(history.error().code, file + ": " + history.error().subject, history.error().text);
+  if (history.value().operations.empty()) return makeError(Code::badProps, file, "holds no operation");
   history.value().readsInOrder = false;
   auto verdict = checkHistory(history.value());
   std::cout << "audit: operators: " << verdict.operations << " operations, " << verdict.unclear
@@ -130,14 +131,15 @@
   }
   if (!operators.empty() && records.callers.empty() && records.workers.empty()) return sound ? 0 : 1;
   if (records.callers.empty() || records.workers.empty())
-    return reportStartFailure(fault(Code::badProps, "callers", "an audit needs records of callers and of back ends"));
+    return reportStartFailure(
+        makeError(Code::badProps, "callers", "an audit needs records of callers and of back ends"));
   if (!configuration.empty()) {
     std::ifstream source(configuration);
     std::stringstream bytes;
     bytes << source.rdbuf();
     auto read = parseJson(bytes.str());
     if (!read || !read.value().is<JsonObject>())
-      return reportStartFailure(fault(Code::badProps, "blueprint", "cannot be read"));
+      return reportStartFailure(makeError(Code::badProps, "blueprint", "cannot be read"));
     auto tenants = read.value().get<JsonObject>().find("tenants");
     if (tenants != read.value().get<JsonObject>().end() && tenants->second.is<JsonObject>())
       for (const auto& [tenant, row] : tenants->second.get<JsonObject>())
--- a/src/tools/main_core.cpp
+++ b/src/tools/main_core.cpp
@@ -62,7 +62,7 @@
   if (auto code = reader.read(count, words)) return *code;
   if (auto done = setVersionSpan(given.versionMs); !done) return reportStartFailure(done.error());
   if (given.operatorKeyHash.size() != 64)
-    return reportStartFailure(fault(Code::badProps, "operatorKeyHash", "must be 64 hexadecimal digits"));
+    return reportStartFailure(makeError(Code::badProps, "operatorKeyHash", "must be 64 hexadecimal digits"));
   startLog("core", given.settings.name, chatty);
 
   auto files = DirectoryFiles::open(given.dataFolder, static_cast<int>(given.ringFiles),
@@ -137,7 +137,7 @@
       auto answer = answers.remove(to);
       if (!answer) return;
       if (read->confirmed) return answer->finish(200, blueprintBody(core, true));
-      auto trouble = fault(Code::readUnconfirmed, "blueprint");
+      auto trouble = makeError(Code::readUnconfirmed, "blueprint");
       answer->finish(codeStatus(trouble.code), faultBody(trouble), 500);
     } else if (to == given.settings.address) {
       asio::post(context, [&, message = std::move(message)] { host.handle(given.settings.address, message); });
@@ -167,13 +167,13 @@
       rows["frames sent"] = jsonNumber(static_cast<double>(hub.framesOut.load()));
       return answer->finish(200, Json(rows).serialize());
     }
-    if (sha256Hex(ask.bearer) != given.operatorKeyHash) return deny(fault(Code::operatorDenied, "authorization"));
+    if (sha256Hex(ask.bearer) != given.operatorKeyHash) return deny(makeError(Code::operatorDenied, "authorization"));
     if (ask.path == "/v1/condition" && ask.method == "GET") {
       std::string text;
       host.with([&](Effects& effects) { text = core.condition(effects.now); });
       return answer->finish(200, text);
     }
-    if (ask.path != "/v1/blueprint") return deny(fault(Code::unknownPath, ask.path));
+    if (ask.path != "/v1/blueprint") return deny(makeError(Code::unknownPath, ask.path));
     if (ask.method == "GET") {
       if (ask.query.count("unconfirmed") > 0) {
         std::string text;
@@ -183,8 +183,8 @@
       ReadRequest read{answers.add(answer)};
       return host.handle(read.requestId, read);
     }
-    if (ask.method != "PUT" && ask.method != "PATCH") return deny(fault(Code::unknownPath, ask.method));
-    if (ask.body.size() > given.settings.maxRecordBytes) return deny(fault(Code::tooLarge, "body"));
+    if (ask.method != "PUT" && ask.method != "PATCH") return deny(makeError(Code::unknownPath, ask.method));
+    if (ask.body.size() > given.settings.maxRecordBytes) return deny(makeError(Code::tooLarge, "body"));
     OperatorRequest change{{}, ask.body, ask.method == "PUT", -1, {}, 0};
     for (const auto& [name, value] : ask.query) {
       if (name == "changeId" && value.size() <= 128) {
@@ -194,7 +194,7 @@
         (name == "ifRevision" ? change.ifRevision : change.sinceRevision) = std::stoll(value);
       } else {
         bool known = name == "changeId" || name == "ifRevision" || name == "sinceRevision";
-        return deny(fault(known ? Code::badField : Code::unknownField, name));
+        return deny(makeError(known ? Code::badField : Code::unknownField, name));
       }
     }
     std::string name = answers.add(answer);
@@ -213,7 +213,7 @@
     do {
       std::this_thread::sleep_for(lastAnswers);
     } while (answers.count() > 0 && Clock::now() < answersBy);
-    auto trouble = fault(Code::stopping, "core");
+    auto trouble = makeError(Code::stopping, "core");
     for (const auto& answer : answers.removeAll()) answer->finish(codeStatus(trouble.code), faultBody(trouble), 1000);
     std::this_thread::sleep_for(lastAnswers);
     server.close();
--- a/src/tools/main_ctl.cpp
+++ b/src/tools/main_ctl.cpp
@@ -16,7 +16,7 @@
     return bytes.str();
   }
   std::ifstream source(file);
-  if (!source) return fault(Code::badProps, file, "cannot be read");
+  if (!source) return makeError(Code::badProps, file, "cannot be read");
   bytes << source.rdbuf();
   return bytes.str();
 }
@@ -100,7 +100,7 @@
   std::stringstream list(coreList);
   for (std::string item; std::getline(list, item, ',');) {
     if (auto read = parseAddress(item); !read)
-      return reportStartFailure(fault(Code::badProps, "cores", item + ": " + read.error().text));
+      return reportStartFailure(makeError(Code::badProps, "cores", item + ": " + read.error().text));
     addresses.push_back(item);
   }
   WebClient calls;
@@ -236,9 +236,9 @@
     auto after = parseJson(wanted.value());
     auto before = parseJson(result.body);
     if (!after || !after.value().is<JsonObject>())
-      return reportStartFailure(fault(Code::badJson, file, after ? "must be an object" : after.error().text));
+      return reportStartFailure(makeError(Code::badJson, file, after ? "must be an object" : after.error().text));
     if (!before || !before.value().is<JsonObject>() || !before.value().get<JsonObject>().count("blueprint"))
-      return reportStartFailure(fault(Code::badJson, "answer"));
+      return reportStartFailure(makeError(Code::badJson, "answer"));
     auto lines = differences(before.value().get<JsonObject>().at("blueprint").get<JsonObject>(),
                              after.value().get<JsonObject>());
     for (const auto& line : lines) std::cout << line << "\n";
--- a/src/tools/main_keeper.cpp
+++ b/src/tools/main_keeper.cpp
@@ -41,9 +41,9 @@
   settings.kind = "store";
 #else
   if (settings.kind != "language" && settings.kind != "app")
-    return reportStartFailure(fault(Code::badProps, "kind", "must be language or app"));
+    return reportStartFailure(makeError(Code::badProps, "kind", "must be language or app"));
   if (settings.kind == "language" && settings.model.empty())
-    return reportStartFailure(fault(Code::badProps, "model", "must be given"));
+    return reportStartFailure(makeError(Code::badProps, "model", "must be given"));
 #endif
   settings.slots = static_cast<int>(slots);
   settings.keepMost = static_cast<std::size_t>(keepMost);
@@ -56,7 +56,7 @@
   std::ofstream record;
   if (!recordFile.empty()) {
     record.open(recordFile, std::ios::app);
-    if (!record) return reportStartFailure(fault(Code::badProps, "recordFile", "cannot be written"));
+    if (!record) return reportStartFailure(makeError(Code::badProps, "recordFile", "cannot be written"));
     record << "\n" << std::flush;
     keeper.journal.appended.connect([&](const Event& event) {
       static const std::set<std::string> kinds{"ran for",      "order began",   "move ran",
@@ -198,7 +198,7 @@
       });
       return answer->finish(200, "{}");
     }
-    deny(fault(Code::unknownPath, ask.path));
+    deny(makeError(Code::unknownPath, ask.path));
   });
   if (auto done = server.open(); !done) return reportStartFailure(done.error());
   host.start();
--- a/src/tools/main_link.cpp
+++ b/src/tools/main_link.cpp
@@ -135,7 +135,7 @@
   if (!error) acceptor->set_option(asio::socket_base::reuse_address(true), error);
   if (!error) acceptor->bind(end, error);
   if (!error) acceptor->listen(128, error);
-  if (error) return fault(Code::badProps, "pairs", shownAddress + ": " + error.message());
+  if (error) return makeError(Code::badProps, "pairs", shownAddress + ": " + error.message());
   acceptors.push_back(std::move(acceptor));
   accept(*acceptors.back(), shownAddress, realAddress);
   return boost::outcome_v2::success();
@@ -209,13 +209,13 @@
   for (const auto& pair : pairs) {
     auto sign = pair.find('=');
     if (sign == std::string::npos)
-      return reportStartFailure(fault(Code::badProps, "pairs", pair + ": must be SHOWN=REAL"));
+      return reportStartFailure(makeError(Code::badProps, "pairs", pair + ": must be SHOWN=REAL"));
     if (auto done = links.open(pair.substr(0, sign), pair.substr(sign + 1)); !done)
       return reportStartFailure(done.error());
   }
   WebServer server(context, webAddress, [&](WebRequest ask, std::shared_ptr<WebResponse> answer) {
     auto deny = [&](const Error& trouble) { answer->finish(codeStatus(trouble.code), faultBody(trouble)); };
-    if (ask.path != "/v1/rules") return deny(fault(Code::unknownPath, ask.path));
+    if (ask.path != "/v1/rules") return deny(makeError(Code::unknownPath, ask.path));
     if (ask.method == "DELETE") {
       links.clear();
       return answer->finish(200, "{}");
@@ -226,7 +226,7 @@
     Rule rule{stringOr(body, "from", "*"), stringOr(body, "to", "*"), stringOr(body, "mode"),
               std::chrono::milliseconds(integerOr(body, "delayMs", 0))};
     if (rule.mode != "open" && rule.mode != "cut" && rule.mode != "hold" && rule.mode != "slow")
-      return deny(fault(Code::badField, "mode", "must be open, cut, hold or slow"));
+      return deny(makeError(Code::badField, "mode", "must be open, cut, hold or slow"));
     links.set(std::move(rule));
     answer->finish(200, "{}");
   });
--- a/src/tools/main_loadgen.cpp
+++ b/src/tools/main_loadgen.cpp
@@ -42,7 +42,7 @@
   auto read = parseObject(text, {"kinds"});
   if (!read) return read.error();
   auto rows = read.value().find("kinds");
-  if (rows == read.value().end() || !rows->second.is<JsonArray>()) return fault(Code::missingField, "kinds");
+  if (rows == read.value().end() || !rows->second.is<JsonArray>()) return makeError(Code::missingField, "kinds");
   std::vector<Kind> kinds;
   for (const auto& row : rows->second.get<JsonArray>()) {
     Kind kind;
@@ -50,7 +50,7 @@
     kind.route = stringOr(row, "route");
     kind.model = stringOr(row, "model");
     if (kind.name.empty() || kind.route.empty() || kind.model.empty())
-      return fault(Code::missingField, "kinds", "name, route and model");
+      return makeError(Code::missingField, "kinds", "name, route and model");
     if (auto rate = row.get<JsonObject>().find("rate");
         rate != row.get<JsonObject>().end() && rate->second.is<double>())
       kind.rate = rate->second.get<double>();
@@ -102,13 +102,14 @@
       .number("move", &move, 0, 100, "per cent that try the next proxy at once")
       .number("hangUps", &hangUps, 0, 100, "per cent of callers that hang up within 600 ms");
   if (auto code = reader.read(count, arguments)) return *code;
-  if (proxies.empty()) return reportStartFailure(fault(Code::badProps, "proxies", "must be given"));
+  if (proxies.empty()) return reportStartFailure(makeError(Code::badProps, "proxies", "must be given"));
   std::ifstream source(kindsFile);
-  if (!source) return reportStartFailure(fault(Code::badProps, "kinds", "cannot read " + kindsFile));
+  if (!source) return reportStartFailure(makeError(Code::badProps, "kinds", "cannot read " + kindsFile));
   std::stringstream bytes;
   bytes << source.rdbuf();
   auto read = readKinds(bytes.str());
-  if (!read) return reportStartFailure(fault(Code::badProps, "kinds", read.error().subject + ": " + read.error().text));
+  if (!read)
+    return reportStartFailure(makeError(Code::badProps, "kinds", read.error().subject + ": " + read.error().text));
   const auto& kinds = read.value();
 
   std::mt19937_64 randomSource(static_cast<std::uint64_t>(seed));
@@ -136,7 +137,7 @@
   std::ofstream record;
   if (!recordFile.empty()) {
     record.open(recordFile, std::ios::app);
-    if (!record) return reportStartFailure(fault(Code::badProps, "recordFile", "cannot be written"));
+    if (!record) return reportStartFailure(makeError(Code::badProps, "recordFile", "cannot be written"));
   }
   std::mutex lock;
   std::condition_variable wake;
--- a/src/tools/main_operators.cpp
+++ b/src/tools/main_operators.cpp
@@ -48,12 +48,13 @@
 };
 
 Result<ReadBack> readBackOf(const WebResult& result) {
-  if (!result.reached || result.status != 200) return fault(Code::httpFault, "read", result.trouble);
+  if (!result.reached || result.status != 200) return makeError(Code::httpFault, "read", result.trouble);
   auto body = parseJson(result.body);
-  if (!body || !body.value().is<JsonObject>()) return fault(Code::badJson, "read");
+  if (!body || !body.value().is<JsonObject>()) return makeError(Code::badJson, "read");
   const auto& fields = body.value().get<JsonObject>();
   auto configuration = fields.find("blueprint");
-  if (configuration == fields.end() || !configuration->second.is<JsonObject>()) return fault(Code::badField, "read");
+  if (configuration == fields.end() || !configuration->second.is<JsonObject>())
+    return makeError(Code::badField, "read");
   return ReadBack{static_cast<std::uint64_t>(integerOr(body.value(), "revision", 0)),
                   watchedItems(configuration->second.get<JsonObject>())};
 }
@@ -175,13 +176,13 @@
       .number("lose", &lose, 0, 100, "per cent of the calls that are given up before their answer can be awaited")
       .number("seed", &seed, 1, mostCount, "the seed of what they choose");
   if (auto code = reader.read(count, words)) return *code;
-  if (shared.cores.empty()) return reportStartFailure(fault(Code::missingField, "cores"));
+  if (shared.cores.empty()) return reportStartFailure(makeError(Code::missingField, "cores"));
   shared.changes = static_cast<int>(changes);
   shared.losePerCent = static_cast<int>(lose);
   shared.seed = static_cast<std::uint64_t>(seed);
   shared.runName = std::to_string(steadyNow());
   shared.file.open(out, std::ios::trunc);
-  if (!shared.file) return reportStartFailure(fault(Code::badProps, "history", "cannot be written"));
+  if (!shared.file) return reportStartFailure(makeError(Code::badProps, "history", "cannot be written"));
 
   WebClient calls;
   std::optional<ReadBack> initial;
@@ -195,7 +196,7 @@
     else
       std::this_thread::sleep_for(200ms);
   }
-  if (!initial) return reportStartFailure(fault(Code::httpFault, "cores", "none answers a read"));
+  if (!initial) return reportStartFailure(makeError(Code::httpFault, "cores", "none answers a read"));
   shared.file << writeInitial(initial->revision, initial->items) << "\n";
 
   std::vector<std::thread> threads;
--- a/src/tools/main_platform.cpp
+++ b/src/tools/main_platform.cpp
@@ -24,7 +24,7 @@
     bytes << source.rdbuf();
     auto list = readMachines(bytes.str());
     if (!list)
-      return reportStartFailure(fault(Code::badProps, "list", list.error().subject + ": " + list.error().text));
+      return reportStartFailure(makeError(Code::badProps, "list", list.error().subject + ": " + list.error().text));
     for (const auto& machine : list.value().machines) platform.set(machine);
   }
   asio::io_context context;
@@ -32,7 +32,7 @@
   host.sendMessage = [](const std::string&, Message&&) {};
   WebServer server(context, address, [&](WebRequest ask, std::shared_ptr<WebResponse> answer) {
     auto deny = [&](const Error& trouble) { answer->finish(codeStatus(trouble.code), faultBody(trouble)); };
-    if (ask.path != "/v1/machines") return deny(fault(Code::unknownPath, ask.path));
+    if (ask.path != "/v1/machines") return deny(makeError(Code::unknownPath, ask.path));
     if (ask.method == "GET") {
       MachinesReply reply;
       host.with([&](Effects&) {
@@ -52,7 +52,7 @@
     } else if (ask.method == "DELETE") {
       host.with([&](Effects&) { platform.remove(stringOr(read.value(), "name")); });
     } else {
-      return deny(fault(Code::unknownPath, ask.method));
+      return deny(makeError(Code::unknownPath, ask.method));
     }
     answer->finish(200, "{}");
   });
--- a/src/tools/main_proxy.cpp
+++ b/src/tools/main_proxy.cpp
@@ -167,7 +167,7 @@
     }
     if (ask.method == "GET" && ask.path == "/v1/blueprint") {
       if (operatorKeyHash.empty() || sha256Hex(ask.bearer) != operatorKeyHash)
-        return deny(fault(Code::operatorDenied, "authorization"));
+        return deny(makeError(Code::operatorDenied, "authorization"));
       std::string text;
       host.with([&](Effects& effects) {
         const auto& view = edge.configuration();
@@ -176,7 +176,7 @@
       });
       return answer->finish(200, text);
     }
-    deny(fault(Code::unknownPath, ask.path));
+    deny(makeError(Code::unknownPath, ask.path));
   });
 
   if (auto done = hub.listen(); !done) return reportStartFailure(done.error());
--- a/tests/fleet_bench.hpp
+++ b/tests/fleet_bench.hpp
@@ -112,7 +112,7 @@
     cutLinks.erase({one, other});
     cutLinks.erase({other, one});
   }
-  void cutSides(const Strings& oneSide, const Strings& otherSide) {
+  void partition(const Strings& oneSide, const Strings& otherSide) {
     for (const auto& one : oneSide)
       for (const auto& other : otherSide) cut(one, other);
   }
@@ -241,7 +241,7 @@
     return reads[requestId];
   }
   /// The names of all cores except one.
-  Strings allBut(const std::string& left) {
+  Strings coresExcept(const std::string& left) {
     Strings names;
     for (auto& [name, machine] : machines)
       if (name != left && machine.core) names.push_back(name);
--- a/tests/freshness.cpp
+++ b/tests/freshness.cpp
@@ -16,10 +16,10 @@
   std::string restarted = others[0], cutWithReader = others[1], third = others[2];
   bench.startAgent("edge-1");
   cr_assert(bench.runUntil([&] { return bench.agentFresh("edge-1"); }, 5s));
-  bench.cutSides({"edge-1", cutWithReader}, {leader, third});
+  bench.partition({"edge-1", cutWithReader}, {leader, third});
   bench.run(4s);
   cr_assert(bench.agentFresh("edge-1"), "two of four cores respond");
-  bench.cutSides({"edge-1", cutWithReader}, {restarted});
+  bench.partition({"edge-1", cutWithReader}, {restarted});
   bench.stop(restarted);
   bench.run(50ms);
   bench.startCore(restarted, false);
@@ -41,7 +41,7 @@
   std::string near = others[0], far = others[1], gone = others[2];
   bench.startAgent("edge-1");
   cr_assert(bench.runUntil([&] { return bench.agentFresh("edge-1"); }, 5s));
-  bench.cutSides({"edge-1", gone}, {leader, near});
+  bench.partition({"edge-1", gone}, {leader, near});
   bench.cut(gone, far);
   bench.run(5600ms);
   cr_assert_eq(bench.leader(), leader);
@@ -63,12 +63,12 @@
   std::string leader = bench.leader();
   auto others = bench.followers();
   std::string near = others[0], far = others[1], farther = others[2];
-  bench.cutSides({"edge-1"}, {leader, near, "core-5"});
+  bench.partition({"edge-1"}, {leader, near, "core-5"});
   bench.startCore("core-5", false);
   cr_assert(bench.runUntil([&] { return bench.votersAt(leader) == 5; }, 15s));
   cr_assert_eq(bench.leader(), leader);
   std::uint64_t membersIndex = bench.logOf(leader).logEnd();
-  bench.cutSides({far, farther}, {leader, near, "core-5"});
+  bench.partition({far, farther}, {leader, near, "core-5"});
   bench.run(2s);
   cr_assert(bench.agentFresh("edge-1"), "two of the four cores that it knows respond");
   cr_assert_lt(bench.logOf(leader).commit(), membersIndex, "two of the four old members do not commit it");
@@ -93,7 +93,7 @@
     for (int round = 0; round < 2; ++round) {
       std::string leader = bench.leader(), cutOff = bench.followers()[0], name = "late-" + std::to_string(round);
       cr_assert(bench.readFrom(cutOff).confirmed, "a connected core confirms reads");
-      bench.cutSides({cutOff}, bench.allBut(cutOff));
+      bench.partition({cutOff}, bench.coresExcept(cutOff));
       auto requestId = bench.ask(leader, name);
       cr_assert(bench.runUntil([&] { return bench.acknowledged(requestId); }, 3s));
       cr_assert_not(bench.has(cutOff, name));
@@ -114,7 +114,7 @@
   FleetHarness bench;
   bench.form(4);
   bench.run(1s);
-  bench.cutSides({"core-1", "core-2"}, {"core-3", "core-4"});
+  bench.partition({"core-1", "core-2"}, {"core-3", "core-4"});
   for (const char* name : {"core-1", "core-2", "core-3", "core-4"})
     cr_expect_not(bench.readFrom(name).confirmed, "%s has contact to two of four cores only", name);
   bench.cutLinks.clear();
@@ -131,7 +131,7 @@
       bench.form(cores);
       bench.run(2s);
       std::string old = bench.leader();
-      for (const auto& other : bench.allBut(old)) {
+      for (const auto& other : bench.coresExcept(old)) {
         bench.cutLinks.insert({other, old});
         if (!hears) bench.cutLinks.insert({old, other});
       }
@@ -166,13 +166,13 @@
       bench.form(cores);
       std::map<std::string, std::uint64_t> openReads;
       Strings openChanges;
-      auto names = bench.allBut({});
+      auto names = bench.coresExcept({});
       for (int round = 0; round < 400; ++round) {
         const auto& one = names[bench.randomSource() % names.size()];
         const auto& other = names[bench.randomSource() % names.size()];
         auto dice = bench.randomSource() % 12;
         if (dice < 2 && one != other) bench.cutLinks.insert({one, other});
-        if (dice == 2) bench.cutSides({one}, bench.allBut(one));
+        if (dice == 2) bench.partition({one}, bench.coresExcept(one));
         if (dice == 3) bench.cutLinks.clear();
         if (dice == 4) openChanges.push_back(bench.ask(one, "change-" + std::to_string(round)));
         openReads[bench.read(other)] = bench.acknowledgedIndex;
--- a/tests/fuzz_findings.cpp
+++ b/tests/fuzz_findings.cpp
@@ -27,7 +27,7 @@
   view.apply(LogEntry{1, 1, static_cast<int>(EntryKind::change), patch.value(), {}, 1});
   auto route = view.findRoute("r");
   cr_assert(route->timeout > 1h && route->targetLatency > 1h && route->gap > 1h);
-  const auto& limits = view.callerLimits();
+  const auto& limits = view.clientLimits();
   cr_assert(limits.headerTimeout > 1h);
   cr_assert(limits.idleTimeout == Duration(0));
   cr_assert_eq(limits.maxBodyBytes, 0u);
--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -581,14 +581,14 @@
     view.apply(LogEntry{index, 1, static_cast<int>(EntryKind::refusal), encodeRefusal(refusal), {}, 0});
   }
   Configuration other;
-  cr_assert(bool(other.adopt(decodeSnapshot(encodeSnapshot(view.snapshot())).value())));
+  cr_assert(bool(other.installSnapshot(decodeSnapshot(encodeSnapshot(view.snapshot())).value())));
   for (const auto* each : {&view, &other}) {
-    const auto* known = each->refusedAfter("change-1100", 1099);
+    const auto* known = each->findRefusalAfter("change-1100", 1099);
     cr_assert(known && known->index == 1100 && known->code == static_cast<int>(Code::staleRevision));
-    cr_expect_null(each->refusedAfter("change-1100", 1100));
-    cr_expect_null(each->refusedAfter("change-1", 0));
-    cr_expect_null(each->refusedAfter("", 0));
-    cr_expect_eq(each->refusalsForgotten(), 76u);
+    cr_expect_null(each->findRefusalAfter("change-1100", 1100));
+    cr_expect_null(each->findRefusalAfter("change-1", 0));
+    cr_expect_null(each->findRefusalAfter("", 0));
+    cr_expect_eq(each->lastEvictedRefusal(), 76u);
   }
   cr_expect_eq(view.revision(), 0u);
 }
--- a/tests/parts.cpp
+++ b/tests/parts.cpp
@@ -190,7 +190,7 @@
   cr_assert(bool(submit(R"({"keys":{"k":null}})", false)));
   cr_assert_not(view.findKey(sha256Hex("abcdefgh")).has_value());
   Configuration copy;
-  cr_assert(bool(copy.adopt(view.snapshot())));
+  cr_assert(bool(copy.installSnapshot(view.snapshot())));
   cr_assert_eq(copy.text(), view.text());
   cr_assert_eq(copy.revisionOfChange("c2").value(), 2u);
 }
@@ -214,7 +214,7 @@
     }
     view.apply(LogEntry{1, 1, 1, patch.value(), {}});
     Configuration copy;
-    cr_assert(bool(copy.adopt(view.snapshot())));
+    cr_assert(bool(copy.installSnapshot(view.snapshot())));
     cr_assert_eq(copy.text(), view.text());
   }
   cr_assert_gt(rejected, 500);
@@ -320,14 +320,15 @@
                         "id-" + std::to_string(number)});
   };
   for (std::uint64_t number = 1; number <= 4095; ++number) change(number);
-  cr_assert_eq(view.forgottenRevision(), 0u);
+  cr_assert_eq(view.lastEvictedRevision(), 0u);
   for (std::uint64_t number = 4096; number <= 4200; ++number) change(number);
-  cr_assert_eq(view.forgottenRevision(), 4200u - 4096u);
+  cr_assert_eq(view.lastEvictedRevision(), 4200u - 4096u);
   cr_assert_not(view.revisionOfChange("id-104").has_value());
   cr_assert_eq(*view.revisionOfChange("id-105"), 105u);
   Configuration restored;
-  cr_assert(bool(restored.adopt(view.snapshot())));
-  cr_assert_eq(restored.forgottenRevision(), view.forgottenRevision(), "a snapshot must keep the bound of evicted ids");
+  cr_assert(bool(restored.installSnapshot(view.snapshot())));
+  cr_assert_eq(restored.lastEvictedRevision(), view.lastEvictedRevision(),
+               "a snapshot must keep the bound of evicted ids");
 }
 
 /// Leases, freshness and the order of machine lists rest on the steady clock, so that a jump of the wall clock cannot
--- a/tests/path_routes.cpp
+++ b/tests/path_routes.cpp
@@ -210,7 +210,7 @@
   TestConfiguration again;
   again.change(
       R"({"services":{"old":{}},"routes":{"old":{"host":"old.example","prefix":"/","service":"old"}},"tenants":{"old":{"secrets":["key-old"]}}})");
-  cr_assert(bool(again.view.adopt(read.value())));
+  cr_assert(bool(again.view.installSnapshot(read.value())));
   cr_expect_eq(again.view.text(), configuration.view.text());
   cr_expect_eq(again.view.revision(), 13u);
   cr_expect_eq(again.view.index(), configuration.view.index());
@@ -225,8 +225,8 @@
   cr_expect_eq(again.view.findTenant("asp")->priority.value_or(-1), 2);
   cr_assert_eq(again.view.stores().size(), 1u);
   cr_expect_eq(again.view.stores()[0].address, "10.0.0.9:80");
-  cr_expect_eq(again.view.callerLimits().maxBodyBytes, 2000u);
-  cr_expect(again.view.callerLimits().idleTimeout == 40ms);
+  cr_expect_eq(again.view.clientLimits().maxBodyBytes, 2000u);
+  cr_expect(again.view.clientLimits().idleTimeout == 40ms);
   cr_expect_eq(again.view.weightsOf("moss").value_or(""), "moss/3");
   cr_expect(again.view.policyOf("p").fetches({false, 5, 0, 0}));
   cr_expect_not(again.view.policyOf("p").fetches({false, 4, 0, 0}));
--- a/tests/plain_cells.cpp
+++ b/tests/plain_cells.cpp
@@ -139,7 +139,7 @@
   change(R"({"services":{"weir":null}})");
   cr_expect_null(view.findService("weir"));
   Configuration again;
-  cr_assert(bool(again.adopt(view.snapshot())));
+  cr_assert(bool(again.installSnapshot(view.snapshot())));
   cr_assert_not_null(again.findService("mill"));
   cr_expect(again.findService("mill")->kind == ServiceKind::engine);
 }
--- a/tests/ring.cpp
+++ b/tests/ring.cpp
@@ -25,12 +25,12 @@
     if (stops) written = randomSource() % (bytes.size() + 1);
     if (diskFull) written = 0;
     content.replace(offset, written, bytes.substr(0, written));
-    if (stops || diskFull) return fault(Code::diskFault, "write", "stopped");
+    if (stops || diskFull) return makeError(Code::diskFault, "write", "stopped");
     --operationsLeft;
     return boost::outcome_v2::success();
   }
   Result<void> sync(int file) override {
-    if (operationsLeft == 0 || diskFull) return fault(Code::diskFault, "sync", "stopped");
+    if (operationsLeft == 0 || diskFull) return makeError(Code::diskFault, "sync", "stopped");
     --operationsLeft;
     durable[static_cast<std::size_t>(file)] = cache[static_cast<std::size_t>(file)];
     return boost::outcome_v2::success();
@@ -78,7 +78,7 @@
       if (drawn == 0) {
         records.push_back(voteRecord("accord", Vote{++term, "core-y"}));
       } else if (drawn == 1 && end > base + 1) {
-        records.push_back(cutRecord(end));
+        records.push_back(truncationRecord(end));
         --end;
       } else if (drawn == 2 && end > base + 3) {
         Snapshot snapshot;
--- a/tests/version_namings.cpp
+++ b/tests/version_namings.cpp
@@ -129,7 +129,7 @@
     harness.run(1s);
     harness.announce("moss/5");
     harness.run(1s);
-    auto cores = harness.allBut("");
+    auto cores = harness.coresExcept("");
     for (const auto& core : cores) harness.stop(core);
     harness.run(300ms);
     for (const auto& core : cores) harness.startCore(core, false);
@@ -143,7 +143,7 @@
   AnnouncementHarness harness;
   harness.announce("moss/4");
   harness.run(1s);
-  auto cores = harness.allBut("");
+  auto cores = harness.coresExcept("");
   for (const auto& core : cores) harness.stop(core);
   harness.run(300ms);
   for (const auto& core : cores) harness.startCore(core, false);
@@ -243,9 +243,9 @@
   AnnouncementHarness harness;
   harness.announce("moss/4");
   harness.run(4s);
-  auto cores = harness.allBut("");
+  auto cores = harness.coresExcept("");
   for (const auto& core : cores) harness.stop(core);
-  harness.cutSides({"edge-2"}, cores);
+  harness.partition({"edge-2"}, cores);
   harness.run(300ms);
   for (const auto& core : cores) harness.startCore(core, false);
   harness.stop("edge-1");
