--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -125,8 +125,8 @@
     }
     for (const auto& line : expects) check(line);
     result.figures = figures();
-    result.operations = world->historyVerdict().operations;
-    result.unclear = world->historyVerdict().unclear;
+    result.operations = world->historyCheckResult().operations;
+    result.unclear = world->historyCheckResult().unclear;
     result.troubles = troubles;
     result.passed = troubles.empty();
     return result;
@@ -177,7 +177,7 @@
       else if (key == "loadMs")
         shape.loadMs = static_cast<int>(value);
       else if (key == "keepMost")
-        shape.keepMost = static_cast<std::size_t>(value);
+        shape.maxCachedBlocks = static_cast<std::size_t>(value);
       else if (key == "tokenMs")
         shape.tokenMs = value;
       else if (key == "rolloutSpan")
@@ -398,7 +398,7 @@
         if (auto* keeper = world->keeper(name)) {
           std::mt19937_64 randomSource(1);
           Effects effects{world->now(), randomSource, keeper->journal, {}, {}};
-          keeper->forget(effects, false);
+          keeper->clearCache(effects, false);
         }
     } else if (verb == "count-bytes") {
       world->countBytes = true;
@@ -419,13 +419,13 @@
     for (std::size_t at = 3; at < words.size(); ++at) {
       bool last = at + 1 >= words.size();
       if (words[at] == "lose" && !last)
-        plan.lostPerCent = std::atoi(words[++at].c_str());
+        plan.lostResponsePercent = std::atoi(words[++at].c_str());
       else if (words[at] == "pause" && !last)
         plan.pause = std::chrono::milliseconds(std::atoi(words[++at].c_str()));
       else if (words[at] == "same-number")
-        plan.sameNumber = true;
+        plan.consecutiveRevisions = true;
       else if (words[at] == "weights")
-        plan.namesWeights = true;
+        plan.announcesWeights = true;
       else
         wrong(line, "unknown word " + words[at]);
     }
@@ -502,9 +502,9 @@
             auto* truth = world->keeper(keeperName);
             if (!truth || !keeper.confirmed) continue;
             std::int64_t known = 0;
-            for (const auto& hash : keeper.kept) known += truth->keeps(hash);
+            for (const auto& hash : keeper.kept) known += truth->hasBlock(hash);
             wrongRows += static_cast<std::int64_t>(keeper.kept.size()) - known +
-                         static_cast<std::int64_t>(truth->keptCount()) - known;
+                         static_cast<std::int64_t>(truth->cachedBlockCount()) - known;
           }
         }
     return wrongRows;
@@ -601,9 +601,9 @@
       if (ack.reached)
         slowest = std::max(slowest, std::chrono::duration<double, std::milli>(ack.reachedAll - ack.at).count());
     out << ", slowest reach " << slowest << " ms";
-    const auto& verdict = world->historyVerdict();
+    const auto& verdict = world->historyCheckResult();
     out << ", operators' operations " << verdict.operations << " (unclear " << verdict.unclear << ", steps "
-        << verdict.steps << ", reads behind another " << verdict.readsBehind << ")";
+        << verdict.steps << ", reads behind another " << verdict.nonMonotonicReads << ")";
     if (world->countBytes) {
       std::uint64_t most = 0;
       std::string who;
--- a/src/sim/sim.cpp
+++ b/src/sim/sim.cpp
@@ -182,19 +182,19 @@
     settings.defences = defences;
     actor.node = std::make_unique<ProxyRouter>(settings);
   } else if (name == "platform") {
-    auto fresh = std::make_unique<PlatformNode>();
+    auto fresh = std::make_unique<StandInPlatform>();
     if (actor.node)
       for (const auto& [machineName, machine] : platform().machines()) fresh->set(machine);
     for (auto& [worker, since] : leavingAt) since = clock;
     actor.node = std::move(fresh);
   } else {
-    KeeperSettings settings;
+    StandInSettings settings;
     settings.name = name;
     settings.address = actor.address;
     settings.slots = shape.slots;
     settings.loadMs = shape.loadMs;
     settings.tokenMs = shape.tokenMs;
-    settings.keepMost = shape.keepMost;
+    settings.maxCachedBlocks = shape.maxCachedBlocks;
     settings.defences = defences;
     if (starts(name, "worker-")) {
       settings.model = modelName;
@@ -202,12 +202,12 @@
       settings.storeAddress = addressOf("store");
     } else if (name == "store") {
       settings.kind = "store";
-      settings.keepMost = 4000;
+      settings.maxCachedBlocks = 4000;
     } else {
       settings.kind = "app";
       settings.slots = 32;
     }
-    auto keeperNode = std::make_unique<KeeperNode>(settings, "life" + std::to_string(actor.life));
+    auto keeperNode = std::make_unique<StandInBackend>(settings, "life" + std::to_string(actor.life));
     keeperNode->faults = actor.faults;
     actor.node = std::move(keeperNode);
   }
@@ -320,8 +320,10 @@
 void World::leap(const std::string& name, Duration span) { actors.at(name)->offset += span; }
 
 SimDisk* World::disk(const std::string& name) { return actors.at(name)->disk.get(); }
-KeeperNode* World::keeper(const std::string& name) { return dynamic_cast<KeeperNode*>(actors.at(name)->node.get()); }
-PlatformNode& World::platform() { return *static_cast<PlatformNode*>(actors.at("platform")->node.get()); }
+StandInBackend* World::keeper(const std::string& name) {
+  return dynamic_cast<StandInBackend*>(actors.at(name)->node.get());
+}
+StandInPlatform& World::platform() { return *static_cast<StandInPlatform*>(actors.at("platform")->node.get()); }
 Core* World::core(const std::string& name) {
   auto& actor = *actors.at(name);
   return actor.alive ? dynamic_cast<Core*>(actor.node.get()) : nullptr;
--- a/src/sim/sim.hpp
+++ b/src/sim/sim.hpp
@@ -32,7 +32,7 @@
   std::vector<std::string> zones{"ghent-1", "ghent-2", "antwerp-1", "bruges-1"};
   double planRate{3}, swapRate{8}, reminderRate{12}, appRate{1};
   int loadMs{1500};
-  std::size_t keepMost{600};
+  std::size_t maxCachedBlocks{600};
   bool fetching{true};
   int slots{8};
   double tokenMs{20};
@@ -68,8 +68,8 @@
   void wipeDisk(const std::string& name);
   void moveAddress(const std::string& name);
   SimDisk* disk(const std::string& name);
-  KeeperNode* keeper(const std::string& name);
-  PlatformNode& platform();
+  StandInBackend* keeper(const std::string& name);
+  StandInPlatform& platform();
   void cut(const std::string& one, const std::string& other, bool bothWays = true);
   void lose(const std::string& one, const std::string& other, int perCent);
   void heal();
@@ -79,7 +79,7 @@
   /// Lets operators' clients change the configuration together, as fast and as carelessly as their plan says.
   void runOperators(const OperatorPlan& plan);
   const History& operatorHistory() const { return operations.recorded(); }
-  const HistoryVerdict& historyVerdict() const { return verdict; }
+  const HistoryCheckResult& historyCheckResult() const { return verdict; }
   /// Does something once, the moment any change is acknowledged.
   void onNextAck(std::function<void()> action) { nextAckAction = std::move(action); }
   /// Does something once, the moment anyone notes an event of this kind.
@@ -274,7 +274,7 @@
   void watchReach(std::size_t ack);
   std::mt19937_64 operatorRandom;
   OperatorHistory operations;
-  HistoryVerdict verdict;
+  HistoryCheckResult verdict;
   std::map<std::string, std::size_t> operationByAttempt;
   std::uint64_t attemptCount{0}, readCount{0}, digestCount{0};
   struct OpenRead {
--- a/src/sim/sim_weights.cpp
+++ b/src/sim/sim_weights.cpp
@@ -30,13 +30,13 @@
   if (!models.is<JsonObject>()) return;
   for (const auto& [model, item] : models.get<JsonObject>()) {
     std::string weights = stringOr(item, "weights");
-    if (!weights.empty()) versions.agreed(model, entry.index, weights);
+    if (!weights.empty()) versions.recordAnnouncement(model, entry.index, weights);
   }
 }
 
 void World::weightsAcknowledged(const AckRow& ack) {
   if (ack.index == 0) return;
-  versions.acknowledged(ack.index, clock);
+  versions.recordAcknowledgement(ack.index, clock);
   if (!starts(ack.changeId, namingPrefix)) return;
   std::string named = ack.changeId.substr(std::string(namingPrefix).size());
   std::string weights = named.substr(0, named.rfind('/'));
--- a/src/sim/standin.cpp
+++ b/src/sim/standin.cpp
@@ -13,15 +13,15 @@
 std::string originOf(const std::string& weights, const std::string& tenant) { return weights + "/" + tenant; }
 }  // namespace
 
-KeeperNode::KeeperNode(KeeperSettings keeperSettings, std::string incarnationMark)
+StandInBackend::StandInBackend(StandInSettings keeperSettings, std::string incarnationMark)
     : given(std::move(keeperSettings)), incarnation(std::move(incarnationMark)), currentWeights(given.weights) {}
 
-RunRecord* KeeperNode::recordOf(const Run& run) {
+RunRecord* StandInBackend::recordOf(const Run& run) {
   return run.record >= recordBase && run.record - recordBase < records.size() ? &records[run.record - recordBase]
                                                                               : nullptr;
 }
 
-void KeeperNode::tell(Effects& effects, CacheEventKind kind, const Hashes& hashes) {
+void StandInBackend::tell(Effects& effects, CacheEventKind kind, const Hashes& hashes) {
   if (hashes.empty() && kind != CacheEventKind::cleared) return;
   if (faults.forgetEvents && static_cast<int>(effects.randomBelow(100)) < faults.forgetEvents) return;
   Told told{CacheEvent{++sequence, static_cast<int>(kind), hashes}, effects.now, false};
@@ -30,7 +30,7 @@
   if (events.size() > eventsMost) events.pop_front();
 }
 
-void KeeperNode::keep(Effects& effects, const Hashes& hashes, const Strings& origins) {
+void StandInBackend::keep(Effects& effects, const Hashes& hashes, const Strings& origins) {
   Hashes fresh;
   for (std::size_t at = 0; at < hashes.size(); ++at) {
     auto found = kept.find(hashes[at]);
@@ -44,7 +44,7 @@
   }
   tell(effects, CacheEventKind::stored, fresh);
   Hashes gone;
-  while (kept.size() > given.keepMost) {
+  while (kept.size() > given.maxCachedBlocks) {
     gone.push_back(byUse.front());
     kept.erase(byUse.front());
     byUse.pop_front();
@@ -52,7 +52,7 @@
   tell(effects, CacheEventKind::removed, gone);
 }
 
-void KeeperNode::drop(Effects& effects, const Hashes& hashes) {
+void StandInBackend::drop(Effects& effects, const Hashes& hashes) {
   Hashes gone;
   for (const auto& hash : hashes) {
     auto found = kept.find(hash);
@@ -64,13 +64,14 @@
   tell(effects, CacheEventKind::removed, gone);
 }
 
-void KeeperNode::forget(Effects& effects, bool saying) {
+void StandInBackend::clearCache(Effects& effects, bool saying) {
   kept.clear();
   byUse.clear();
   if (saying) tell(effects, CacheEventKind::cleared, {});
 }
 
-void KeeperNode::end(Effects& effects, const std::string& orderId, OrderOutcome outcome, Code code, const char* word) {
+void StandInBackend::end(Effects& effects, const std::string& orderId, OrderOutcome outcome, Code code,
+                         const char* word) {
   auto found = running.find(orderId);
   if (found == running.end()) return;
   WorkerEnd said{orderId, static_cast<int>(outcome), static_cast<int>(code), 0, 0, 0};
@@ -84,7 +85,7 @@
   running.erase(found);
 }
 
-void KeeperNode::onOrder(Effects& effects, const std::string& from, const WorkerOrder& ask) {
+void StandInBackend::onOrder(Effects& effects, const std::string& from, const WorkerOrder& ask) {
   auto deny = [&](Code code) {
     effects.note("worker denied", ask.orderId, static_cast<int>(code));
     effects.send(from, WorkerEnd{ask.orderId, static_cast<int>(OrderOutcome::denied), static_cast<int>(code), 0, 0, 0});
@@ -126,7 +127,7 @@
   leaveQueue(effects, placed);
 }
 
-void KeeperNode::leaveQueue(Effects& effects, Run& run) {
+void StandInBackend::leaveQueue(Effects& effects, Run& run) {
   Hashes wanted;
   for (const auto& hash : run.ask.hashes)
     if (!kept.count(hash)) wanted.push_back(hash);
@@ -136,7 +137,7 @@
   effects.send(run.ask.sourceAddress, PullAsk{run.ask.orderId, wanted});
 }
 
-void KeeperNode::begin(Effects& effects, Run& run) {
+void StandInBackend::begin(Effects& effects, Run& run) {
   auto* record = recordOf(run);
   std::size_t local = 0;
   std::string mine = originOf(currentWeights, run.ask.tenant);
@@ -165,7 +166,7 @@
   run.due = effects.now + spanOf(given.kind == "app" ? 5 : 5 + static_cast<double>(computed) * given.blockMs);
 }
 
-void KeeperNode::onReport(Effects& effects, const std::string& from, const ReportAsk& ask) {
+void StandInBackend::onReport(Effects& effects, const std::string& from, const ReportAsk& ask) {
   if (faults.silentReports) return;
   Report report;
   report.worker = given.name;
@@ -196,7 +197,7 @@
   effects.send(from, report);
 }
 
-void KeeperNode::onControl(Effects& effects, const std::string& from, const ControlAsk& ask) {
+void StandInBackend::onControl(Effects& effects, const std::string& from, const ControlAsk& ask) {
   if (ask.incarnation != incarnation && given.defences.isEnabled(Defence::incarnationFence)) {
     effects.note("command denied", given.name + " " + ask.holder + " incarnation", static_cast<std::int64_t>(ask.term));
     effects.send(from, ControlReply{given.name, highestTerm, static_cast<int>(Code::incarnationOld), ask.number});
@@ -229,11 +230,11 @@
   effects.send(from, ControlReply{given.name, highestTerm, static_cast<int>(Code::done), ask.number});
 }
 
-void KeeperNode::tick(Effects& effects) {
+void StandInBackend::tick(Effects& effects) {
   if (loadDue != TimePoint{} && effects.now >= loadDue && !faults.loadFails) {
     currentWeights = loadingWeights;
     loadDue = TimePoint{};
-    forget(effects, true);
+    clearCache(effects, true);
     effects.note("weights loaded", given.name + " " + currentWeights);
   }
   if (faults.stalled) return;
@@ -277,7 +278,7 @@
   }
 }
 
-void KeeperNode::handle(Effects& effects, const std::string& from, const Message& message) {
+void StandInBackend::handle(Effects& effects, const std::string& from, const Message& message) {
   if (auto* order = std::get_if<WorkerOrder>(&message)) {
     onOrder(effects, from, *order);
   } else if (auto* gone = std::get_if<WorkerDrop>(&message)) {
@@ -313,17 +314,17 @@
   }
 }
 
-void PlatformNode::handle(Effects& effects, const std::string& from, const Message& message) {
+void StandInPlatform::handle(Effects& effects, const std::string& from, const Message& message) {
   auto* ask = std::get_if<MachinesAsk>(&message);
   if (!ask) return;
   MachinesReply reply{ask->askedAt, {}};
   for (const auto& [name, machine] : rows) reply.machines.push_back(machine);
   effects.send(from, reply);
 }
-void PlatformNode::set(const Machine& machine) { rows[machine.name] = machine; }
-void PlatformNode::mark(const std::string& name, bool leaving) {
+void StandInPlatform::set(const Machine& machine) { rows[machine.name] = machine; }
+void StandInPlatform::mark(const std::string& name, bool leaving) {
   if (auto found = rows.find(name); found != rows.end()) found->second.leaving = leaving;
 }
-void PlatformNode::remove(const std::string& name) { rows.erase(name); }
+void StandInPlatform::remove(const std::string& name) { rows.erase(name); }
 
 }  // namespace tt
--- a/src/sim/standin.hpp
+++ b/src/sim/standin.hpp
@@ -6,17 +6,17 @@
 
 namespace tt {
 
-struct KeeperSettings {
+struct StandInSettings {
   std::string name, address, kind{"language"}, model, weights, storeAddress;
   int slots{8};
   double blockMs{4}, tokenMs{20}, linkMs{0.2};
-  std::size_t keepMost{4000};
+  std::size_t maxCachedBlocks{4000};
   int loadMs{1500};
   Defences defences;
 };
 
 /// What a stand-in can be told to do wrong.
-struct KeeperFaults {
+struct StandInFaults {
   int lagMs{0};
   /// Per cent of events that leave a gap.
   int loseEvents{0};
@@ -43,20 +43,20 @@
 };
 
 /// Stands in for a language worker, the application worker or the store, as docs/backends.md describes them.
-class KeeperNode : public Node {
+class StandInBackend : public Node {
  public:
-  KeeperNode(KeeperSettings keeperSettings, std::string incarnationMark);
+  StandInBackend(StandInSettings keeperSettings, std::string incarnationMark);
   void handle(Effects& effects, const std::string& from, const Message& message) override;
   void tick(Effects& effects) override;
-  KeeperFaults faults;
+  StandInFaults faults;
   const std::deque<RunRecord>& runs() const { return records; }
-  const KeeperSettings& settings() const { return given; }
+  const StandInSettings& settings() const { return given; }
   const std::string& weights() const { return currentWeights; }
   bool draining() const { return drains; }
-  std::size_t keptCount() const { return kept.size(); }
-  bool keeps(const BlockHash& hash) const { return kept.count(hash) > 0; }
+  std::size_t cachedBlockCount() const { return kept.size(); }
+  bool hasBlock(const BlockHash& hash) const { return kept.count(hash) > 0; }
   /// Forgets every block, with or without saying so.
-  void forget(Effects& effects, bool saying);
+  void clearCache(Effects& effects, bool saying);
   void evict(Effects& effects, const Hashes& hashes) { drop(effects, hashes); }
   std::int64_t crossWeights{0};
   std::map<std::string, std::int64_t> crossTenants;
@@ -80,7 +80,7 @@
     /// Whether the worker has begun to compute.
     bool began{false};
   };
-  KeeperSettings given;
+  StandInSettings given;
   std::string incarnation, currentWeights, loadingWeights, loadingModel;
   bool drains{false};
   TimePoint loadDue{};
@@ -111,7 +111,7 @@
 };
 
 /// Stands in for the platform: lists machines and marks those that leave.
-class PlatformNode : public Node {
+class StandInPlatform : public Node {
  public:
   void handle(Effects& effects, const std::string& from, const Message& message) override;
   void tick(Effects&) override {}
--- a/src/tools/audit.cpp
+++ b/src/tools/audit.cpp
@@ -43,7 +43,7 @@
     return true;
   }
   auto revision = integerOr(event, "revision", 0);
-  if (revision > 0) namings.acknowledged(changeId, model, weights, static_cast<std::uint64_t>(revision), at);
+  if (revision > 0) namings.recordAcknowledgement(changeId, model, weights, static_cast<std::uint64_t>(revision), at);
   return revision > 0;
 }
 
--- a/src/tools/main_audit.cpp
+++ b/src/tools/main_audit.cpp
@@ -74,16 +74,16 @@
   auto history = readHistory(lines.value());
   if (!history) return makeError(history.error().code, file + ": " + history.error().subject, history.error().text);
   if (history.value().operations.empty()) return makeError(Code::badProps, file, "holds no operation");
-  history.value().readsInOrder = false;
+  history.value().linearizableReads = false;
   auto verdict = checkHistory(history.value());
   std::cout << "audit: operators: " << verdict.operations << " operations, " << verdict.unclear
-            << " without a clear answer, " << verdict.readsBehind << " reads behind another, " << verdict.steps
+            << " without a clear answer, " << verdict.nonMonotonicReads << " reads behind another, " << verdict.steps
             << " steps: "
             << (verdict.undecided      ? "UNDECIDED"
                 : verdict.linearizable ? "one order explains them all"
                                        : "NO ORDER EXPLAINS THEM")
             << "\n";
-  if (!verdict.trouble.empty()) std::cout << verdict.trouble << "\n";
+  if (!verdict.explanation.empty()) std::cout << verdict.explanation << "\n";
   return verdict.linearizable && !verdict.undecided;
 }
 }  // namespace
