--- a/src/model/model_world.cpp
+++ b/src/model/model_world.cpp
@@ -55,7 +55,7 @@
 void ModelWorld::reset() {
   clock = startOfTime;
   packets.clear();
-  history.emplace(worldSetup.changes + 1, worldSetup.known);
+  history.emplace(worldSetup.changes + 1, worldSetup.ignoredRules);
   historyImage.reset();
   std::vector<Member> first;
   for (int number = 0; number < worldSetup.machines(); ++number) {
@@ -76,12 +76,12 @@
   changed(number);
   if (machine.synced.identity.empty()) machine.synced.identity = idOf(number);
   RecoveredState recovered = recoveredFrom(machine);
-  if (worldSetup.openSyncs) {
+  if (worldSetup.syncsOnStart) {
     machine.synced = recovered;
     machine.written.clear();
   }
-  machine.log.emplace(Member{recovered.identity, nameOf(number), addressOf(number), {}, true}, worldSetup.room,
-                      defences);
+  machine.log.emplace(Member{recovered.identity, nameOf(number), addressOf(number), {}, true},
+                      worldSetup.maxRecordBytes, defences);
   machine.log->onEntryApplied = [this, number](Effects&, const LogEntry& entry) {
     const auto& log = *machines[static_cast<std::size_t>(number)].log;
     if (entry.kind == static_cast<int>(EntryKind::whole))
@@ -135,7 +135,7 @@
   int to = numberAt(address);
   if (to < 0 || to >= worldSetup.machines()) return;
   packets.push_back(Packet{from, to, std::make_shared<const Letter>(Letter{std::move(message), {}})});
-  if (packets.size() > worldSetup.networkRoom) packets.erase(packets.begin());
+  if (packets.size() > worldSetup.maxPacketsInFlight) packets.erase(packets.begin());
 }
 
 void ModelWorld::toClient(int from, const ChangeResponse& answer) {
@@ -367,7 +367,7 @@
 
 void ModelWorld::fairRounds(Duration span, bool allUp) {
   TimePoint until = clock + span;
-  while (clock < until && !broken()) {
+  while (clock < until && !violation()) {
     clock += roundSpan;
     bool joins = (clock - startOfTime) % timing.joinInterval < roundSpan;
     for (int number = 0; number < worldSetup.machines(); ++number) {
@@ -396,9 +396,9 @@
 void ModelWorld::checkLiveness() {
   int last = worldSetup.changes;
   TimePoint until = clock + livenessSpan;
-  while (clock < until && !broken() && !history->acknowledged(last)) {
+  while (clock < until && !violation() && !history->acknowledged(last)) {
     fairRounds(livenessStep, true);
-    if (auto leading = leader(); leading && !broken()) sendChange(*leading, last);
+    if (auto leading = leader(); leading && !violation()) sendChange(*leading, last);
   }
   if (!history->acknowledged(last))
     writeHistory().breakRule("no-majority", std::string(leader() ? "a change is not agreed" : "nobody leads") +
