--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -87,7 +87,7 @@
     Defence defence;
     std::string name, line;
   };
-  const std::vector<std::string>& found() const { return troubles; }
+  const std::vector<std::string>& found() const { return failures; }
   const std::vector<Control>& controlRuns() const { return controls; }
   void disable(Defence defence) { without.push_back(defence); }
   std::uint64_t seedInUse() const { return ownSeed; }
@@ -104,8 +104,8 @@
   ScenarioResult run() {
     ScenarioResult result;
     result.seed = ownSeed;
-    if (!troubles.empty()) {
-      result.troubles = troubles;
+    if (!failures.empty()) {
+      result.failures = failures;
       return result;
     }
     world = std::make_unique<World>(shape, ownSeed);
@@ -121,14 +121,14 @@
     for (const auto& violation : world->violations) {
       char stamp[32];
       std::snprintf(stamp, sizeof stamp, "%.3f", std::chrono::duration<double>(violation.at - start).count());
-      troubles.push_back("must never happen: " + violation.invariant + " at " + stamp + "s: " + violation.text);
+      failures.push_back("must never happen: " + violation.invariant + " at " + stamp + "s: " + violation.text);
     }
     for (const auto& line : expects) check(line);
     result.figures = figures();
     result.operations = world->historyCheckResult().operations;
     result.unclear = world->historyCheckResult().unclear;
-    result.troubles = troubles;
-    result.passed = troubles.empty();
+    result.failures = failures;
+    result.passed = failures.empty();
     return result;
   }
 
@@ -137,7 +137,7 @@
   std::uint64_t ownSeed{1};
   double until{20};
   std::vector<Line> steps, expects;
-  std::vector<std::string> troubles;
+  std::vector<std::string> failures;
   std::vector<Defence> without;
   std::vector<Control> controls;
   std::unique_ptr<World> world;
@@ -145,7 +145,7 @@
   TimePoint start;
 
   void wrong(const Line& line, const std::string& reason) {
-    troubles.push_back("line " + std::to_string(line.number) + ": " + reason);
+    failures.push_back("line " + std::to_string(line.number) + ": " + reason);
   }
 
   void setFleet(const Line& line) {
@@ -223,7 +223,7 @@
       }
     if (word.rfind("edge-", 0) == 0) return {"agent-" + word.substr(5), "proxy-" + word.substr(5)};
     if (world->names().count(word)) return {word};
-    troubles.push_back("no such machine: " + word);
+    failures.push_back("no such machine: " + word);
     return rows;
   }
 
@@ -435,7 +435,7 @@
   void failed(const Line& line, const std::string& got) {
     std::string text;
     for (const auto& word : line.words) text += word + " ";
-    troubles.push_back("line " + std::to_string(line.number) + ": " + text + "- got " + got);
+    failures.push_back("line " + std::to_string(line.number) + ": " + text + "- got " + got);
   }
 
   bool compare(const Line& line, double value, std::size_t at) {
@@ -647,10 +647,10 @@
       caught = bare.brokenLines().count(control.line) > 0;
     }
     if (!caught)
-      result.troubles.push_back("without " + control.name + " the line " + control.line +
+      result.failures.push_back("without " + control.name + " the line " + control.line +
                                 " was not broken: the run proves nothing");
   }
-  result.passed = result.troubles.empty();
+  result.passed = result.failures.empty();
   return result;
 }
 
@@ -659,8 +659,8 @@
 std::string reduceScenario(const std::string& text, std::uint64_t seed) {
   auto sign = [&](const std::string& tried) -> std::string {
     auto result = runScenario(tried, seed, {}, false);
-    if (result.passed || result.troubles.empty()) return {};
-    std::string first = result.troubles.front();
+    if (result.passed || result.failures.empty()) return {};
+    std::string first = result.failures.front();
     return first.substr(0, first.find(" at "));
   };
   std::string wanted = sign(text);
--- a/src/tools/main_audit.cpp
+++ b/src/tools/main_audit.cpp
@@ -150,10 +150,10 @@
             << " repeat tries (worst span " << static_cast<int>(1000 * result.worstRetryShare) / 10.0 << " %), "
             << result.unreadable << " unreadable lines\n";
   printBegins(result, records);
-  for (const auto& line : auditedLines()) {
-    const auto& rows = result.breaches[line];
+  for (const auto& line : auditedInvariants()) {
+    const auto& rows = result.violations[line];
     std::cout << "audit: " << rows.size() << " " << line << "\n";
     for (std::size_t at = 0; at < rows.size() && at < 5; ++at) std::cout << "       " << rows[at] << "\n";
   }
-  return result.breachCount() == 0 && sound ? 0 : 1;
+  return result.violationCount() == 0 && sound ? 0 : 1;
 }
--- a/tests/old_weights_audit.cpp
+++ b/tests/old_weights_audit.cpp
@@ -45,7 +45,7 @@
   std::vector<std::string> found() const {
     auto result = audit();
     cr_assert_eq(result.unreadable, 0);
-    return result.breaches[breachLine];
+    return result.violations[breachLine];
   }
 
   AuditRecords records;
--- a/tests/parts.cpp
+++ b/tests/parts.cpp
@@ -408,7 +408,7 @@
 
 Test(audit, finds_no_violation_in_a_valid_run) {
   auto result = auditRecords(validRecords());
-  cr_assert_eq(result.breachCount(), 0);
+  cr_assert_eq(result.violationCount(), 0);
   cr_assert_eq(result.orders, 100);
   cr_assert_eq(result.runs, 100);
 }
@@ -475,15 +475,15 @@
       {"two-holders", [](AuditRecords& records) {
          records.workers.push_back(workerLine("worker-1", "command taken", "worker-1 core-2 load", 12, 3));
        }}};
-  for (const auto& line : auditedLines()) {
+  for (const auto& line : auditedInvariants()) {
     cr_assert(injections.count(line) > 0, "no injection for %s", line.c_str());
     auto records = validRecords();
     injections[line](records);
     auto result = auditRecords(records);
-    for (const auto& [found, rows] : result.breaches)
+    for (const auto& [found, rows] : result.violations)
       if (!rows.empty())
         cr_expect_eq(found, line, "injected %s, found %s: %s", line.c_str(), found.c_str(), rows.front().c_str());
-    cr_expect_gt(result.breachCount(), 0, "%s was injected and not found", line.c_str());
+    cr_expect_gt(result.violationCount(), 0, "%s was injected and not found", line.c_str());
   }
 }
 
