--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -73,7 +73,7 @@
 void Agent::selectUpstream(Effects& effects) {
   for (auto suspect = suspectedUntil.begin(); suspect != suspectedUntil.end();)
     suspect = effects.now >= suspect->second ? suspectedUntil.erase(suspect) : std::next(suspect);
-  Strings candidates = clusterView.watch();
+  Strings candidates = clusterView.upstreamCandidates();
   std::vector<std::pair<std::uint64_t, std::string>> ranked;
   for (const auto& address : clusterView.coreAddresses(view))
     ranked.emplace_back(rendezvousHash(settings.address, address), address);
@@ -233,8 +233,8 @@
     forwardToCell(effects, started->zone, message);
   } else if (auto* ended = std::get_if<PrefillEnded>(&message)) {
     forwardToCell(effects, ended->zone, message);
-  } else if (auto* watch = std::get_if<WatchMsg>(&message)) {
-    WatchMsg forwarded = *watch;
+  } else if (auto* upstreamCandidates = std::get_if<WatchMsg>(&message)) {
+    WatchMsg forwarded = *upstreamCandidates;
     forwarded.replyTo = settings.address;
     forwardToCell(effects, forwarded.zone, forwarded);
   } else if (std::holds_alternative<LookupReply>(message) || std::holds_alternative<TransferDone>(message)) {
@@ -259,7 +259,7 @@
   status["follows"] = Json(upstream);
   JsonArray followers, upstreams;
   for (const auto& [address, at] : followerSeenAt) followers.push_back(Json(address));
-  for (const auto& address : clusterView.watch()) upstreams.push_back(Json(address));
+  for (const auto& address : clusterView.upstreamCandidates()) upstreams.push_back(Json(address));
   status["followers"] = Json(followers);
   status["watches"] = Json(upstreams);
   JsonObject counters;
--- a/src/base/effects.cpp
+++ b/src/base/effects.cpp
@@ -32,7 +32,7 @@
     if (kept.term != update.term || kept.sequence != update.base) return false;
     std::map<std::string, WorkerView> rows;
     for (auto& worker : kept.workers) rows[worker.name] = std::move(worker);
-    for (const auto& name : update.gone) rows.erase(name);
+    for (const auto& name : update.removedWorkers) rows.erase(name);
     for (const auto& worker : update.workers) rows[worker.name] = worker;
     kept.workers.clear();
     for (auto& [name, worker] : rows) kept.workers.push_back(std::move(worker));
--- a/src/cluster/core.cpp
+++ b/src/cluster/core.cpp
@@ -62,7 +62,7 @@
     effects.note("applied", self.id, static_cast<std::int64_t>(entry.index));
     clusterView->noteVersions(replicatedLog->configuration());
     if (entry.kind == static_cast<int>(EntryKind::members)) membershipChangedAt = effects.now;
-    if (entry.kind == static_cast<int>(EntryKind::whole)) return;
+    if (entry.kind == static_cast<int>(EntryKind::complete)) return;
     broadcast(effects, NewsMsg{replicatedLog->commit(), {entry}, {}});
   };
   replicatedLog->membersChanged = [this](Effects& effects) {
@@ -277,7 +277,7 @@
       clusterView->offerMachineList(machineList->machines, effects.now - Duration(machineList->age));
     applyMachineList(effects);
   } else if (auto* announcements = std::get_if<NamingsMsg>(&message)) {
-    clusterView->mergeAnnouncements(announcements->namings, effects.now);
+    clusterView->mergeAnnouncements(announcements->weightsAnnouncements, effects.now);
   } else if (auto* logEnds = std::get_if<LogEndResponse>(&message)) {
     clusterView->handle(effects, from, *logEnds, replicatedLog->configuration());
     applyMachineList(effects);
--- a/src/cluster/core.hpp
+++ b/src/cluster/core.hpp
@@ -68,7 +68,7 @@
     std::uint64_t revision{0}, index{0}, term{0};
     OperatorRequest request;
     /// The commit index that this core knew before any copy of this change can have been sent.
-    Uint64 seen{0};
+    Uint64 appliedAtRequest{0};
     bool committed{false};
     /// When it was last sent to the leader; TimePoint{} if it was not.
     TimePoint sentAt{};
--- a/src/cluster/core_membership.cpp
+++ b/src/cluster/core_membership.cpp
@@ -72,7 +72,7 @@
 }
 
 void Core::onReplicaCheckResponse(const ReadersResponse& reply) {
-  if (reply.has && leavingSince != TimePoint{} && reply.core != self.id) replicaHolders.insert(reply.core);
+  if (reply.hasEntry && leavingSince != TimePoint{} && reply.core != self.id) replicaHolders.insert(reply.core);
 }
 
 bool Core::safeToStop() const { return !replicatedLog->formed() || replicaHolders.size() >= timing.minReplicas(); }
--- a/src/fuzz/configurations.cpp
+++ b/src/fuzz/configurations.cpp
@@ -65,7 +65,7 @@
 
   FuzzOutcome once(Mutator& mutator) {
     if (++rounds % 64 == 0) view = Configuration();
-    constexpr ChangeFormat manners[] = {ChangeFormat::patch, ChangeFormat::patch, ChangeFormat::whole,
+    constexpr ChangeFormat manners[] = {ChangeFormat::patch, ChangeFormat::patch, ChangeFormat::complete,
                                         ChangeFormat::sections, ChangeFormat::items};
     auto changeFormat = manners[mutator.randomBelow(std::size(manners))];
     std::string input = mutator.mutatedText(goodPatches), before = listed(view);
@@ -77,11 +77,11 @@
     view.apply(entry);
     twin.apply(entry);
     if (listed(twin) != listed(view)) return broken("two replicas apply it differently", input);
-    Configuration whole;
-    if (!whole.installSnapshot(view.snapshot())) return broken("its snapshot cannot be adopted", input);
-    if (listed(whole) != listed(view))
-      return broken("whole it reads otherwise than applied:\n" + listed(whole) + "\n" + listed(view), input);
-    auto again = view.preparePatch(view.text(), ChangeFormat::whole);
+    Configuration complete;
+    if (!complete.installSnapshot(view.snapshot())) return broken("its snapshot cannot be adopted", input);
+    if (listed(complete) != listed(view))
+      return broken("whole it reads otherwise than applied:\n" + listed(complete) + "\n" + listed(view), input);
+    auto again = view.preparePatch(view.text(), ChangeFormat::complete);
     if (!again) return broken("what is in force would be refused: " + again.error().subject, input);
     LogEntry repeated{view.index() + 1, 1, static_cast<int>(EntryKind::change), again.value(), {}, view.revision() + 1};
     Configuration over = view;
--- a/src/index/cell.hpp
+++ b/src/index/cell.hpp
@@ -27,7 +27,7 @@
   bool known{false}, confirmed{false}, reportPending{false};
   /// The sequence number of the last cache event that was applied to `kept`.
   std::uint64_t appliedSequence{0};
-  std::unordered_set<BlockHash, BlockHashHasher> kept;
+  std::unordered_set<BlockHash, BlockHashHasher> cachedBlocks;
   /// The last Bloom filter that was made of `kept`.
   std::string summary;
   bool summaryStale{true};
--- a/src/index/cell_rollouts.cpp
+++ b/src/index/cell_rollouts.cpp
@@ -41,7 +41,7 @@
   rollout.commandNumber = ++lastCommand;
   effects.send(found->second.machine.address,
                ControlAsk{election.term(), selfId, action, rollout.model, rollout.weights, lastReport.incarnation,
-                          worker, rollout.commandNumber, lastReport.countsOrders, lastReport.orders});
+                          worker, rollout.commandNumber, lastReport.reportsCommandCount, lastReport.commandCount});
 }
 
 void Cell::withholdWorker(Effects& effects, const std::string& worker) {
@@ -159,7 +159,7 @@
       }
     if (workers != 1) continue;
     ++earlierZones;
-    unfinished = unfinished || sole->held || !versions || !versions->isNewest(model, sole->weights);
+    unfinished = unfinished || sole->withheld || !versions || !versions->isNewest(model, sole->weights);
   }
   Duration turn = std::min<Duration>(maxTurn, timing.rolloutStartTimeout() / maxTurns);
   return unfinished && now < endOfUse(superseded, std::min(earlierZones, maxTurns) * turn);
--- a/src/model/model_world.cpp
+++ b/src/model/model_world.cpp
@@ -84,7 +84,7 @@
                       worldSetup.maxRecordBytes, defences);
   machine.log->onEntryApplied = [this, number](Effects&, const LogEntry& entry) {
     const auto& log = *machines[static_cast<std::size_t>(number)].log;
-    if (entry.kind == static_cast<int>(EntryKind::whole))
+    if (entry.kind == static_cast<int>(EntryKind::complete))
       return writeHistory().agreedUpTo(idOf(number), entry.index, entry.term);
     checkAgreed(entry);
     writeHistory().agreed(idOf(number), entry, log.election.term());
@@ -658,8 +658,8 @@
   std::sort(order.begin(), order.end());
   for (std::size_t place = 0; place < count; ++place)
     labels[static_cast<std::size_t>(order[place].second)] = static_cast<int>(place);
-  Mixer whole(labels);
-  for (const auto& [sum, at] : order) mixMachine(whole, static_cast<std::size_t>(at));
+  Mixer complete(labels);
+  for (const auto& [sum, at] : order) mixMachine(complete, static_cast<std::size_t>(at));
   std::uint64_t letters = 0;
   for (const auto& packet : packets) {
     const auto& letter = *packet.letter;
@@ -676,9 +676,9 @@
     if (sentAt < 0) one.number(2);
     letters += one.sum;
   }
-  whole.number(letters);
-  whole.text(history->bytes());
-  return whole.sum;
+  complete.number(letters);
+  complete.text(history->bytes());
+  return complete.sum;
 }
 
 }  // namespace tt::model
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -116,7 +116,7 @@
     TimePoint pendingSince{}, lastActivityAt{}, lookupStartedAt{}, deadline{};
     /// The service drawn from the route's split, and the id of the last event that the client got, from which another
     /// worker can resume the stream.
-    std::string service, lastPiece;
+    std::string service, lastEventId;
     /// `unsentAttempts` counts the attempts whose connection broke before the request was sent.
     int priority{5}, urgency{5}, unsentAttempts{0};
     /// Its tokens are counted as not yet prefilled at its worker; the client has a chunk of the response.
@@ -240,7 +240,7 @@
   void admit(Effects& effects, const CallerOrder& submitted);
   void accept(Effects& effects, std::unique_ptr<Request> request);
   /// Gives an event to a request's state machine, and removes the request if that ended it.
-  void dispatch(Effects& effects, const std::string& orderId, const std::string& event);
+  void dispatch(Effects& effects, const std::string& requestId, const std::string& event);
   /// Makes a plan with a worker for the request. False if there is none now; `lastCode` then says why.
   bool selectWorker(Effects& effects, Request& request);
   /// Fills the plan's candidates: those whose cells are asked what they have of the prompt.
@@ -350,7 +350,7 @@
   std::optional<Code> endReasonForAll(TimePoint now) const;
   /// Dispatches the event, which sends the request or starts a transfer, if the plan is still valid; otherwise queues
   /// the request again.
-  void sendOrReselect(Effects& effects, const std::string& orderId, const std::string& event);
+  void sendOrReselect(Effects& effects, const std::string& requestId, const std::string& event);
   /// Measured blocks per second of a link.
   double linkSpeed(const std::string& source, const std::string& target) const;
 };
--- a/src/routing/edge_report.cpp
+++ b/src/routing/edge_report.cpp
@@ -24,7 +24,7 @@
       row["weights"] = Json(worker.weights);
       row["running"] = jsonNumber(worker.running);
       row["slots"] = jsonNumber(worker.slots);
-      row["held"] = Json(worker.held);
+      row["held"] = Json(worker.withheld);
       row["alive"] = Json(worker.alive);
       row["leaving"] = Json(!schedulable.count(worker.name));
       auto stats = workerStats.find(worker.name);
--- a/src/sim/history_lines.cpp
+++ b/src/sim/history_lines.cpp
@@ -100,7 +100,7 @@
     if (!base) return base.error();
     operation.base = static_cast<std::uint64_t>(base.value());
   }
-  for (auto [name, target] : {std::pair{"whole", &operation.whole}}) {
+  for (auto [name, target] : {std::pair{"whole", &operation.complete}}) {
     auto flag = boolField(fields, name, false);
     if (!flag) return flag.error();
     *target = flag.value();
@@ -142,7 +142,7 @@
   addNumber("seen", operation.resultRevision);
   if (operation.ended) fields["ended"] = Json(std::to_string(*operation.ended));
   if (operation.base) fields["base"] = Json(static_cast<double>(*operation.base));
-  if (operation.whole) fields["whole"] = Json(true);
+  if (operation.complete) fields["whole"] = Json(true);
   if (operation.valid) fields["valid"] = Json(*operation.valid);
   if (operation.resultDigest) fields["digest"] = Json(std::to_string(*operation.resultDigest));
   if (!operation.items.empty()) fields["items"] = jsonOfItems(operation.items);
--- a/src/sim/linearizability.cpp
+++ b/src/sim/linearizability.cpp
@@ -22,8 +22,9 @@
   return mixed(rendezvousHash(name, value));
 }
 
-std::optional<std::string> itemAfter(const std::optional<std::string>& before, const ItemChange& change, bool whole) {
-  if (!change.value || whole || !before) return change.value;
+std::optional<std::string> itemAfter(const std::optional<std::string>& before, const ItemChange& change,
+                                     bool complete) {
+  if (!change.value || complete || !before) return change.value;
   auto target = parseJson(*before), patch = parseJson(*change.value);
   if (!target || !patch) return change.value;
   mergePatch(target.value(), patch.value());
@@ -63,14 +64,14 @@
     return state;
   }
   void apply(State& state, const Operation& change) {
-    if (change.whole) {
+    if (change.complete) {
       state.values.clear();
       state.digest = 0;
     }
     for (const auto& item : change.items) {
       std::uint32_t column = columnOf(item.name);
       std::uint32_t before = column < state.values.size() ? state.values[column] : noValue;
-      set(state, column, merged(before, item, change.whole));
+      set(state, column, merged(before, item, change.complete));
     }
   }
 
@@ -91,10 +92,10 @@
     if (fresh) values.push_back(value);
     return row->second;
   }
-  std::uint32_t merged(std::uint32_t before, const ItemChange& item, bool whole) {
+  std::uint32_t merged(std::uint32_t before, const ItemChange& item, bool complete) {
     if (!item.value) return noValue;
     std::uint32_t patch = valueOf(*item.value);
-    if (whole || before == noValue || before == patch) return patch;
+    if (complete || before == noValue || before == patch) return patch;
     auto [row, fresh] = mergedValues.try_emplace({before, patch}, noValue);
     if (fresh) row->second = valueOf(*itemAfter(values[before], item, false));
     return row->second;
@@ -569,10 +570,10 @@
 }  // namespace
 
 RegisterItems itemsAfter(const RegisterItems& before, const Operation& change) {
-  RegisterItems after = change.whole ? RegisterItems() : before;
+  RegisterItems after = change.complete ? RegisterItems() : before;
   for (const auto& item : change.items) {
     auto old = after.find(item.name);
-    auto value = itemAfter(old == after.end() ? std::nullopt : std::optional(old->second), item, change.whole);
+    auto value = itemAfter(old == after.end() ? std::nullopt : std::optional(old->second), item, change.complete);
     if (value)
       after[item.name] = *value;
     else
@@ -625,24 +626,24 @@
 HistoryCheckResult checkHistory(const History& history, std::size_t mostSteps) {
   std::vector<Operation> configuration;
   std::map<std::string, std::vector<Operation>> weightsByModel;
-  HistoryCheckResult whole;
+  HistoryCheckResult complete;
   for (const auto& operation : history.operations) {
-    ++whole.operations;
-    whole.unclear += operation.outcome == OperationOutcome::unclear;
+    ++complete.operations;
+    complete.unclear += operation.outcome == OperationOutcome::unclear;
     (isWeights(operation) ? weightsByModel[operation.model] : configuration).push_back(operation);
   }
   auto add = [&](HistoryCheckResult part) {
-    whole.steps += part.steps;
-    whole.nonMonotonicReads += part.nonMonotonicReads;
-    whole.undecided = whole.undecided || part.undecided;
-    whole.linearizable = whole.linearizable && part.linearizable;
+    complete.steps += part.steps;
+    complete.nonMonotonicReads += part.nonMonotonicReads;
+    complete.undecided = complete.undecided || part.undecided;
+    complete.linearizable = complete.linearizable && part.linearizable;
     if (part.explanation.empty()) return;
-    whole.explanation += (whole.explanation.empty() ? "" : "\n") + part.explanation;
+    complete.explanation += (complete.explanation.empty() ? "" : "\n") + part.explanation;
   };
   add(RegisterCheck(std::move(configuration), history, false).run(mostSteps));
   for (auto& [model, operations] : weightsByModel)
     add(RegisterCheck(std::move(operations), history, true).run(mostSteps));
-  return whole;
+  return complete;
 }
 
 }  // namespace tt
--- a/src/sim/linearizability.hpp
+++ b/src/sim/linearizability.hpp
@@ -29,7 +29,7 @@
   /// The revision that a change or weights are to have; 0 is the one after the current.
   std::uint64_t revision{0};
   /// Whether a change replaces all items; else it merges (RFC 7396) into those that it names.
-  bool whole{false};
+  bool complete{false};
   std::vector<ItemChange> items;
   /// Whether the client knows the change to be valid in every state, or in none.
   std::optional<bool> valid;
--- a/src/sim/operators.cpp
+++ b/src/sim/operators.cpp
@@ -73,7 +73,7 @@
   operation.changeId = request.changeId;
   if (request.ifRevision >= 0) operation.base = static_cast<std::uint64_t>(request.ifRevision);
   if (request.toRevision > 0) operation.revision = static_cast<std::uint64_t>(request.toRevision);
-  operation.whole = request.whole;
+  operation.complete = request.complete;
   auto body = parseJson(request.body);
   if (!body || !body.value().is<JsonObject>()) return operation;
   for (const char* section : watchedSections) {
--- a/src/sim/scale/fleet_fixtures.cpp
+++ b/src/sim/scale/fleet_fixtures.cpp
@@ -153,7 +153,7 @@
 CallerOrder requestOf(const FleetSize& size, std::uint64_t number) {
   int tenant = static_cast<int>(mixBits(number) % static_cast<std::uint64_t>(std::max(1, size.tenants)));
   CallerOrder order;
-  order.orderId = fmt::format("order-{}", number);
+  order.requestId = fmt::format("order-{}", number);
   order.key = secretOf(tenant);
   order.host = fmt::format("tenant-{}.example", tenant);
   order.path = "/v1/chat";
--- a/src/sim/scale/hollow_fleet.cpp
+++ b/src/sim/scale/hollow_fleet.cpp
@@ -366,7 +366,7 @@
       ++total.cellsHeld;
       ++processes[cores[number]]->cost.cells;
       for (const auto& [name, keeper] : cell->cacheNodes())
-        total.blocksIndexed += static_cast<std::int64_t>(keeper.kept.size());
+        total.blocksIndexed += static_cast<std::int64_t>(keeper.cachedBlocks.size());
     }
 }
 
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -502,8 +502,8 @@
             auto* truth = world->keeper(keeperName);
             if (!truth || !keeper.confirmed) continue;
             std::int64_t known = 0;
-            for (const auto& hash : keeper.kept) known += truth->hasBlock(hash);
-            wrongRows += static_cast<std::int64_t>(keeper.kept.size()) - known +
+            for (const auto& hash : keeper.cachedBlocks) known += truth->hasBlock(hash);
+            wrongRows += static_cast<std::int64_t>(keeper.cachedBlocks.size()) - known +
                          static_cast<std::int64_t>(truth->cachedBlockCount()) - known;
           }
         }
@@ -522,7 +522,7 @@
       TimePoint from = start + secondsOf(std::atof(words[5].c_str())),
                 to = start + secondsOf(std::atof(words[7].c_str()));
       double asked = 0, done = 0;
-      for (const auto& [orderId, order] : world->orders()) {
+      for (const auto& [requestId, order] : world->orders()) {
         if (order.askedAt < from || order.askedAt >= to || order.gone ||
             order.code == static_cast<int>(Code::keyDenied))
           continue;
@@ -535,11 +535,12 @@
       compare(line, done / asked, 2);
     } else if (what == "verdicts" && words.size() >= 5) {
       double number = 0;
-      for (const auto& [orderId, order] : world->orders()) number += order.verdict == spaced(words[2]);
+      for (const auto& [requestId, order] : world->orders()) number += order.verdict == spaced(words[2]);
       compare(line, number, 3);
     } else if (what == "unended") {
       double number = 0;
-      for (const auto& [orderId, order] : world->orders()) number += !order.ended && order.askedAt < world->now() - 15s;
+      for (const auto& [requestId, order] : world->orders())
+        number += !order.ended && order.askedAt < world->now() - 15s;
       compare(line, number, 2);
     } else if (what == "count" && words.size() >= 5) {
       compare(line, static_cast<double>(world->count(spaced(words[2]))), 3);
@@ -565,7 +566,7 @@
       compare(line, slowest, 2);
     } else if (what == "fetched-share") {
       double fetched = 0, all = 0;
-      for (const auto& [orderId, order] : world->orders()) {
+      for (const auto& [requestId, order] : world->orders()) {
         fetched += order.fetched;
         all += order.fetched + order.local + order.computed;
       }
@@ -580,7 +581,7 @@
     std::map<std::string, int> verdicts;
     std::vector<double> first;
     double fetched = 0, local = 0, computed = 0;
-    for (const auto& [orderId, order] : world->orders()) {
+    for (const auto& [requestId, order] : world->orders()) {
       ++verdicts[order.ended ? order.verdict : "open"];
       if (order.firstSeen) first.push_back(order.firstMs);
       fetched += order.fetched;
--- a/src/sim/sim.hpp
+++ b/src/sim/sim.hpp
@@ -249,7 +249,7 @@
   void sendOrder(const std::string& kind, std::string tenant = {});
   void placeOrder(CallerOrder order, const std::string& kind, const std::string& proxy, const std::string& intent,
                   int attempt);
-  void comeBack(const CallerOrder& order, const std::string& orderId, int retryAfterMs);
+  void comeBack(const CallerOrder& order, const std::string& requestId, int retryAfterMs);
   void watchReads();
   void readShown(const std::string& who, std::uint64_t index);
   void watchEntry(const std::string& name, std::uint64_t index);
@@ -260,7 +260,7 @@
   void weightsAcknowledged(const AckRow& ack);
   void checkWorkersWeights(std::uint64_t index, const std::string& named);
   void watchBegin(const std::string& worker, const Event& event);
-  void watchRun(const std::string& worker, const std::string& orderId);
+  void watchRun(const std::string& worker, const std::string& requestId);
   void violate(const std::string& invariant, const std::string& text);
   void leaveFurther(const std::string& name, std::uint64_t life);
   void checkGivenUp(const std::string& proxy);
--- a/src/sim/sim_operators.cpp
+++ b/src/sim/sim_operators.cpp
@@ -39,12 +39,12 @@
   TimePoint begunAt{};
 };
 
-void World::change(const std::string& body, bool whole, const std::string& changeId, std::int64_t ifRevision,
+void World::change(const std::string& body, bool complete, const std::string& changeId, std::int64_t ifRevision,
                    int coreNumber, bool loseAnswer) {
   OperatorRequest ask{};
   ask.requestId = "ask-" + std::to_string(++askCount);
   ask.body = body;
-  ask.whole = whole;
+  ask.complete = complete;
   ask.ifRevision = ifRevision;
   ask.changeId = changeId.empty() ? "change-" + std::to_string(++changeCount) : changeId;
   AckRow row;
--- a/src/sim/sim_weights.cpp
+++ b/src/sim/sim_weights.cpp
@@ -65,11 +65,11 @@
   if (anyAble && !anyReady) violate("weights-late", "no worker holds " + named + " or newer weights");
 }
 
-void World::watchRun(const std::string& worker, const std::string& orderId) {
+void World::watchRun(const std::string& worker, const std::string& requestId) {
   if (!starts(worker, "worker-")) return;
   const std::string& weights = keeper(worker)->weights();
   auto late = versions.supersededFor(modelName, weights, clock);
-  if (late && *late > weightsInUseMost) violate("weights-late", orderId + " ran under " + weights + " at " + worker);
+  if (late && *late > weightsInUseMost) violate("weights-late", requestId + " ran under " + weights + " at " + worker);
 }
 
 /// Checks an order as its computing begins at a worker, and again as its first piece comes.
--- a/src/sim/standin.cpp
+++ b/src/sim/standin.cpp
@@ -33,20 +33,20 @@
 void StandInBackend::keep(Effects& effects, const Hashes& hashes, const Strings& origins) {
   Hashes fresh;
   for (std::size_t at = 0; at < hashes.size(); ++at) {
-    auto found = kept.find(hashes[at]);
-    if (found != kept.end()) {
+    auto found = cachedBlocks.find(hashes[at]);
+    if (found != cachedBlocks.end()) {
       byUse.splice(byUse.end(), byUse, found->second.place);
       continue;
     }
     byUse.push_back(hashes[at]);
-    kept[hashes[at]] = Kept{at < origins.size() ? origins[at] : std::string(), std::prev(byUse.end())};
+    cachedBlocks[hashes[at]] = Kept{at < origins.size() ? origins[at] : std::string(), std::prev(byUse.end())};
     fresh.push_back(hashes[at]);
   }
   tell(effects, CacheEventKind::stored, fresh);
   Hashes gone;
-  while (kept.size() > given.maxCachedBlocks) {
+  while (cachedBlocks.size() > given.maxCachedBlocks) {
     gone.push_back(byUse.front());
-    kept.erase(byUse.front());
+    cachedBlocks.erase(byUse.front());
     byUse.pop_front();
   }
   tell(effects, CacheEventKind::removed, gone);
@@ -55,26 +55,26 @@
 void StandInBackend::drop(Effects& effects, const Hashes& hashes) {
   Hashes gone;
   for (const auto& hash : hashes) {
-    auto found = kept.find(hash);
-    if (found == kept.end()) continue;
+    auto found = cachedBlocks.find(hash);
+    if (found == cachedBlocks.end()) continue;
     byUse.erase(found->second.place);
-    kept.erase(found);
+    cachedBlocks.erase(found);
     gone.push_back(hash);
   }
   tell(effects, CacheEventKind::removed, gone);
 }
 
 void StandInBackend::clearCache(Effects& effects, bool saying) {
-  kept.clear();
+  cachedBlocks.clear();
   byUse.clear();
   if (saying) tell(effects, CacheEventKind::cleared, {});
 }
 
-void StandInBackend::end(Effects& effects, const std::string& orderId, OrderOutcome outcome, Code code,
+void StandInBackend::end(Effects& effects, const std::string& requestId, OrderOutcome outcome, Code code,
                          const char* word) {
-  auto found = running.find(orderId);
+  auto found = running.find(requestId);
   if (found == running.end()) return;
-  WorkerEnd said{orderId, static_cast<int>(outcome), static_cast<int>(code), 0, 0, 0};
+  WorkerEnd said{requestId, static_cast<int>(outcome), static_cast<int>(code), 0, 0, 0};
   if (auto* record = recordOf(found->second)) {
     record->outcome = word;
     said.local = record->local;
@@ -87,8 +87,9 @@
 
 void StandInBackend::onOrder(Effects& effects, const std::string& from, const WorkerOrder& ask) {
   auto deny = [&](Code code) {
-    effects.note("worker denied", ask.orderId, static_cast<int>(code));
-    effects.send(from, WorkerEnd{ask.orderId, static_cast<int>(OrderOutcome::denied), static_cast<int>(code), 0, 0, 0});
+    effects.note("worker denied", ask.requestId, static_cast<int>(code));
+    effects.send(from,
+                 WorkerEnd{ask.requestId, static_cast<int>(OrderOutcome::denied), static_cast<int>(code), 0, 0, 0});
   };
   if (drains || loadDue != TimePoint{}) return deny(Code::workerDraining);
   if (given.kind == "language" &&
@@ -101,24 +102,24 @@
   run.from = from;
   run.record = recordBase + records.size();
   RunRecord record;
-  record.orderId = ask.orderId;
+  record.requestId = ask.requestId;
   record.weights = currentWeights;
   record.tenant = ask.tenant;
   record.source = ask.sourceAddress;
-  record.move = ask.moves;
+  record.move = ask.transferOnly;
   records.push_back(record);
   if (records.size() > recordsMost) {
     records.pop_front();
     ++recordBase;
   }
-  effects.note(ask.moves ? "move ran" : "ran", ask.orderId, static_cast<std::int64_t>(ask.hashes.size()));
-  if (!ask.moves) {
+  effects.note(ask.transferOnly ? "move ran" : "ran", ask.requestId, static_cast<std::int64_t>(ask.hashes.size()));
+  if (!ask.transferOnly) {
     std::string mark = ask.parts.empty() ? std::string() : ask.parts.back().substr(0, ask.parts.back().find(' '));
     if (mark.rfind("mark-", 0) != 0 || mark.size() > 64) mark = "-";
     auto worded = [](const std::string& text) { return text.empty() ? std::string("-") : text; };
-    effects.note("ran for", ask.orderId + " " + worded(currentWeights) + " " + worded(ask.tenant) + " " + mark);
+    effects.note("ran for", ask.requestId + " " + worded(currentWeights) + " " + worded(ask.tenant) + " " + mark);
   }
-  auto& placed = running[ask.orderId] = std::move(run);
+  auto& placed = running[ask.requestId] = std::move(run);
   if (faults.queueMs > 0) {
     placed.phase = Run::Phase::queued;
     placed.due = effects.now + std::chrono::milliseconds(faults.queueMs);
@@ -130,11 +131,11 @@
 void StandInBackend::leaveQueue(Effects& effects, Run& run) {
   Hashes wanted;
   for (const auto& hash : run.ask.hashes)
-    if (!kept.count(hash)) wanted.push_back(hash);
+    if (!cachedBlocks.count(hash)) wanted.push_back(hash);
   if (run.ask.sourceAddress.empty() || wanted.empty()) return begin(effects, run);
   run.phase = Run::Phase::pulling;
   run.due = effects.now + pullWait;
-  effects.send(run.ask.sourceAddress, PullAsk{run.ask.orderId, wanted});
+  effects.send(run.ask.sourceAddress, PullAsk{run.ask.requestId, wanted});
 }
 
 void StandInBackend::begin(Effects& effects, Run& run) {
@@ -142,16 +143,16 @@
   std::size_t local = 0;
   std::string mine = originOf(currentWeights, run.ask.tenant);
   while (local < run.ask.hashes.size()) {
-    auto found = kept.find(run.ask.hashes[local]);
-    if (found == kept.end()) break;
+    auto found = cachedBlocks.find(run.ask.hashes[local]);
+    if (found == cachedBlocks.end()) break;
     auto slash = found->second.origin.rfind('/');
     std::string originWeights = found->second.origin.substr(0, slash);
     std::string originTenant = found->second.origin.substr(slash + 1);
     if (originWeights != currentWeights) {
       ++crossWeights;
-      effects.note("cross weights", run.ask.orderId + " " + originWeights + " " + currentWeights);
+      effects.note("cross weights", run.ask.requestId + " " + originWeights + " " + currentWeights);
     }
-    if (originTenant != run.ask.tenant && !run.ask.moves) {
+    if (originTenant != run.ask.tenant && !run.ask.transferOnly) {
       ++crossTenants[originTenant + ">" + run.ask.tenant];
       effects.note("cross tenant", originTenant + ">" + run.ask.tenant);
     }
@@ -184,11 +185,11 @@
     --report.sequence;
   bool reaches = ask.incarnation == incarnation &&
                  (events.empty() ? ask.after == sequence : ask.after + 1 >= events.front().event.sequence);
-  if (ask.whole || !reaches) {
-    report.whole = true;
+  if (ask.complete || !reaches) {
+    report.complete = true;
     report.sequence = sequence;
-    for (const auto& [hash, row] : kept) report.kept.push_back(hash);
-    std::sort(report.kept.begin(), report.kept.end());
+    for (const auto& [hash, row] : cachedBlocks) report.cachedBlocks.push_back(hash);
+    std::sort(report.cachedBlocks.begin(), report.cachedBlocks.end());
   } else {
     for (const auto& told : events)
       if (told.event.sequence > ask.after && told.event.sequence <= report.sequence && !told.lost)
@@ -217,9 +218,9 @@
     if (loadDue == TimePoint{} || loadingWeights != ask.weights) {
       if (currentWeights != ask.weights) {
         Strings open;
-        for (const auto& [orderId, run] : running) open.push_back(orderId);
-        for (const auto& orderId : open)
-          end(effects, orderId, OrderOutcome::broken, Code::workerDraining, "cut by load");
+        for (const auto& [requestId, run] : running) open.push_back(requestId);
+        for (const auto& requestId : open)
+          end(effects, requestId, OrderOutcome::broken, Code::workerDraining, "cut by load");
         loadingWeights = ask.weights;
         loadDue = effects.now + std::chrono::milliseconds(faults.loadMs > 0 ? faults.loadMs : given.loadMs);
       }
@@ -239,14 +240,14 @@
   }
   if (faults.stalled) return;
   Strings ids;
-  for (const auto& [orderId, run] : running) ids.push_back(orderId);
-  for (const auto& orderId : ids) {
-    auto found = running.find(orderId);
+  for (const auto& [requestId, run] : running) ids.push_back(requestId);
+  for (const auto& requestId : ids) {
+    auto found = running.find(requestId);
     if (found == running.end()) continue;
     auto& run = found->second;
     if (run.phase == Run::Phase::computing && !run.began) {
       run.began = true;
-      if (!run.ask.moves) effects.note("order began", run.ask.orderId + " " + currentWeights);
+      if (!run.ask.transferOnly) effects.note("order began", run.ask.requestId + " " + currentWeights);
     }
     if (effects.now < run.due) continue;
     if (run.phase == Run::Phase::queued) {
@@ -268,12 +269,12 @@
     }
     if (run.phase == Run::Phase::talking) {
       while (run.said < run.ask.maxTokens && effects.now >= run.due) {
-        if (++run.said == 1) effects.note("first piece", run.ask.orderId + " " + currentWeights);
+        if (++run.said == 1) effects.note("first piece", run.ask.requestId + " " + currentWeights);
         if (auto* record = recordOf(run)) record->tokens = run.said;
-        effects.send(run.from, WorkerChunk{orderId, given.name + ":" + std::to_string(run.said) + " "});
+        effects.send(run.from, WorkerChunk{requestId, given.name + ":" + std::to_string(run.said) + " "});
         run.due += spanOf(given.tokenMs);
       }
-      if (run.said >= run.ask.maxTokens) end(effects, orderId, OrderOutcome::done, Code::done, "done");
+      if (run.said >= run.ask.maxTokens) end(effects, requestId, OrderOutcome::done, Code::done, "done");
     }
   }
 }
@@ -282,10 +283,10 @@
   if (auto* order = std::get_if<WorkerOrder>(&message)) {
     onOrder(effects, from, *order);
   } else if (auto* gone = std::get_if<WorkerDrop>(&message)) {
-    auto found = running.find(gone->orderId);
+    auto found = running.find(gone->requestId);
     if (found == running.end()) return;
     if (auto* record = recordOf(found->second)) record->outcome = "dropped";
-    effects.note("worker freed", gone->orderId);
+    effects.note("worker freed", gone->requestId);
     running.erase(found);
   } else if (auto* report = std::get_if<ReportAsk>(&message)) {
     onReport(effects, from, *report);
@@ -294,7 +295,7 @@
   } else if (auto* pull = std::get_if<PullAsk>(&message)) {
     PullReply reply{pull->pullId, {}, {}};
     for (const auto& hash : pull->hashes)
-      if (auto found = kept.find(hash); found != kept.end()) {
+      if (auto found = cachedBlocks.find(hash); found != cachedBlocks.end()) {
         reply.hashes.push_back(hash);
         reply.origins.push_back(found->second.origin);
       }
--- a/src/sim/standin.hpp
+++ b/src/sim/standin.hpp
@@ -36,7 +36,7 @@
 
 /// One order as a stand-in ran it, kept so that tests can prove what ran how often.
 struct RunRecord {
-  std::string orderId, weights, tenant, source;
+  std::string requestId, weights, tenant, source;
   bool move{false};
   int local{0}, fetched{0}, computed{0}, tokens{0};
   std::string outcome{"running"};
@@ -53,8 +53,8 @@
   const StandInSettings& settings() const { return given; }
   const std::string& weights() const { return currentWeights; }
   bool draining() const { return drains; }
-  std::size_t cachedBlockCount() const { return kept.size(); }
-  bool hasBlock(const BlockHash& hash) const { return kept.count(hash) > 0; }
+  std::size_t cachedBlockCount() const { return cachedBlocks.size(); }
+  bool hasBlock(const BlockHash& hash) const { return cachedBlocks.count(hash) > 0; }
   /// Forgets every block, with or without saying so.
   void clearCache(Effects& effects, bool saying);
   void evict(Effects& effects, const Hashes& hashes) { drop(effects, hashes); }
@@ -84,7 +84,7 @@
   std::string incarnation, currentWeights, loadingWeights, loadingModel;
   bool drains{false};
   TimePoint loadDue{};
-  std::unordered_map<BlockHash, Kept, BlockHashHasher> kept;
+  std::unordered_map<BlockHash, Kept, BlockHashHasher> cachedBlocks;
   std::list<BlockHash> byUse;
   struct Told {
     CacheEvent event;
@@ -103,7 +103,7 @@
   /// Fetches what a move brings, or begins at once.
   void leaveQueue(Effects& effects, Run& run);
   void begin(Effects& effects, Run& run);
-  void end(Effects& effects, const std::string& orderId, OrderOutcome outcome, Code code, const char* word);
+  void end(Effects& effects, const std::string& requestId, OrderOutcome outcome, Code code, const char* word);
   void onOrder(Effects& effects, const std::string& from, const WorkerOrder& ask);
   void onReport(Effects& effects, const std::string& from, const ReportAsk& ask);
   void onControl(Effects& effects, const std::string& from, const ControlAsk& ask);
--- a/src/tools/main_keeper.cpp
+++ b/src/tools/main_keeper.cpp
@@ -80,9 +80,9 @@
     if (auto* chunk = std::get_if<WorkerChunk>(&message)) {
       auto answer = answers.find(to);
       if (answer && !answer->line(writeWorkerChunk(*chunk)))
-        asio::post(context, [&, to, orderId = chunk->orderId] {
+        asio::post(context, [&, to, requestId = chunk->requestId] {
           answers.remove(to);
-          host.handle(to, WorkerDrop{orderId});
+          host.handle(to, WorkerDrop{requestId});
         });
     } else if (auto* end = std::get_if<WorkerEnd>(&message)) {
       auto answer = answers.remove(to);
@@ -135,7 +135,7 @@
       ReportAsk report;
       report.after = std::strtoull(ask.query["after"].c_str(), nullptr, 10);
       report.incarnation = ask.query["incarnation"];
-      report.whole = ask.query.count("whole") > 0;
+      report.complete = ask.query.count("whole") > 0;
       return pass(report);
     }
     if (way == "POST /v1/control") {
@@ -160,7 +160,7 @@
         JsonArray rows;
         for (const auto& run : keeper.runs()) {
           JsonObject row;
-          row["orderId"] = Json(run.orderId);
+          row["orderId"] = Json(run.requestId);
           row["weights"] = Json(run.weights);
           row["tenant"] = Json(run.tenant);
           row["source"] = Json(run.source);
--- a/tests/leave_by.cpp
+++ b/tests/leave_by.cpp
@@ -36,8 +36,8 @@
     asio::write(client, asio::buffer("GET /x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: " + attempt + "\r\n\r\n"));
     cr_assert(until([&] { return lastDelivered<CallerOrder>() != nullptr; }));
     WorkerOrder order;
-    order.callerOrderId = lastDelivered<CallerOrder>()->orderId;
-    order.orderId = order.callerOrderId + ".1";
+    order.clientRequestId = lastDelivered<CallerOrder>()->requestId;
+    order.requestId = order.clientRequestId + ".1";
     order.deadlineMs = 4000;
     return order;
   }
--- a/tests/linearizability.cpp
+++ b/tests/linearizability.cpp
@@ -220,7 +220,7 @@
     auto made = change(std::string(1, static_cast<char>('a' + number)), 0, 0, std::nullopt, 0);
     if (randomBelow(4)) made.base = randomBelow(3);
     if (randomBelow(3)) made.revision = 1 + randomBelow(4);
-    made.whole = randomBelow(4) == 0;
+    made.complete = randomBelow(4) == 0;
     if (randomBelow(3) == 0) made.items = {ItemChange{"routes.shared", "{\"" + made.changeId + "\":1}"}};
     if (randomBelow(6) == 0) made.items.push_back(ItemChange{"routes.a", std::nullopt});
     if (randomBelow(4) == 0) made.valid = randomBelow(2) == 0;
