--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -115,7 +115,7 @@
   for (const auto& snapshot : update.snapshots) {
     if (snapshot.index <= view.index()) continue;
     if (!view.installSnapshot(snapshot)) continue;
-    clusterView.noteVersions(view);
+    clusterView.recordAnnouncements(view);
     recentEntries.clear();
     forwardDownstream(effects, NewsMsg{update.commit, {}, {snapshot}});
     effects.note("capture taken", settings.name, static_cast<std::int64_t>(snapshot.index));
@@ -124,7 +124,7 @@
   for (const auto& entry : update.entries) {
     if (entry.index != view.index() + 1) continue;
     view.apply(entry);
-    clusterView.noteVersions(view);
+    clusterView.recordAnnouncements(view);
     recentEntries.push_back(entry);
     if (recentEntries.size() > maxRecentEntries) recentEntries.pop_front();
     applied.entries.push_back(entry);
@@ -207,7 +207,7 @@
     sendUpdates(effects, from, request->applied, request->cells);
   } else if (auto* cellUpdate = std::get_if<CellNews>(&message)) {
     auto& kept = cells[cellUpdate->zone];
-    if (!applyCellNews(kept, *cellUpdate)) return;
+    if (!applyCellUpdate(kept, *cellUpdate)) return;
     forwardDownstream(effects, message);
   } else if (auto* poll = std::get_if<FeedAsk>(&message)) {
     proxySeenAt[from] = effects.now;
--- a/src/base/messages.hpp
+++ b/src/base/messages.hpp
@@ -173,7 +173,7 @@
   X(CallerOrder, ((std::string, requestId))((std::string, key))((std::string, route))((std::string, model))             \
       ((Strings, parts))((bool, repeatable))((int, maxTokens))((std::string, tenant))((Strings, modes))               \
       ((std::string, params))((std::string, host))((std::string, path))((std::vector<int>, partTokens))               \
-      ((std::int64_t, deadlineMs))((std::string, resumeAfter))((int, tokensIn)))                                      \
+      ((std::int64_t, deadlineMs))((std::string, resumeAfter))((int, promptTokens)))                                      \
   X(CallerGone, ((std::string, requestId)))                                                                             \
   X(CallerChunk, ((std::string, requestId))((std::string, text)))                                                       \
   X(CallerVerdict, ((std::string, requestId))((std::string, verdict))((int, code))((std::string, subject))              \
@@ -211,7 +211,7 @@
 /// Brings a view of a cell up to date; false if the update is not newer or builds on another state than this one, and
 /// then nothing changes. An update with omitsSummaries carries no Bloom filters: workers that are still confirmed and
 /// have the same weights keep theirs. An update with a base is applied only to a view of just that sequence.
-bool applyCellNews(CellNews& cachedBlocks, const CellNews& update);
+bool applyCellUpdate(CellNews& cachedBlocks, const CellNews& update);
 /// Returns a digest of the fields that readers compare: name, address, zone, kind, leaving. Its order counts.
 Uint64 digestOfMachineList(const std::vector<Machine>& machines);
 /// The form of a rejection as the body of a log entry.
@@ -229,7 +229,7 @@
 Result<LogEntry> decodeEntry(std::string_view bytes);
 
 /// How an attempt at a worker ended. Numbers travel in messages and reports.
-enum class OrderOutcome : int {
+enum class AttemptOutcome : int {
   done = 0,
   /// The worker rejected it, so it did not run.
   denied = 1,
--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -131,7 +131,7 @@
   return TimePoint{};
 }
 
-void ClusterView::noteVersions(const Configuration& view) {
+void ClusterView::recordAnnouncements(const Configuration& view) {
   if (view.index() == notedIndex) return;
   notedIndex = view.index();
   const auto* models = view.findSection("models");
@@ -156,7 +156,7 @@
 }
 
 void ClusterView::updateCompleteness(TimePoint now, const Configuration& view) {
-  noteVersions(view);
+  recordAnnouncements(view);
   timeline.pruneExpired(now, timing.oldWeightsTimeout);
   if (!settings.defences.isEnabled(Defence::freshnessWeighed)) {
     completeUntil = majorityCompleteUntil = view.members().empty() ? TimePoint{} : now;
--- a/src/cluster/cluster_view.hpp
+++ b/src/cluster/cluster_view.hpp
@@ -52,7 +52,7 @@
   Uint64 machineListDigest() const { return listDigest; }
   /// Records the announcements of weights in the view. updateCompleteness() calls this; it must also be called after
   /// each applied entry, while the view is known to be complete up to just before that entry.
-  void noteVersions(const Configuration& view);
+  void recordAnnouncements(const Configuration& view);
   const VersionTimeline& versions() const { return timeline; }
   /// Merges announcement times from a reader that remembers them.
   void mergeAnnouncements(const std::vector<WeightsAnnouncement>& weightsAnnouncements, TimePoint now) {
--- a/src/cluster/core.cpp
+++ b/src/cluster/core.cpp
@@ -60,7 +60,7 @@
     if (duty.rfind("cell/", 0) == 0) cellFor(duty.substr(5)).election.restore(vote, now);
   replicatedLog->onEntryApplied = [this](Effects& effects, const LogEntry& entry) {
     effects.note("applied", self.id, static_cast<std::int64_t>(entry.index));
-    clusterView->noteVersions(replicatedLog->configuration());
+    clusterView->recordAnnouncements(replicatedLog->configuration());
     if (entry.kind == static_cast<int>(EntryKind::members)) membershipChangedAt = effects.now;
     if (entry.kind == static_cast<int>(EntryKind::complete)) return;
     broadcast(effects, NewsMsg{replicatedLog->commit(), {entry}, {}});
@@ -93,7 +93,7 @@
 
 void Core::handleCellUpdate(Effects& effects, const CellNews& update, bool own) {
   auto& stored = cellUpdates[update.zone];
-  if (!applyCellNews(stored, update)) return requestMissedUpdates(effects, update);
+  if (!applyCellUpdate(stored, update)) return requestMissedUpdates(effects, update);
   broadcast(effects, update);
   if (!own) return;
   for (const auto& member : replicatedLog->members())
@@ -216,7 +216,7 @@
   replicatedLog->election.mayCampaign = mayCampaign;
   for (auto& [zone, cell] : cells) cell->election.mayCampaign = mayCampaign;
   replicatedLog->tick(effects);
-  clusterView->noteVersions(replicatedLog->configuration());
+  clusterView->recordAnnouncements(replicatedLog->configuration());
   clusterView->resolveAnnouncementTimes(startedAt, effects.now);
   for (auto& [zone, cell] : cells) cell->tick(effects, replicatedLog->configuration());
   bool requestsList = replicatedLog->leads(effects.now) || !clusterView->machineListKnown() ||
--- a/src/cluster/core_membership.cpp
+++ b/src/cluster/core_membership.cpp
@@ -42,7 +42,7 @@
 }
 
 void Core::tryForming(Effects& effects) {
-  if (replicatedLog->formed() || !settings.mayForm) return;
+  if (replicatedLog->formed() || !settings.mayBootstrap) return;
   std::vector<Member> initialMembers{self};
   if (std::find(settings.seeds.begin(), settings.seeds.end(), self.address) == settings.seeds.end() &&
       settings.cell.onlySeedsBootstrap)
--- a/src/index/cell.hpp
+++ b/src/index/cell.hpp
@@ -71,7 +71,7 @@
   /// How long a roll-out waits for further announcements before it starts its first worker.
   Duration rolloutSettleDelay{0};
   /// The time over which the starts of a zone's workers are spread. At 0 as many start at once as may change at once.
-  Duration rolloutSpan{0};
+  Duration rolloutSpread{0};
 };
 
 /// The control state of one zone: its workers, the exact index of their cached blocks, and the commands to them. Every
--- a/src/index/cell_rollouts.cpp
+++ b/src/index/cell_rollouts.cpp
@@ -125,8 +125,8 @@
     workersByModel[node.lastReport.model].push_back(
         RolloutWorker{name, supersededAt(node.lastReport, *wanted), stepOf(name, hasWanted)});
   }
-  RolloutLimits limits{settings.rolloutSettleDelay, settings.rolloutSpan, timing.rolloutStartTimeout(),
-                       2 * timing.oldWeightsOrderTimeout, settings.rolloutParts};
+  RolloutLimits limits{settings.rolloutSettleDelay, settings.rolloutSpread, timing.rolloutStartTimeout(),
+                       2 * timing.oldWeightsSendTimeout, settings.rolloutParts};
   std::set<std::string> due;
   for (const auto& [model, workers] : workersByModel) {
     if (workers.size() == 1 && waitsForEarlierZones(model, workers.front().supersededAt, now)) continue;
--- a/src/model/model_world.cpp
+++ b/src/model/model_world.cpp
@@ -309,7 +309,7 @@
   for (const auto& save : done) (void)machine.synced.applyRecord(save.record);
   drive(number, [&](Effects& effects) {
     for (auto& save : done)
-      if (save.then) save.then(effects);
+      if (save.onSynced) save.onSynced(effects);
   });
   return true;
 }
--- a/src/net/contract.cpp
+++ b/src/net/contract.cpp
@@ -136,10 +136,10 @@
     if (!body.get<JsonObject>().count("token")) return std::monostate{};
     return WorkerChunk{requestId, stringOr(body, "token")};
   }
-  OrderOutcome outcome = end == "done"     ? OrderOutcome::done
-                         : end == "denied" ? OrderOutcome::denied
-                         : end == "broken" ? OrderOutcome::broken
-                                           : OrderOutcome::failed;
+  AttemptOutcome outcome = end == "done"     ? AttemptOutcome::done
+                           : end == "denied" ? AttemptOutcome::denied
+                           : end == "broken" ? AttemptOutcome::broken
+                                             : AttemptOutcome::failed;
   return WorkerEnd{requestId,
                    static_cast<int>(outcome),
                    intOr(body, "code", 0),
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -117,7 +117,7 @@
                    0,
                    request.lastEventId,
                    !request.submitted.repeatable};
-  if (TimePoint end = weightsUseEndsAt(request.plan.model, request.plan.weights, timing.oldWeightsOrderTimeout);
+  if (TimePoint end = weightsUseEndsAt(request.plan.model, request.plan.weights, timing.oldWeightsSendTimeout);
       end != TimePoint::max())
     sent.sendDeadline = toNanoseconds(end);
   if (request.route.matchesPath()) {
@@ -176,12 +176,12 @@
 }
 
 bool ProxyRouter::mayStartOn(const std::string& model, const std::string& weights, TimePoint now) const {
-  return now < weightsUseEndsAt(model, weights, timing.oldWeightsOrderTimeout);
+  return now < weightsUseEndsAt(model, weights, timing.oldWeightsSendTimeout);
 }
 
 bool ProxyRouter::isUnstartedPastWeightsEnd(const Request& request, TimePoint now) const {
   return request.stateMachine->isIn("sent") && settings.defences.isEnabled(Defence::unbegunDropped) &&
-         now >= weightsUseEndsAt(request.plan.model, request.plan.weights, timing.unstartedOrderTimeout);
+         now >= weightsUseEndsAt(request.plan.model, request.plan.weights, timing.unstartedRequestTimeout);
 }
 
 void ProxyRouter::onConfigurationChanged(Effects& effects) {
@@ -256,24 +256,24 @@
   dispatch(effects, requestId, late ? "revoked" : "chunk");
 }
 
-const char* ProxyRouter::chartEventFor(const Request& request, OrderOutcome outcome) const {
+const char* ProxyRouter::chartEventFor(const Request& request, AttemptOutcome outcome) const {
   bool canResume = request.stateMachine->isIn("streaming") && request.route.resumable;
-  bool connectionBroke =
-      outcome == OrderOutcome::broken || outcome == OrderOutcome::denied || outcome == OrderOutcome::brokenBeforeSend;
-  if (outcome == OrderOutcome::broken && request.stateMachine->isIn("streaming") &&
+  bool connectionBroke = outcome == AttemptOutcome::broken || outcome == AttemptOutcome::denied ||
+                         outcome == AttemptOutcome::brokenBeforeSend;
+  if (outcome == AttemptOutcome::broken && request.stateMachine->isIn("streaming") &&
       !settings.defences.isEnabled(Defence::retryBeforeBytes))
     return "brokenAnew";
   if (canResume && connectionBroke) return "cut";
   switch (outcome) {
-    case OrderOutcome::done:
+    case AttemptOutcome::done:
       return "finished";
-    case OrderOutcome::denied:
+    case AttemptOutcome::denied:
       return "denied";
-    case OrderOutcome::brokenBeforeSend:
+    case AttemptOutcome::brokenBeforeSend:
       return "unsent";
-    case OrderOutcome::failed:
+    case AttemptOutcome::failed:
       return "failed";
-    case OrderOutcome::silent:
+    case AttemptOutcome::silent:
       return "silent";
     default:
       return "broken";
@@ -281,33 +281,33 @@
 }
 
 void ProxyRouter::onWorkerEnd(Effects& effects, const WorkerEnd& end) {
-  auto outcome = static_cast<OrderOutcome>(end.outcome);
+  auto outcome = static_cast<AttemptOutcome>(end.outcome);
   if (auto transfer = transferIdByCommand.find(end.requestId); transfer != transferIdByCommand.end()) {
     std::string transferId = transfer->second;
-    if (outcome != OrderOutcome::done) finishTransfer(effects, transferId, false);
+    if (outcome != AttemptOutcome::done) finishTransfer(effects, transferId, false);
     return;
   }
   auto* request = requestOfAttempt(end.requestId);
   if (!request) return;
   request->attemptEnd = end;
   eject(*request, outcome, effects.now);
-  if (outcome == OrderOutcome::denied)
+  if (outcome == AttemptOutcome::denied)
     effects.note(std::string("turned away ") + codeName(static_cast<Code>(end.code)), end.requestId);
   std::string requestId = request->submitted.requestId;
   dispatch(effects, requestId, chartEventFor(*request, outcome));
   servePending(effects);
 }
 
-void ProxyRouter::eject(const Request& request, OrderOutcome outcome, TimePoint now) {
+void ProxyRouter::eject(const Request& request, AttemptOutcome outcome, TimePoint now) {
   auto& stats = workerStats[request.plan.worker];
-  if (outcome == OrderOutcome::denied) {
+  if (outcome == AttemptOutcome::denied) {
     stats.ejectedUntil = now + denialHoldoff;
     return;
   }
-  bool connectionBroke = outcome == OrderOutcome::brokenBeforeSend || outcome == OrderOutcome::broken;
+  bool connectionBroke = outcome == AttemptOutcome::brokenBeforeSend || outcome == AttemptOutcome::broken;
   bool plain = request.route.matchesPath() && request.plan.model.empty();
   int periods = connectionBroke ? 1 : 0;
-  if (plain) periods = stats.outliers.recordResult(connectionBroke || outcome == OrderOutcome::failed);
+  if (plain) periods = stats.outliers.recordResult(connectionBroke || outcome == AttemptOutcome::failed);
   if (periods > 0) stats.ejectedUntil = now + periods * ejectionPeriod;
 }
 
@@ -346,7 +346,7 @@
 
 void ProxyRouter::onCellUpdate(Effects& effects, const CellNews& update) {
   auto& cell = cells[update.zone];
-  if (!applyCellNews(cell, update)) return;
+  if (!applyCellUpdate(cell, update)) return;
   cellUpdateAt[cell.zone] = effects.now;
   for (const auto& worker : cell.workers) {
     auto& stats = workerStats[worker.name];
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -234,7 +234,7 @@
   /// The request whose current attempt has this id; null if the request is over or has another attempt since.
   Request* requestOfAttempt(const std::string& attemptId);
   /// The event of the chart "order" that stands for the end of an attempt.
-  const char* chartEventFor(const Request& request, OrderOutcome outcome) const;
+  const char* chartEventFor(const Request& request, AttemptOutcome outcome) const;
 
   /// Denies a new request or accepts it.
   void admit(Effects& effects, const CallerOrder& submitted);
@@ -255,7 +255,7 @@
   bool selectPlainWorker(Effects& effects, Request& request);
   PlainCandidate plainCandidate(const WorkerView& worker, TimePoint now) const;
   /// Ejects a worker for a time if the end of an attempt there calls for it.
-  void eject(const Request& request, OrderOutcome outcome, TimePoint now);
+  void eject(const Request& request, AttemptOutcome outcome, TimePoint now);
   /// selectSources on a path route: adds one store to the candidates and removes those whose cell does not answer.
   void selectFetchCandidates(Request& request, TimePoint now);
   /// Places a request of a path route by the replies to its lookup: worker, source, store to save to, urgency. True if
--- a/src/routing/edge_outcomes.cpp
+++ b/src/routing/edge_outcomes.cpp
@@ -125,7 +125,7 @@
   request.triedWorkers.insert(request.plan.worker);
   orderIdByAttempt.erase(request.attemptId);
   if (request.route.matchesPath() &&
-      static_cast<OrderOutcome>(request.attemptEnd.outcome) == OrderOutcome::brokenBeforeSend &&
+      static_cast<AttemptOutcome>(request.attemptEnd.outcome) == AttemptOutcome::brokenBeforeSend &&
       ++request.unsentAttempts <= maxUnsentAttempts)
     --request.attempts;
   request.retryRequested = request.attempts < maxAttemptsFor(request) && !isPastDeadline(request, effects.now);
@@ -146,7 +146,7 @@
 void ProxyRouter::weighBroken(Effects& effects, Request& request) {
   freeWorker(effects, request);
   /// If only a kept connection is known to have ended, the worker itself may be selected again.
-  if (static_cast<OrderOutcome>(request.attemptEnd.outcome) != OrderOutcome::lostOnIdleConnection)
+  if (static_cast<AttemptOutcome>(request.attemptEnd.outcome) != AttemptOutcome::lostOnIdleConnection)
     request.triedWorkers.insert(request.plan.worker);
   orderIdByAttempt.erase(request.attemptId);
   request.mayHaveRun = settings.defences.isEnabled(Defence::unknownOnceSent);
--- a/src/sim/scale/draw_trial.cpp
+++ b/src/sim/scale/draw_trial.cpp
@@ -131,7 +131,7 @@
     for (int piece = 0; piece < answerPieces; ++piece)
       time(pieces, "worker", WorkerChunk{order->requestId, std::string(answerPieceBytes, 'x'), std::to_string(piece)});
     time(ends, "worker",
-         WorkerEnd{order->requestId, static_cast<int>(OrderOutcome::done), static_cast<int>(Code::done), 0, 0, 0});
+         WorkerEnd{order->requestId, static_cast<int>(AttemptOutcome::done), static_cast<int>(Code::done), 0, 0, 0});
   }
 
   /// Answers the lookups of the request just drawn, each with no kept block, until it is sent to a worker.
--- a/src/sim/scale/fleet_fixtures.cpp
+++ b/src/sim/scale/fleet_fixtures.cpp
@@ -113,7 +113,7 @@
   settings.workerTimeout = 2s;
   settings.publishInterval = 100ms;
   settings.withholdTimeout = 400ms;
-  settings.rolloutSpan = 7800ms;
+  settings.rolloutSpread = 7800ms;
   return settings;
 }
 
@@ -141,7 +141,7 @@
     timing.listPollInterval = 600ms;
     timing.maxListAge = 1500ms;
     timing.commandHoldoff = 3300ms;
-    timing.oldWeightsOrderTimeout = 10500ms;
+    timing.oldWeightsSendTimeout = 10500ms;
     timing.memberRemovalTimeout = 6s;
     timing.minVoters = 3;
     timing.feedPollInterval = 200ms;
--- a/src/sim/scale/hollow_fleet.cpp
+++ b/src/sim/scale/hollow_fleet.cpp
@@ -182,7 +182,7 @@
     for (const auto& save : batch) records.push_back(save.record);
     if (process.ring) (void)process.ring->append(records);
     for (auto& save : batch)
-      if (save.then) save.then(effects);
+      if (save.onSynced) save.onSynced(effects);
   });
   HeapScope counted(&process.heapBytes);
   batch.clear();
--- a/src/sim/scale/hollow_workers.cpp
+++ b/src/sim/scale/hollow_workers.cpp
@@ -105,7 +105,7 @@
     messages.push_back({when, WorkerChunk{order.requestId, std::string(answerPieceBytes, 'x'), std::to_string(piece)}});
     when += answerSpan / answerPieces;
   }
-  WorkerEnd end{order.requestId, static_cast<int>(OrderOutcome::done), static_cast<int>(Code::done), 0, 0, 0};
+  WorkerEnd end{order.requestId, static_cast<int>(AttemptOutcome::done), static_cast<int>(Code::done), 0, 0, 0};
   messages.push_back({when, end});
   return messages;
 }
--- a/src/sim/scale/index_trial.cpp
+++ b/src/sim/scale/index_trial.cpp
@@ -61,7 +61,7 @@
     Effects effects{now, randomSource, journal, {}, {}};
     action(effects);
     for (std::size_t done = 0; done < effects.saves.size(); ++done)
-      if (effects.saves[done].then) effects.saves[done].then(effects);
+      if (effects.saves[done].onSynced) effects.saves[done].onSynced(effects);
   }
 
   void tick() {
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -181,7 +181,7 @@
       else if (key == "tokenMs")
         shape.tokenMs = value;
       else if (key == "rolloutSpan")
-        shape.rolloutSpan = secondsOf(value);
+        shape.rolloutSpread = secondsOf(value);
       else if (key == "rolloutParts")
         shape.rolloutParts = std::max(1, static_cast<int>(value));
       else if (key == "slots")
--- a/src/sim/sim.cpp
+++ b/src/sim/sim.cpp
@@ -156,7 +156,7 @@
     settings.zone = actor.zone;
     settings.platformAddress = addressOf("platform");
     settings.zones = shape.zones;
-    settings.cell.rolloutSpan = shape.rolloutSpan;
+    settings.cell.rolloutSpread = shape.rolloutSpread;
     settings.cell.rolloutParts = shape.rolloutParts;
     settings.maxRecordBytes = actor.ring->maxCheckpointBytes() / 2;
     settings.defences = defences;
@@ -259,7 +259,7 @@
         auto& end = *actors.at(proxy);
         if (end.alive)
           give(end, "worker",
-               WorkerEnd{requestId, static_cast<int>(OrderOutcome::broken), static_cast<int>(Code::workerBroke), 0, 0,
+               WorkerEnd{requestId, static_cast<int>(AttemptOutcome::broken), static_cast<int>(Code::workerBroke), 0, 0,
                          0});
       });
       row = streams.erase(row);
@@ -398,8 +398,12 @@
 }
 
 void World::endUnsent(const Actor& actor, const WorkerOrder& order) {
-  WorkerEnd end{
-      order.requestId, static_cast<int>(OrderOutcome::brokenBeforeSend), static_cast<int>(Code::workerBroke), 0, 0, 0};
+  WorkerEnd end{order.requestId,
+                static_cast<int>(AttemptOutcome::brokenBeforeSend),
+                static_cast<int>(Code::workerBroke),
+                0,
+                0,
+                0};
   later(Duration(0), [this, name = actor.name, life = actor.life, end] { arrive("worker", name, life, end); });
 }
 
@@ -435,7 +439,7 @@
   due.oldestSave = due.saves.empty() ? TimePoint{} : clock;
   drive(due, [&](Effects& effects) {
     for (auto& save : done)
-      if (save.then) save.then(effects);
+      if (save.onSynced) save.onSynced(effects);
   });
   startSync(due);
 }
@@ -446,7 +450,7 @@
     auto piece = chunk->text.substr(chunk->text.find(':') + 1);
     phase = piece == "1 " ? "start" : piece == "3 " ? "middle" : "";
   } else if (auto* end = std::get_if<WorkerEnd>(&message);
-             end && end->outcome == static_cast<int>(OrderOutcome::done)) {
+             end && end->outcome == static_cast<int>(AttemptOutcome::done)) {
     if (orderRows.count(baseOrder(end->requestId))) phase = "end";
   }
   auto found = crashes.find(phase);
@@ -495,8 +499,8 @@
         auto& actor = *actors.at(proxy);
         if (actor.alive && actor.life == life)
           give(actor, "worker",
-               WorkerEnd{sendId, static_cast<int>(OrderOutcome::brokenBeforeSend), static_cast<int>(Code::workerBroke),
-                         0, 0, 0});
+               WorkerEnd{sendId, static_cast<int>(AttemptOutcome::brokenBeforeSend),
+                         static_cast<int>(Code::workerBroke), 0, 0, 0});
       });
       return;
     }
--- a/src/sim/sim.hpp
+++ b/src/sim/sim.hpp
@@ -37,7 +37,7 @@
   int slots{8};
   double tokenMs{20};
   /// Over how long a cell starts its workers on other weights, one after the other.
-  Duration rolloutSpan{0};
+  Duration rolloutSpread{0};
   /// How many of a cell's workers may be on their way to other weights at once: one in so many.
   int rolloutParts{3};
 };
--- a/src/sim/standin.cpp
+++ b/src/sim/standin.cpp
@@ -70,7 +70,7 @@
   if (saying) tell(effects, CacheEventKind::cleared, {});
 }
 
-void StandInBackend::end(Effects& effects, const std::string& requestId, OrderOutcome outcome, Code code,
+void StandInBackend::end(Effects& effects, const std::string& requestId, AttemptOutcome outcome, Code code,
                          const char* word) {
   auto found = running.find(requestId);
   if (found == running.end()) return;
@@ -89,7 +89,7 @@
   auto deny = [&](Code code) {
     effects.note("worker denied", ask.requestId, static_cast<int>(code));
     effects.send(from,
-                 WorkerEnd{ask.requestId, static_cast<int>(OrderOutcome::denied), static_cast<int>(code), 0, 0, 0});
+                 WorkerEnd{ask.requestId, static_cast<int>(AttemptOutcome::denied), static_cast<int>(code), 0, 0, 0});
   };
   if (drains || loadDue != TimePoint{}) return deny(Code::workerDraining);
   if (given.kind == "language" &&
@@ -220,7 +220,7 @@
         Strings open;
         for (const auto& [requestId, run] : running) open.push_back(requestId);
         for (const auto& requestId : open)
-          end(effects, requestId, OrderOutcome::broken, Code::workerDraining, "cut by load");
+          end(effects, requestId, AttemptOutcome::broken, Code::workerDraining, "cut by load");
         loadingWeights = ask.weights;
         loadDue = effects.now + std::chrono::milliseconds(faults.loadMs > 0 ? faults.loadMs : given.loadMs);
       }
@@ -274,7 +274,7 @@
         effects.send(run.from, WorkerChunk{requestId, given.name + ":" + std::to_string(run.said) + " "});
         run.due += spanOf(given.tokenMs);
       }
-      if (run.said >= run.ask.maxTokens) end(effects, requestId, OrderOutcome::done, Code::done, "done");
+      if (run.said >= run.ask.maxTokens) end(effects, requestId, AttemptOutcome::done, Code::done, "done");
     }
   }
 }
--- a/src/sim/standin.hpp
+++ b/src/sim/standin.hpp
@@ -103,7 +103,7 @@
   /// Fetches what a move brings, or begins at once.
   void leaveQueue(Effects& effects, Run& run);
   void begin(Effects& effects, Run& run);
-  void end(Effects& effects, const std::string& requestId, OrderOutcome outcome, Code code, const char* word);
+  void end(Effects& effects, const std::string& requestId, AttemptOutcome outcome, Code code, const char* word);
   void onOrder(Effects& effects, const std::string& from, const WorkerOrder& ask);
   void onReport(Effects& effects, const std::string& from, const ReportAsk& ask);
   void onControl(Effects& effects, const std::string& from, const ControlAsk& ask);
--- a/src/tools/main_keeper.cpp
+++ b/src/tools/main_keeper.cpp
@@ -87,7 +87,7 @@
     } else if (auto* end = std::get_if<WorkerEnd>(&message)) {
       auto answer = answers.remove(to);
       if (!answer) return;
-      if (end->outcome == static_cast<int>(OrderOutcome::denied))
+      if (end->outcome == static_cast<int>(AttemptOutcome::denied))
         answer->finish(codeStatus(static_cast<Code>(end->code)), writeWorkerEnd(*end));
       else
         answer->endStream(writeWorkerEnd(*end));
--- a/src/tools/main_proxy.cpp
+++ b/src/tools/main_proxy.cpp
@@ -80,7 +80,7 @@
         Duration left = fromNanoseconds(order->sendDeadline) - Clock::now();
         if (left <= Duration(0)) {
           WorkerEnd unsent{
-              sendId, static_cast<int>(OrderOutcome::brokenBeforeSend), static_cast<int>(Code::workerBroke), 0, 0, 0};
+              sendId, static_cast<int>(AttemptOutcome::brokenBeforeSend), static_cast<int>(Code::workerBroke), 0, 0, 0};
           return asio::post(context, [&host, unsent] { host.handle("worker", unsent); });
         }
         call.connectTimeout = std::min(call.connectTimeout, left);
@@ -149,8 +149,8 @@
       if (!order) return deny(order.error());
       order.value().key = ask.bearer;
       order.value().requestId =
-          settings.name + "/" + std::to_string(toNanoseconds(Clock::now())) + "/" + answers.newName().substr(5);
-      answers.addAs(order.value().requestId, answer);
+          settings.name + "/" + std::to_string(toNanoseconds(Clock::now())) + "/" + answers.newRequestId().substr(5);
+      answers.addWithId(order.value().requestId, answer);
       return host.handle("caller", order.value());
     }
     if (ask.method == "GET" && ask.path == "/v1/counters") {
--- a/tests/cell_bench.hpp
+++ b/tests/cell_bench.hpp
@@ -19,7 +19,7 @@
   settings.publishInterval = 100ms;
   settings.withholdTimeout = 400ms;
   settings.rolloutSettleDelay = 400ms;
-  settings.rolloutSpan = 7800ms;
+  settings.rolloutSpread = 7800ms;
   return settings;
 }
 
@@ -138,7 +138,7 @@
     for (auto saves = std::move(effects.saves); !saves.empty();) {
       Effects later{now, randomSource, core.journal, {}, {}};
       for (auto& save : saves)
-        if (save.then) save.then(later);
+        if (save.onSynced) save.onSynced(later);
       sendEffects(address, later);
       saves = std::move(later.saves);
     }
--- a/tests/drain_plan.cpp
+++ b/tests/drain_plan.cpp
@@ -18,7 +18,7 @@
   void sendChunk(const std::string& requestId, const std::string& text, const std::string& piece = {}) {
     deliver("worker", WorkerChunk{attemptsOf(requestId).back().requestId, text, piece});
   }
-  void finishAttempt(const std::string& requestId, OrderOutcome outcome = OrderOutcome::done) {
+  void finishAttempt(const std::string& requestId, AttemptOutcome outcome = AttemptOutcome::done) {
     deliver("worker", WorkerEnd{attemptsOf(requestId).back().requestId, static_cast<int>(outcome), 0, 0, 0, 0});
   }
   void expectDenied(const std::string& requestId) {
@@ -120,7 +120,7 @@
     struct SubmittedRequest {
       std::string requestId;
       TimePoint at, deadline, finishAt;
-      OrderOutcome outcome;
+      AttemptOutcome outcome;
     };
     std::vector<SubmittedRequest> submittedRequests;
     while (proxy.now < proxy.plan.exitsBy) {
@@ -133,7 +133,7 @@
         TimePoint deadline = proxy.now + std::min<Duration>(timeout, std::chrono::milliseconds(request.deadlineMs));
         submittedRequests.push_back(SubmittedRequest{proxy.submit(request), proxy.now, deadline,
                                                      proxy.now + std::chrono::milliseconds(20 + randomBelow(6000)),
-                                                     randomBelow(10) ? OrderOutcome::done : OrderOutcome::broken});
+                                                     randomBelow(10) ? AttemptOutcome::done : AttemptOutcome::broken});
       }
       for (const auto& row : submittedRequests)
         if (proxy.now >= row.finishAt && proxy.finalStatusesOf(row.requestId).empty() &&
--- a/tests/leave_by.cpp
+++ b/tests/leave_by.cpp
@@ -45,7 +45,7 @@
   std::size_t arrived() const { return worker.copies("X-Attempt-Id: a-" + std::to_string(requestCount) + "\r\n"); }
   void expectUnsent() {
     cr_assert(until([&] { return lastDelivered<WorkerEnd>() != nullptr; }), "the end must be delivered to the router");
-    cr_expect_eq(lastDelivered<WorkerEnd>()->outcome, static_cast<int>(OrderOutcome::brokenBeforeSend));
+    cr_expect_eq(lastDelivered<WorkerEnd>()->outcome, static_cast<int>(AttemptOutcome::brokenBeforeSend));
     pass(50ms);
     cr_expect_eq(arrived(), 0u);
   }
--- a/tests/load.cpp
+++ b/tests/load.cpp
@@ -36,39 +36,40 @@
 
 Test(load, a_delta_update_changes_only_the_rows_it_names) {
   CellNews cachedBlocks;
-  cr_assert(applyCellNews(cachedBlocks,
-                          cellUpdate(2, 4, 0, {workerView("w1", 1), workerView("w2", 2), workerView("w3", 3)})));
-  cr_expect(applyCellNews(cachedBlocks, cellUpdate(2, 5, 4, {workerView("w2", 7), workerView("w4", 4)}, {"w1"})));
+  cr_assert(applyCellUpdate(cachedBlocks,
+                            cellUpdate(2, 4, 0, {workerView("w1", 1), workerView("w2", 2), workerView("w3", 3)})));
+  cr_expect(applyCellUpdate(cachedBlocks, cellUpdate(2, 5, 4, {workerView("w2", 7), workerView("w4", 4)}, {"w1"})));
   cr_expect(waitingByWorker(cachedBlocks) == (Waiting{{"w2", 7}, {"w3", 3}, {"w4", 4}}));
   cr_expect_eq(cachedBlocks.sequence, 5u);
   cr_expect_eq(cachedBlocks.base, 0u, "the merged state is full and can be passed on as such");
   cr_expect(cachedBlocks.removedWorkers.empty());
-  cr_expect(applyCellNews(cachedBlocks, cellUpdate(2, 6, 5, {})));
+  cr_expect(applyCellUpdate(cachedBlocks, cellUpdate(2, 6, 5, {})));
   cr_expect(waitingByWorker(cachedBlocks) == (Waiting{{"w2", 7}, {"w3", 3}, {"w4", 4}}));
   cr_expect_eq(cachedBlocks.sequence, 6u);
   CellNews other;
-  cr_expect(applyCellNews(other, cachedBlocks), "a third reader may apply the merged state");
+  cr_expect(applyCellUpdate(other, cachedBlocks), "a third reader may apply the merged state");
   cr_expect(waitingByWorker(other) == waitingByWorker(cachedBlocks));
 }
 
 Test(load, a_delta_with_another_base_or_term_is_rejected_and_a_full_update_after_it_is_applied) {
   CellNews cachedBlocks;
-  cr_expect_not(applyCellNews(cachedBlocks, cellUpdate(2, 5, 4, {workerView("w1")})), "there is nothing to merge with");
+  cr_expect_not(applyCellUpdate(cachedBlocks, cellUpdate(2, 5, 4, {workerView("w1")})),
+                "there is nothing to merge with");
   cr_expect(cachedBlocks.workers.empty());
-  cr_assert(applyCellNews(cachedBlocks, cellUpdate(2, 4, 0, {workerView("w1", 1), workerView("w2", 2)})));
+  cr_assert(applyCellUpdate(cachedBlocks, cellUpdate(2, 4, 0, {workerView("w1", 1), workerView("w2", 2)})));
   auto before = waitingByWorker(cachedBlocks);
   for (const auto& update :
        {cellUpdate(2, 6, 5, {workerView("w1", 9)}, {"w2"}), cellUpdate(3, 5, 4, {workerView("w1", 9)}, {"w2"}),
         cellUpdate(1, 5, 4, {workerView("w1", 9)}, {"w2"}), cellUpdate(2, 4, 3, {workerView("w1", 9)}, {"w2"}),
         cellUpdate(2, 5, 3, {workerView("w1", 9)}, {"w2"})}) {
-    cr_expect_not(applyCellNews(cachedBlocks, update));
+    cr_expect_not(applyCellUpdate(cachedBlocks, update));
     cr_expect(waitingByWorker(cachedBlocks) == before);
     cr_expect_eq(cachedBlocks.term, 2u);
     cr_expect_eq(cachedBlocks.sequence, 4u);
   }
-  cr_expect(applyCellNews(cachedBlocks, cellUpdate(2, 7, 0, {workerView("w3", 5)})));
+  cr_expect(applyCellUpdate(cachedBlocks, cellUpdate(2, 7, 0, {workerView("w3", 5)})));
   cr_expect(waitingByWorker(cachedBlocks) == (Waiting{{"w3", 5}}));
-  cr_expect(applyCellNews(cachedBlocks, cellUpdate(3, 1, 0, {workerView("w4", 6)})),
+  cr_expect(applyCellUpdate(cachedBlocks, cellUpdate(3, 1, 0, {workerView("w4", 6)})),
             "another lease holder begins with a full update");
   cr_expect(waitingByWorker(cachedBlocks) == (Waiting{{"w4", 6}}));
 }
@@ -110,7 +111,7 @@
     cell->publish = [this](Effects&, const CellNews& update) {
       updates.push_back(update);
       updatedAt.push_back(now);
-      rejectedUpdates += !applyCellNews(follower, update);
+      rejectedUpdates += !applyCellUpdate(follower, update);
     };
   }
   void setMachineList(const Strings& workers, const Strings& stores = {}) {
@@ -147,7 +148,7 @@
     for (auto saves = std::move(effects.saves); !saves.empty();) {
       Effects later{now, randomSource, journal, {}, {}};
       for (auto& save : saves)
-        if (save.then) save.then(later);
+        if (save.onSynced) save.onSynced(later);
       for (auto& send : later.sends) sends.push_back(std::move(send));
       saves = std::move(later.saves);
     }
@@ -493,7 +494,7 @@
   void sendChunk(const std::string& requestId) {
     deliver("worker", WorkerChunk{attempts.at(requestId).back().requestId, "piece", ""});
   }
-  void endAttempt(const std::string& requestId, OrderOutcome outcome = OrderOutcome::done) {
+  void endAttempt(const std::string& requestId, AttemptOutcome outcome = AttemptOutcome::done) {
     ProxyHarness::endAttempt(attempts.at(requestId).back().requestId, outcome);
   }
   /// The store to which a request's worker is told to save the prefix; empty if none.
@@ -621,7 +622,7 @@
   harness.addWorkers(4);
   auto requestId = harness.submitAndReply(1, "/free/x");
   cr_expect_eq(harness.onlyAttempt(requestId).sinkAddress, "barn:80");
-  harness.endAttempt(requestId, OrderOutcome::denied);
+  harness.endAttempt(requestId, AttemptOutcome::denied);
   harness.run(20ms);
   harness.replyToAllLookups();
   cr_assert_eq(harness.attempts[requestId].size(), 2u);
@@ -692,7 +693,7 @@
   harness.delayFirstChunks(60, 4s);
   for (const auto& requestId : ids) {
     cr_expect_gt(harness.countShed(20), 0, "others are shed meanwhile");
-    harness.endAttempt(requestId, OrderOutcome::denied);
+    harness.endAttempt(requestId, AttemptOutcome::denied);
     harness.replyToAllLookups();
     harness.run(20ms);
     cr_expect(harness.finalStatuses[requestId].empty());
--- a/tests/parts.cpp
+++ b/tests/parts.cpp
@@ -548,10 +548,10 @@
     asio::ip::tcp::acceptor acceptor(io, asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
     unreachable = "http://127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()) + "/v1/orders";
   }
-  cr_expect_eq(callClosingWorker(unreachable).outcome, static_cast<int>(OrderOutcome::brokenBeforeSend),
+  cr_expect_eq(callClosingWorker(unreachable).outcome, static_cast<int>(AttemptOutcome::brokenBeforeSend),
                "no process listens there");
   std::string rejection = writeWorkerEnd(
-      WorkerEnd{"send", static_cast<int>(OrderOutcome::denied), static_cast<int>(Code::workerFull), 0, 0, 0});
+      WorkerEnd{"send", static_cast<int>(AttemptOutcome::denied), static_cast<int>(Code::workerFull), 0, 0, 0});
   auto answer = [&](const std::string& body, std::size_t claimed) {
     return "HTTP/1.1 503 Busy\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(claimed) +
            "\r\n\r\n" + body;
@@ -560,19 +560,19 @@
     const char* about;
     std::size_t readBytes;
     std::string answer;
-    OrderOutcome wanted;
+    AttemptOutcome wanted;
   };
   std::vector<Case> cases{
-      {"closed before anything was read", 0, "", OrderOutcome::broken},
-      {"closed within the request head", 10, "", OrderOutcome::broken},
-      {"closed before the last byte of the request", 200000, "", OrderOutcome::broken},
-      {"closed after the last byte of the request", 300100, "", OrderOutcome::broken},
-      {"a truncated rejection", 300100, answer(rejection.substr(0, 5), rejection.size()), OrderOutcome::broken},
-      {"a complete rejection", 300100, answer(rejection, rejection.size()), OrderOutcome::denied}};
+      {"closed before anything was read", 0, "", AttemptOutcome::broken},
+      {"closed within the request head", 10, "", AttemptOutcome::broken},
+      {"closed before the last byte of the request", 200000, "", AttemptOutcome::broken},
+      {"closed after the last byte of the request", 300100, "", AttemptOutcome::broken},
+      {"a truncated rejection", 300100, answer(rejection.substr(0, 5), rejection.size()), AttemptOutcome::broken},
+      {"a complete rejection", 300100, answer(rejection, rejection.size()), AttemptOutcome::denied}};
   for (auto& row : cases) {
     ClosingWorker worker(row.readBytes, row.answer);
     auto end = callClosingWorker(worker.url());
     cr_expect_eq(end.outcome, static_cast<int>(row.wanted), "%s", row.about);
-    if (row.wanted == OrderOutcome::denied) cr_expect_eq(end.code, static_cast<int>(Code::workerFull));
+    if (row.wanted == AttemptOutcome::denied) cr_expect_eq(end.code, static_cast<int>(Code::workerFull));
   }
 }
--- a/tests/path_routes.cpp
+++ b/tests/path_routes.cpp
@@ -365,7 +365,7 @@
     cr_expect_eq(attempt.weights, attempt.worker == "w2" ? "moss/4" : "moss/3");
     cr_expect_neq(attempt.sourceAddress, "w2:80");
     if (attempt.worker == "w2") cr_expect_eq(attempt.sourceAddress, "");
-    harness.endAttempt(attempt.requestId, OrderOutcome::done);
+    harness.endAttempt(attempt.requestId, AttemptOutcome::done);
   }
 }
 
@@ -403,7 +403,7 @@
       cr_expect_eq(prefixOf(hits[source]), most, "the source is the candidate that has the most");
     }
     if (prefixOf(hits["barn"]) == 2) cr_expect_eq(attempt.sinkAddress, "", "the store has it all");
-    harness.endAttempt(attempt.requestId, OrderOutcome::done);
+    harness.endAttempt(attempt.requestId, AttemptOutcome::done);
     harness.now += 1ms;
   }
   cr_expect_gt(named, 50);
@@ -481,7 +481,7 @@
     auto attempt = harness.onlyAttempt(requestId);
     for (std::size_t at = 0; at < hashes.size(); ++at)
       cr_expect(hashes[at] == hashPromptPart(attempt.cacheSalt, promptOf(1)[at]));
-    harness.endAttempt(attempt.requestId, OrderOutcome::done);
+    harness.endAttempt(attempt.requestId, AttemptOutcome::done);
     return attempt.cacheSalt;
   };
   auto shared = saltOf("/once/x", "key-a");
@@ -503,7 +503,7 @@
 
 Test(path_orders, workers_with_old_weights_are_selected_only_while_a_roll_out_may_last) {
   TimingGuard kept;
-  timing.oldWeightsOrderTimeout = 4s;
+  timing.oldWeightsSendTimeout = 4s;
   ProxyHarness harness;
   harness.worker("w1");
   harness.worker("w2");
@@ -536,7 +536,7 @@
   auto attempt = harness.onlyAttempt(requestId);
   cr_expect(attempt.once, "the HTTP client must not resend it by itself");
   cr_expect(harness.finalStatusesOf(requestId).empty());
-  harness.endAttempt(attempt.requestId, OrderOutcome::denied);
+  harness.endAttempt(attempt.requestId, AttemptOutcome::denied);
   auto status = harness.finalStatusOf(requestId);
   cr_expect_eq(status.verdict, "not run");
   cr_expect_gt(status.retryAfterMs, 0);
@@ -551,25 +551,25 @@
   ProxyHarness harness;
   harness.addWorkers(4);
   auto requestId = harness.submit("/two/x");
-  harness.endAttempt(harness.onlyAttempt(requestId).requestId, OrderOutcome::denied);
+  harness.endAttempt(harness.onlyAttempt(requestId).requestId, AttemptOutcome::denied);
   harness.run(50ms);
   auto attempts = harness.attemptsOf(requestId);
   cr_assert_eq(attempts.size(), 2u);
   cr_expect_neq(attempts[0].worker, attempts[1].worker);
   cr_expect_neq(attempts[0].requestId, attempts[1].requestId);
-  harness.endAttempt(attempts[1].requestId, OrderOutcome::denied);
+  harness.endAttempt(attempts[1].requestId, AttemptOutcome::denied);
   harness.run(3s);
   cr_expect_eq(harness.attemptsOf(requestId).size(), 2u);
   cr_expect_eq(harness.finalStatusOf(requestId).verdict, "not run");
   auto again = harness.submit("/two/x");
-  harness.endAttempt(harness.onlyAttempt(again).requestId, OrderOutcome::denied);
+  harness.endAttempt(harness.onlyAttempt(again).requestId, AttemptOutcome::denied);
   harness.run(50ms);
-  harness.endAttempt(harness.attemptsOf(again).back().requestId, OrderOutcome::done);
+  harness.endAttempt(harness.attemptsOf(again).back().requestId, AttemptOutcome::done);
   cr_expect_eq(harness.finalStatusOf(again).verdict, "done");
 }
 
 Test(path_orders, a_request_is_sent_to_no_more_workers_than_it_has_attempts) {
-  for (auto outcome : {OrderOutcome::denied, OrderOutcome::broken}) {
+  for (auto outcome : {AttemptOutcome::denied, AttemptOutcome::broken}) {
     ProxyHarness harness;
     harness.addWorkers(8);
     auto requestId = harness.submit("/safe/x");
@@ -581,7 +581,7 @@
       harness.run(50ms);
     }
     cr_expect_eq(names.size(), 3u);
-    cr_expect_eq(harness.finalStatusOf(requestId).verdict, outcome == OrderOutcome::denied ? "not run" : "unknown");
+    cr_expect_eq(harness.finalStatusOf(requestId).verdict, outcome == AttemptOutcome::denied ? "not run" : "unknown");
   }
 }
 
@@ -590,20 +590,20 @@
   harness.addWorkers(4);
   for (const char* path : {"/once/x", "/two/x"}) {
     auto requestId = harness.submit(path);
-    harness.endAttempt(harness.onlyAttempt(requestId).requestId, OrderOutcome::broken);
+    harness.endAttempt(harness.onlyAttempt(requestId).requestId, AttemptOutcome::broken);
     cr_expect_eq(harness.finalStatusOf(requestId).verdict, "unknown");
     harness.run(1s);
     cr_expect_eq(harness.attemptsOf(requestId).size(), 1u);
   }
   harness.run(3s);
   auto safe = harness.submit("/safe/x");
-  harness.endAttempt(harness.onlyAttempt(safe).requestId, OrderOutcome::broken);
+  harness.endAttempt(harness.onlyAttempt(safe).requestId, AttemptOutcome::broken);
   harness.run(50ms);
   cr_assert_eq(harness.attemptsOf(safe).size(), 2u);
-  harness.endAttempt(harness.attemptsOf(safe)[1].requestId, OrderOutcome::denied);
+  harness.endAttempt(harness.attemptsOf(safe)[1].requestId, AttemptOutcome::denied);
   harness.run(50ms);
   cr_assert_eq(harness.attemptsOf(safe).size(), 3u);
-  harness.endAttempt(harness.attemptsOf(safe)[2].requestId, OrderOutcome::denied);
+  harness.endAttempt(harness.attemptsOf(safe)[2].requestId, AttemptOutcome::denied);
   cr_expect_eq(harness.finalStatusOf(safe).verdict, "unknown", "the first worker may have run it");
 }
 
@@ -611,12 +611,12 @@
   ProxyHarness harness;
   harness.addWorkers(3);
   auto requestId = harness.submit("/once/x");
-  harness.endAttempt(harness.onlyAttempt(requestId).requestId, OrderOutcome::brokenBeforeSend);
+  harness.endAttempt(harness.onlyAttempt(requestId).requestId, AttemptOutcome::brokenBeforeSend);
   harness.run(50ms);
   auto attempts = harness.attemptsOf(requestId);
   cr_assert_eq(attempts.size(), 2u);
   cr_expect_neq(attempts[0].worker, attempts[1].worker);
-  harness.endAttempt(attempts[1].requestId, OrderOutcome::denied);
+  harness.endAttempt(attempts[1].requestId, AttemptOutcome::denied);
   cr_expect_eq(harness.finalStatusOf(requestId).verdict, "not run");
 }
 
@@ -628,23 +628,23 @@
   cr_expect_eq(first.resumeAfter, "");
   harness.deliver("worker", WorkerChunk{first.requestId, "one ", "p1"});
   harness.deliver("worker", WorkerChunk{first.requestId, "two ", "p2"});
-  harness.endAttempt(first.requestId, OrderOutcome::broken);
+  harness.endAttempt(first.requestId, AttemptOutcome::broken);
   harness.run(50ms);
   auto attempts = harness.attemptsOf(requestId);
   cr_assert_eq(attempts.size(), 2u);
   cr_expect_neq(attempts[1].worker, first.worker);
   cr_expect_eq(attempts[1].resumeAfter, "p2");
   harness.deliver("worker", WorkerChunk{first.requestId, "late ", "p9"});
-  harness.endAttempt(first.requestId, OrderOutcome::broken);
+  harness.endAttempt(first.requestId, AttemptOutcome::broken);
   cr_expect(harness.finalStatusesOf(requestId).empty());
   harness.deliver("worker", WorkerChunk{attempts[1].requestId, "three ", "p3"});
-  harness.endAttempt(attempts[1].requestId, OrderOutcome::broken);
+  harness.endAttempt(attempts[1].requestId, AttemptOutcome::broken);
   harness.run(50ms);
   attempts = harness.attemptsOf(requestId);
   cr_assert_eq(attempts.size(), 3u);
   cr_expect_eq(attempts[2].resumeAfter, "p3");
   harness.deliver("worker", WorkerChunk{attempts[2].requestId, "four", "p4"});
-  harness.endAttempt(attempts[2].requestId, OrderOutcome::done);
+  harness.endAttempt(attempts[2].requestId, AttemptOutcome::done);
   std::string text;
   for (const auto& chunk : harness.all<CallerChunk>()) text += chunk.text;
   cr_expect_eq(text, "one two three four");
@@ -660,7 +660,7 @@
     auto attempts = harness.attemptsOf(requestId);
     cr_assert_eq(attempts.size(), tried + 1);
     harness.deliver("worker", WorkerChunk{attempts[tried].requestId, "piece", "p" + std::to_string(tried)});
-    harness.endAttempt(attempts[tried].requestId, OrderOutcome::broken);
+    harness.endAttempt(attempts[tried].requestId, AttemptOutcome::broken);
     harness.run(50ms);
   }
   cr_expect_eq(harness.attemptsOf(requestId).size(), 3u);
@@ -668,7 +668,7 @@
   auto safe = harness.submit("/safe/x");
   auto attempt = harness.onlyAttempt(safe);
   harness.deliver("worker", WorkerChunk{attempt.requestId, "piece", ""});
-  harness.endAttempt(attempt.requestId, OrderOutcome::broken);
+  harness.endAttempt(attempt.requestId, AttemptOutcome::broken);
   harness.run(50ms);
   cr_expect_eq(harness.attemptsOf(safe).size(), 1u, "its client already has a chunk");
   cr_expect_eq(harness.finalStatusOf(safe).verdict, "failed");
@@ -689,7 +689,7 @@
       if (attempt->requestId.substr(attempt->requestId.rfind('.')) != ".1") retried.push_back(harness.sent[seen].at);
       ++denials;
       std::string attemptId = attempt->requestId;
-      harness.endAttempt(attemptId, OrderOutcome::denied);
+      harness.endAttempt(attemptId, AttemptOutcome::denied);
     }
   };
   for (int round = 0; round < 3000; ++round) {
@@ -763,7 +763,7 @@
   broken.deadlineMs = 700;
   auto brokenId = harness.submit(broken);
   harness.run(750ms);
-  harness.endAttempt(harness.attemptsOf(brokenId).front().requestId, OrderOutcome::broken);
+  harness.endAttempt(harness.attemptsOf(brokenId).front().requestId, AttemptOutcome::broken);
   harness.run(50ms);
   cr_expect_eq(harness.attemptsOf(brokenId).size(), 1u, "it broke after its deadline");
 }
@@ -798,7 +798,7 @@
     auto isDrop = [](const auto& row) { return std::holds_alternative<WorkerDrop>(row.message); };
     auto sentLast = std::find_if(harness.sent.rbegin(), harness.sent.rend(), isDrop);
     cr_expect_eq(sentLast->to, attempt.worker + ":80");
-    harness.endAttempt(attempt.requestId, OrderOutcome::broken);
+    harness.endAttempt(attempt.requestId, AttemptOutcome::broken);
     harness.run(1s);
     cr_expect_eq(harness.attemptsOf(requestId).size(), 1u);
     cr_expect(harness.finalStatusesOf(requestId).empty());
@@ -825,7 +825,7 @@
   cr_expect_eq(denied.verdict, "not run");
   cr_expect_eq(codeStatus(static_cast<Code>(denied.code)), 401);
   harness.deliver("worker", WorkerChunk{attempt.requestId, "two", "p2"});
-  harness.endAttempt(attempt.requestId, OrderOutcome::done);
+  harness.endAttempt(attempt.requestId, AttemptOutcome::done);
   std::string text;
   for (const auto& chunk : harness.all<CallerChunk>()) text += chunk.text;
   cr_expect_eq(text, "one two");
@@ -845,6 +845,6 @@
   cr_expect_eq(codeStatus(static_cast<Code>(denied.code)), 503);
   cr_expect_gt(denied.retryAfterMs, 0);
   harness.deliver("worker", WorkerChunk{attempt.requestId, "two", "p2"});
-  harness.endAttempt(attempt.requestId, OrderOutcome::done);
+  harness.endAttempt(attempt.requestId, AttemptOutcome::done);
   cr_expect_eq(harness.finalStatusOf(requestId).verdict, "done");
 }
--- a/tests/plain_cells.cpp
+++ b/tests/plain_cells.cpp
@@ -34,7 +34,7 @@
 CellNews publishedBy(CellHarness& harness) {
   CellNews state;
   for (auto& [address, core] : harness.cores)
-    for (const auto& update : core.news) applyCellNews(state, update);
+    for (const auto& update : core.news) applyCellUpdate(state, update);
   return state;
 }
 }  // namespace
--- a/tests/routing_bench.hpp
+++ b/tests/routing_bench.hpp
@@ -239,14 +239,14 @@
     cr_assert_eq(rows.size(), 1u, "%s was sent %zu times", requestId.c_str(), rows.size());
     return rows[0];
   }
-  void endAttempt(const std::string& attemptId, OrderOutcome outcome) {
+  void endAttempt(const std::string& attemptId, AttemptOutcome outcome) {
     deliver("worker", WorkerEnd{attemptId, static_cast<int>(outcome), static_cast<int>(Code::workerFull), 0, 0, 0});
   }
   std::string submitAndFinish(const CallerOrder& request) {
     auto requestId = submit(request);
     replyToLookups({});
     auto attempt = onlyAttempt(requestId);
-    endAttempt(attempt.requestId, OrderOutcome::done);
+    endAttempt(attempt.requestId, AttemptOutcome::done);
     return attempt.worker;
   }
   std::size_t repliedLookups{0};
--- a/tests/version_ends_proxy.cpp
+++ b/tests/version_ends_proxy.cpp
@@ -24,8 +24,8 @@
   VersionHarness() : VersionHarness(pathSettings("proxy-1"), proxyConfiguration) {}
   VersionHarness(const ProxyRouterSettings& settings, const std::string& configuration)
       : ProxyHarness(settings, configuration) {
-    timing.oldWeightsOrderTimeout = oldWeightsUse;
-    timing.unstartedOrderTimeout = dropTimeout;
+    timing.oldWeightsSendTimeout = oldWeightsUse;
+    timing.unstartedRequestTimeout = dropTimeout;
     timing.oldWeightsTimeout = dropTimeout + 500ms;
     announcements.push_back(Announcement{"moss/3", now});
   }
@@ -67,7 +67,7 @@
       run(50ms);
       for (int number = 0; number < 4; ++number) {
         auto requestId = submitNext();
-        for (const auto& attempt : attemptsOf(requestId)) endAttempt(attempt.requestId, OrderOutcome::done);
+        for (const auto& attempt : attemptsOf(requestId)) endAttempt(attempt.requestId, AttemptOutcome::done);
       }
     }
   }
@@ -117,7 +117,7 @@
       auto requestId = submitNext(path);
       auto attempt = onlyAttempt(requestId);
       if (attempt.weights == weights) return attempt;
-      endAttempt(attempt.requestId, OrderOutcome::done);
+      endAttempt(attempt.requestId, AttemptOutcome::done);
     }
     cr_assert_fail("no request went to %s", weights.c_str());
     return {};
@@ -283,7 +283,7 @@
 
 Test(version_ends_proxy, a_retry_after_the_end_goes_to_newer_weights) {
   for (const auto& versions : oneAndTwoAnnouncements)
-    for (auto outcome : {OrderOutcome::denied, OrderOutcome::broken}) {
+    for (auto outcome : {AttemptOutcome::denied, AttemptOutcome::broken}) {
       VersionHarness harness;
       for (const char* name : {"w3", "w33", "w333", "w3333"}) harness.worker(name);
       harness.worker("w4", "north-a", versions.back());
@@ -314,7 +314,7 @@
     auto attempt = harness.attemptAt("moss/3", "/stream/x");
     harness.deliver("worker", WorkerChunk{attempt.requestId, "one ", "p1"});
     harness.run(600ms);
-    harness.endAttempt(attempt.requestId, OrderOutcome::broken);
+    harness.endAttempt(attempt.requestId, AttemptOutcome::broken);
     harness.run(100ms);
     auto attempts = harness.attemptsOf(attempt.clientRequestId);
     cr_assert_eq(attempts.size(), 2u);
@@ -355,7 +355,7 @@
     for (int number = 0; number < 40; ++number) {
       requestId = submitNext("/split/x");
       if (attemptsOf(requestId).empty()) return requestId;
-      endAttempt(onlyAttempt(requestId).requestId, OrderOutcome::done);
+      endAttempt(onlyAttempt(requestId).requestId, AttemptOutcome::done);
     }
     cr_assert_fail("all requests went to the first service");
     return requestId;
@@ -409,7 +409,7 @@
 }
 
 Test(version_ends_proxy, after_a_freeze_over_the_end_a_denied_request_is_not_sent_to_the_old_version) {
-  for (auto outcome : {OrderOutcome::denied, OrderOutcome::brokenBeforeSend, OrderOutcome::broken}) {
+  for (auto outcome : {AttemptOutcome::denied, AttemptOutcome::brokenBeforeSend, AttemptOutcome::broken}) {
     FrozenHarness harness;
     harness.endAttempt(harness.atWorker.requestId, outcome);
     harness.expectNoStaleAttempts();
@@ -523,7 +523,7 @@
         request.model.clear();
         auto attempt = harness.onlyAttempt(harness.submit(request));
         weightsByWorker[attempt.worker] = attempt.weights;
-        harness.endAttempt(attempt.requestId, OrderOutcome::done);
+        harness.endAttempt(attempt.requestId, AttemptOutcome::done);
       }
       return weightsByWorker;
     };
@@ -593,7 +593,7 @@
       harness.deliver("worker", WorkerChunk{harness.attempt.requestId, "late ", "p9"});
       cr_expect(harness.all<CallerChunk>().empty(), "the response of the dropped attempt reaches no client");
       harness.deliver("worker", WorkerChunk{attempts[1].requestId, "one", "p1"});
-      harness.endAttempt(attempts[1].requestId, OrderOutcome::done);
+      harness.endAttempt(attempts[1].requestId, AttemptOutcome::done);
       cr_expect_eq(harness.finalStatusOf(harness.attempt.clientRequestId).verdict, "done");
       harness.expectNoUseAfterEnd();
     }
@@ -621,7 +621,7 @@
       harness.run(500ms);
       cr_expect_eq(harness.dropCount, 0u);
       harness.deliver("worker", WorkerChunk{harness.attempt.requestId, "two", "p2"});
-      harness.endAttempt(harness.attempt.requestId, OrderOutcome::done);
+      harness.endAttempt(harness.attempt.requestId, AttemptOutcome::done);
       cr_expect_eq(harness.finalStatusOf(harness.attempt.clientRequestId).verdict, "done");
       cr_expect_eq(harness.all<CallerChunk>().size(), 2u);
     }
@@ -637,7 +637,7 @@
   harness.run(1500ms);
   cr_expect_eq(harness.dropCount, 0u);
   cr_expect(harness.finalStatusesOf(attempt.clientRequestId).empty());
-  harness.endAttempt(attempt.requestId, OrderOutcome::done);
+  harness.endAttempt(attempt.requestId, AttemptOutcome::done);
   cr_expect_eq(harness.finalStatusOf(attempt.clientRequestId).verdict, "done");
 }
 
@@ -695,7 +695,7 @@
         request.requestId = "talk/" + std::to_string(++submittedRequests);
         auto attempt = harness.onlyAttempt(harness.submit(request));
         weights.insert(attempt.weights);
-        harness.endAttempt(attempt.requestId, OrderOutcome::done);
+        harness.endAttempt(attempt.requestId, AttemptOutcome::done);
       }
       return weights;
     };
--- a/tests/version_namings.cpp
+++ b/tests/version_namings.cpp
@@ -168,7 +168,7 @@
   TimePoint lastOldUseAt{};
 
   InformedProxyHarness() {
-    timing.oldWeightsOrderTimeout = oldWeightsUse;
+    timing.oldWeightsSendTimeout = oldWeightsUse;
     answersFeedPolls = false;
     configuration.change(R"({"models":{"moss":{"weights":"moss/4"}}})");
     router = std::make_unique<ProxyRouter>(pathSettings("proxy-1"));
@@ -204,7 +204,7 @@
       auto requestId = submit("/once/x", "key-a", promptOf(++prompts));
       for (const auto& attempt : attemptsOf(requestId)) {
         if (attempt.weights == "moss/3") lastOldUseAt = now;
-        endAttempt(attempt.requestId, OrderOutcome::done);
+        endAttempt(attempt.requestId, AttemptOutcome::done);
       }
     }
   }
