--- a/src/fuzz/clients.cpp
+++ b/src/fuzz/clients.cpp
@@ -1,5 +1,5 @@
 #include "fuzz.hpp"
-#include "gate.hpp"
+#include "http_server.hpp"
 
 namespace tt {
 namespace {
--- a/src/fuzz/contracts.cpp
+++ b/src/fuzz/contracts.cpp
@@ -1,5 +1,5 @@
-#include "contract.hpp"
 #include "fuzz.hpp"
+#include "json_bodies.hpp"
 
 namespace tt {
 namespace {
--- a/src/net/calls.cpp
+++ b/src/net/http_client.cpp
@@ -1,4 +1,4 @@
-#include "calls.hpp"
+#include "http_client.hpp"
 
 #include <curl/curl.h>
 #include <netinet/tcp.h>
--- a/src/net/calls.hpp
+++ b/src/net/http_client.hpp
@@ -1,6 +1,6 @@
 #pragma once
-#include "host.hpp"
 #include "http.hpp"
+#include "node_host.hpp"
 
 namespace tt {
 
--- a/src/net/contract.cpp
+++ b/src/net/json_bodies.cpp
@@ -1,4 +1,4 @@
-#include "contract.hpp"
+#include "json_bodies.hpp"
 
 #include <algorithm>
 #include <limits>
--- a/src/net/host.cpp
+++ b/src/net/node_host.cpp
@@ -1,4 +1,4 @@
-#include "host.hpp"
+#include "node_host.hpp"
 
 #include <netinet/tcp.h>
 
--- a/src/net/web.cpp
+++ b/src/net/web.cpp
@@ -1,6 +1,6 @@
 #include "web.hpp"
 
-#include "contract.hpp"
+#include "json_bodies.hpp"
 
 #include <curl/curl.h>
 
--- a/src/net/web.hpp
+++ b/src/net/web.hpp
@@ -5,9 +5,9 @@
 #include <mutex>
 #include <thread>
 
-#include "host.hpp"
 #include "http.hpp"
 #include "json.hpp"
+#include "node_host.hpp"
 
 namespace tt {
 
--- a/src/routing/edge_admission.cpp
+++ b/src/routing/proxy_admission.cpp
@@ -1,5 +1,5 @@
 /// Admits or denies requests, decides which pending request is served next, and when a denied client may come back.
-#include "edge.hpp"
+#include "proxy_router.hpp"
 
 #include <algorithm>
 
--- a/src/routing/edge_outcomes.cpp
+++ b/src/routing/proxy_outcomes.cpp
@@ -1,5 +1,5 @@
 /// What follows the end of an attempt: a retry or the request's final status.
-#include "edge.hpp"
+#include "proxy_router.hpp"
 
 #include <algorithm>
 
--- a/src/routing/edge_placement.cpp
+++ b/src/routing/proxy_placement.cpp
@@ -1,6 +1,6 @@
 /// Selects the worker for a request by load and cached prefixes, and sheds requests under overload.
-#include "edge.hpp"
-#include "first_draw_costs.hpp"
+#include "initial_selection_costs.hpp"
+#include "proxy_router.hpp"
 
 #include <algorithm>
 
--- a/src/routing/edge_report.cpp
+++ b/src/routing/proxy_report.cpp
@@ -1,5 +1,5 @@
 /// The report of a proxy's state to operators.
-#include "edge.hpp"
+#include "proxy_router.hpp"
 
 #include <algorithm>
 
--- a/src/routing/edge.cpp
+++ b/src/routing/proxy_router.cpp
@@ -1,5 +1,5 @@
 /// Handles a proxy's messages and ticks, and drives its requests through the state chart "order".
-#include "edge.hpp"
+#include "proxy_router.hpp"
 
 #include <algorithm>
 
--- a/src/routing/edge_sources.cpp
+++ b/src/routing/proxy_sources.cpp
@@ -1,6 +1,6 @@
 /// Decides whether a cached prefix is fetched and from which single source: lookups, fetches within a request, and
 /// separate transfers.
-#include "edge.hpp"
+#include "proxy_router.hpp"
 #include "urgency.hpp"
 
 #include <algorithm>
--- a/src/sim/sim.hpp
+++ b/src/sim/sim.hpp
@@ -3,8 +3,8 @@
 
 #include "agent.hpp"
 #include "core.hpp"
-#include "edge.hpp"
 #include "operators.hpp"
+#include "proxy_router.hpp"
 #include "ring.hpp"
 #include "standin.hpp"
 #include "version_check.hpp"
--- a/src/tools/main_core.cpp
+++ b/src/tools/main_core.cpp
@@ -1,7 +1,7 @@
 #include <cstdlib>
 
-#include "contract.hpp"
 #include "core.hpp"
+#include "json_bodies.hpp"
 #include "process.hpp"
 #include "version_span.hpp"
 
--- a/src/tools/main_keeper.cpp
+++ b/src/tools/main_keeper.cpp
@@ -1,7 +1,7 @@
 #include <cstdlib>
 #include <fstream>
 
-#include "contract.hpp"
+#include "json_bodies.hpp"
 #include "process.hpp"
 #include "standin.hpp"
 
--- a/src/tools/main_platform.cpp
+++ b/src/tools/main_platform.cpp
@@ -1,7 +1,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "contract.hpp"
+#include "json_bodies.hpp"
 #include "process.hpp"
 #include "standin.hpp"
 
--- a/src/tools/main_proxy.cpp
+++ b/src/tools/main_proxy.cpp
@@ -1,6 +1,6 @@
-#include "contract.hpp"
-#include "edge.hpp"
+#include "json_bodies.hpp"
 #include "process.hpp"
+#include "proxy_router.hpp"
 #include "version_span.hpp"
 
 using namespace tt;
--- a/tests/cell_bench.hpp
+++ b/tests/cell_harness.hpp
@@ -3,7 +3,7 @@
 #include <criterion/criterion.h>
 
 #include "cell.hpp"
-#include "timing_kept.hpp"
+#include "timing_guard.hpp"
 
 namespace tt {
 
--- a/tests/cells.cpp
+++ b/tests/cells.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "cell_bench.hpp"
+#include "cell_harness.hpp"
 
 using namespace tt;
 
--- a/tests/core_bench.hpp
+++ b/tests/core_harness.hpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 
 #include "core.hpp"
-#include "timing_kept.hpp"
+#include "timing_guard.hpp"
 
 /// A test harness for control processes on a simulated clock, network and disks.
 namespace tt {
--- a/tests/drain_plan.cpp
+++ b/tests/drain_plan.cpp
@@ -1,5 +1,5 @@
 #include "drain_plan.hpp"
-#include "routing_bench.hpp"
+#include "proxy_router_harness.hpp"
 
 using namespace tt;
 
--- a/tests/fleet_bench.hpp
+++ b/tests/fleet_harness.hpp
@@ -5,7 +5,7 @@
 
 #include "agent.hpp"
 #include "core.hpp"
-#include "timing_kept.hpp"
+#include "timing_guard.hpp"
 
 namespace tt {
 
--- a/tests/gate_faults.cpp
+++ b/tests/gate_faults.cpp
@@ -3,7 +3,7 @@
 #include <csignal>
 
 #include "core.hpp"
-#include "gate_fixture.hpp"
+#include "http_server_fixture.hpp"
 #include "web.hpp"
 
 using namespace tt;
--- a/tests/load.cpp
+++ b/tests/load.cpp
@@ -1,8 +1,8 @@
 #include <algorithm>
 
-#include "cell_bench.hpp"
+#include "cell_harness.hpp"
 #include "core.hpp"
-#include "routing_bench.hpp"
+#include "proxy_router_harness.hpp"
 
 using namespace tt;
 
--- a/tests/order_faults.cpp
+++ b/tests/order_faults.cpp
@@ -1,7 +1,7 @@
 #include "raw_server.hpp"
 #include "roles.hpp"
-#include "timing_kept.hpp"
-#include "worker_orders.hpp"
+#include "timing_guard.hpp"
+#include "worker_commands.hpp"
 
 using namespace tt;
 using namespace raw;
--- a/tests/parts.cpp
+++ b/tests/parts.cpp
@@ -9,9 +9,9 @@
 #include "cell.hpp"
 #include "chart.hpp"
 #include "configuration.hpp"
-#include "contract.hpp"
-#include "edge.hpp"
+#include "json_bodies.hpp"
 #include "manifests.hpp"
+#include "proxy_router.hpp"
 #include "ring.hpp"
 #include "web.hpp"
 
@@ -248,7 +248,7 @@
   for (const char* name :
        {"consensus/election", "consensus/replicated_log", "consensus/membership", "consensus/snapshot",
         "consensus/change_requests", "index/cell", "cluster/core", "cluster/core_operators", "cluster/core_membership",
-        "cluster/core_report", "agent/agent", "routing/edge", "config/configuration", "config/item_readers",
+        "cluster/core_report", "agent/agent", "routing/proxy_router", "config/configuration", "config/item_readers",
         "config/patch_checks", "config/patch_shape", "sim/standin", "storage/ring", "base/effects"}) {
     std::string path = std::string(TT_SOURCE "/src/") + name + ".cpp", text;
     FILE* file = std::fopen(path.c_str(), "r");
--- a/tests/placement.cpp
+++ b/tests/placement.cpp
@@ -2,7 +2,7 @@
 
 #include "placement_cost.hpp"
 #include "plain_placement.hpp"
-#include "routing_bench.hpp"
+#include "proxy_router_harness.hpp"
 #include "urgency.hpp"
 
 using namespace tt;
--- a/tests/plain_cells.cpp
+++ b/tests/plain_cells.cpp
@@ -1,5 +1,5 @@
-#include "cell_bench.hpp"
-#include "list_reader.hpp"
+#include "cell_harness.hpp"
+#include "machine_list_reader.hpp"
 #include "raw_server.hpp"
 
 using namespace tt;
--- a/tests/routing_bench.hpp
+++ b/tests/proxy_router_harness.hpp
@@ -1,8 +1,8 @@
 #pragma once
 #include <criterion/criterion.h>
 
-#include "edge.hpp"
-#include "timing_kept.hpp"
+#include "proxy_router.hpp"
+#include "timing_guard.hpp"
 
 /// A harness that drives a ProxyRouter step by step, for the tests of routing.
 namespace tt {
--- a/tests/version_ends_cell.cpp
+++ b/tests/version_ends_cell.cpp
@@ -1,6 +1,6 @@
 #include <algorithm>
 
-#include "cell_bench.hpp"
+#include "cell_harness.hpp"
 
 using namespace tt;
 
--- a/tests/version_ends_proxy.cpp
+++ b/tests/version_ends_proxy.cpp
@@ -1,6 +1,6 @@
 #include <algorithm>
 
-#include "routing_bench.hpp"
+#include "proxy_router_harness.hpp"
 
 using namespace tt;
 
--- a/tests/version_namings.cpp
+++ b/tests/version_namings.cpp
@@ -1,5 +1,5 @@
-#include "fleet_bench.hpp"
-#include "routing_bench.hpp"
+#include "fleet_harness.hpp"
+#include "proxy_router_harness.hpp"
 
 using namespace tt;
 
--- a/tests/version_span.cpp
+++ b/tests/version_span.cpp
@@ -2,7 +2,7 @@
 
 #include <criterion/criterion.h>
 
-#include "timing_kept.hpp"
+#include "timing_guard.hpp"
 
 using namespace tt;
 
