--- a/src/model/breadth.cpp
+++ b/src/model/breadth.cpp
@@ -6,24 +6,28 @@
 namespace tt::model {
 namespace {
 
-/// How much of each kind of trouble a run holds so far.
+/// The 64-bit prime of the FNV hash functions.
+constexpr std::uint64_t fnvPrime = 1099511628211ull;
+
+/// How many faults, waits and changes of each kind a run contains so far.
 struct Spent {
   int crashes{0}, drops{0}, duplicates{0}, wipes{0}, waits{0}, changes{0};
 };
 
-/// One state to go on from, and how it was reached.
+/// A state to be expanded, and the last step of the path to it.
 struct Node {
   ModelWorld::State state;
   Spent spent;
   std::size_t step{0};
 };
 
-/// A step of the search's tree; the first one has itself as parent.
+/// A step in the tree of paths. The root is step 0 and its own parent.
 struct Step {
   std::size_t parent{0};
   Choice choice;
 };
 
+/// The breadth-first search.
 class Breadth {
  public:
   Breadth(const Setup& setup, const BreadthLimits& searchLimits) : world(setup), limits(searchLimits) {}
@@ -57,19 +61,22 @@
   ModelWorld world;
   const BreadthLimits& limits;
   SearchReport report;
+  /// Keys of the visited states.
   std::unordered_set<std::uint64_t> seen;
   std::vector<Step> steps;
   std::vector<Node> nextLevel;
 
   bool full() const { return report.states >= limits.states || !report.found.empty(); }
 
+  /// Identifies a state together with the faults that led to it, as these limit how the run can go on.
   std::uint64_t keyOf(const Spent& spent) const {
     std::uint64_t key = world.fingerprint();
     for (int number : {spent.crashes, spent.drops, spent.duplicates, spent.wipes, spent.waits, spent.changes})
-      key = key * 1099511628211ull + static_cast<std::uint64_t>(number);
+      key = key * fnvPrime + static_cast<std::uint64_t>(number);
     return key;
   }
 
+  /// Executes an event in a state and queues the resulting state if it is new.
   void attempt(const Node& node, const Choice& choice, Spent spent) {
     if (full()) return;
     world.load(node.state);
@@ -85,6 +92,7 @@
     }
   }
 
+  /// The events on the path to a step.
   Run runTo(std::size_t step) const {
     std::vector<Choice> choices;
     for (; step != 0; step = steps[step].parent) choices.push_back(steps[step].choice);
@@ -93,6 +101,7 @@
     return Run{world.setup(), std::move(choices)};
   }
 
+  /// Tries all events that are possible in a state.
   void expand(const Node& node) {
     moveMessages(node);
     for (int number = 0; number < world.setup().machines(); ++number) {
@@ -104,6 +113,7 @@
     if (node.spent.waits < limits.waits) {
       Spent spent = node.spent;
       ++spent.waits;
+      /// Long enough for a timer tick, for the heartbeat interval, and for an election timeout.
       for (int span : {20, 150, 1200}) attempt(node, Choice{ChoiceKind::wait, 0, 0, 0, span, 0}, spent);
     }
     if (node.spent.changes < limits.changes) {
--- a/src/model/choice.cpp
+++ b/src/model/choice.cpp
@@ -69,13 +69,13 @@
   Choice choice;
   words >> kindWord;
   auto kind = kindNamed(kindWord);
-  if (!kind) return makeError(Code::badField, kindWord, "is no event of the model");
+  if (!kind) return makeError(Code::badField, kindWord, "is not a kind of event");
   choice.kind = *kind;
   bool whole = true;
   if (aboutMessage(choice.kind)) {
     whole = static_cast<bool>(words >> choice.replica >> choice.other >> typeWord >> choice.number);
     auto type = typeNamed(typeWord);
-    if (!type) return makeError(Code::badField, typeWord, "is no message");
+    if (!type) return makeError(Code::badField, typeWord, "is not a type of message");
     choice.messageType = *type;
   } else if (bySpan(choice.kind)) {
     whole = static_cast<bool>(words >> choice.number);
@@ -86,7 +86,7 @@
   } else if (choice.kind != ChoiceKind::live) {
     whole = static_cast<bool>(words >> choice.replica);
   }
-  if (!whole) return makeError(Code::badField, kindWord, "lacks a number: " + line);
+  if (!whole) return makeError(Code::badField, kindWord, "the line lacks a number: " + line);
   --choice.replica;
   --choice.other;
   choice.replica = std::max(choice.replica, 0);
--- a/src/model/choice.hpp
+++ b/src/model/choice.hpp
@@ -3,7 +3,11 @@
 
 namespace tt::model {
 
-/// What may happen next in the model: the moves of the network, the disks, the clock, the machines and the clients.
+/// The kinds of events: deliver, drop or duplicate a message; complete a disk sync; run a replica's timers (tick); let
+/// time pass without events (wait) or with a fault-free schedule (run; settle also restarts all machines); kill a
+/// process or cut a machine's power; start a process; replace a machine's disk by an empty one (wipe); freeze and wake
+/// a process; send a change or a join request; shut a process down cleanly (leave); and check liveness (live). Their
+/// names are written to files of runs.
 #define TT_CHOICES(X) \
   X(deliver)          \
   X(drop)             \
@@ -30,29 +34,31 @@
 #undef TT_CHOICE
 };
 
-/// One event of a run. Messages are named by their ends, their kind and their place among those alike, so that a run
-/// can be replayed after other events were taken out of it.
+/// One event of a run. A message is identified by its sender, receiver, type and position among the messages that have
+/// these in common, so that a run can be replayed after other events were removed from it.
 struct Choice {
   ChoiceKind kind{ChoiceKind::wait};
-  /// The replica that it happens to; the sender of a message.
+  /// The replica that the event happens to, or the sender of a message.
   int replica{0};
-  /// The receiver of a message; the replica that a join is sent to.
+  /// The receiver of a message or join request.
   int other{0};
   /// Index of the message's type in the variant of all messages.
   int messageType{0};
-  /// Place among messages alike; milliseconds of a wait; unsynced batches kept by a crash; the number of a change.
+  /// By kind: the position among messages in common, the milliseconds that pass, how many unsynced batches survive a
+  /// crash, or the number of a change.
   int number{0};
-  /// Seed of what the replicas draw by chance in this event.
+  /// Seed of the random numbers that the replicas use during this event.
   std::uint32_t luck{0};
 
+  /// The event as a line of a file of runs.
   std::string text() const;
   static Result<Choice> parse(const std::string& line);
 };
 
-/// A run as text, one event a line; lines that begin with # are remarks.
+/// Writes and reads events as text, one per line. Lines that begin with # are comments.
 std::string printChoices(const std::vector<Choice>& choices);
 Result<std::vector<Choice>> parseChoices(const std::string& text);
-/// The name of a message type by its index in the variant.
+/// The name of a message type by its index in the variant of all messages.
 const char* typeName(int messageType);
 
 }  // namespace tt::model
--- a/src/model/fixed_sets.cpp
+++ b/src/model/fixed_sets.cpp
@@ -3,6 +3,7 @@
 namespace tt::model {
 namespace {
 
+/// A setup in which enough voters must remain for a majority to survive the loss of as many disks as the budget allows.
 Setup replicas(int voters, int spares, int faultBudget) {
   Setup setup;
   setup.voters = voters;
@@ -12,6 +13,7 @@
   return setup;
 }
 
+/// A setup in which replicas take snapshots after a few changes.
 Setup smallRoom() {
   Setup setup = replicas(3, 0, 1);
   setup.room = 1600;
@@ -30,11 +32,13 @@
   return FixedSet{name, setup, walksOf(count, firstSeed), std::nullopt};
 }
 
+/// A negative control by random walks with a disabled defence.
 FixedSet control(const std::string& defence, Setup setup, std::uint64_t count, std::uint64_t firstSeed) {
   setup.without.insert(defence);
   return walkSet("without-" + defence, setup, count, firstSeed);
 }
 
+/// A setup with few messages and changes, for breadth-first searches.
 Setup fewMessages(int voters) {
   Setup setup = replicas(voters, 0, 1);
   setup.networkRoom = 16;
@@ -49,6 +53,7 @@
   return limits;
 }
 
+/// Events after which a leader is elected.
 const std::vector<Choice> leads{Choice{ChoiceKind::run, 0, 0, 0, 2500, 0}};
 
 FixedSet breadthSet(const std::string& name, const Setup& setup, BreadthLimits limits, bool fromLeader) {
@@ -56,12 +61,14 @@
   return FixedSet{name, setup, std::nullopt, limits};
 }
 
+/// Delivers the oldest message of this type from one machine to another.
 Choice carry(int from, int to, const Message& kind) {
   return Choice{ChoiceKind::deliver, from, to, static_cast<int>(kind.index()), 0, 0};
 }
 
-/// Two replicas ask for votes in one term, and the third has just heard the first of them: from there a vote that is
-/// told and lost can be given twice.
+/// A search from a state in which two replicas request votes in the same term and the third has just received the first
+/// of these requests. From there, a replica that sends its vote before the vote is synced, and then crashes, can vote
+/// twice.
 FixedSet twoCandidates(const std::string& name, const std::set<std::string>& without) {
   BreadthLimits limits = breadthOf(40000, 12);
   limits.drops = 0;
--- a/src/model/fixed_sets.hpp
+++ b/src/model/fixed_sets.hpp
@@ -3,7 +3,7 @@
 
 namespace tt::model {
 
-/// A search of fixed size with a name, as the tests run it.
+/// A named search of fixed size, for tests.
 struct FixedSet {
   std::string name;
   Setup setup;
@@ -12,11 +12,12 @@
   std::optional<BreadthLimits> breadth;
 };
 
-/// The searches in which no rule may be broken.
+/// The searches that must not find a violation.
 const std::vector<FixedSet>& soundSets();
-/// For each defence of the agreement one search that must break a rule once the defence is taken out.
+/// Negative controls: for each defence of the replicated log, a search that must find a violation when the defence is
+/// disabled.
 const std::vector<FixedSet>& controlSets();
-/// Runs a set with so many threads; the counts are the same for any number of threads.
+/// Runs a search with a number of threads. The number does not change the counts in the report.
 SearchReport runSet(const FixedSet& set, std::size_t threads);
 
 }  // namespace tt::model
--- a/src/model/history.cpp
+++ b/src/model/history.cpp
@@ -2,19 +2,21 @@
 
 namespace tt::model {
 namespace {
+/// Changes come in groups of five: one is unconditional, two require the same current revision, and two request the
+/// same new revision. Of each pair at most one can be accepted.
 constexpr int groupSize = 5;
-/// How the changes of a group are told apart: two build on one revision, two name one number, one does neither.
 enum class Flavour { plain, buildsOn, buildsOnToo, names, namesToo };
 Flavour flavourOf(int change) { return static_cast<Flavour>(change % groupSize); }
-std::string idOf(int change) { return "change-" + std::to_string(change); }
+constexpr char idPrefix[] = "change-";
+std::string idOf(int change) { return idPrefix + std::to_string(change); }
 std::string place(const std::string& replica, std::uint64_t index) {
   return replica + " at index " + std::to_string(index);
 }
 }  // namespace
 
 std::optional<int> changeNumber(const std::string& changeId) {
-  if (changeId.rfind("change-", 0) != 0) return std::nullopt;
-  return std::atoi(changeId.c_str() + 7);
+  if (changeId.rfind(idPrefix, 0) != 0) return std::nullopt;
+  return std::atoi(changeId.c_str() + (sizeof idPrefix - 1));
 }
 
 void History::breakRule(const std::string& rule, const std::string& text) {
@@ -25,14 +27,14 @@
   for (const auto& row : rows) {
     if (row.index == entry.index) {
       if (row.term != entry.term || row.kind != entry.kind || row.body != entry.body || row.changeId != entry.changeId)
-        breakRule("agreed-entry-changed",
-                  place(replica, entry.index) + " agrees on term " + std::to_string(entry.term) + " '" +
-                      entry.changeId + "', before it was term " + std::to_string(row.term) + " '" + row.changeId + "'");
+        breakRule("agreed-entry-changed", place(replica, entry.index) + " commits term " + std::to_string(entry.term) +
+                                              " '" + entry.changeId + "', but term " + std::to_string(row.term) + " '" +
+                                              row.changeId + "' was committed there before");
       return;
     }
     if (!entry.changeId.empty() && row.changeId == entry.changeId)
-      breakRule("change-twice", entry.changeId + " is agreed at " + std::to_string(row.index) + " and at " +
-                                    std::to_string(entry.index));
+      breakRule("change-twice", entry.changeId + " is committed at index " + std::to_string(row.index) +
+                                    " and at index " + std::to_string(entry.index));
   }
   std::uint64_t revision = agreedRevision();
   if (entry.kind == static_cast<int>(EntryKind::change)) revision = entry.revision ? entry.revision : revision + 1;
@@ -40,30 +42,30 @@
   rows.push_back(row);
   if (auto change = changeNumber(entry.changeId);
       change && *change < static_cast<int>(changeRows.size()) && changeRows[static_cast<std::size_t>(*change)].refused)
-    breakRule("refused-in-force", entry.changeId + " was refused and is agreed later");
+    breakRule("refused-in-force", entry.changeId + " was refused and is committed later");
   checkRefusals(row);
 }
 
 void History::checkRefusals(const AgreedRow& row) {
   for (const auto& refusal : refusals)
     if (refusal.index == row.index && refusal.term != row.term)
-      breakRule("refused-by-lost", idOf(refusal.change) + " was refused for the sake of index " +
+      breakRule("refused-by-lost", idOf(refusal.change) + " was refused because of the entry at index " +
                                        std::to_string(refusal.index) + " of term " + std::to_string(refusal.term) +
-                                       ", which was never agreed");
+                                       ", but term " + std::to_string(row.term) + " was committed there");
 }
 
 void History::agreedUpTo(const std::string& replica, std::uint64_t index, std::uint64_t entryTerm) {
   for (const auto& row : rows)
     if (row.index == index && row.term != entryTerm)
-      breakRule("agreed-entry-changed", place(replica, index) + " takes a snapshot of term " +
-                                            std::to_string(entryTerm) + ", before it was term " +
-                                            std::to_string(row.term));
+      breakRule("agreed-entry-changed", place(replica, index) + " installs a snapshot of term " +
+                                            std::to_string(entryTerm) + ", but term " + std::to_string(row.term) +
+                                            " was committed there");
 }
 
 void History::won(const std::string& replica, std::uint64_t term) {
   auto [found, fresh] = leaderByTerm.emplace(term, replica);
   if (!fresh && found->second != replica)
-    breakRule("two-leaders", replica + " and " + found->second + " both won term " + std::to_string(term));
+    breakRule("two-leaders", replica + " and " + found->second + " were both elected in term " + std::to_string(term));
 }
 
 ChangeRequest History::request(int change) {
@@ -109,7 +111,7 @@
                                   " and as " + std::to_string(answer.revision));
   bool known = false;
   for (const auto& agreedRow : rows) known = known || agreedRow.changeId == idOf(change);
-  if (!known) breakRule("acknowledged-not-agreed", idOf(change) + " is acknowledged but no replica has agreed on it");
+  if (!known) breakRule("acknowledged-not-agreed", idOf(change) + " is acknowledged, but no replica has committed it");
   for (std::size_t other = 0; other < changeRows.size(); ++other)
     if (static_cast<int>(other) != change && changeRows[other].acked && changeRows[other].revision == answer.revision)
       breakRule("one-number-twice", idOf(change) + " and " + idOf(static_cast<int>(other)) +
@@ -128,11 +130,12 @@
   if (row.acked) breakRule("acknowledged-refused", idOf(change) + " was acknowledged and is refused: " + code);
   for (const auto& agreedRow : rows) {
     if (agreedRow.changeId == idOf(change))
-      breakRule("agreed-refused", idOf(change) + " is agreed and is refused: " + code);
+      breakRule("agreed-refused", idOf(change) + " was committed and is refused: " + code);
     if (agreedRow.index == newestIndex && agreedRow.term != newestTerm &&
         !followsFromAgreed(row, static_cast<Code>(answer.code)))
-      breakRule("refused-by-lost", idOf(change) + " is refused for the sake of index " + std::to_string(newestIndex) +
-                                       " of term " + std::to_string(newestTerm) + ", which was never agreed");
+      breakRule("refused-by-lost", idOf(change) + " is refused because of the entry at index " +
+                                       std::to_string(newestIndex) + " of term " + std::to_string(newestTerm) +
+                                       ", but term " + std::to_string(agreedRow.term) + " was committed there");
   }
   row.refused = true;
   if (!followsFromAgreed(row, static_cast<Code>(answer.code)))
--- a/src/model/model_world.cpp
+++ b/src/model/model_world.cpp
@@ -8,17 +8,23 @@
 namespace {
 const TimePoint startOfTime = TimePoint(std::chrono::hours(100));
 const std::string clientAddress = "client";
+/// Time that passes in one round of fairRounds().
 constexpr Duration roundSpan = 20ms;
+/// How long a member must not have heard from a leader before it sends join requests.
 constexpr Duration leaderSilent = 3s;
+/// Within which time a change must be committed in a fleet without faults, and how often it is sent.
 constexpr Duration livenessSpan = 15s, livenessStep = 500ms;
-/// A longer wait, in which nothing happens at all, is no calm.
+/// A wait of more milliseconds counts as a fault, because nothing runs during it.
 constexpr int mostCalmWait = 100;
+/// 2^64 divided by the golden ratio; spreads consecutive numbers over the range of seeds.
 constexpr std::uint64_t luckSpread = 0x9e3779b97f4a7c15ull;
 
+/// The machine with an address as in ModelWorld::addressOf(); -1 for other addresses.
 int numberAt(const std::string& address) { return address.size() == 3 && address[0] == '~' ? address[1] - '1' : -1; }
 
 std::string nameOf(int number) { return "replica~" + std::to_string(number + 1); }
 
+/// The state that a process finds on its disk.
 RecoveredState recoveredFrom(const Machine& machine) {
   RecoveredState sum = machine.synced;
   for (const auto& record : machine.written) (void)sum.applyRecord(record);
@@ -149,7 +155,7 @@
       newestTerm = entry.term;
     }
   if (tell)
-    say("  client hears of change-" + std::to_string(*change) + ": " + codeName(static_cast<Code>(answer.code)) +
+    say("  response to change-" + std::to_string(*change) + ": " + codeName(static_cast<Code>(answer.code)) +
         ", revision " + std::to_string(answer.revision));
   writeHistory().answered(*change, answer, newestIndex, newestTerm);
   if (answer.code == static_cast<int>(Code::changeTaken)) checkAcknowledged(*change);
@@ -184,9 +190,9 @@
       if (idOf(number) == member.id) holders += holdsEntry(machines[static_cast<std::size_t>(number)], row);
   }
   if (voters > 0 && holders + static_cast<std::size_t>(lostDisks()) < voters / 2 + 1)
-    writeHistory().breakRule("agreed-by-few", "index " + std::to_string(entry.index) + " is agreed while " +
-                                                  std::to_string(holders) + " of " + std::to_string(voters) +
-                                                  " voters hold it");
+    writeHistory().breakRule("agreed-by-few", "index " + std::to_string(entry.index) +
+                                                  " is committed, but synced by only " + std::to_string(holders) +
+                                                  " of " + std::to_string(voters) + " voters");
 }
 
 void ModelWorld::checkAcknowledged(int change) {
@@ -195,8 +201,9 @@
     int disks = 0, lost = lostDisks();
     for (const auto& machine : machines) disks += holdsEntry(machine, row);
     if (disks + lost < worldSetup.faultBudget + 1)
-      writeHistory().breakRule("too-few-disks", row.changeId + " is acknowledged while only " + std::to_string(disks) +
-                                                    " disks hold it and " + std::to_string(lost) + " are lost");
+      writeHistory().breakRule("too-few-disks", row.changeId + " is acknowledged, but on only " +
+                                                    std::to_string(disks) + " disks, with " + std::to_string(lost) +
+                                                    " disks lost");
   }
 }
 
@@ -225,9 +232,9 @@
   writeHistory().won(log.self().id, log.election.term());
   checkComplete(log);
   if (log.leads(clock) && log.hasCommittedInTerm() && log.configuration().index() < history->mostAcknowledged())
-    writeHistory().breakRule("old-read",
-                             log.self().id + " would read at index " + std::to_string(log.configuration().index()) +
-                                 " what was acknowledged at " + std::to_string(history->mostAcknowledged()));
+    writeHistory().breakRule("old-read", log.self().id + " would serve reads at index " +
+                                             std::to_string(log.configuration().index()) + ", but index " +
+                                             std::to_string(history->mostAcknowledged()) + " is acknowledged");
 }
 
 void ModelWorld::checkLogs(const ReplicatedLog& one, const ReplicatedLog& other) {
@@ -241,13 +248,14 @@
     const auto& right = theirs[index - theirs.front().index];
     if (shared && left.term != right.term)
       return writeHistory().breakRule("logs-differ", one.self().id + " and " + other.self().id +
-                                                         " agree later but differ at index " + std::to_string(index));
+                                                         " have a later entry in common but differ at index " +
+                                                         std::to_string(index));
     if (left.term != right.term) continue;
     shared = true;
     if (left.kind != right.kind || left.body != right.body || left.changeId != right.changeId ||
         left.revision != right.revision)
       return writeHistory().breakRule("logs-differ", one.self().id + " and " + other.self().id +
-                                                         " hold different entries at index " + std::to_string(index) +
+                                                         " have different entries at index " + std::to_string(index) +
                                                          " of term " + std::to_string(left.term));
   }
 }
@@ -263,7 +271,7 @@
       writeHistory().breakRule("agreed-entry-lost", log.self().id + " leads in term " +
                                                         std::to_string(log.election.term()) + " without index " +
                                                         std::to_string(row.index) + " '" + row.changeId +
-                                                        "' agreed in term " + std::to_string(row.inTerm));
+                                                        "', which was committed in term " + std::to_string(row.inTerm));
   }
 }
 
@@ -401,9 +409,9 @@
     if (auto leading = leader(); leading && !broken()) sendChange(*leading, last);
   }
   if (!history->acknowledged(last))
-    writeHistory().breakRule("no-majority", std::string(leader() ? "a change is not agreed" : "nobody leads") +
+    writeHistory().breakRule("no-majority", std::string(leader() ? "a change is not committed" : "there is no leader") +
                                                 " after " + std::to_string(toMilliseconds(livenessSpan)) +
-                                                " ms in which all was well");
+                                                " ms without faults");
 }
 
 bool ModelWorld::apply(const Choice& choice) {
@@ -514,7 +522,7 @@
 }
 
 namespace {
-/// Mixes bytes in which the replicas' names are put as labels say.
+/// A hash function for states. In texts it replaces the numbers of machines (the digit after "~") by their labels.
 class Mixer {
  public:
   explicit Mixer(const std::vector<int>& machineLabels) : labels(machineLabels) {}
@@ -541,7 +549,7 @@
     number(word);
     number(bytes.size());
   }
-  /// Mixes rows whose order does not matter.
+  /// Hashes rows so that their order does not matter.
   void group(const std::vector<std::string>& rows) {
     std::uint64_t all = 0;
     for (const auto& row : rows) {
@@ -558,6 +566,8 @@
   const std::vector<int>& labels;
 };
 
+/// The age of a time point in milliseconds, limited to what matters, as a number for the hash. The offset keeps it
+/// positive for time points in the future, and apart from the number for an unset one.
 std::uint64_t inPlace(const StateDump::Mark& mark, TimePoint now) {
   if (mark.at == TimePoint{}) return 1;
   Duration since = std::min<Duration>(now - mark.at, mark.matters);
@@ -567,7 +577,7 @@
 
 std::string ModelWorld::describe() const {
   std::string text = "at " + std::to_string(toMilliseconds(clock - startOfTime)) + " ms, " +
-                     std::to_string(packets.size()) + " messages under way\n";
+                     std::to_string(packets.size()) + " messages in the network\n";
   for (int number = 0; number < worldSetup.machines(); ++number) {
     const auto& machine = machines[static_cast<std::size_t>(number)];
     text += "  " + idOf(number) + (machine.lost ? " (disk counts as lost)" : "");
@@ -625,6 +635,8 @@
 }
 
 std::uint64_t ModelWorld::fingerprint() const {
+  /// The machines are numbered anew by a hash that does not depend on their numbers: in it the machine itself has label
+  /// 0 and all others label 1. The state is then hashed with the new numbers.
   std::size_t count = machines.size();
   std::vector<std::pair<std::uint64_t, int>> order;
   std::vector<int> labels(count, 1);
@@ -663,6 +675,7 @@
   std::uint64_t letters = 0;
   for (const auto& packet : packets) {
     const auto& letter = *packet.letter;
+    /// Only the age of the time in a heartbeat matters, so the time is left out of the encoding.
     Message message = letter.message;
     std::int64_t sentAt = 0;
     if (auto* hold = std::get_if<Heartbeat>(&message)) std::swap(sentAt, hold->sentAt);
--- a/src/model/model_world.hpp
+++ b/src/model/model_world.hpp
@@ -6,54 +6,54 @@
 
 namespace tt::model {
 
-/// One machine of the model: a real ReplicatedLog with its Election, and its disk.
+/// A machine of the model: its disk and, while its process runs, a real ReplicatedLog with its Election.
 struct Machine {
   std::optional<ReplicatedLog> log;
   bool frozen{false};
-  /// Which disk it has, counted from 0; a new disk comes with a new id.
+  /// Number of the disk, counted from 0. A process with a new disk has a new id.
   int disk{0};
-  /// What waits for the disk, and the batch that is being written.
+  /// Records that wait for the disk, and the batch that is being written.
   std::vector<Effects::Save> waiting, writing;
-  /// What a loss of power leaves for sure, and a batch that was written but never synced. A batch is kept whole or not
-  /// at all, as the ring sees to.
+  /// The state that survives a power failure, and a batch that was written but not synced and may survive. A batch
+  /// survives completely or not at all; the ring log ensures this.
   RecoveredState synced;
   std::vector<Record> written;
-  /// Whether its disk counts as lost, and how long it has been back with all well since.
+  /// Whether the disk counts as lost since it was replaced, and for how long all machines have run without a fault.
   bool lost{false};
   Duration calm{0};
   bool up() const { return log.has_value(); }
 };
 
-/// A message as it was sent, with its bytes once they were needed.
+/// A message as it was sent, and its encoding, which is made when it is first needed.
 struct Letter {
   Message message;
   mutable std::string bytes;
 };
 
-/// A message under way between two machines.
+/// A message in the network.
 struct Packet {
   int from{0}, to{0};
   std::shared_ptr<const Letter> letter;
 };
 
-/// A fleet's agreement with its network, disks, clock and clients made up: it does what choices say, one at a time, on
-/// the real objects, and checks after each that no rule is broken.
+/// The model: real replicated logs with simulated network, disks, clock and clients. It executes one event at a time
+/// and checks after each that no rule is violated.
 ///
-/// The replicas hold functions that refer to themselves, so a replica lives in its place here and a saved state is a
-/// passive copy of it, to be copied back into the same place of the same world.
+/// A replica contains callbacks that refer to the replica itself, so it must stay at its address. A saved state is a
+/// copy that is not run; it can only be copied back to the same machine of the same ModelWorld.
 class ModelWorld {
  public:
   explicit ModelWorld(const Setup& modelSetup);
   ModelWorld(const ModelWorld&) = delete;
   ModelWorld& operator=(const ModelWorld&) = delete;
 
-  /// Back to the start: the voters have formed, nobody leads.
+  /// Returns to the initial state: the voters have formed a group that has no leader.
   void reset();
-  /// Lets one event happen; false where it cannot happen now, and then nothing has changed.
+  /// Executes an event. Returns false, with nothing changed, if the event is not possible in this state.
   bool apply(const Choice& choice);
-  /// Whether a rule is broken, and which.
+  /// The first violation, if there was one.
   const std::optional<Broken>& broken() const { return history->broken(); }
-  /// What all that matters adds up to; equal for states that differ only in the replicas' names.
+  /// A hash of the state. It is equal for states that differ only by a permutation of the replicas.
   std::uint64_t fingerprint() const;
 
   const Setup& setup() const { return worldSetup; }
@@ -61,14 +61,14 @@
   const Machine& machine(int number) const { return machines[static_cast<std::size_t>(number)]; }
   const History& past() const { return *history; }
   TimePoint now() const { return clock; }
-  /// The machine that leads with a good lease; nothing if none does.
+  /// The machine that holds a valid lease as leader; nothing if there is none.
   std::optional<int> leader() const;
-  /// One line on each machine, for people.
+  /// Describes the state for people, with one line for each machine.
   std::string describe() const;
-  /// Whether a disk may be lost now without going over the budget.
+  /// Whether another disk may be lost without exceeding the fault budget.
   bool mayLoseDisk() const;
 
-  /// A state that can be gone back to, in this world only. Machines that did not change are shared between states.
+  /// A saved state of this ModelWorld. States share the copies of machines that did not change between them.
   struct State {
     std::vector<std::shared_ptr<const Machine>> machines;
     std::vector<std::shared_ptr<const StateBytes>> dumps;
@@ -79,15 +79,16 @@
   State save();
   void load(const State& state);
 
-  /// Told of each event in words, when set.
+  /// If set, called with descriptions of what happens during events.
   std::function<void(const std::string&)> tell;
 
  private:
   Setup worldSetup;
   Defences defences;
   std::vector<Machine> machines;
+  /// Copies of machines for saved states; null where the machine has changed since.
   std::vector<std::shared_ptr<const Machine>> images;
-  /// Each machine's state as bytes, where it was asked for since the last change.
+  /// Cached serializations of machines; null where the machine has changed since.
   mutable std::vector<std::shared_ptr<const StateBytes>> dumps;
   std::vector<Packet> packets;
   std::optional<History> history;
@@ -96,35 +97,57 @@
   std::mt19937_64 random;
   Journal journal;
 
+  /// The replica's id: "~", a digit for the machine and a letter for the disk. The digit is what fingerprint()
+  /// replaces.
   std::string idOf(int number) const;
   static std::string addressOf(int number);
+  /// Starts a process with the state that is on its disk.
   void boot(int number);
+  /// Stops a process. `kept`: number of unsynced batches that survive. `powerGone`: what was not synced may be lost;
+  /// otherwise only the process ends, and what it has written stays.
   void halt(int number, std::size_t kept, bool powerGone);
+  /// Runs an action of a replica, performs its effects and checks the rules.
   void drive(int number, const std::function<void(Effects&)>& action);
+  /// Puts a message into the network, or hands it to the client.
   void post(int from, const std::string& address, Message message);
   void toClient(int from, const ChangeResponse& answer);
+  /// Delivers the message at an index of the network. `keep`: a copy stays in the network.
   bool deliver(std::size_t at, bool keep);
+  /// Completes the sync of the batch that is being written.
   bool syncDisk(int number);
+  /// Index of the message that an event names.
   std::optional<std::size_t> find(const Choice& choice) const;
+  /// Whether a replica would send join requests: it is not a member, or has not heard from a leader for long.
   bool mayJoin(int number) const;
   void sendJoin(int number, int other);
   void sendChange(int number, int change);
-  /// Lets all be well and asks for a new change: breaks the rule no-majority where it is not agreed in time.
+  /// Runs the fleet without faults and sends a new change. Reports a violation of no-majority if the change is not
+  /// committed in time.
   void checkLiveness();
+  /// Runs rounds in which time passes, all timers run, and all messages and syncs complete. `allUp`: stopped machines
+  /// are started and frozen ones woken.
   void fairRounds(Duration span, bool allUp);
+  /// Discards the copies of a machine that has changed.
   void changed(int number);
-  /// A new disk stops counting as lost once all was well for long enough without a break.
+  /// Counts a round without faults. A replaced disk no longer counts as lost after enough of them in sequence.
   void countCalm();
+  /// Starts this count again at zero.
   void breakCalm();
   int lostDisks() const;
   History& writeHistory();
   const StateBytes& dump(int number) const;
+  /// Checks the rules that concern a replica after it has run.
   void checkMachine(int number);
+  /// Checks that two logs with an entry of the same index and term are identical up to it.
   void checkLogs(const ReplicatedLog& one, const ReplicatedLog& other);
+  /// Checks that a leader has all entries that were committed in earlier terms.
   void checkComplete(const ReplicatedLog& log);
+  /// Checks that an acknowledged change is on enough disks to survive the fault budget.
   void checkAcknowledged(int change);
+  /// Checks that a majority of the members before an entry, and for a membership entry of the new members too, has it.
   void checkAgreed(const LogEntry& entry);
   void checkMajority(const LogEntry& entry, const std::vector<Member>& members);
+  /// Whether an entry is synced to a machine's disk.
   bool holdsEntry(const Machine& machine, const History::AgreedRow& row) const;
   void say(const std::string& text) const {
     if (tell) tell(text);
--- a/src/model/search.hpp
+++ b/src/model/search.hpp
@@ -3,52 +3,56 @@
 
 namespace tt::model {
 
-/// A run that breaks a rule.
+/// A run that violates a rule.
 struct Counterexample {
   Run run;
   Broken broken;
 };
 
-/// What a search did and found.
+/// The size of a search and its counterexamples. `depth`: number of events of the longest run.
 struct SearchReport {
   std::uint64_t states{0}, events{0}, walks{0};
   int depth{0};
   std::vector<Counterexample> found;
-  /// Whether a breadth-first search came to an end by itself within its depth.
+  /// Whether a breadth-first search visited all reachable states, that is, did not end at a limit.
   bool whole{false};
 };
 
-/// What seeded walks are given.
+/// Parameters of a search by random walks. `events`: number of events of a walk.
 struct WalkLimits {
   std::uint64_t firstSeed{1}, walks{100};
   int events{300};
   std::size_t threads{1};
-  /// Ends the search after so many counterexamples.
+  /// The search ends after so many counterexamples.
   std::size_t mostFound{1};
-  /// For runs by hand: no new walk is begun after this span; 0 sets no such end.
+  /// No new walk is started after this time; 0: no limit. Makes the result depend on the machine's speed, so it is not
+  /// meant for tests.
   Duration longest{0};
 };
 
-/// Walks at random, each walk from its own seed: the same seed is the same walk on every machine.
+/// Runs random walks. Each walk has a seed of its own; the same seed gives the same walk on every machine.
 SearchReport walk(const Setup& setup, const WalkLimits& limits);
 
-/// What a breadth-first search is given: events of each kind of trouble that one run may hold.
+/// Parameters of a breadth-first search: the number of states to visit, the maximum number of events after the initial
+/// ones, and how many faults, waits and changes of each kind one run may contain.
 struct BreadthLimits {
   std::uint64_t states{100000};
   int depth{12};
   int crashes{1}, drops{1}, duplicates{0}, wipes{0}, waits{4}, changes{1};
   /// Events that lead to the state from which the search starts.
   std::vector<Choice> opening;
+  /// The search ends after this time; 0: no limit.
   Duration longest{0};
 };
 
-/// Goes through all orders of events from a start, nearest first, each state once.
+/// Explores all orders of events breadth-first and visits each state once, so that the first counterexample is a
+/// shortest one.
 SearchReport searchBreadth(const Setup& setup, const BreadthLimits& limits);
 
-/// Plays a run; the rule that it breaks, if it does. Tells each event in words, if asked.
+/// Replays a run and returns the violation at which it ends, if any. `tell` is called with a description of each event.
 std::optional<Broken> replay(const Run& run, const std::function<void(const std::string&)>& tell = {});
 
-/// Takes out all events without which a run still breaks the same rule.
+/// Removes events from a run as long as it still violates the same rule.
 Run shorten(const Run& run, const std::string& rule);
 
 }  // namespace tt::model
--- a/src/model/setup.cpp
+++ b/src/model/setup.cpp
@@ -7,7 +7,10 @@
 namespace tt::model {
 namespace {
 const std::string setupWord = "setup";
+/// The number of a machine is a single digit in its id.
 constexpr int mostMachines = 9;
+/// Any number of this many digits fits into an int.
+constexpr std::size_t maxNumberDigits = 9;
 }  // namespace
 
 std::string Setup::text() const {
@@ -25,11 +28,11 @@
   std::istringstream words(line);
   std::string word;
   words >> word;
-  if (word != setupWord) return makeError(Code::badField, "setup", "a run begins with its setup");
+  if (word != setupWord) return makeError(Code::badField, "setup", "the first line must begin with the word setup");
   Setup setup;
   while (words >> word) {
     auto equals = word.find('=');
-    if (equals == std::string::npos) return makeError(Code::badField, word, "must be name=value");
+    if (equals == std::string::npos) return makeError(Code::badField, word, "must have the form name=value");
     std::string name = word.substr(0, equals), value = word.substr(equals + 1);
     if (name == "without") {
       setup.without.insert(value);
@@ -39,8 +42,8 @@
       setup.known.insert(value);
       continue;
     }
-    if (value.empty() || value.find_first_not_of("0123456789") != std::string::npos || value.size() > 9)
-      return makeError(Code::badField, name, "must be a number");
+    if (value.empty() || value.find_first_not_of("0123456789") != std::string::npos || value.size() > maxNumberDigits)
+      return makeError(Code::badField, name, "must be a number of at most 9 digits");
     int number = std::stoi(value);
     if (name == "voters") {
       setup.voters = number;
@@ -67,7 +70,7 @@
     }
   }
   if (setup.voters < 1 || setup.machines() > mostMachines)
-    return makeError(Code::badField, "voters", "1 to 9 replicas in all");
+    return makeError(Code::badField, "voters", "voters and spares must be 1 to 9 in total");
   if (auto defences = setup.defences(); !defences) return defences.error();
   return setup;
 }
@@ -76,7 +79,7 @@
   Defences standing;
   for (const auto& name : without) {
     auto defence = Defences::named(name);
-    if (!defence) return makeError(Code::badField, name, "is no defence");
+    if (!defence) return makeError(Code::badField, name, "is not the name of a defence");
     standing.disable(*defence);
   }
   return standing;
--- a/src/model/setup.hpp
+++ b/src/model/setup.hpp
@@ -4,38 +4,41 @@
 
 namespace tt::model {
 
-/// What a run starts from and how much trouble it may hold.
+/// The initial state of the model and its limits.
 struct Setup {
-  /// Replicas that form the fleet, and empty ones beside them that may join.
+  /// Number of initial voters, and of empty replicas that may join them.
   int voters{3}, spares{0};
-  /// Changes that clients may send.
+  /// Number of changes that clients may send.
   int changes{5};
-  /// Bytes of records that a replica may hold; a small room makes it take snapshots after a few entries.
+  /// Capacity of a replica's log in bytes. With a small one it takes a snapshot after a few entries.
   std::size_t room{1 << 20};
-  /// Disks that may be lost at once, and how long a new disk counts as lost after its return.
+  /// Number of disks that may be lost at the same time, and how long a replaced disk counts as lost while all machines
+  /// run.
   int faultBudget{1};
   Duration catchUp{4s};
-  /// How long a voter must be silent to be taken out, and how many voters must stay.
+  /// How long a voter must be silent before it is removed, and how many voters must remain.
   Duration memberRemovalTimeout{6s};
   std::size_t minVoters{3};
-  /// Whether a starting process syncs what it finds written before it counts it.
+  /// Whether a process syncs the unsynced records that it finds on its disk when it starts.
   bool openSyncs{true};
-  /// Messages under way at most; beyond, the oldest are lost.
+  /// Maximum number of messages in the network. When it is exceeded, the oldest message is lost.
   std::size_t networkRoom{64};
-  /// Names of the defences taken out.
+  /// Names of the disabled defences.
   std::set<std::string> without;
-  /// Rules whose breaking is known and is passed over, for hunts by hand.
+  /// Rules whose violations are ignored: by negative controls, and in searches for further faults behind a known one.
   std::set<std::string> known;
 
+  /// The setup as the first line of a file of runs.
   std::string text() const;
   static Result<Setup> parse(const std::string& line);
   Result<Defences> defences() const;
   int machines() const { return voters + spares; }
-  /// Sets the settings that are one for a whole process; call it before the first model of this setup is made.
+  /// Sets the time limits that are shared by the whole process. Must be called before a model with this setup is
+  /// created.
   void applyTiming() const;
 };
 
-/// A run that can be played again: what it starts from and what happens.
+/// A run that can be replayed: its initial state and its events.
 struct Run {
   Setup setup;
   std::vector<Choice> choices;
--- a/src/model/state_dump.cpp
+++ b/src/model/state_dump.cpp
@@ -4,11 +4,14 @@
 
 namespace tt {
 namespace {
-/// At least as long as the silences that the membership and the sending of entries look at.
+/// Ages from which on a higher age makes no difference: of the last contact with a member, at least as long as the
+/// timeouts of the membership; of the last contact with the leader, as in ModelWorld::mayJoin(); and of the last append
+/// request to a follower, the interval of its repetition.
 constexpr Duration longestSilence = 10s;
 constexpr Duration leaderSilence = 3s;
 constexpr Duration sendAgain = 150ms;
 
+/// A row of a set: a member's id and numbers.
 std::string rowOf(const std::string& id, std::initializer_list<std::uint64_t> numbers) {
   StateBytes row;
   row.word(id);
--- a/src/model/state_dump.hpp
+++ b/src/model/state_dump.hpp
@@ -3,31 +3,33 @@
 
 namespace tt {
 
-/// A state as bytes, with what stands in it in no order of its own as parts beside them.
+/// A serialized state. Unordered parts of it are stored separately, so that they can be compared without their order.
 struct StateBytes {
   std::string text;
-  /// Rows that belong together and whose order does not matter.
+  /// Sets of rows; the order of the rows in a set does not matter.
   std::vector<std::vector<std::string>> groups;
 
+  /// Appends a number, a text, or an entry of the log.
   void number(std::uint64_t value);
   void word(const std::string& value);
   void entry(const LogEntry& entry);
 };
 
-/// Reads all that a replica's log and election hold, private or not, so that two states can be told apart.
+/// Reads the complete state of a replica's log and election, including private members, so that the model checker can
+/// tell whether two states are equal.
 class StateDump {
  public:
-  /// All that does not depend on the time.
+  /// The state except for times.
   static StateBytes bytes(const ReplicatedLog& log);
-  /// A moment that matters later, and how long after it nothing changes any more for being later still. Marks of
-  /// another member bear its id and come in no order of their own.
+  /// A time point in the state, and the age from which on a higher age makes no difference. `member`: the id of the
+  /// member that it concerns; time points of members are unordered.
   struct Mark {
     TimePoint at;
     Duration matters;
     std::string member;
   };
   static std::vector<Mark> marks(const ReplicatedLog& log);
-  /// What a replica's log rests on.
+  /// The last snapshot.
   static const Snapshot& base(const ReplicatedLog& log) { return log.lastSnapshot; }
 };
 
--- a/src/model/walks.cpp
+++ b/src/model/walks.cpp
@@ -7,7 +7,8 @@
 namespace tt::model {
 namespace {
 
-/// Draws the events of one walk. How much of each trouble it holds is drawn once, so that walks differ in kind.
+/// Chooses the events of one random walk. The probability of each kind of fault is chosen once per walk, so that walks
+/// differ in their kinds of faults.
 class Walker {
  public:
   Walker(ModelWorld& modelWorld, std::uint64_t seed) : world(modelWorld), random(seed) {
@@ -20,7 +21,8 @@
     losesDisks = below(2) == 0;
   }
 
-  /// Lets events happen until there were enough or a rule is broken.
+  /// Executes events until there were enough of them or a rule is violated. At the end of some walks, many machines
+  /// fail at once; then liveness is checked.
   std::vector<Choice> walk(int events) {
     if (below(5) > 0) happen(Choice{ChoiceKind::run, 0, 0, 0, 2500, luck()});
     while (static_cast<int>(choices.size()) < events && !world.broken()) step();
@@ -33,7 +35,10 @@
   ModelWorld& world;
   std::mt19937_64 random;
   std::vector<Choice> choices;
+  /// Percentages of messages that are dropped and duplicated; and of events that are faults and disk syncs. `hurry`: 0
+  /// allows long runs without faults, 2 makes long waits rare.
   int loss{0}, repeats{0}, trouble{0}, hurry{0}, diskWeight{10}, nextChange{0};
+  /// Whether machines are shut down cleanly, and whether disks are lost.
   bool leaves{false}, losesDisks{false};
 
   std::uint64_t below(std::uint64_t limit) { return random() % limit; }
@@ -47,6 +52,7 @@
     happen(Choice{kind, replica, other, 0, number, luck()});
   }
 
+  /// Chooses an event; the numbers are percentages.
   void step() {
     int draw = static_cast<int>(below(100));
     if (draw < 46) return moveMessage();
@@ -65,6 +71,7 @@
     mendSome();
   }
 
+  /// Delivers, drops or duplicates a message, more often one of the oldest three.
   void moveMessage() {
     const auto& packets = world.network();
     if (packets.empty()) return waitSome();
@@ -91,6 +98,7 @@
     happen(ChoiceKind::wait, 0, slow ? longWaits[below(7)] : shortWaits[below(7)]);
   }
 
+  /// Sends the next change or repeats an earlier one, mostly to the leader.
   void sendChange() {
     int change = nextChange;
     if (nextChange > 0 && below(3) > 0)
@@ -101,6 +109,8 @@
     happen(ChoiceKind::change, leading && below(5) > 0 ? *leading : anyMachine(), change);
   }
 
+  /// Injects a fault: a crash, an immediate restart, a power failure, a crash of several machines, a frozen process, a
+  /// clean shutdown or a lost disk.
   void troubleSome() {
     int victim = anyMachine();
     auto leading = world.leader();
@@ -135,6 +145,8 @@
     }
   }
 
+  /// Starts or wakes a machine, sends a join request, or lets the fleet recover until a replaced disk no longer counts
+  /// as lost.
   void mendSome() {
     int number = anyMachine();
     const auto& machine = world.machine(number);
@@ -146,6 +158,7 @@
              static_cast<int>(toMilliseconds(world.setup().catchUp)) + 20 * static_cast<int>(below(40)));
   }
 
+  /// Crashes each initial voter or replaces its disk.
   void closingFault() {
     for (int number = 0; number < world.setup().voters; ++number)
       if (losesDisks && below(2) == 0)
@@ -191,7 +204,7 @@
   world.tell = tell;
   for (const auto& choice : run.choices) {
     bool happened = world.apply(choice);
-    if (tell) tell(choice.text() + (happened ? "" : "  (cannot happen here)"));
+    if (tell) tell(choice.text() + (happened ? "" : "  (not possible in this state)"));
     if (world.broken()) break;
   }
   if (tell) tell(world.describe());
@@ -199,7 +212,8 @@
 }
 
 namespace {
-/// Makes neighbouring waits one where the run still breaks its rule.
+/// Joins adjacent waits of the same kind where the run still violates the rule. `breaks` returns the number of events
+/// up to the violation.
 bool joinWaits(std::vector<Choice>& choices,
                const std::function<std::optional<std::size_t>(const std::vector<Choice>&)>& breaks) {
   bool joined = false;
@@ -233,6 +247,7 @@
     }
     return std::nullopt;
   };
+  /// Delta debugging: tries to remove pieces of the run, from half of it down to single events.
   Run shorter = run;
   auto end = breaks(shorter.choices);
   if (!end) return run;
--- a/src/sim/history_lines.cpp
+++ b/src/sim/history_lines.cpp
@@ -2,9 +2,13 @@
 
 namespace tt {
 namespace {
+/// Names in history files, by the number of the OperationKind or OperationOutcome.
 constexpr const char* kindNames[] = {"change", "nameWeights", "read", "readWeights"};
 constexpr const char* outcomeNames[] = {"unclear", "taken", "refusedStale", "refusedInvalid", "seen"};
+/// JSON numbers are doubles, which represent integers exactly up to 2^53.
 constexpr std::int64_t mostRevision = std::int64_t(1) << 53;
+/// Any number of this many digits fits into 64 bits.
+constexpr std::size_t maxTimeDigits = 18;
 
 template <typename Kind, std::size_t count>
 std::optional<Kind> namedIn(const char* const (&names)[count], const std::string& name) {
@@ -25,9 +29,9 @@
 
 Result<std::vector<ItemChange>> itemsOf(const Json& list) {
   std::vector<ItemChange> items;
-  if (!list.is<JsonArray>()) return makeError(Code::badField, "items", "must be a list");
+  if (!list.is<JsonArray>()) return makeError(Code::badField, "items", "must be an array");
   for (const auto& row : list.get<JsonArray>()) {
-    if (!row.is<JsonObject>()) return makeError(Code::badField, "items", "must hold objects");
+    if (!row.is<JsonObject>()) return makeError(Code::badField, "items", "must contain only objects");
     const auto& fields = row.get<JsonObject>();
     auto name = stringField(fields, "name", "items");
     if (!name) return name.error();
@@ -46,8 +50,8 @@
   auto text = stringField(fields, name);
   if (!text) return text.error();
   if (text.value().empty() || text.value().find_first_not_of("0123456789") != std::string::npos ||
-      text.value().size() > 18)
-    return makeError(Code::badField, name, "must be nanoseconds in digits");
+      text.value().size() > maxTimeDigits)
+    return makeError(Code::badField, name, "must be a string of at most 18 digits (nanoseconds)");
   return static_cast<std::int64_t>(std::stoll(text.value()));
 }
 
@@ -73,8 +77,8 @@
   if (!client) return client.error();
   auto knownKind = namedIn<OperationKind>(kindNames, kind.value());
   auto knownOutcome = namedIn<OperationOutcome>(outcomeNames, outcome.value());
-  if (!knownKind) return makeError(Code::badField, "kind");
-  if (!knownOutcome) return makeError(Code::badField, "outcome");
+  if (!knownKind) return makeError(Code::badField, "kind", "is not a known kind of operation");
+  if (!knownOutcome) return makeError(Code::badField, "outcome", "is not a known outcome");
   operation.kind = *knownKind;
   operation.outcome = *knownOutcome;
   operation.client = client.value();
@@ -163,7 +167,7 @@
   for (std::size_t at = 0; at < lines.size(); ++at) {
     std::string place = "line " + std::to_string(at + 1);
     auto read = parseJson(lines[at]);
-    if (!read || !read.value().is<JsonObject>()) return makeError(Code::badJson, place, "is no JSON object");
+    if (!read || !read.value().is<JsonObject>()) return makeError(Code::badJson, place, "is not a JSON object");
     const auto& fields = read.value().get<JsonObject>();
     if (stringOr(read.value(), "kind") == "initial") {
       if (auto done = readInitial(history, fields); !done)
--- a/src/sim/history_lines.hpp
+++ b/src/sim/history_lines.hpp
@@ -3,11 +3,11 @@
 
 namespace tt {
 
-/// One operation as a line of JSON.
+/// Serializes an operation as one line of JSON.
 std::string writeOperation(const Operation& operation);
-/// What the register held before the first operation, as a line of JSON.
+/// Serializes the state of the register before the first operation as one line of JSON.
 std::string writeInitial(std::uint64_t revision, const RegisterItems& items);
-/// Reads a file's lines; a fault names the line that is malformed.
+/// Parses the lines of a history file. An error names the malformed line.
 Result<History> readHistory(const std::vector<std::string>& lines);
 
 }  // namespace tt
--- a/src/sim/linearizability.cpp
+++ b/src/sim/linearizability.cpp
@@ -8,9 +8,13 @@
 namespace tt {
 namespace {
 constexpr std::int64_t never = std::numeric_limits<std::int64_t>::max();
+/// Limits of the operations that an explanation lists: in all, and of the culprit with the end of the longest order.
 constexpr std::size_t mostLinesShown = 12;
+constexpr std::size_t maxOrderLines = 4;
+/// The value number of an item that does not exist.
 constexpr std::uint32_t noValue = 0;
 
+/// The hash function of SplitMix64.
 std::uint64_t mixed(std::uint64_t value) {
   value += 0x9e3779b97f4a7c15;
   value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9;
@@ -22,6 +26,7 @@
   return mixed(rendezvousHash(name, value));
 }
 
+/// The value of an item after a change; `before` is empty if the item did not exist.
 std::optional<std::string> itemAfter(const std::optional<std::string>& before, const ItemChange& change, bool whole) {
   if (!change.value || whole || !before) return change.value;
   auto target = parseJson(*before), patch = parseJson(*change.value);
@@ -30,27 +35,32 @@
   return target.value().serialize();
 }
 
-/// What changes the register, or asks whether it answered rightly. All attempts of one change are one step: the first
-/// that took effect is the change, and the others show only that it had taken effect by then, or that it never does.
+/// An element of the order to be found: a change of the register, a read or a refusal. All attempts of a change are one
+/// step, because only the first attempt that takes effect changes the register; the others show only that it had taken
+/// effect by their end.
 struct Step {
+  /// `changes`: changes the register. `optional`: it is not known whether it took effect.
   bool changes{false}, optional{false};
   std::int64_t began{0}, ended{never};
+  /// Index of the operation that represents the step in explanations.
   std::size_t operation{0};
   std::optional<std::uint64_t> base;
+  /// The requested revision and the revision in the response; 0 if there is none.
   std::uint64_t asked{0}, seen{0};
   std::optional<std::uint64_t> digest;
   bool refusal{false};
-  /// The place that a read went through, as a number.
+  /// Number of the core that a read was sent to.
   std::size_t place{0};
   bool reads() const { return !changes && !refusal; }
 };
 
+/// A state of the register: `values` holds the value number of each item, by the item's column.
 struct State {
   std::uint64_t revision{0}, digest{0};
   std::vector<std::uint32_t> values;
 };
 
-/// The items of all versions as numbers, so that states are small and content is merged once for each pair.
+/// Numbers the items and their values, so that states are small and each pair of a value and a patch is merged once.
 class ItemTable {
  public:
   explicit ItemTable(const RegisterItems& initial) {
@@ -113,6 +123,8 @@
   }
 };
 
+/// `deepest`: number of required steps in the longest order found; `order` and `deepestRevision`: its changes, as
+/// indexes of operations, and the revision that it ends at.
 struct SearchResult {
   bool found{false}, ranOut{false};
   std::size_t steps{0}, deepest{0};
@@ -120,9 +132,10 @@
   std::uint64_t deepestRevision{0};
 };
 
-/// Wing and Gong's search with Lowe's memory of what was tried: operations are put in order one by one, each only when
-/// no other that has to come has ended before it began. Those that leave the register as it is go first whenever they
-/// can, which loses no order; only changes branch, and revisions leave few of them to choose from.
+/// The linearizability search of Wing and Gong with Lowe's cache of visited configurations. The search appends steps to
+/// the order one by one. A step may be next if no other required step that is not yet in the order ended before it
+/// began. Steps that do not change the register are appended as soon as they are valid; no order is missed by this.
+/// Only changes branch, and their revisions leave few candidates.
 class Search {
  public:
   Search(const std::vector<Operation>& allOperations, std::vector<Step> allSteps, ItemTable& itemTable,
@@ -148,6 +161,7 @@
   }
 
  private:
+  /// The keys are hashes already.
   struct KeyHash {
     std::size_t operator()(const std::pair<std::uint64_t, std::uint64_t>& key) const { return key.first ^ key.second; }
   };
@@ -156,14 +170,20 @@
   ItemTable& items;
   bool weights, readsInOrder;
   std::size_t mostSteps;
+  /// Whether each step is in the order.
   std::vector<bool> closed;
+  /// Indexes of the required and of the optional steps, by the time at which they began; and the changes in the order.
   std::vector<std::size_t> musts, optionals, order;
+  /// A 128-bit random key for each step; the XOR of the keys of the steps in the order identifies their set.
   std::vector<std::pair<std::uint64_t, std::uint64_t>> keys;
   std::pair<std::uint64_t, std::uint64_t> closedKey{0, 0};
+  /// The visited configurations: hashes of the set of steps in the order and the state that they lead to.
   std::unordered_set<std::pair<std::uint64_t, std::uint64_t>, KeyHash> tried;
+  /// Number of required steps that are not yet in the order.
   std::size_t open{0};
   SearchResult result;
 
+  /// Adds a step to the order or takes it out again.
   void toggle(std::size_t at) {
     closed[at] = !closed[at];
     if (!steps[at].optional) open += closed[at] ? std::size_t(-1) : 1;
@@ -171,7 +191,8 @@
     closedKey.second ^= keys[at].second;
   }
 
-  /// When the first of those ends that have to come, or only of the changes among them.
+  /// The earliest end of the required steps (or only of the changes among them) that are not yet in the order. `from`
+  /// is the first index in `musts` that may still be open.
   std::int64_t firstEnd(std::size_t from, bool onlyChanges) const {
     std::int64_t end = never;
     for (std::size_t row = from; row < musts.size() && steps[musts[row]].began <= end; ++row)
@@ -185,6 +206,7 @@
     return step.asked ? step.asked : state.revision + 1;
   }
 
+  /// Whether a change can be applied to a state.
   bool fits(const Step& step, const State& state) const {
     if (weights) return true;
     if (step.base && *step.base != state.revision) return false;
@@ -192,6 +214,7 @@
     return !step.seen || step.seen == revisionAfter(step, state);
   }
 
+  /// Whether a step is valid in a state and leaves it unchanged.
   bool leavesAlone(const Step& step, const State& state) const {
     if (step.changes) return weights && step.asked <= state.revision;
     if (step.refusal && weights) return step.asked < state.revision;
@@ -200,6 +223,8 @@
     return step.seen == state.revision && (!step.digest || *step.digest == state.digest);
   }
 
+  /// Appends all steps that may be next, are valid and leave the state unchanged; repeats this, as each may allow
+  /// others.
   void closeAllThatLeaveAlone(const State& state, std::size_t& from, std::vector<std::size_t>& closedHere) {
     for (bool again = true; again;) {
       again = false;
@@ -224,6 +249,7 @@
     }
   }
 
+  /// The changes that may be next: the required ones by their end (weights: by their number), then the optional ones.
   std::vector<std::size_t> candidates(const State& state, std::size_t from) const {
     std::int64_t end = firstEnd(from, false);
     std::vector<std::size_t> rows;
@@ -249,6 +275,7 @@
     for (std::size_t at : order) result.order.push_back(steps[at].operation);
   }
 
+  /// Extends the order from a state; returns whether all required steps could be appended.
   bool explore(const State& state, std::size_t from) {
     if (++result.steps > mostSteps) {
       result.ranOut = true;
@@ -278,7 +305,8 @@
   }
 };
 
-/// One register's operations, made into steps; what is wrong by itself needs no search.
+/// Checks the operations of one register. Contradictions that show without a search are reported first; then the
+/// operations are turned into steps and an order of them is searched.
 class RegisterCheck {
  public:
   RegisterCheck(std::vector<Operation> registerOperations, const History& history, bool weightsOnly)
@@ -304,7 +332,7 @@
     if (result.found) return verdict;
     if (result.ranOut) {
       verdict.undecided = true;
-      verdict.trouble = "the search ended after " + std::to_string(result.steps) + " steps without an answer";
+      verdict.trouble = "the search for an order reached its limit after " + std::to_string(result.steps) + " steps";
       return verdict;
     }
     verdict.linearizable = false;
@@ -320,6 +348,7 @@
   State initial;
   std::vector<Step> steps;
 
+  /// A reason, followed by the given operations in order of time.
   std::string lines(const std::string& reason, std::vector<std::size_t> rows) const {
     std::sort(rows.begin(), rows.end());
     rows.erase(std::unique(rows.begin(), rows.end()), rows.end());
@@ -328,7 +357,7 @@
     });
     std::string text = reason;
     std::size_t left = rows.size() > mostLinesShown ? rows.size() - mostLinesShown : 0;
-    if (left) text += "\n  (" + std::to_string(left) + " earlier ones left out)";
+    if (left) text += "\n  (" + std::to_string(left) + " earlier operations omitted)";
     for (std::size_t at = left; at < rows.size(); ++at) text += "\n  " + describeOperation(operations[rows[at]]);
     return text;
   }
@@ -340,6 +369,7 @@
     return attempts;
   }
 
+  /// Contradictions between responses about weights; empty if there are none.
   std::string wrongWeights() const {
     std::map<std::uint64_t, std::size_t> taken, refused;
     for (std::size_t at = 0; at < operations.size(); ++at) {
@@ -355,6 +385,7 @@
     return {};
   }
 
+  /// Contradictions between responses to changes; empty if there are none.
   std::string wrongByItself() const {
     std::map<std::uint64_t, std::size_t> acknowledged;
     for (const auto& [changeId, attempts] : attemptsByChange()) {
@@ -370,9 +401,9 @@
         if (!operation.valid.value_or(true)) return lines("an invalid change was acknowledged", {at});
         std::uint64_t revision = operation.seenRevision;
         if (revision && operation.revision && revision != operation.revision)
-          return lines("a change was acknowledged under another revision than it asked for", {at});
+          return lines("a change was acknowledged under another revision than the requested one", {at});
         if (revision && operation.base && revision <= *operation.base)
-          return lines("a change was acknowledged under a revision not above the one that it builds on", {at});
+          return lines("a change was acknowledged under a revision not above its base revision", {at});
         if (taken && revision && operations[*taken].seenRevision && operations[*taken].seenRevision != revision)
           return lines("one change was acknowledged under two revisions", {*taken, at});
         taken = at;
@@ -427,6 +458,8 @@
            operations[at].outcome == OperationOutcome::refusedInvalid;
   }
 
+  /// Adds the steps of one change, which was sent in these attempts: one for each refusal, and the change itself unless
+  /// it was refused or is known to be invalid.
   void addChange(const std::vector<std::size_t>& attempts) {
     bool refused = false;
     Step change;
@@ -460,7 +493,7 @@
     if (!refused && operations[attempts.front()].valid.value_or(true)) steps.push_back(change);
   }
 
-  /// Looks at the history as it stood at a moment: what had not ended then may or may not have taken effect.
+  /// Searches an order of the operations that began by a time. Changes that had not ended by then are optional.
   SearchResult search(std::int64_t until, std::size_t mostSteps) {
     std::vector<Step> known;
     for (auto step : steps) {
@@ -475,6 +508,7 @@
     return Search(operations, std::move(known), items, weights, readsInOrder, mostSteps).run(initial);
   }
 
+  /// Counts the reads that returned an older revision than another read that ended before they began.
   std::size_t countBehind() const {
     std::vector<std::pair<std::int64_t, std::uint64_t>> ended;
     std::vector<const Step*> began;
@@ -495,6 +529,8 @@
     return behind;
   }
 
+  /// Finds by bisection the shortest beginning of the history that has no valid order, and explains the operation at
+  /// its end with the operations around it.
   std::string offendingWindow(std::size_t mostSteps) {
     std::vector<std::int64_t> ends;
     for (const auto& step : steps)
@@ -515,17 +551,18 @@
     for (const auto& step : steps)
       if (step.ended == end && (!culprit || !step.changes)) culprit = step;
     std::vector<std::size_t> rows{culprit->operation};
-    for (std::size_t at = failed.order.size(); at-- > 0 && rows.size() < 4;) rows.push_back(failed.order[at]);
+    for (std::size_t at = failed.order.size(); at-- > 0 && rows.size() < maxOrderLines;)
+      rows.push_back(failed.order[at]);
     for (const auto& step : steps)
       if (step.changes && step.began <= end && step.ended >= culprit->began) rows.push_back(step.operation);
     addOverlooked(*culprit, rows);
-    return lines("no order explains: " + describeOperation(operations[culprit->operation]) + "; " + reasonOf(*culprit) +
-                     "; the longest order that can be made of what came before ends at revision " +
+    return lines("no valid order contains: " + describeOperation(operations[culprit->operation]) + "; " +
+                     reasonOf(*culprit) + "; the longest valid order of the operations before it ends at revision " +
                      std::to_string(failed.deepestRevision),
                  rows);
   }
 
-  /// What was acknowledged or read before an operation began, and is newer than what it was told.
+  /// Adds the operation that ended before the culprit began and showed the newest revision.
   void addOverlooked(const Step& culprit, std::vector<std::size_t>& rows) const {
     const Step* newest = newestBefore(culprit);
     if (newest) rows.push_back(newest->operation);
@@ -539,24 +576,26 @@
     }
     return newest;
   }
+  /// The revision that a step shows to be current at its end.
   std::uint64_t shownBy(const Step& step) const { return step.seen ? step.seen : step.asked; }
 
   std::string reasonOf(const Step& culprit) const {
     const Step* newest = newestBefore(culprit);
     std::uint64_t known = newest ? shownBy(*newest) : 0;
     if (culprit.refusal)
-      return culprit.base && *culprit.base >= known ? "it was refused while the revision that it builds on was current"
-                                                    : "it was refused, and no state in its time allows that";
+      return culprit.base && *culprit.base >= known ? "it was refused as stale while its base revision was current"
+                                                    : "it was refused as stale, but in no possible state was it stale";
     if (culprit.changes) {
-      if (culprit.base && *culprit.base < known) return "it was taken on a revision that was no longer current";
-      return "it was acknowledged, and no state in its time allows that";
+      if (culprit.base && *culprit.base < known) return "it was accepted on a base revision that was no longer current";
+      return "it was acknowledged, but could be applied to no possible state";
     }
     if (culprit.seen < known) return "it is older than revision " + std::to_string(known) + ", known before it began";
-    if (culprit.seen == known) return "its content is not what that revision has";
-    return "nothing known can have made that revision and content by then";
+    if (culprit.seen == known) return "its items differ from those of that revision";
+    return "no known operation can have produced that revision with these items by then";
   }
 };
 
+/// Whether an operation belongs to the register of a model's weights.
 bool isWeights(const Operation& operation) {
   return operation.kind == OperationKind::nameWeights || operation.kind == OperationKind::readWeights;
 }
@@ -594,11 +633,11 @@
   switch (operation.kind) {
     case OperationKind::change:
       text += " change " + operation.changeId;
-      if (operation.base) text += " on " + std::to_string(*operation.base);
-      if (operation.revision) text += " as " + std::to_string(operation.revision);
+      if (operation.base) text += " with base revision " + std::to_string(*operation.base);
+      if (operation.revision) text += " as revision " + std::to_string(operation.revision);
       break;
     case OperationKind::nameWeights:
-      text += " name " + operation.model + " " + std::to_string(operation.revision);
+      text += " announce weights " + operation.model + "/" + std::to_string(operation.revision);
       break;
     case OperationKind::readConfiguration:
       text += " read";
@@ -609,13 +648,14 @@
   }
   switch (operation.outcome) {
     case OperationOutcome::unclear:
-      return text + ": unclear";
+      return text + ": outcome unknown";
     case OperationOutcome::taken:
-      return text + ": taken" + (operation.seenRevision ? " as " + std::to_string(operation.seenRevision) : "");
+      return text + ": acknowledged" +
+             (operation.seenRevision ? " as revision " + std::to_string(operation.seenRevision) : "");
     case OperationOutcome::refusedStale:
-      return text + ": refused, another revision is current";
+      return text + ": refused as stale";
     case OperationOutcome::refusedInvalid:
-      return text + ": refused, not valid";
+      return text + ": refused as invalid";
     case OperationOutcome::seen:
       return text + ": revision " + std::to_string(operation.seenRevision);
   }
--- a/src/sim/linearizability.hpp
+++ b/src/sim/linearizability.hpp
@@ -3,75 +3,84 @@
 
 namespace tt {
 
-/// What an operator's client asked of the register.
+/// The operations that operators' clients invoke on a register. There is one register for the configuration and one for
+/// each model's weights; `nameWeights` announces new weights for a model.
 enum class OperationKind : int { change = 0, nameWeights = 1, readConfiguration = 2, readWeights = 3 };
-/// How it ended for that client. An unclear one may take effect at any time after it began, or never.
+/// The outcome of an operation as its client saw it. `taken`: acknowledged. `seen`: a read that returned. `unclear`: no
+/// definite response; the operation may take effect at any time after its start, or never.
 enum class OperationOutcome : int { unclear = 0, taken = 1, refusedStale = 2, refusedInvalid = 3, seen = 4 };
 
-/// One item that a change sets or, without a value, removes. Values are JSON texts.
+/// An item that a change sets or, if it has no value, removes. Values are serialized JSON.
 struct ItemChange {
   std::string name;
   std::optional<std::string> value;
 };
-/// The configuration's items as JSON texts by name.
+/// The values of the configuration's items by name, as serialized JSON.
 using RegisterItems = std::map<std::string, std::string>;
 
-/// One attempt of one client: a change sent again is another operation with the same change id. Times are of one clock,
-/// in nanoseconds.
+/// One attempt of one client. A change that is sent again is another operation with the same change id. The times of
+/// all operations are nanoseconds of one clock.
 struct Operation {
+  /// `through`: name or address of the core that the client sent the operation to.
   std::string client, through;
   OperationKind kind{OperationKind::change};
   std::int64_t began{0};
   std::optional<std::int64_t> ended;
-  /// What a change is known by, and the content that belongs to it.
+  /// Identifies a change across its attempts.
   std::string changeId;
+  /// The revision that must be current for the change to be applied; without it, any revision.
   std::optional<std::uint64_t> base;
-  /// The revision that a change or weights are to have; 0 is the one after the current.
+  /// The requested revision of a change, or the number of the announced weights. 0 requests the revision that follows
+  /// the current one.
   std::uint64_t revision{0};
-  /// Whether a change replaces all items; else it merges (RFC 7396) into those that it names.
+  /// Whether a change replaces all items. Otherwise it is merged into the items that it names (JSON merge patch, RFC
+  /// 7396).
   bool whole{false};
   std::vector<ItemChange> items;
-  /// Whether the client knows the change to be valid in every state, or in none.
+  /// Whether the client knows that the change is valid in every state (true) or in none (false).
   std::optional<bool> valid;
-  /// Whose weights are named or read.
+  /// The model whose weights are announced or read.
   std::string model;
   OperationOutcome outcome{OperationOutcome::unclear};
-  /// What was acknowledged or read; 0 of an acknowledgement that names no revision.
+  /// The revision and the digest of the items that the response contained. The revision is 0 if an acknowledgement
+  /// contained none.
   std::uint64_t seenRevision{0};
   std::optional<std::uint64_t> seenDigest;
 };
 
-/// All that the clients of one register did, and what it held before.
+/// The operations of all clients, and the state before the first of them.
 struct History {
   std::uint64_t initialRevision{0};
   RegisterItems initialItems;
   std::vector<Operation> operations;
-  /// Whether reads are held to what other reads and refusals had shown before they began. If not, a read through
-  /// another place may show what was before a change that is not acknowledged yet; what was acknowledged binds every
-  /// read.
+  /// Whether a read must reflect all that other reads and refusals had shown before it began. If not, a read must
+  /// reflect the changes that were acknowledged before it began and what earlier reads through the same core had shown,
+  /// but it may miss a change that is not yet acknowledged although a read through another core has already shown it.
   bool readsInOrder{true};
 };
 
-/// What a check came to. A check that ran out of steps is neither good nor bad.
+/// The result of a check. A check that reaches its step limit is undecided.
 struct HistoryVerdict {
   bool linearizable{true}, undecided{false};
-  /// The operations that cannot be put in any order, one a line, after a line that says why.
+  /// If a check fails: a line with the reason, then the operations for which no valid order exists, one per line.
   std::string trouble;
   std::size_t operations{0}, unclear{0}, steps{0};
-  /// Reads that show less than another had shown before they began.
+  /// Number of reads that returned an older revision than another read had returned before they began.
   std::size_t readsBehind{0};
 };
 
+/// Default limit of the states that the search for an order may visit.
 constexpr std::size_t mostHistorySteps = 400'000;
 
-/// Checks that the operations can be put in one order that keeps real time and that a register with compare-and-set
-/// would have answered so. Configuration and each model's weights are registers of their own.
+/// Checks whether the history is linearizable: whether there is an order of the operations that respects real time and
+/// in which a register with compare-and-set would have given the same responses. The configuration and the weights of
+/// each model are separate registers.
 HistoryVerdict checkHistory(const History& history, std::size_t mostSteps = mostHistorySteps);
-/// The digest that a read of these items reports; the order of items does not matter.
+/// Returns the digest that a read of these items reports. It does not depend on the order of the items.
 std::uint64_t contentDigest(const RegisterItems& items);
-/// What a change makes of the items.
+/// Returns the items after a change.
 RegisterItems itemsAfter(const RegisterItems& before, const Operation& change);
-/// One operation in a line of text.
+/// Describes an operation in one line of text.
 std::string describeOperation(const Operation& operation);
 
 }  // namespace tt
--- a/src/sim/operators.cpp
+++ b/src/sim/operators.cpp
@@ -4,8 +4,11 @@
 
 namespace tt {
 namespace {
+/// The sections that the history check covers.
 constexpr const char* watchedSections[] = {"routes", "keys"};
 
+/// The part of an item that the check compares. Of a key only the tenant is compared: a request contains the secret,
+/// but the configuration stores its hash.
 std::string watchedItem(const std::string& section, const Json& item) {
   if (section != "keys" || !item.is<JsonObject>()) return item.serialize();
   return Json(JsonObject{{"tenant", Json(stringOr(item, "tenant"))}}).serialize();
--- a/src/sim/operators.hpp
+++ b/src/sim/operators.hpp
@@ -6,28 +6,32 @@
 
 class Configuration;
 
-/// What operators' clients are to do together.
+/// The load that a group of operators' clients puts on the fleet.
 struct OperatorPlan {
-  /// How many of them there are, each with one change under way, and how many changes they make in all.
+  /// Number of clients, each of which sends one change at a time, and number of changes that all of them make together.
   int clients{2}, changes{20};
-  /// Of a hundred answers, how many get lost on their way; those changes are sent again through another core.
+  /// Percentage of responses that are lost. A client sends the change again through another core.
   int lostPerCent{10};
-  /// How long one rests between two changes, on average.
+  /// Average pause of a client between two changes.
   Duration pause{200ms};
-  /// Whether all choose the number right after the newest that they know; else some leave gaps.
+  /// Whether each change requests the revision right after the newest one that its client knows. Otherwise some changes
+  /// leave gaps between revisions.
   bool sameNumber{false};
-  /// Whether they also name weights, each higher than the ones before, and send old ones again late.
+  /// Whether the clients also announce weights with rising numbers, and repeat old announcements late.
   bool namesWeights{false};
 };
 
-/// The operations that operators' clients began in a run, and how each ended.
+/// Records the operations of operators' clients during a run and their outcomes.
 class OperatorHistory {
  public:
+  /// Adds an operation without an outcome; returns its index.
   std::size_t begin(Operation operation);
+  /// Adds the response to the operation at an index. Ignores it if it is not definite or not the first definite one.
   void end(std::size_t at, std::int64_t when, const OperatorResponse& response);
-  /// Adds a read that was answered.
+  /// Adds a read that returned a revision and, if known, the digest of the items.
   void addRead(std::int64_t began, std::int64_t ended, const std::string& core, std::uint64_t revision,
                std::optional<std::uint64_t> digest);
+  /// Adds a read that returned the number of a model's weights.
   void addWeightsRead(std::int64_t began, std::int64_t ended, const std::string& core, const std::string& model,
                       std::uint64_t revision);
   const History& recorded() const { return history; }
@@ -36,14 +40,15 @@
   History history;
 };
 
-/// How a core's answer reads to the client that asked.
+/// The outcome that a core's response code means to the client.
 OperationOutcome outcomeOf(Code code);
-/// A request as an operation that has begun: the items that it touches are those of the sections that are watched.
+/// Converts a request into an operation without an outcome. It contains only the items of the sections that the history
+/// check covers: routes and keys.
 Operation operationOf(const OperatorRequest& request);
-/// The watched items of a configuration: routes as they are, and whose each key is.
+/// The items of a configuration that the history check covers: routes in full, and of keys only their tenants.
 RegisterItems watchedItems(const Configuration& configuration);
 RegisterItems watchedItems(const JsonObject& sections);
-/// Cuts the number out of weights that are named MODEL/NUMBER; 0 of others.
+/// Returns the number in a weights name of the form MODEL/NUMBER; 0 for other names.
 std::uint64_t weightsNumber(const std::string& weights);
 
 }  // namespace tt
--- a/src/sim/standin.cpp
+++ b/src/sim/standin.cpp
@@ -4,9 +4,16 @@
 
 namespace tt {
 namespace {
+/// Numbers of cache events and of records that are retained.
 constexpr std::size_t eventsMost = 512;
 constexpr std::size_t recordsMost = 20000;
+/// How long a request waits for blocks from another worker or store before it computes them itself.
 constexpr Duration pullWait = 2s;
+/// Fixed part of the time that a request takes to compute.
+constexpr double baseComputeMs = 5;
+/// Longest client mark that is noted in the journal.
+constexpr std::size_t maxMarkLength = 64;
+
 Duration spanOf(double ms) {
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(ms));
 }
@@ -113,7 +120,7 @@
   effects.note(ask.moves ? "move ran" : "ran", ask.orderId, static_cast<std::int64_t>(ask.hashes.size()));
   if (!ask.moves) {
     std::string mark = ask.parts.empty() ? std::string() : ask.parts.back().substr(0, ask.parts.back().find(' '));
-    if (mark.rfind("mark-", 0) != 0 || mark.size() > 64) mark = "-";
+    if (mark.rfind("mark-", 0) != 0 || mark.size() > maxMarkLength) mark = "-";
     auto worded = [](const std::string& text) { return text.empty() ? std::string("-") : text; };
     effects.note("ran for", ask.orderId + " " + worded(currentWeights) + " " + worded(ask.tenant) + " " + mark);
   }
@@ -162,7 +169,8 @@
     record->computed = static_cast<int>(computed);
   }
   run.phase = Run::Phase::computing;
-  run.due = effects.now + spanOf(given.kind == "app" ? 5 : 5 + static_cast<double>(computed) * given.blockMs);
+  run.due = effects.now +
+            spanOf(given.kind == "app" ? baseComputeMs : baseComputeMs + static_cast<double>(computed) * given.blockMs);
 }
 
 void KeeperNode::onReport(Effects& effects, const std::string& from, const ReportAsk& ask) {
--- a/src/sim/standin.hpp
+++ b/src/sim/standin.hpp
@@ -6,6 +6,10 @@
 
 namespace tt {
 
+/// Settings of a stand-in. `kind`: `language`, `app` or `store`. `slots`: requests that it runs at a time. `blockMs`,
+/// `tokenMs`, `linkMs`, `loadMs`: milliseconds to compute a block, to generate a token, to fetch a block from another
+/// worker or store, and to load weights. `keepMost`: capacity of its block cache. `storeAddress`: the block store that
+/// it writes computed blocks to; empty for none.
 struct KeeperSettings {
   std::string name, address, kind{"language"}, model, weights, storeAddress;
   int slots{8};
@@ -15,26 +19,33 @@
   Defences defences;
 };
 
-/// What a stand-in can be told to do wrong.
+/// Faults that can be injected into a stand-in.
 struct KeeperFaults {
+  /// Reports leave out the cache events of the last so many milliseconds.
   int lagMs{0};
-  /// Per cent of events that leave a gap.
+  /// Percentage of cache events that are missing from reports and leave a gap in the sequence numbers.
   int loseEvents{0};
-  /// Per cent of events that leave no trace at all.
+  /// Percentage of cache events that get no sequence number, so that nothing shows that they are missing.
   int forgetEvents{0};
+  /// Makes no progress with requests.
   bool stalled{false};
+  /// Never finishes loading weights.
   bool loadFails{false};
-  /// Runs orders meant for other weights.
+  /// Runs requests that are meant for other weights.
   bool anyWeights{false};
+  /// Does not respond to report requests.
   bool silentReports{false};
+  /// Milliseconds to fetch a block; 0 uses the setting.
   double linkMs{0};
-  /// How long loading weights takes; 0 leaves it as set.
+  /// Milliseconds to load weights; 0 uses the setting.
   int loadMs{0};
-  /// How long an order waits at the worker before it begins.
+  /// Milliseconds that a request waits at the worker before it starts.
   int queueMs{0};
 };
 
-/// One order as a stand-in ran it, kept so that tests can prove what ran how often.
+/// A record of one request, from which tests tell what was run, and how often. `move`: it is a transfer, which brings
+/// the blocks of a prompt to the worker. `local`, `fetched`, `computed`: numbers of its blocks that were cached,
+/// fetched and computed. `source`: the worker or store to fetch blocks from.
 struct RunRecord {
   std::string orderId, weights, tenant, source;
   bool move{false};
@@ -42,7 +53,9 @@
   std::string outcome{"running"};
 };
 
-/// Stands in for a language worker, the application worker or the store, as docs/backends.md describes them.
+/// A stand-in for a language worker, an application worker or a block store, for the simulator and for tests with real
+/// processes. It serves the protocol of these back ends but computes nothing: work takes the configured time, and each
+/// token is a made-up text.
 class KeeperNode : public Node {
  public:
   KeeperNode(KeeperSettings keeperSettings, std::string incarnationMark);
@@ -55,29 +68,39 @@
   bool draining() const { return drains; }
   std::size_t keptCount() const { return kept.size(); }
   bool keeps(const BlockHash& hash) const { return kept.count(hash) > 0; }
-  /// Forgets every block, with or without saying so.
+  /// Empties the block cache. `saying`: appends a cache event for it.
   void forget(Effects& effects, bool saying);
   void evict(Effects& effects, const Hashes& hashes) { drop(effects, hashes); }
+  /// Number of cached blocks that were used with other weights than those that computed them. Any is an error.
   std::int64_t crossWeights{0};
+  /// Number of cached blocks that one tenant computed and another used, by "OWNER>USER".
   std::map<std::string, std::int64_t> crossTenants;
-  /// Blocks pulled that were beyond the prompt that a move named.
+  /// Number of blocks fetched from other workers and stores.
   std::int64_t pulledBlocks{0};
 
  private:
+  /// A cached block. `origin`: the weights and tenant that it was computed for, as WEIGHTS/TENANT. `place`: its place
+  /// in the list of blocks by last use.
   struct Kept {
     std::string origin;
     std::list<BlockHash>::iterator place;
   };
+  /// A request in progress.
   struct Run {
     WorkerOrder ask;
     std::string from;
+    /// Number of its RunRecord, counted from the start of the process.
     std::size_t record;
+    /// `queued`: waits to start. `pulling`: has requested blocks. `waiting`: blocks are on their way. `computing`:
+    /// computes the remaining blocks of the prompt. `talking`: sends tokens.
     enum class Phase { queued, pulling, waiting, computing, talking } phase{Phase::computing};
+    /// When the phase ends, or when the next token is sent.
     TimePoint due{};
     Hashes pulled;
     Strings origins;
+    /// Number of tokens sent.
     int said{0};
-    /// Whether the worker has begun to compute.
+    /// Whether the start of the computation was noted in the journal.
     bool began{false};
   };
   KeeperSettings given;
@@ -85,32 +108,42 @@
   bool drains{false};
   TimePoint loadDue{};
   std::unordered_map<BlockHash, Kept, BlockHashHasher> kept;
+  /// The cached blocks, least recently used first.
   std::list<BlockHash> byUse;
+  /// A cache event for reports; a lost one is left out of them.
   struct Told {
     CacheEvent event;
     TimePoint at;
     bool lost{false};
   };
+  /// The newest cache events.
   std::deque<Told> events;
+  /// `highestTerm`: the highest term of a command. `recordBase`: number of the oldest record that is retained.
   std::uint64_t sequence{0}, highestTerm{0}, recordBase{0};
   std::map<std::string, Run> running;
   std::deque<RunRecord> records;
   std::string lastHolder;
 
+  /// Appends a cache event for the next report, unless an injected fault suppresses it.
   void tell(Effects& effects, CacheEventKind kind, const Hashes& hashes);
+  /// Caches blocks and evicts the least recently used ones beyond the capacity.
   void keep(Effects& effects, const Hashes& hashes, const Strings& origins);
+  /// Removes blocks from the cache.
   void drop(Effects& effects, const Hashes& hashes);
-  /// Fetches what a move brings, or begins at once.
+  /// Requests the missing blocks if the request names a source for them; otherwise starts the computation.
   void leaveQueue(Effects& effects, Run& run);
+  /// Starts to compute the blocks that are not cached. Counts cached blocks of other weights and tenants.
   void begin(Effects& effects, Run& run);
+  /// Ends a request and sends the outcome. `word`: the outcome in its record.
   void end(Effects& effects, const std::string& orderId, OrderOutcome outcome, Code code, const char* word);
   void onOrder(Effects& effects, const std::string& from, const WorkerOrder& ask);
   void onReport(Effects& effects, const std::string& from, const ReportAsk& ask);
   void onControl(Effects& effects, const std::string& from, const ControlAsk& ask);
+  /// The record of a request; null if it is no longer retained.
   RunRecord* recordOf(const Run& run);
 };
 
-/// Stands in for the platform: lists machines and marks those that leave.
+/// A stand-in for the platform's API: lists the machines, and which of them the platform will take away.
 class PlatformNode : public Node {
  public:
   void handle(Effects& effects, const std::string& from, const Message& message) override;
--- a/src/sim/version_check.hpp
+++ b/src/sim/version_check.hpp
@@ -7,26 +7,30 @@
 
 namespace tt {
 
-/// Which versions of each model's weights were named and when that was acknowledged, to tell whether work that begins
-/// now may still run under a given version.
+/// Records which weights were announced for each model and when that was acknowledged, to tell how long a request may
+/// still start with given weights.
 ///
-/// The clock of a version starts when the first naming newer than it is acknowledged; later namings leave that clock
-/// as it is. Naming a version again makes it the newest. A version that was never named is older than every other.
+/// Weights are superseded as soon as the first newer announcement is acknowledged; later announcements do not change
+/// that time. Weights that are announced again become the newest. Weights that were never announced are older than all
+/// others.
 class VersionCheck {
  public:
-  /// Notes that the log entry at this index names these weights for the model. Entries may be noted in any order.
+  /// Records that the log entry at this index announces these weights for the model. Entries may come in any order.
   void agreed(const std::string& model, std::uint64_t index, const std::string& weights);
-  /// Notes that the entry at this index was acknowledged to an operator; only the first acknowledgement counts.
+  /// Records that the entry at this index was acknowledged to an operator. Only the first acknowledgement counts.
   void acknowledged(std::uint64_t index, TimePoint at);
-  /// When the first naming newer than these weights was acknowledged; nothing if none was.
+  /// When the first announcement newer than these weights was acknowledged; nothing if none was.
   std::optional<TimePoint> supersededAt(const std::string& model, const std::string& weights) const;
-  /// Whether the naming at this index is the model's newest: no other weights were named after it and acknowledged.
+  /// Whether the announcement at this index is the model's newest, that is, no later announcement of other weights was
+  /// acknowledged.
   bool isNewest(const std::string& model, std::uint64_t index) const;
-  /// How long ago, as of `now`, these weights were superseded by an acknowledged naming; nothing if they were not.
+  /// For how long, as of `now`, these weights have been superseded; nothing if they are not.
   std::optional<Duration> supersededFor(const std::string& model, const std::string& weights, TimePoint now) const;
 
  private:
+  /// The announced weights of each model by log index.
   std::map<std::string, std::map<std::uint64_t, std::string>> namingsByModel;
+  /// The time of the first acknowledgement by log index.
   std::map<std::uint64_t, TimePoint> acknowledgedAt;
 };
 
--- a/tests/history_lines.cpp
+++ b/tests/history_lines.cpp
@@ -64,7 +64,7 @@
     auto bent = lines;
     bent[2] = bad;
     auto history = readHistory(bent);
-    cr_assert_not(history, "%s was taken", bad);
+    cr_assert_not(history, "the malformed line was accepted: %s", bad);
     cr_expect_neq(history.error().subject.find("line 3"), std::string::npos, "%s: %s", bad,
                   history.error().subject.c_str());
   }
--- a/tests/linearizability.cpp
+++ b/tests/linearizability.cpp
@@ -75,12 +75,13 @@
 }
 void expectBad(const std::vector<Operation>& operations, const std::string& reason) {
   auto verdict = checkHistory(historyOf(operations));
-  cr_expect_not(verdict.linearizable, "taken for good, should be: %s", reason.c_str());
-  cr_expect_neq(verdict.trouble.find(reason), std::string::npos, "wanted '%s' in: %s", reason.c_str(),
+  cr_expect_not(verdict.linearizable, "reported as linearizable; expected: %s", reason.c_str());
+  cr_expect_neq(verdict.trouble.find(reason), std::string::npos, "expected '%s' in: %s", reason.c_str(),
                 verdict.trouble.c_str());
 }
 
-/// The register taken word for word: every attempt by itself, in every order, nothing remembered.
+/// A reference checker. It implements the register literally: each attempt is an operation of its own, and all orders
+/// are tried without a cache of visited states.
 class BruteForce {
  public:
   explicit BruteForce(const History& given) : history(given), done(given.operations.size(), false) {}
@@ -192,7 +193,7 @@
   }
 };
 
-/// A small history of a register that mostly keeps its word, and now and then doesn't.
+/// Generates small histories of a register whose responses are mostly right and sometimes wrong.
 class SmallHistory {
  public:
   explicit SmallHistory(std::uint64_t seed) : random(seed) {}
@@ -299,9 +300,9 @@
 
 Test(linearizability, a_lost_update_is_found) {
   expectBad({taken(change("a", 0, 10, 0, 2)), taken(change("b", 11, 20, 2, 4)), taken(change("c", 21, 30, 2, 5))},
-            "taken on a revision that was no longer current");
+            "accepted on a base revision that was no longer current");
   expectBad({taken(change("a", 0, 10, 0, 2)), taken(change("b", 11, 20, 2, 4)), reads(21, 22, 4, {"b"})},
-            "its content is not what that revision has");
+            "its items differ from those of that revision");
 }
 
 Test(linearizability, a_stale_read_is_found) {
@@ -338,9 +339,9 @@
 
 Test(linearizability, a_refused_change_in_force_is_found) {
   expectBad({taken(change("a", 0, 10, 0, 2)), refused(change("b", 11, 20, 0, 3)), reads(21, 22, 3, {"a", "b"})},
-            "nothing known can have made that revision and content");
+            "no known operation can have produced that revision with these items");
   expectBad({refused(change("b", 0, 5, 0, 3)), taken(change("a", 10, 20, 0, 2))},
-            "refused while the revision that it builds on was current");
+            "refused as stale while its base revision was current");
   expectBad({taken(change("a", 0, 10, 0, 2)), refused(change("b", 1, 20, 0, 3)), taken(change("b", 1, 30, 0, 3))},
             "both acknowledged and refused");
 }
@@ -354,7 +355,7 @@
 
 Test(linearizability, a_resend_known_only_by_a_read_may_not_be_refused) {
   expectBad({unclear(change("a", 0, 0, 0, 2)), reads(5, 6, 2, {"a"}), refused(change("a", 7, 8, 0, 2))},
-            "nothing known can have made that revision and content");
+            "no known operation can have produced that revision with these items");
 }
 
 Test(linearizability, weights_only_rise) {
@@ -374,7 +375,7 @@
   expectGood({first, late, taken(change("c", 50, 60, 4, 7)), reads(100, 101, 7, {"a", "b", "c"})});
   expectGood({first, late, taken(change("c", 50, 60, 2, 7)), reads(100, 101, 7, {"a", "c"})});
   expectBad({first, late, taken(change("c", 50, 60, 2, 7)), reads(100, 101, 7, {"a", "b", "c"})},
-            "its content is not what that revision has");
+            "its items differ from those of that revision");
 }
 
 Test(linearizability, a_valid_change_refused_as_invalid_is_found) {
@@ -443,8 +444,9 @@
     std::string text;
     for (const auto& operation : history.operations) text += "\n  " + describeOperation(operation);
     cr_assert(!verdict.undecided && verdict.linearizable == wanted,
-              "seed %llu: every order says %d, the checker %d %s%s", static_cast<unsigned long long>(seed), wanted,
-              verdict.linearizable, verdict.trouble.c_str(), text.c_str());
+              "seed %llu: linearizable is %d by trying all orders, but %d by the checker: %s%s",
+              static_cast<unsigned long long>(seed), wanted, verdict.linearizable, verdict.trouble.c_str(),
+              text.c_str());
     (wanted ? good : bad) += 1;
   }
   cr_expect_gt(good, 2000u);
--- a/tests/model.cpp
+++ b/tests/model.cpp
@@ -6,7 +6,8 @@
 using namespace tt::model;
 
 namespace {
-/// Tests share one process-wide timing with others in theirs; each test of Criterion has a process of its own.
+/// A setup with a disabled defence; rules that are not under test are ignored. Setups change time limits of the whole
+/// process, which is safe here because Criterion runs each test in a process of its own.
 Setup faulty(const std::string& defence) {
   Setup setup;
   setup.without.insert(defence);
--- a/tests/version_check.cpp
+++ b/tests/version_check.cpp
@@ -8,7 +8,7 @@
 constexpr const char* model = "rooster-llm";
 TimePoint at(int seconds) { return TimePoint(std::chrono::hours(1) + std::chrono::seconds(seconds)); }
 
-/// w1, w2 and w3 named at entries 1 to 3.
+/// The entries 1 to 3 announce w1, w2 and w3.
 VersionCheck threeVersions() {
   VersionCheck check;
   check.agreed(model, 1, "w1");
@@ -23,7 +23,7 @@
   check.acknowledged(1, at(0));
   check.acknowledged(2, at(10));
   check.acknowledged(3, at(14));
-  cr_assert(check.supersededAt(model, "w1") == at(10), "a later naming set the clock anew");
+  cr_assert(check.supersededAt(model, "w1") == at(10), "a later announcement changed the time");
   cr_assert(check.supersededAt(model, "w2") == at(14));
   cr_assert(!check.supersededAt(model, "w3"));
   cr_assert(check.supersededFor(model, "w1", at(31)) == Duration(21s));
@@ -54,7 +54,7 @@
   check.acknowledged(2, at(2));
   cr_assert(!check.supersededAt(model, "w2"), "w3 was never acknowledged");
   check.agreed(model, 4, "w1");
-  cr_assert(!check.supersededAt(model, "w1"), "w1 was named again, though nobody was told so");
+  cr_assert(!check.supersededAt(model, "w1"), "w1 was announced again, though this was not acknowledged");
 }
 
 Test(version_check, acknowledgements_may_come_out_of_order_and_more_than_once) {
@@ -89,10 +89,10 @@
   cr_assert(!check.isNewest(model, 2));
   check.agreed(model, 4, "w2");
   check.acknowledged(4, at(4));
-  cr_assert(!check.isNewest(model, 2), "the same weights were named again, with others between");
+  cr_assert(!check.isNewest(model, 2), "w2 was announced again at index 4, after w3");
   cr_assert(check.isNewest(model, 4));
   check.agreed(model, 5, "w2");
   check.acknowledged(5, at(5));
-  cr_assert(check.isNewest(model, 4), "no other weights were named after it");
+  cr_assert(check.isNewest(model, 4), "no other weights were announced after index 4");
   cr_assert(!check.isNewest(model, 9));
 }
