--- a/src/model/history.cpp
+++ b/src/model/history.cpp
@@ -109,9 +109,10 @@
   if (row.acked && row.revision != answer.revision)
     breakRule("change-twice", idOf(change) + " is acknowledged as revision " + std::to_string(row.revision) +
                                   " and as " + std::to_string(answer.revision));
-  bool known = false;
-  for (const auto& agreedRow : rows) known = known || agreedRow.changeId == idOf(change);
-  if (!known) breakRule("acknowledged-not-agreed", idOf(change) + " is acknowledged, but no replica has committed it");
+  bool isCommitted = false;
+  for (const auto& agreedRow : rows) isCommitted = isCommitted || agreedRow.changeId == idOf(change);
+  if (!isCommitted)
+    breakRule("acknowledged-not-agreed", idOf(change) + " is acknowledged, but no replica has committed it");
   for (std::size_t other = 0; other < changeRows.size(); ++other)
     if (static_cast<int>(other) != change && changeRows[other].acked && changeRows[other].revision == answer.revision)
       breakRule("one-number-twice", idOf(change) + " and " + idOf(static_cast<int>(other)) +
--- a/src/model/walks.cpp
+++ b/src/model/walks.cpp
@@ -23,7 +23,7 @@
 
   /// Executes events until there were enough of them or a rule is violated. At the end of some walks, many machines
   /// fail at once; then liveness is checked.
-  std::vector<Choice> walk(int events) {
+  std::vector<Choice> run(int events) {
     if (below(5) > 0) happen(Choice{ChoiceKind::run, 0, 0, 0, 2500, luck()});
     while (static_cast<int>(choices.size()) < events && !world.broken()) step();
     if (!world.broken() && below(3) == 0) closingFault();
@@ -181,7 +181,7 @@
     for (std::uint64_t number; (number = next++) < limits.walks;) {
       if (limits.longest > Duration(0) && Clock::now() >= deadline) return;
       world.reset();
-      Run run{setup, Walker(world, limits.firstSeed + number).walk(limits.events)};
+      Run run{setup, Walker(world, limits.firstSeed + number).run(limits.events)};
       std::lock_guard<std::mutex> guard(lock);
       ++report.walks;
       report.events += run.choices.size();
--- a/tests/model.cpp
+++ b/tests/model.cpp
@@ -38,11 +38,11 @@
   auto still = replay(shorter);
   cr_assert(still.has_value());
   cr_assert_eq(still->rule, "change-twice");
-  for (std::size_t without = 0; without < shorter.choices.size(); ++without) {
+  for (std::size_t removed = 0; removed < shorter.choices.size(); ++removed) {
     Run fewer = shorter;
-    fewer.choices.erase(fewer.choices.begin() + static_cast<std::ptrdiff_t>(without));
+    fewer.choices.erase(fewer.choices.begin() + static_cast<std::ptrdiff_t>(removed));
     auto broken = replay(fewer);
-    cr_assert(!broken || broken->rule != "change-twice", "event %zu is not needed", without);
+    cr_assert(!broken || broken->rule != "change-twice", "event %zu is not needed", removed);
   }
 }
 
