--- a/src/model/fixed_sets.hpp
+++ b/src/model/fixed_sets.hpp
@@ -4,20 +4,20 @@
 namespace tt::model {
 
 /// A named search of fixed size, for tests.
-struct FixedSet {
+struct FixedSearch {
   std::string name;
   Setup setup;
   /// Either walks or a breadth-first search.
   std::optional<WalkLimits> walks;
-  std::optional<BreadthLimits> breadth;
+  std::optional<BreadthFirstLimits> breadth;
 };
 
 /// The searches that must not find a violation.
-const std::vector<FixedSet>& soundSets();
+const std::vector<FixedSearch>& invariantSearches();
 /// Negative controls: for each defence of the replicated log, a search that must find a violation when the defence is
 /// disabled.
-const std::vector<FixedSet>& controlSets();
+const std::vector<FixedSearch>& negativeControls();
 /// Runs a search with a number of threads. The number does not change the counts in the report.
-SearchReport runSet(const FixedSet& set, std::size_t threads);
+SearchReport runFixedSearch(const FixedSearch& set, std::size_t threads);
 
 }  // namespace tt::model
--- a/src/model/history.cpp
+++ b/src/model/history.cpp
@@ -20,7 +20,7 @@
 }
 
 void History::breakRule(const std::string& rule, const std::string& text) {
-  if (!brokenRule && !known.count(rule)) brokenRule = Broken{rule, text};
+  if (!brokenRule && !ignoredRules.count(rule)) brokenRule = Violation{rule, text};
 }
 
 void History::agreed(const std::string& replica, const LogEntry& entry, std::uint64_t term) {
--- a/src/model/history.hpp
+++ b/src/model/history.hpp
@@ -5,7 +5,7 @@
 namespace tt::model {
 
 /// A violation of a rule, with a description.
-struct Broken {
+struct Violation {
   std::string rule, text;
 };
 
@@ -14,7 +14,7 @@
 class History {
  public:
   History(int changes, std::set<std::string> knownRules)
-      : changeRows(static_cast<std::size_t>(changes)), known(std::move(knownRules)) {}
+      : changeRows(static_cast<std::size_t>(changes)), ignoredRules(std::move(knownRules)) {}
 
   /// A replica applied an entry as committed. `term`: the replica's term at that time.
   void agreed(const std::string& replica, const LogEntry& entry, std::uint64_t term);
@@ -42,7 +42,7 @@
   /// The highest index of an acknowledged change.
   std::uint64_t mostAcknowledged() const { return acknowledgedIndex; }
   bool acknowledged(int change) const { return changeRows[static_cast<std::size_t>(change)].acked; }
-  const std::optional<Broken>& broken() const { return brokenRule; }
+  const std::optional<Violation>& violation() const { return brokenRule; }
   /// A serialization for comparing states of the model.
   std::string bytes() const;
 
@@ -64,8 +64,8 @@
   std::vector<Refusal> refusals;
   std::map<std::uint64_t, std::string> leaderByTerm;
   std::uint64_t acknowledgedIndex{0}, acknowledgedRevision{0};
-  std::optional<Broken> brokenRule;
-  std::set<std::string> known;
+  std::optional<Violation> brokenRule;
+  std::set<std::string> ignoredRules;
 
   std::uint64_t agreedRevision() const { return rows.empty() ? 0 : rows.back().revision; }
   /// Whether the committed entries alone justify a refusal.
--- a/src/model/model_world.hpp
+++ b/src/model/model_world.hpp
@@ -52,7 +52,7 @@
   /// Executes an event. Returns false, with nothing changed, if the event is not possible in this state.
   bool apply(const Choice& choice);
   /// The first violation, if there was one.
-  const std::optional<Broken>& broken() const { return history->broken(); }
+  const std::optional<Violation>& violation() const { return history->violation(); }
   /// A hash of the state. It is equal for states that differ only by a permutation of the replicas.
   std::uint64_t fingerprint() const;
 
--- a/src/model/setup.hpp
+++ b/src/model/setup.hpp
@@ -11,7 +11,7 @@
   /// Number of changes that clients may send.
   int changes{5};
   /// Capacity of a replica's log in bytes. With a small one it takes a snapshot after a few entries.
-  std::size_t room{1 << 20};
+  std::size_t maxRecordBytes{1 << 20};
   /// Number of disks that may be lost at the same time, and how long a replaced disk counts as lost while all machines
   /// run.
   int faultBudget{1};
@@ -20,13 +20,13 @@
   Duration memberRemovalTimeout{6s};
   std::size_t minVoters{3};
   /// Whether a process syncs the unsynced records that it finds on its disk when it starts.
-  bool openSyncs{true};
+  bool syncsOnStart{true};
   /// Maximum number of messages in the network. When it is exceeded, the oldest message is lost.
-  std::size_t networkRoom{64};
+  std::size_t maxPacketsInFlight{64};
   /// Names of the disabled defences.
-  std::set<std::string> without;
+  std::set<std::string> disabledDefences;
   /// Rules whose violations are ignored: by negative controls, and in searches for further faults behind a known one.
-  std::set<std::string> known;
+  std::set<std::string> ignoredRules;
 
   /// The setup as the first line of a file of runs.
   std::string text() const;
--- a/src/sim/linearizability.hpp
+++ b/src/sim/linearizability.hpp
@@ -35,7 +35,7 @@
   std::uint64_t revision{0};
   /// Whether a change replaces all items. Otherwise it is merged into the items that it names (JSON merge patch, RFC
   /// 7396).
-  bool whole{false};
+  bool complete{false};
   std::vector<ItemChange> items;
   /// Whether the client knows that the change is valid in every state (true) or in none (false).
   std::optional<bool> valid;
@@ -44,8 +44,8 @@
   OperationOutcome outcome{OperationOutcome::unclear};
   /// The revision and the digest of the items that the response contained. The revision is 0 if an acknowledgement
   /// contained none.
-  std::uint64_t seenRevision{0};
-  std::optional<std::uint64_t> seenDigest;
+  std::uint64_t resultRevision{0};
+  std::optional<std::uint64_t> resultDigest;
 };
 
 /// The operations of all clients, and the state before the first of them.
@@ -56,17 +56,17 @@
   /// Whether a read must reflect all that other reads and refusals had shown before it began. If not, a read must
   /// reflect the changes that were acknowledged before it began and what earlier reads through the same core had shown,
   /// but it may miss a change that is not yet acknowledged although a read through another core has already shown it.
-  bool readsInOrder{true};
+  bool linearizableReads{true};
 };
 
 /// The result of a check. A check that reaches its step limit is undecided.
-struct HistoryVerdict {
+struct HistoryCheckResult {
   bool linearizable{true}, undecided{false};
   /// If a check fails: a line with the reason, then the operations for which no valid order exists, one per line.
-  std::string trouble;
+  std::string explanation;
   std::size_t operations{0}, unclear{0}, steps{0};
   /// Number of reads that returned an older revision than another read had returned before they began.
-  std::size_t readsBehind{0};
+  std::size_t nonMonotonicReads{0};
 };
 
 /// Default limit of the states that the search for an order may visit.
@@ -75,7 +75,7 @@
 /// Checks whether the history is linearizable: whether there is an order of the operations that respects real time and
 /// in which a register with compare-and-set would have given the same responses. The configuration and the weights of
 /// each model are separate registers.
-HistoryVerdict checkHistory(const History& history, std::size_t mostSteps = mostHistorySteps);
+HistoryCheckResult checkHistory(const History& history, std::size_t mostSteps = mostHistorySteps);
 /// Returns the digest that a read of these items reports. It does not depend on the order of the items.
 std::uint64_t contentDigest(const RegisterItems& items);
 /// Returns the items after a change.
--- a/src/sim/operators.hpp
+++ b/src/sim/operators.hpp
@@ -11,14 +11,14 @@
   /// Number of clients, each of which sends one change at a time, and number of changes that all of them make together.
   int clients{2}, changes{20};
   /// Percentage of responses that are lost. A client sends the change again through another core.
-  int lostPerCent{10};
+  int lostResponsePercent{10};
   /// Average pause of a client between two changes.
   Duration pause{200ms};
   /// Whether each change requests the revision right after the newest one that its client knows. Otherwise some changes
   /// leave gaps between revisions.
-  bool sameNumber{false};
+  bool consecutiveRevisions{false};
   /// Whether the clients also announce weights with rising numbers, and repeat old announcements late.
-  bool namesWeights{false};
+  bool announcesWeights{false};
 };
 
 /// Records the operations of operators' clients during a run and their outcomes.
@@ -46,8 +46,8 @@
 /// check covers: routes and keys.
 Operation operationOf(const OperatorRequest& request);
 /// The items of a configuration that the history check covers: routes in full, and of keys only their tenants.
-RegisterItems watchedItems(const Configuration& configuration);
-RegisterItems watchedItems(const JsonObject& sections);
+RegisterItems trackedItems(const Configuration& configuration);
+RegisterItems trackedItems(const JsonObject& sections);
 /// Returns the number in a weights name of the form MODEL/NUMBER; 0 for other names.
 std::uint64_t weightsNumber(const std::string& weights);
 
--- a/src/sim/standin.hpp
+++ b/src/sim/standin.hpp
@@ -8,19 +8,19 @@
 
 /// Settings of a stand-in. `kind`: `language`, `app` or `store`. `slots`: requests that it runs at a time. `blockMs`,
 /// `tokenMs`, `linkMs`, `loadMs`: milliseconds to compute a block, to generate a token, to fetch a block from another
-/// worker or store, and to load weights. `keepMost`: capacity of its block cache. `storeAddress`: the block store that
-/// it writes computed blocks to; empty for none.
-struct KeeperSettings {
+/// worker or store, and to load weights. `maxCachedBlocks`: capacity of its block cache. `storeAddress`: the block
+/// store that it writes computed blocks to; empty for none.
+struct StandInSettings {
   std::string name, address, kind{"language"}, model, weights, storeAddress;
   int slots{8};
   double blockMs{4}, tokenMs{20}, linkMs{0.2};
-  std::size_t keepMost{4000};
+  std::size_t maxCachedBlocks{4000};
   int loadMs{1500};
   Defences defences;
 };
 
 /// Faults that can be injected into a stand-in.
-struct KeeperFaults {
+struct StandInFaults {
   /// Reports leave out the cache events of the last so many milliseconds.
   int lagMs{0};
   /// Percentage of cache events that are missing from reports and leave a gap in the sequence numbers.
@@ -47,7 +47,7 @@
 /// the blocks of a prompt to the worker. `local`, `fetched`, `computed`: numbers of its blocks that were cached,
 /// fetched and computed. `source`: the worker or store to fetch blocks from.
 struct RunRecord {
-  std::string orderId, weights, tenant, source;
+  std::string requestId, weights, tenant, source;
   bool move{false};
   int local{0}, fetched{0}, computed{0}, tokens{0};
   std::string outcome{"running"};
@@ -56,20 +56,20 @@
 /// A stand-in for a language worker, an application worker or a block store, for the simulator and for tests with real
 /// processes. It serves the protocol of these back ends but computes nothing: work takes the configured time, and each
 /// token is a made-up text.
-class KeeperNode : public Node {
+class StandInBackend : public Node {
  public:
-  KeeperNode(KeeperSettings keeperSettings, std::string incarnationMark);
+  StandInBackend(StandInSettings keeperSettings, std::string incarnationMark);
   void handle(Effects& effects, const std::string& from, const Message& message) override;
   void tick(Effects& effects) override;
-  KeeperFaults faults;
+  StandInFaults faults;
   const std::deque<RunRecord>& runs() const { return records; }
-  const KeeperSettings& settings() const { return given; }
+  const StandInSettings& settings() const { return given; }
   const std::string& weights() const { return currentWeights; }
   bool draining() const { return drains; }
-  std::size_t keptCount() const { return kept.size(); }
-  bool keeps(const BlockHash& hash) const { return kept.count(hash) > 0; }
+  std::size_t cachedBlockCount() const { return cachedBlocks.size(); }
+  bool hasBlock(const BlockHash& hash) const { return cachedBlocks.count(hash) > 0; }
   /// Empties the block cache. `saying`: appends a cache event for it.
-  void forget(Effects& effects, bool saying);
+  void clearCache(Effects& effects, bool saying);
   void evict(Effects& effects, const Hashes& hashes) { drop(effects, hashes); }
   /// Number of cached blocks that were used with other weights than those that computed them. Any is an error.
   std::int64_t crossWeights{0};
@@ -103,11 +103,11 @@
     /// Whether the start of the computation was noted in the journal.
     bool began{false};
   };
-  KeeperSettings given;
+  StandInSettings given;
   std::string incarnation, currentWeights, loadingWeights, loadingModel;
   bool drains{false};
   TimePoint loadDue{};
-  std::unordered_map<BlockHash, Kept, BlockHashHasher> kept;
+  std::unordered_map<BlockHash, Kept, BlockHashHasher> cachedBlocks;
   /// The cached blocks, least recently used first.
   std::list<BlockHash> byUse;
   /// A cache event for reports; a lost one is left out of them.
@@ -135,7 +135,7 @@
   /// Starts to compute the blocks that are not cached. Counts cached blocks of other weights and tenants.
   void begin(Effects& effects, Run& run);
   /// Ends a request and sends the outcome. `word`: the outcome in its record.
-  void end(Effects& effects, const std::string& orderId, OrderOutcome outcome, Code code, const char* word);
+  void end(Effects& effects, const std::string& requestId, AttemptOutcome outcome, Code code, const char* word);
   void onOrder(Effects& effects, const std::string& from, const WorkerOrder& ask);
   void onReport(Effects& effects, const std::string& from, const ReportAsk& ask);
   void onControl(Effects& effects, const std::string& from, const ControlAsk& ask);
@@ -144,7 +144,7 @@
 };
 
 /// A stand-in for the platform's API: lists the machines, and which of them the platform will take away.
-class PlatformNode : public Node {
+class StandInPlatform : public Node {
  public:
   void handle(Effects& effects, const std::string& from, const Message& message) override;
   void tick(Effects&) override {}
--- a/src/sim/version_check.hpp
+++ b/src/sim/version_check.hpp
@@ -16,9 +16,9 @@
 class VersionCheck {
  public:
   /// Records that the log entry at this index announces these weights for the model. Entries may come in any order.
-  void agreed(const std::string& model, std::uint64_t index, const std::string& weights);
+  void recordAnnouncement(const std::string& model, std::uint64_t index, const std::string& weights);
   /// Records that the entry at this index was acknowledged to an operator. Only the first acknowledgement counts.
-  void acknowledged(std::uint64_t index, TimePoint at);
+  void recordAcknowledgement(std::uint64_t index, TimePoint at);
   /// When the first announcement newer than these weights was acknowledged; nothing if none was.
   std::optional<TimePoint> supersededAt(const std::string& model, const std::string& weights) const;
   /// Whether the announcement at this index is the model's newest, that is, no later announcement of other weights was
