--- a/src/model/breadth.cpp
+++ b/src/model/breadth.cpp
@@ -10,14 +10,14 @@
 constexpr std::uint64_t fnvPrime = 1099511628211ull;
 
 /// How many faults, waits and changes of each kind a run contains so far.
-struct Spent {
+struct FaultCounts {
   int crashes{0}, drops{0}, duplicates{0}, wipes{0}, waits{0}, changes{0};
 };
 
 /// A state to be expanded, and the last step of the path to it.
 struct Node {
   ModelWorld::State state;
-  Spent spent;
+  FaultCounts counts;
   std::size_t step{0};
 };
 
@@ -27,10 +27,10 @@
   Choice choice;
 };
 
-/// The breadth-first search.
-class Breadth {
+/// Searches breadth-first; see searchBreadthFirst().
+class BreadthFirstSearch {
  public:
-  Breadth(const Setup& setup, const BreadthFirstLimits& searchLimits) : world(setup), limits(searchLimits) {}
+  BreadthFirstSearch(const Setup& setup, const BreadthFirstLimits& searchLimits) : world(setup), limits(searchLimits) {}
 
   SearchReport search() {
     for (const auto& choice : limits.initialEvents) (void)world.apply(choice);
@@ -39,21 +39,21 @@
       return report;
     }
     steps.push_back(Step{});
-    std::vector<Node> level{Node{world.save(), Spent{}, 0}};
-    seen.insert(keyOf(Spent{}));
+    std::vector<Node> level{Node{world.save(), FaultCounts{}, 0}};
+    visited.insert(stateKey(FaultCounts{}));
     report.states = 1;
     auto deadline = Clock::now() + limits.timeLimit;
     while (!level.empty() && report.depth < limits.depth) {
       ++report.depth;
       nextLevel.clear();
       for (auto& node : level) {
-        if (full() || (limits.timeLimit > Duration(0) && Clock::now() >= deadline)) return report;
+        if (limitReached() || (limits.timeLimit > Duration(0) && Clock::now() >= deadline)) return report;
         expand(node);
         node.state = ModelWorld::State{};
       }
       level = std::move(nextLevel);
     }
-    report.whole = level.empty();
+    report.complete = level.empty();
     return report;
   }
 
@@ -62,33 +62,33 @@
   const BreadthFirstLimits& limits;
   SearchReport report;
   /// Keys of the visited states.
-  std::unordered_set<std::uint64_t> seen;
+  std::unordered_set<std::uint64_t> visited;
   std::vector<Step> steps;
   std::vector<Node> nextLevel;
 
-  bool full() const { return report.states >= limits.states || !report.found.empty(); }
+  bool limitReached() const { return report.states >= limits.states || !report.found.empty(); }
 
   /// Identifies a state together with the faults that led to it, as these limit how the run can go on.
-  std::uint64_t keyOf(const Spent& spent) const {
+  std::uint64_t stateKey(const FaultCounts& counts) const {
     std::uint64_t key = world.fingerprint();
-    for (int number : {spent.crashes, spent.drops, spent.duplicates, spent.wipes, spent.waits, spent.changes})
+    for (int number : {counts.crashes, counts.drops, counts.duplicates, counts.wipes, counts.waits, counts.changes})
       key = key * fnvPrime + static_cast<std::uint64_t>(number);
     return key;
   }
 
   /// Executes an event in a state and queues the resulting state if it is new.
-  void attempt(const Node& node, const Choice& choice, Spent spent) {
-    if (full()) return;
+  void tryEvent(const Node& node, const Choice& choice, FaultCounts counts) {
+    if (limitReached()) return;
     world.load(node.state);
     if (!world.apply(choice)) return;
     ++report.events;
-    if (!world.violation() && !seen.insert(keyOf(spent)).second) return;
+    if (!world.violation() && !visited.insert(stateKey(counts)).second) return;
     ++report.states;
     steps.push_back(Step{node.step, choice});
     if (world.violation()) {
       report.found.push_back(Counterexample{runTo(steps.size() - 1), *world.violation()});
     } else if (report.depth < limits.depth) {
-      nextLevel.push_back(Node{world.save(), spent, steps.size() - 1});
+      nextLevel.push_back(Node{world.save(), counts, steps.size() - 1});
     }
   }
 
@@ -103,71 +103,74 @@
 
   /// Tries all events that are possible in a state.
   void expand(const Node& node) {
-    moveMessages(node);
+    tryMessages(node);
     for (int number = 0; number < world.setup().machines(); ++number) {
-      attempt(node, Choice{ChoiceKind::sync, number, 0, 0, 0, 0}, node.spent);
-      attempt(node, Choice{ChoiceKind::tick, number, 0, 0, 0, 0}, node.spent);
-      attempt(node, Choice{ChoiceKind::start, number, 0, 0, 0, 0}, node.spent);
-      breakMachine(node, number);
+      tryEvent(node, Choice{ChoiceKind::sync, number, 0, 0, 0, 0}, node.counts);
+      tryEvent(node, Choice{ChoiceKind::tick, number, 0, 0, 0, 0}, node.counts);
+      tryEvent(node, Choice{ChoiceKind::start, number, 0, 0, 0, 0}, node.counts);
+      tryFaults(node, number);
     }
-    if (node.spent.waits < limits.waits) {
-      Spent spent = node.spent;
-      ++spent.waits;
+    if (node.counts.waits < limits.waits) {
+      FaultCounts counts = node.counts;
+      ++counts.waits;
       /// Long enough for a timer tick, for the heartbeat interval, and for an election timeout.
-      for (int span : {20, 150, 1200}) attempt(node, Choice{ChoiceKind::wait, 0, 0, 0, span, 0}, spent);
+      for (int waitMs : {20, 150, 1200}) tryEvent(node, Choice{ChoiceKind::wait, 0, 0, 0, waitMs, 0}, counts);
     }
-    if (node.spent.changes < limits.changes) {
-      Spent spent = node.spent;
-      ++spent.changes;
-      for (int change = 0; change <= node.spent.changes && change < world.setup().changes; ++change)
+    if (node.counts.changes < limits.changes) {
+      FaultCounts counts = node.counts;
+      ++counts.changes;
+      for (int change = 0; change <= node.counts.changes && change < world.setup().changes; ++change)
         for (int number = 0; number < world.setup().machines(); ++number)
-          attempt(node, Choice{ChoiceKind::change, number, 0, 0, change, 0}, spent);
+          tryEvent(node, Choice{ChoiceKind::change, number, 0, 0, change, 0}, counts);
     }
   }
 
-  void moveMessages(const Node& node) {
+  /// Tries to deliver, drop and duplicate each message.
+  void tryMessages(const Node& node) {
     const auto& packets = node.state.packets;
-    for (std::size_t at = 0; at < packets.size(); ++at) {
+    for (std::size_t index = 0; index < packets.size(); ++index) {
       Choice choice{ChoiceKind::deliver,
-                    packets[at].from,
-                    packets[at].to,
-                    static_cast<int>(packets[at].letter->message.index()),
+                    packets[index].from,
+                    packets[index].to,
+                    static_cast<int>(packets[index].content->message.index()),
                     0,
                     0};
-      for (std::size_t before = 0; before < at; ++before)
-        choice.number += packets[before].from == packets[at].from && packets[before].to == packets[at].to &&
-                         packets[before].letter->message.index() == packets[at].letter->message.index();
-      attempt(node, choice, node.spent);
-      if (node.spent.drops < limits.drops) {
-        Spent spent = node.spent;
-        ++spent.drops;
+      for (std::size_t before = 0; before < index; ++before)
+        choice.number += packets[before].from == packets[index].from && packets[before].to == packets[index].to &&
+                         packets[before].content->message.index() == packets[index].content->message.index();
+      tryEvent(node, choice, node.counts);
+      if (node.counts.drops < limits.drops) {
+        FaultCounts counts = node.counts;
+        ++counts.drops;
         choice.kind = ChoiceKind::drop;
-        attempt(node, choice, spent);
+        tryEvent(node, choice, counts);
       }
-      if (node.spent.duplicates < limits.duplicates) {
-        Spent spent = node.spent;
-        ++spent.duplicates;
+      if (node.counts.duplicates < limits.duplicates) {
+        FaultCounts counts = node.counts;
+        ++counts.duplicates;
         choice.kind = ChoiceKind::duplicate;
-        attempt(node, choice, spent);
+        tryEvent(node, choice, counts);
       }
     }
   }
 
-  void breakMachine(const Node& node, int number) {
-    Spent spent = node.spent;
+  /// Tries the faults of a machine, with each number of unsynced batches that may survive.
+  void tryFaults(const Node& node, int number) {
+    FaultCounts counts = node.counts;
     const auto& machine = *node.state.machines[static_cast<std::size_t>(number)];
-    if (machine.up() && spent.crashes < limits.crashes) {
-      ++spent.crashes;
-      int batch = !machine.writing.empty();
-      int unsynced = batch + !machine.written.empty();
-      for (int kept = 0; kept <= batch; ++kept) attempt(node, Choice{ChoiceKind::kill, number, 0, 0, kept, 0}, spent);
-      for (int kept = 0; kept <= unsynced; ++kept)
-        attempt(node, Choice{ChoiceKind::power, number, 0, 0, kept, 0}, spent);
+    if (machine.up() && counts.crashes < limits.crashes) {
+      ++counts.crashes;
+      int writingBatches = !machine.writing.empty();
+      int unsyncedBatches = writingBatches + !machine.written.empty();
+      for (int survivingBatches = 0; survivingBatches <= writingBatches; ++survivingBatches)
+        tryEvent(node, Choice{ChoiceKind::kill, number, 0, 0, survivingBatches, 0}, counts);
+      for (int survivingBatches = 0; survivingBatches <= unsyncedBatches; ++survivingBatches)
+        tryEvent(node, Choice{ChoiceKind::power, number, 0, 0, survivingBatches, 0}, counts);
     }
-    spent = node.spent;
-    if (spent.wipes >= limits.wipes) return;
-    ++spent.wipes;
-    attempt(node, Choice{ChoiceKind::wipe, number, 0, 0, 0, 0}, spent);
+    counts = node.counts;
+    if (counts.wipes >= limits.wipes) return;
+    ++counts.wipes;
+    tryEvent(node, Choice{ChoiceKind::wipe, number, 0, 0, 0, 0}, counts);
   }
 };
 
@@ -175,7 +178,7 @@
 
 SearchReport searchBreadthFirst(const Setup& setup, const BreadthFirstLimits& limits) {
   setup.applyTiming();
-  return Breadth(setup, limits).search();
+  return BreadthFirstSearch(setup, limits).search();
 }
 
 }  // namespace tt::model
--- a/src/model/choice.cpp
+++ b/src/model/choice.cpp
@@ -5,18 +5,19 @@
 
 namespace tt::model {
 namespace {
+/// Names in the text of an event: by ChoiceKind, and by index of the message type in the variant of all messages.
 const char* const kindNames[] = {
 #define TT_CHOICE(name) #name,
     TT_CHOICES(TT_CHOICE)
 #undef TT_CHOICE
 };
-const char* const typeNames[] = {"nothing",
+const char* const messageTypeNames[] = {"nothing",
 #define TT_MESSAGE_TEXT(Name, fields) #Name,
-                                 TT_MESSAGES(TT_MESSAGE_TEXT)
+                                        TT_MESSAGES(TT_MESSAGE_TEXT)
 #undef TT_MESSAGE_TEXT
 };
 
-std::optional<ChoiceKind> kindNamed(const std::string& word) {
+std::optional<ChoiceKind> parseKind(const std::string& word) {
   int number = 0;
   for (const char* name : kindNames) {
     if (word == name) return static_cast<ChoiceKind>(number);
@@ -25,77 +26,77 @@
   return std::nullopt;
 }
 
-std::optional<int> typeNamed(const std::string& word) {
+std::optional<int> parseMessageType(const std::string& word) {
   int number = 0;
-  for (const char* name : typeNames) {
+  for (const char* name : messageTypeNames) {
     if (word == name) return number;
     ++number;
   }
   return std::nullopt;
 }
 
-bool aboutMessage(ChoiceKind kind) {
+bool concernsMessage(ChoiceKind kind) {
   return kind == ChoiceKind::deliver || kind == ChoiceKind::drop || kind == ChoiceKind::duplicate;
 }
 
-bool bySpan(ChoiceKind kind) {
+bool hasDuration(ChoiceKind kind) {
   return kind == ChoiceKind::wait || kind == ChoiceKind::run || kind == ChoiceKind::settle;
 }
 }  // namespace
 
-const char* typeName(int messageType) { return typeNames[messageType]; }
+const char* messageTypeName(int messageType) { return messageTypeNames[messageType]; }
 
 std::string Choice::text() const {
   std::ostringstream line;
   line << kindNames[static_cast<int>(kind)];
-  if (aboutMessage(kind)) {
-    line << " " << replica + 1 << " " << other + 1 << " " << typeName(messageType) << " " << number;
-  } else if (bySpan(kind)) {
+  if (concernsMessage(kind)) {
+    line << " " << replica + 1 << " " << receiver + 1 << " " << messageTypeName(messageType) << " " << number;
+  } else if (hasDuration(kind)) {
     line << " " << number;
   } else if (kind == ChoiceKind::kill || kind == ChoiceKind::power || kind == ChoiceKind::change) {
     line << " " << replica + 1 << " " << number;
   } else if (kind == ChoiceKind::join) {
-    line << " " << replica + 1 << " " << other + 1;
+    line << " " << replica + 1 << " " << receiver + 1;
   } else if (kind != ChoiceKind::live) {
     line << " " << replica + 1;
   }
-  if (luck) line << " luck " << luck;
+  if (randomSeed) line << " luck " << randomSeed;
   return line.str();
 }
 
 Result<Choice> Choice::parse(const std::string& line) {
   std::istringstream words(line);
-  std::string kindWord, typeWord, luckWord;
+  std::string kindWord, typeWord, seedWord;
   Choice choice;
   words >> kindWord;
-  auto kind = kindNamed(kindWord);
+  auto kind = parseKind(kindWord);
   if (!kind) return makeError(Code::badField, kindWord, "is not a kind of event");
   choice.kind = *kind;
-  bool whole = true;
-  if (aboutMessage(choice.kind)) {
-    whole = static_cast<bool>(words >> choice.replica >> choice.other >> typeWord >> choice.number);
-    auto type = typeNamed(typeWord);
+  bool complete = true;
+  if (concernsMessage(choice.kind)) {
+    complete = static_cast<bool>(words >> choice.replica >> choice.receiver >> typeWord >> choice.number);
+    auto type = parseMessageType(typeWord);
     if (!type) return makeError(Code::badField, typeWord, "is not a type of message");
     choice.messageType = *type;
-  } else if (bySpan(choice.kind)) {
-    whole = static_cast<bool>(words >> choice.number);
+  } else if (hasDuration(choice.kind)) {
+    complete = static_cast<bool>(words >> choice.number);
   } else if (choice.kind == ChoiceKind::kill || choice.kind == ChoiceKind::power || choice.kind == ChoiceKind::change) {
-    whole = static_cast<bool>(words >> choice.replica >> choice.number);
+    complete = static_cast<bool>(words >> choice.replica >> choice.number);
   } else if (choice.kind == ChoiceKind::join) {
-    whole = static_cast<bool>(words >> choice.replica >> choice.other);
+    complete = static_cast<bool>(words >> choice.replica >> choice.receiver);
   } else if (choice.kind != ChoiceKind::live) {
-    whole = static_cast<bool>(words >> choice.replica);
+    complete = static_cast<bool>(words >> choice.replica);
   }
-  if (!whole) return makeError(Code::badField, kindWord, "the line lacks a number: " + line);
+  if (!complete) return makeError(Code::badField, kindWord, "the line lacks a number: " + line);
   --choice.replica;
-  --choice.other;
+  --choice.receiver;
   choice.replica = std::max(choice.replica, 0);
-  choice.other = std::max(choice.other, 0);
-  if (words >> luckWord && luckWord == "luck") words >> choice.luck;
+  choice.receiver = std::max(choice.receiver, 0);
+  if (words >> seedWord && seedWord == "luck") words >> choice.randomSeed;
   return choice;
 }
 
-std::string printChoices(const std::vector<Choice>& choices) {
+std::string writeChoices(const std::vector<Choice>& choices) {
   std::string text;
   for (const auto& choice : choices) text += choice.text() + "\n";
   return text;
--- a/src/model/choice.hpp
+++ b/src/model/choice.hpp
@@ -28,6 +28,7 @@
   X(settle)           \
   X(live)
 
+/// The kind of an event. The names are part of the text of an event.
 enum class ChoiceKind : int {
 #define TT_CHOICE(name) name,
   TT_CHOICES(TT_CHOICE)
@@ -35,20 +36,21 @@
 };
 
 /// One event of a run. A message is identified by its sender, receiver, type and position among the messages that have
-/// these in common, so that a run can be replayed after other events were removed from it.
+/// these in common, so that a run can be replayed after other events were removed from it. Replicas and changes are
+/// numbered from 0; in the text of an event, replicas are numbered from 1.
 struct Choice {
   ChoiceKind kind{ChoiceKind::wait};
   /// The replica that the event happens to, or the sender of a message.
   int replica{0};
   /// The receiver of a message or join request.
-  int other{0};
+  int receiver{0};
   /// Index of the message's type in the variant of all messages.
   int messageType{0};
-  /// By kind: the position among messages in common, the milliseconds that pass, how many unsynced batches survive a
-  /// crash, or the number of a change.
+  /// Depends on the kind: the position of a message, counted among those with the same sender, receiver and type; the
+  /// milliseconds that pass; how many unsynced batches survive a crash; or the number of a change.
   int number{0};
-  /// Seed of the random numbers that the replicas use during this event.
-  std::uint32_t luck{0};
+  /// Seed of the random numbers that the replicas use during this event; `luck` in the text.
+  std::uint32_t randomSeed{0};
 
   /// The event as a line of a file of runs.
   std::string text() const;
@@ -56,9 +58,9 @@
 };
 
 /// Writes and reads events as text, one per line. Lines that begin with # are comments.
-std::string printChoices(const std::vector<Choice>& choices);
+std::string writeChoices(const std::vector<Choice>& choices);
 Result<std::vector<Choice>> parseChoices(const std::string& text);
 /// The name of a message type by its index in the variant of all messages.
-const char* typeName(int messageType);
+const char* messageTypeName(int messageType);
 
 }  // namespace tt::model
--- a/src/model/fixed_sets.hpp
+++ b/src/model/fixed_sets.hpp
@@ -18,6 +18,6 @@
 /// disabled.
 const std::vector<FixedSearch>& negativeControls();
 /// Runs a search with a number of threads. The number does not change the counts in the report.
-SearchReport runFixedSearch(const FixedSearch& set, std::size_t threads);
+SearchReport runFixedSearch(const FixedSearch& search, std::size_t threads);
 
 }  // namespace tt::model
--- a/src/model/model_world.cpp
+++ b/src/model/model_world.cpp
@@ -8,35 +8,35 @@
 namespace {
 const TimePoint startOfTime = TimePoint(std::chrono::hours(100));
 const std::string clientAddress = "client";
-/// Time that passes in one round of fairRounds().
-constexpr Duration roundSpan = 20ms;
-/// How long a member must not have heard from a leader before it sends join requests.
-constexpr Duration leaderSilent = 3s;
+/// Time that passes in one round of runWithoutFaults().
+constexpr Duration roundDuration = 20ms;
+/// How long a member must be without contact to a leader before it sends join requests.
+constexpr Duration leaderContactTimeout = 3s;
 /// Within which time a change must be committed in a fleet without faults, and how often it is sent.
-constexpr Duration livenessSpan = 15s, livenessStep = 500ms;
+constexpr Duration livenessTimeout = 15s, livenessInterval = 500ms;
 /// A wait of more milliseconds counts as a fault, because nothing runs during it.
-constexpr int mostCalmWait = 100;
+constexpr int maxFaultFreeWaitMs = 100;
 /// 2^64 divided by the golden ratio; spreads consecutive numbers over the range of seeds.
-constexpr std::uint64_t luckSpread = 0x9e3779b97f4a7c15ull;
+constexpr std::uint64_t goldenRatio64 = 0x9e3779b97f4a7c15ull;
 
 /// The machine with an address as in ModelWorld::addressOf(); -1 for other addresses.
-int numberAt(const std::string& address) { return address.size() == 3 && address[0] == '~' ? address[1] - '1' : -1; }
+int numberOf(const std::string& address) { return address.size() == 3 && address[0] == '~' ? address[1] - '1' : -1; }
 
 std::string nameOf(int number) { return "replica~" + std::to_string(number + 1); }
 
 /// The state that a process finds on its disk.
-RecoveredState recoveredFrom(const Machine& machine) {
-  RecoveredState sum = machine.synced;
-  for (const auto& record : machine.written) (void)sum.applyRecord(record);
-  return sum;
+RecoveredState recoveredFrom(const ModelMachine& machine) {
+  RecoveredState recovered = machine.synced;
+  for (const auto& record : machine.written) (void)recovered.applyRecord(record);
+  return recovered;
 }
 }  // namespace
 
 ModelWorld::ModelWorld(const Setup& modelSetup)
-    : worldSetup(modelSetup),
+    : initialSetup(modelSetup),
       defences(modelSetup.defences().value()),
       machines(static_cast<std::size_t>(modelSetup.machines())),
-      images(machines.size()),
+      machineCopies(machines.size()),
       dumps(machines.size()) {
   reset();
 }
@@ -48,104 +48,105 @@
          std::string(1, static_cast<char>('a' + machines[static_cast<std::size_t>(number)].disk % 26));
 }
 
-void ModelWorld::changed(int number) {
-  images[static_cast<std::size_t>(number)].reset();
+void ModelWorld::discardCopies(int number) {
+  machineCopies[static_cast<std::size_t>(number)].reset();
   dumps[static_cast<std::size_t>(number)].reset();
 }
 
-History& ModelWorld::writeHistory() {
-  historyImage.reset();
+History& ModelWorld::mutableHistory() {
+  historyCopy.reset();
   return *history;
 }
 
 void ModelWorld::reset() {
   clock = startOfTime;
   packets.clear();
-  history.emplace(worldSetup.changes + 1, worldSetup.ignoredRules);
-  historyImage.reset();
-  std::vector<Member> first;
-  for (int number = 0; number < worldSetup.machines(); ++number) {
-    machines[static_cast<std::size_t>(number)] = Machine{};
+  history.emplace(initialSetup.changes + 1, initialSetup.ignoredRules);
+  historyCopy.reset();
+  std::vector<Member> voters;
+  for (int number = 0; number < initialSetup.machines(); ++number) {
+    machines[static_cast<std::size_t>(number)] = ModelMachine{};
     machines[static_cast<std::size_t>(number)].synced.identity = idOf(number);
-    if (number < worldSetup.voters) first.push_back(Member{idOf(number), nameOf(number), addressOf(number), {}, true});
+    if (number < initialSetup.voters)
+      voters.push_back(Member{idOf(number), nameOf(number), addressOf(number), {}, true});
   }
-  for (int number = 0; number < worldSetup.machines(); ++number) {
-    if (number < worldSetup.voters)
+  for (int number = 0; number < initialSetup.machines(); ++number) {
+    if (number < initialSetup.voters)
       machines[static_cast<std::size_t>(number)].synced.entries.push_back(
-          LogEntry{1, 0, static_cast<int>(EntryKind::members), encodeMembers(first), {}, 0});
-    boot(number);
+          LogEntry{1, 0, static_cast<int>(EntryKind::members), encodeMembers(voters), {}, 0});
+    startProcess(number);
   }
 }
 
-void ModelWorld::boot(int number) {
+void ModelWorld::startProcess(int number) {
   auto& machine = machines[static_cast<std::size_t>(number)];
-  changed(number);
+  discardCopies(number);
   if (machine.synced.identity.empty()) machine.synced.identity = idOf(number);
   RecoveredState recovered = recoveredFrom(machine);
-  if (worldSetup.syncsOnStart) {
+  if (initialSetup.syncsOnStart) {
     machine.synced = recovered;
     machine.written.clear();
   }
   machine.log.emplace(Member{recovered.identity, nameOf(number), addressOf(number), {}, true},
-                      worldSetup.maxRecordBytes, defences);
+                      initialSetup.maxRecordBytes, defences);
   machine.log->onEntryApplied = [this, number](Effects&, const LogEntry& entry) {
     const auto& log = *machines[static_cast<std::size_t>(number)].log;
     if (entry.kind == static_cast<int>(EntryKind::complete))
-      return writeHistory().agreedUpTo(idOf(number), entry.index, entry.term);
-    checkAgreed(entry);
-    writeHistory().agreed(idOf(number), entry, log.election.term());
+      return mutableHistory().snapshotInstalled(idOf(number), entry.index, entry.term);
+    checkCommitted(entry);
+    mutableHistory().committed(idOf(number), entry, log.election.term());
   };
   machine.log->restore(recovered, clock);
 }
 
-void ModelWorld::halt(int number, std::size_t kept, bool powerGone) {
+void ModelWorld::stopProcess(int number, std::size_t survivingBatches, bool powerFailed) {
   auto& machine = machines[static_cast<std::size_t>(number)];
-  changed(number);
+  discardCopies(number);
   std::vector<Record> batch;
   for (const auto& save : machine.writing) batch.push_back(save.record);
-  if (!machine.written.empty() && kept > 0 && powerGone) {
+  if (!machine.written.empty() && survivingBatches > 0 && powerFailed) {
     for (const auto& record : machine.written) (void)machine.synced.applyRecord(record);
-    --kept;
+    --survivingBatches;
   }
-  if (powerGone) machine.written.clear();
-  if (kept == 0) batch.clear();
+  if (powerFailed) machine.written.clear();
+  if (survivingBatches == 0) batch.clear();
   for (auto& record : batch) {
-    if (powerGone)
+    if (powerFailed)
       (void)machine.synced.applyRecord(record);
     else
       machine.written.push_back(std::move(record));
   }
-  breakCalm();
+  resetFaultFreeTime();
   machine.log.reset();
   machine.waiting.clear();
   machine.writing.clear();
   machine.frozen = false;
 }
 
-void ModelWorld::drive(int number, const std::function<void(Effects&)>& action) {
+void ModelWorld::runReplica(int number, const std::function<void(Effects&)>& action) {
   auto& machine = machines[static_cast<std::size_t>(number)];
-  changed(number);
+  discardCopies(number);
   Effects effects{clock, random, journal, {}, {}};
   action(effects);
   for (auto& save : effects.saves) machine.waiting.push_back(std::move(save));
   if (machine.writing.empty()) machine.writing.swap(machine.waiting);
-  for (auto& [address, message] : effects.sends) post(number, address, std::move(message));
+  for (auto& [address, message] : effects.sends) sendMessage(number, address, std::move(message));
   checkMachine(number);
 }
 
-void ModelWorld::post(int from, const std::string& address, Message message) {
+void ModelWorld::sendMessage(int from, const std::string& address, Message message) {
   if (address == clientAddress) {
-    if (auto* answer = std::get_if<ChangeResponse>(&message)) toClient(from, *answer);
+    if (auto* response = std::get_if<ChangeResponse>(&message)) deliverToClient(from, *response);
     return;
   }
-  int to = numberAt(address);
-  if (to < 0 || to >= worldSetup.machines()) return;
-  packets.push_back(Packet{from, to, std::make_shared<const Letter>(Letter{std::move(message), {}})});
-  if (packets.size() > worldSetup.maxPacketsInFlight) packets.erase(packets.begin());
+  int to = numberOf(address);
+  if (to < 0 || to >= initialSetup.machines()) return;
+  packets.push_back(Packet{from, to, std::make_shared<const SentMessage>(SentMessage{std::move(message), {}})});
+  if (packets.size() > initialSetup.maxPacketsInFlight) packets.erase(packets.begin());
 }
 
-void ModelWorld::toClient(int from, const ChangeResponse& answer) {
-  auto change = changeNumber(answer.requestId);
+void ModelWorld::deliverToClient(int from, const ChangeResponse& response) {
+  auto change = changeNumber(response.requestId);
   if (!change) return;
   const auto& log = *machines[static_cast<std::size_t>(from)].log;
   std::uint64_t newestIndex = 0, newestTerm = 0;
@@ -154,23 +155,23 @@
       newestIndex = entry.index;
       newestTerm = entry.term;
     }
-  if (tell)
-    say("  response to change-" + std::to_string(*change) + ": " + codeName(static_cast<Code>(answer.code)) +
-        ", revision " + std::to_string(answer.revision));
-  writeHistory().answered(*change, answer, newestIndex, newestTerm);
-  if (answer.code == static_cast<int>(Code::changeTaken)) checkAcknowledged(*change);
+  if (onEvent)
+    trace("  response to change-" + std::to_string(*change) + ": " + codeName(static_cast<Code>(response.code)) +
+          ", revision " + std::to_string(response.revision));
+  mutableHistory().responded(*change, response, newestIndex, newestTerm);
+  if (response.code == static_cast<int>(Code::changeTaken)) checkAcknowledged(*change);
 }
 
-bool ModelWorld::holdsEntry(const Machine& machine, const History::AgreedRow& row) const {
+bool ModelWorld::hasSyncedEntry(const ModelMachine& machine, const History::CommittedEntry& row) const {
   if (machine.synced.snapshot && machine.synced.snapshot->index >= row.index) return true;
   for (const auto& entry : machine.synced.entries)
     if (entry.index == row.index && entry.term == row.term) return true;
   return false;
 }
 
-void ModelWorld::checkAgreed(const LogEntry& entry) {
+void ModelWorld::checkCommitted(const LogEntry& entry) {
   std::vector<Member> members;
-  for (const auto& row : history->agreedRows()) {
+  for (const auto& row : history->committedEntries()) {
     if (row.index >= entry.index) return;
     if (row.kind == static_cast<int>(EntryKind::members)) members = decodeMembers(row.body);
   }
@@ -179,36 +180,36 @@
 }
 
 void ModelWorld::checkMajority(const LogEntry& entry, const std::vector<Member>& members) {
-  History::AgreedRow row;
+  History::CommittedEntry row;
   row.index = entry.index;
   row.term = entry.term;
-  std::size_t voters = 0, holders = 0;
+  std::size_t voters = 0, syncedVoters = 0;
   for (const auto& member : members) {
     if (!member.votes) continue;
     ++voters;
-    for (int number = 0; number < worldSetup.machines(); ++number)
-      if (idOf(number) == member.id) holders += holdsEntry(machines[static_cast<std::size_t>(number)], row);
+    for (int number = 0; number < initialSetup.machines(); ++number)
+      if (idOf(number) == member.id) syncedVoters += hasSyncedEntry(machines[static_cast<std::size_t>(number)], row);
   }
-  if (voters > 0 && holders + static_cast<std::size_t>(lostDisks()) < voters / 2 + 1)
-    writeHistory().breakRule("agreed-by-few", "index " + std::to_string(entry.index) +
-                                                  " is committed, but synced by only " + std::to_string(holders) +
-                                                  " of " + std::to_string(voters) + " voters");
+  if (voters > 0 && syncedVoters + static_cast<std::size_t>(lostDisks()) < voters / 2 + 1)
+    mutableHistory().reportViolation("agreed-by-few",
+                                     "index " + std::to_string(entry.index) + " is committed, but synced by only " +
+                                         std::to_string(syncedVoters) + " of " + std::to_string(voters) + " voters");
 }
 
 void ModelWorld::checkAcknowledged(int change) {
-  for (const auto& row : history->agreedRows()) {
+  for (const auto& row : history->committedEntries()) {
     if (changeNumber(row.changeId) != change) continue;
     int disks = 0, lost = lostDisks();
-    for (const auto& machine : machines) disks += holdsEntry(machine, row);
-    if (disks + lost < worldSetup.faultBudget + 1)
-      writeHistory().breakRule("too-few-disks", row.changeId + " is acknowledged, but on only " +
-                                                    std::to_string(disks) + " disks, with " + std::to_string(lost) +
-                                                    " disks lost");
+    for (const auto& machine : machines) disks += hasSyncedEntry(machine, row);
+    if (disks + lost < initialSetup.faultBudget + 1)
+      mutableHistory().reportViolation("too-few-disks", row.changeId + " is acknowledged, but on only " +
+                                                            std::to_string(disks) + " disks, with " +
+                                                            std::to_string(lost) + " disks lost");
   }
 }
 
 std::optional<int> ModelWorld::leader() const {
-  for (int number = 0; number < worldSetup.machines(); ++number) {
+  for (int number = 0; number < initialSetup.machines(); ++number) {
     const auto& machine = machines[static_cast<std::size_t>(number)];
     if (machine.up() && machine.log->leads(clock)) return number;
   }
@@ -219,82 +220,83 @@
   const auto& machine = machines[static_cast<std::size_t>(number)];
   if (!machine.up()) return;
   const auto& log = *machine.log;
-  for (int other = 0; other < worldSetup.machines(); ++other) {
-    const auto& fellow = machines[static_cast<std::size_t>(other)];
-    if (other == number || !fellow.up()) continue;
-    checkLogs(log, *fellow.log);
-    if (log.leads(clock) && fellow.log->leads(clock))
-      writeHistory().breakRule("two-leases", log.self().id + " leads in term " + std::to_string(log.election.term()) +
-                                                 " and " + fellow.log->self().id + " in term " +
-                                                 std::to_string(fellow.log->election.term()));
+  for (int other = 0; other < initialSetup.machines(); ++other) {
+    const auto& otherMachine = machines[static_cast<std::size_t>(other)];
+    if (other == number || !otherMachine.up()) continue;
+    checkLogMatching(log, *otherMachine.log);
+    if (log.leads(clock) && otherMachine.log->leads(clock))
+      mutableHistory().reportViolation("two-leases", log.self().id + " leads in term " +
+                                                         std::to_string(log.election.term()) + " and " +
+                                                         otherMachine.log->self().id + " in term " +
+                                                         std::to_string(otherMachine.log->election.term()));
   }
   if (!log.election.won()) return;
-  writeHistory().won(log.self().id, log.election.term());
-  checkComplete(log);
-  if (log.leads(clock) && log.hasCommittedInTerm() && log.configuration().index() < history->mostAcknowledged())
-    writeHistory().breakRule("old-read", log.self().id + " would serve reads at index " +
-                                             std::to_string(log.configuration().index()) + ", but index " +
-                                             std::to_string(history->mostAcknowledged()) + " is acknowledged");
+  mutableHistory().elected(log.self().id, log.election.term());
+  checkLeaderCompleteness(log);
+  if (log.leads(clock) && log.hasCommittedInTerm() && log.configuration().index() < history->maxAcknowledgedIndex())
+    mutableHistory().reportViolation(
+        "old-read", log.self().id + " would serve reads at index " + std::to_string(log.configuration().index()) +
+                        ", but index " + std::to_string(history->maxAcknowledgedIndex()) + " is acknowledged");
 }
 
-void ModelWorld::checkLogs(const ReplicatedLog& one, const ReplicatedLog& other) {
+void ModelWorld::checkLogMatching(const ReplicatedLog& one, const ReplicatedLog& other) {
   const auto& mine = one.entries();
   const auto& theirs = other.entries();
   if (mine.empty() || theirs.empty()) return;
   std::uint64_t first = std::max(mine.front().index, theirs.front().index);
-  bool shared = false;
+  bool foundCommon = false;
   for (std::uint64_t index = std::min(mine.back().index, theirs.back().index); index >= first && index > 0; --index) {
     const auto& left = mine[index - mine.front().index];
     const auto& right = theirs[index - theirs.front().index];
-    if (shared && left.term != right.term)
-      return writeHistory().breakRule("logs-differ", one.self().id + " and " + other.self().id +
-                                                         " have a later entry in common but differ at index " +
-                                                         std::to_string(index));
+    if (foundCommon && left.term != right.term)
+      return mutableHistory().reportViolation("logs-differ", one.self().id + " and " + other.self().id +
+                                                                 " have a later entry in common but differ at index " +
+                                                                 std::to_string(index));
     if (left.term != right.term) continue;
-    shared = true;
+    foundCommon = true;
     if (left.kind != right.kind || left.body != right.body || left.changeId != right.changeId ||
         left.revision != right.revision)
-      return writeHistory().breakRule("logs-differ", one.self().id + " and " + other.self().id +
-                                                         " have different entries at index " + std::to_string(index) +
-                                                         " of term " + std::to_string(left.term));
+      return mutableHistory().reportViolation(
+          "logs-differ", one.self().id + " and " + other.self().id + " have different entries at index " +
+                             std::to_string(index) + " of term " + std::to_string(left.term));
   }
 }
 
-void ModelWorld::checkComplete(const ReplicatedLog& log) {
+void ModelWorld::checkLeaderCompleteness(const ReplicatedLog& log) {
   const auto& base = StateDump::base(log);
   const auto& entries = log.entries();
-  for (const auto& row : history->agreedRows()) {
-    if (row.inTerm >= log.election.term() || row.index <= base.index) continue;
-    bool held = !entries.empty() && row.index >= entries.front().index && row.index <= entries.back().index &&
-                entries[row.index - entries.front().index].term == row.term;
-    if (!held)
-      writeHistory().breakRule("agreed-entry-lost", log.self().id + " leads in term " +
-                                                        std::to_string(log.election.term()) + " without index " +
-                                                        std::to_string(row.index) + " '" + row.changeId +
-                                                        "', which was committed in term " + std::to_string(row.inTerm));
+  for (const auto& row : history->committedEntries()) {
+    if (row.appliedInTerm >= log.election.term() || row.index <= base.index) continue;
+    bool hasEntry = !entries.empty() && row.index >= entries.front().index && row.index <= entries.back().index &&
+                    entries[row.index - entries.front().index].term == row.term;
+    if (!hasEntry)
+      mutableHistory().reportViolation("agreed-entry-lost",
+                                       log.self().id + " leads in term " + std::to_string(log.election.term()) +
+                                           " without index " + std::to_string(row.index) + " '" + row.changeId +
+                                           "', which was committed in term " + std::to_string(row.appliedInTerm));
   }
 }
 
-std::optional<std::size_t> ModelWorld::find(const Choice& choice) const {
-  int place = 0;
-  for (std::size_t at = 0; at < packets.size(); ++at) {
-    const auto& packet = packets[at];
-    if (packet.from != choice.replica || packet.to != choice.other ||
-        static_cast<int>(packet.letter->message.index()) != choice.messageType)
+std::optional<std::size_t> ModelWorld::findPacket(const Choice& choice) const {
+  int position = 0;
+  for (std::size_t index = 0; index < packets.size(); ++index) {
+    const auto& packet = packets[index];
+    if (packet.from != choice.replica || packet.to != choice.receiver ||
+        static_cast<int>(packet.content->message.index()) != choice.messageType)
       continue;
-    if (place++ == choice.number) return at;
+    if (position++ == choice.number) return index;
   }
   return std::nullopt;
 }
 
-bool ModelWorld::deliver(std::size_t at, bool keep) {
-  Packet packet = packets[at];
+bool ModelWorld::deliver(std::size_t index, bool keepCopy) {
+  Packet packet = packets[index];
   const auto& machine = machines[static_cast<std::size_t>(packet.to)];
   if (machine.frozen) return false;
-  if (!keep) packets.erase(packets.begin() + static_cast<std::ptrdiff_t>(at));
+  if (!keepCopy) packets.erase(packets.begin() + static_cast<std::ptrdiff_t>(index));
   if (!machine.up()) return true;
-  const auto& message = packet.letter->message;
-  drive(packet.to, [&](Effects& effects) {
+  const auto& message = packet.content->message;
+  runReplica(packet.to, [&](Effects& effects) {
     auto& log = *machines[static_cast<std::size_t>(packet.to)].log;
     std::string leader = log.leaderAddress();
     if (auto* join = std::get_if<JoinRequest>(&message); join && !log.leads(clock)) {
@@ -315,32 +317,32 @@
   auto done = std::move(machine.writing);
   machine.writing.clear();
   for (const auto& save : done) (void)machine.synced.applyRecord(save.record);
-  drive(number, [&](Effects& effects) {
+  runReplica(number, [&](Effects& effects) {
     for (auto& save : done)
       if (save.onSynced) save.onSynced(effects);
   });
   return true;
 }
 
-bool ModelWorld::mayJoin(int number) const {
+bool ModelWorld::wantsToJoin(int number) const {
   const auto& machine = machines[static_cast<std::size_t>(number)];
   if (!machine.up() || machine.frozen) return false;
   for (const auto& row : machine.log->members())
     if (row.id == machine.log->self().id)
-      return !machine.log->election.won() && clock - machine.log->lastLeaderContact() >= leaderSilent;
+      return !machine.log->election.won() && clock - machine.log->lastLeaderContact() >= leaderContactTimeout;
   return true;
 }
 
 void ModelWorld::sendJoin(int number, int other) {
-  drive(number, [&](Effects& effects) {
+  runReplica(number, [&](Effects& effects) {
     effects.send(addressOf(other), JoinRequest{machines[static_cast<std::size_t>(number)].log->self()});
   });
 }
 
 void ModelWorld::sendChange(int number, int change) {
-  auto ask = writeHistory().request(change);
-  drive(number, [&](Effects& effects) {
-    machines[static_cast<std::size_t>(number)].log->proposeChange(effects, clientAddress, ask);
+  auto changeRequest = mutableHistory().request(change);
+  runReplica(number, [&](Effects& effects) {
+    machines[static_cast<std::size_t>(number)].log->proposeChange(effects, clientAddress, changeRequest);
   });
 }
 
@@ -350,86 +352,87 @@
   return lost;
 }
 
-bool ModelWorld::mayLoseDisk() const { return lostDisks() < worldSetup.faultBudget; }
+bool ModelWorld::mayLoseDisk() const { return lostDisks() < initialSetup.faultBudget; }
 
-void ModelWorld::countCalm() {
+void ModelWorld::countFaultFreeRound() {
   for (const auto& machine : machines)
-    if (!machine.up() || machine.frozen) return breakCalm();
-  for (int number = 0; number < worldSetup.machines(); ++number) {
+    if (!machine.up() || machine.frozen) return resetFaultFreeTime();
+  for (int number = 0; number < initialSetup.machines(); ++number) {
     auto& machine = machines[static_cast<std::size_t>(number)];
     if (!machine.lost) continue;
-    machine.calm += roundSpan;
-    if (machine.calm >= worldSetup.catchUp) machine.lost = false;
-    changed(number);
+    machine.faultFreeTime += roundDuration;
+    if (machine.faultFreeTime >= initialSetup.catchUp) machine.lost = false;
+    discardCopies(number);
   }
 }
 
-void ModelWorld::breakCalm() {
-  for (int number = 0; number < worldSetup.machines(); ++number) {
+void ModelWorld::resetFaultFreeTime() {
+  for (int number = 0; number < initialSetup.machines(); ++number) {
     auto& machine = machines[static_cast<std::size_t>(number)];
-    if (machine.calm == Duration(0)) continue;
-    machine.calm = Duration(0);
-    changed(number);
+    if (machine.faultFreeTime == Duration(0)) continue;
+    machine.faultFreeTime = Duration(0);
+    discardCopies(number);
   }
 }
 
-void ModelWorld::fairRounds(Duration span, bool allUp) {
+void ModelWorld::runWithoutFaults(Duration span, bool restartAll) {
   TimePoint until = clock + span;
   while (clock < until && !violation()) {
-    clock += roundSpan;
-    bool joins = (clock - startOfTime) % timing.joinInterval < roundSpan;
-    for (int number = 0; number < worldSetup.machines(); ++number) {
+    clock += roundDuration;
+    bool joins = (clock - startOfTime) % timing.joinInterval < roundDuration;
+    for (int number = 0; number < initialSetup.machines(); ++number) {
       auto& machine = machines[static_cast<std::size_t>(number)];
-      if (allUp && machine.frozen) {
+      if (restartAll && machine.frozen) {
         machine.frozen = false;
-        changed(number);
+        discardCopies(number);
       }
-      if (allUp && !machine.up()) boot(number);
+      if (restartAll && !machine.up()) startProcess(number);
       if (!machine.up() || machine.frozen) continue;
-      drive(number, [&](Effects& effects) { machine.log->tick(effects); });
-      if (joins && mayJoin(number))
-        for (int other = 0; other < worldSetup.machines(); ++other)
+      runReplica(number, [&](Effects& effects) { machine.log->tick(effects); });
+      if (joins && wantsToJoin(number))
+        for (int other = 0; other < initialSetup.machines(); ++other)
           if (other != number) sendJoin(number, other);
     }
     for (int pass = 0; pass < 2; ++pass) {
-      std::size_t at = 0;
-      for (std::size_t left = packets.size(); left > 0 && at < packets.size(); --left)
-        if (!deliver(at, false)) ++at;
-      for (int number = 0; number < worldSetup.machines(); ++number) (void)syncDisk(number);
+      std::size_t index = 0;
+      for (std::size_t left = packets.size(); left > 0 && index < packets.size(); --left)
+        if (!deliver(index, false)) ++index;
+      for (int number = 0; number < initialSetup.machines(); ++number) (void)syncDisk(number);
     }
-    countCalm();
+    countFaultFreeRound();
   }
 }
 
 void ModelWorld::checkLiveness() {
-  int last = worldSetup.changes;
-  TimePoint until = clock + livenessSpan;
-  while (clock < until && !violation() && !history->acknowledged(last)) {
-    fairRounds(livenessStep, true);
-    if (auto leading = leader(); leading && !violation()) sendChange(*leading, last);
+  int last = initialSetup.changes;
+  TimePoint until = clock + livenessTimeout;
+  while (clock < until && !violation() && !history->isAcknowledged(last)) {
+    runWithoutFaults(livenessInterval, true);
+    if (auto leaderNumber = leader(); leaderNumber && !violation()) sendChange(*leaderNumber, last);
   }
-  if (!history->acknowledged(last))
-    writeHistory().breakRule("no-majority", std::string(leader() ? "a change is not committed" : "there is no leader") +
-                                                " after " + std::to_string(toMilliseconds(livenessSpan)) +
-                                                " ms without faults");
+  if (!history->isAcknowledged(last))
+    mutableHistory().reportViolation(
+        "no-majority", std::string(leader() ? "a change is not committed" : "there is no leader") + " after " +
+                           std::to_string(toMilliseconds(livenessTimeout)) + " ms without faults");
 }
 
 bool ModelWorld::apply(const Choice& choice) {
   int number = choice.replica;
-  if (number < 0 || number >= worldSetup.machines() || choice.other < 0 || choice.other >= worldSetup.machines())
+  if (number < 0 || number >= initialSetup.machines() || choice.receiver < 0 ||
+      choice.receiver >= initialSetup.machines())
     return false;
-  random.seed(luckSpread * (choice.luck + 1));
+  random.seed(goldenRatio64 * (choice.randomSeed + 1));
   auto& machine = machines[static_cast<std::size_t>(number)];
   bool awake = machine.up() && !machine.frozen;
-  auto kept = static_cast<std::size_t>(std::max(choice.number, 0));
+  auto survivingBatches = static_cast<std::size_t>(std::max(choice.number, 0));
   switch (choice.kind) {
     case ChoiceKind::deliver:
     case ChoiceKind::duplicate: {
-      auto found = find(choice);
+      auto found = findPacket(choice);
       return found && deliver(*found, choice.kind == ChoiceKind::duplicate);
     }
     case ChoiceKind::drop: {
-      auto found = find(choice);
+      auto found = findPacket(choice);
       if (found) packets.erase(packets.begin() + static_cast<std::ptrdiff_t>(*found));
       return found.has_value();
     }
@@ -437,34 +440,34 @@
       return syncDisk(number);
     case ChoiceKind::tick:
       if (!awake) return false;
-      drive(number, [&](Effects& effects) { machine.log->tick(effects); });
+      runReplica(number, [&](Effects& effects) { machine.log->tick(effects); });
       return true;
     case ChoiceKind::wait:
-      if (choice.number > mostCalmWait) breakCalm();
+      if (choice.number > maxFaultFreeWaitMs) resetFaultFreeTime();
       clock += std::chrono::milliseconds(choice.number);
-      for (int at = 0; at < worldSetup.machines(); ++at) checkMachine(at);
+      for (int index = 0; index < initialSetup.machines(); ++index) checkMachine(index);
       return true;
     case ChoiceKind::run:
-      fairRounds(std::chrono::milliseconds(choice.number), false);
+      runWithoutFaults(std::chrono::milliseconds(choice.number), false);
       return true;
     case ChoiceKind::settle:
-      fairRounds(std::chrono::milliseconds(choice.number), true);
+      runWithoutFaults(std::chrono::milliseconds(choice.number), true);
       return true;
     case ChoiceKind::live:
-      if (!history->acknowledged(worldSetup.changes)) checkLiveness();
+      if (!history->isAcknowledged(initialSetup.changes)) checkLiveness();
       return true;
     case ChoiceKind::kill:
     case ChoiceKind::power:
       if (!machine.up() && (choice.kind == ChoiceKind::kill || machine.written.empty())) return false;
-      halt(number, kept, choice.kind == ChoiceKind::power);
+      stopProcess(number, survivingBatches, choice.kind == ChoiceKind::power);
       return true;
     case ChoiceKind::start:
       if (machine.up()) return false;
-      boot(number);
+      startProcess(number);
       return true;
     case ChoiceKind::wipe:
-      if (!mayLoseDisk() || number >= worldSetup.voters) return false;
-      halt(number, 0, true);
+      if (!mayLoseDisk() || number >= initialSetup.voters) return false;
+      stopProcess(number, 0, true);
       machine.synced = RecoveredState{};
       ++machine.disk;
       machine.lost = true;
@@ -472,62 +475,62 @@
     case ChoiceKind::freeze:
       if (!awake) return false;
       machine.frozen = true;
-      breakCalm();
-      changed(number);
+      resetFaultFreeTime();
+      discardCopies(number);
       return true;
     case ChoiceKind::wake:
       if (!machine.up() || !machine.frozen) return false;
       machine.frozen = false;
-      changed(number);
+      discardCopies(number);
       return true;
     case ChoiceKind::change:
-      if (!awake || choice.number < 0 || choice.number > worldSetup.changes) return false;
+      if (!awake || choice.number < 0 || choice.number > initialSetup.changes) return false;
       sendChange(number, choice.number);
       return true;
     case ChoiceKind::join:
-      if (!mayJoin(number) || number == choice.other) return false;
-      sendJoin(number, choice.other);
+      if (!wantsToJoin(number) || number == choice.receiver) return false;
+      sendJoin(number, choice.receiver);
       return true;
     case ChoiceKind::leave:
       if (!awake) return false;
-      drive(number, [&](Effects& effects) { machine.log->leave(effects); });
-      halt(number, 1, false);
+      runReplica(number, [&](Effects& effects) { machine.log->leave(effects); });
+      stopProcess(number, 1, false);
       return true;
   }
   return false;
 }
 
 ModelWorld::State ModelWorld::save() {
-  for (std::size_t at = 0; at < machines.size(); ++at) {
-    if (!images[at]) images[at] = std::make_shared<const Machine>(machines[at]);
-    (void)dump(static_cast<int>(at));
+  for (std::size_t index = 0; index < machines.size(); ++index) {
+    if (!machineCopies[index]) machineCopies[index] = std::make_shared<const ModelMachine>(machines[index]);
+    (void)dump(static_cast<int>(index));
   }
-  if (!historyImage) historyImage = std::make_shared<const History>(*history);
-  return State{images, dumps, packets, historyImage, clock};
+  if (!historyCopy) historyCopy = std::make_shared<const History>(*history);
+  return State{machineCopies, dumps, packets, historyCopy, clock};
 }
 
 void ModelWorld::load(const State& state) {
-  for (std::size_t at = 0; at < machines.size(); ++at) {
-    if (images[at] == state.machines[at]) continue;
-    machines[at] = *state.machines[at];
-    images[at] = state.machines[at];
+  for (std::size_t index = 0; index < machines.size(); ++index) {
+    if (machineCopies[index] == state.machines[index]) continue;
+    machines[index] = *state.machines[index];
+    machineCopies[index] = state.machines[index];
   }
   dumps = state.dumps;
   packets = state.packets;
-  if (historyImage != state.history) {
+  if (historyCopy != state.history) {
     history = *state.history;
-    historyImage = state.history;
+    historyCopy = state.history;
   }
   clock = state.clock;
 }
 
 namespace {
 /// A hash function for states. In texts it replaces the numbers of machines (the digit after "~") by their labels.
-class Mixer {
+class StateHasher {
  public:
-  explicit Mixer(const std::vector<int>& machineLabels) : labels(machineLabels) {}
+  explicit StateHasher(const std::vector<int>& machineLabels) : labels(machineLabels) {}
   void number(std::uint64_t value) {
-    sum ^= value + luckSpread + (sum << 6) + (sum >> 2);
+    sum ^= value + goldenRatio64 + (sum << 6) + (sum >> 2);
     sum *= 0xff51afd7ed558ccdull;
     sum ^= sum >> 32;
   }
@@ -551,13 +554,13 @@
   }
   /// Hashes rows so that their order does not matter.
   void group(const std::vector<std::string>& rows) {
-    std::uint64_t all = 0;
+    std::uint64_t rowSum = 0;
     for (const auto& row : rows) {
-      Mixer one(labels);
+      StateHasher one(labels);
       one.text(row);
-      all += one.sum;
+      rowSum += one.sum;
     }
-    number(all);
+    number(rowSum);
     number(rows.size());
   }
   std::uint64_t sum{0x2545f4914f6cdd1dull};
@@ -568,17 +571,17 @@
 
 /// The age of a time point in milliseconds, limited to what matters, as a number for the hash. The offset keeps it
 /// positive for time points in the future, and apart from the number for an unset one.
-std::uint64_t inPlace(const StateDump::Mark& mark, TimePoint now) {
-  if (mark.at == TimePoint{}) return 1;
-  Duration since = std::min<Duration>(now - mark.at, mark.matters);
-  return static_cast<std::uint64_t>(toMilliseconds(since) + 1'000'000);
+std::uint64_t ageNumber(const StateDump::Timestamp& timestamp, TimePoint now) {
+  if (timestamp.at == TimePoint{}) return 1;
+  Duration age = std::min<Duration>(now - timestamp.at, timestamp.maxAge);
+  return static_cast<std::uint64_t>(toMilliseconds(age) + 1'000'000);
 }
 }  // namespace
 
 std::string ModelWorld::describe() const {
   std::string text = "at " + std::to_string(toMilliseconds(clock - startOfTime)) + " ms, " +
                      std::to_string(packets.size()) + " messages in the network\n";
-  for (int number = 0; number < worldSetup.machines(); ++number) {
+  for (int number = 0; number < initialSetup.machines(); ++number) {
     const auto& machine = machines[static_cast<std::size_t>(number)];
     text += "  " + idOf(number) + (machine.lost ? " (disk counts as lost)" : "");
     if (!machine.up()) {
@@ -603,35 +606,35 @@
 }
 
 const StateBytes& ModelWorld::dump(int number) const {
-  auto& kept = dumps[static_cast<std::size_t>(number)];
-  if (kept) return *kept;
+  auto& cached = dumps[static_cast<std::size_t>(number)];
+  if (cached) return *cached;
   const auto& machine = machines[static_cast<std::size_t>(number)];
   StateBytes bytes;
   if (machine.up()) bytes = StateDump::bytes(*machine.log);
-  bytes.number(machine.up() + 2 * machine.frozen + 4 * machine.lost);
+  bytes.addNumber(machine.up() + 2 * machine.frozen + 4 * machine.lost);
   auto addRecord = [&](const Record& record) {
-    bytes.number(static_cast<std::uint64_t>(record.kind));
+    bytes.addNumber(static_cast<std::uint64_t>(record.kind));
     auto entry = record.kind == RecordKind::entry ? decodeEntry(record.bytes) : Result<LogEntry>(Error{});
     if (entry)
-      bytes.entry(entry.value());
+      bytes.addEntry(entry.value());
     else
-      bytes.word(record.bytes);
+      bytes.addText(record.bytes);
   };
-  bytes.word(machine.synced.identity);
+  bytes.addText(machine.synced.identity);
   for (const auto& [duty, vote] : machine.synced.votes) {
-    bytes.number(vote.term);
-    bytes.word(vote.votedFor);
+    bytes.addNumber(vote.term);
+    bytes.addText(vote.votedFor);
   }
   if (machine.synced.snapshot) addRecord(snapshotRecord(*machine.synced.snapshot));
-  for (const auto& entry : machine.synced.entries) bytes.entry(entry);
-  bytes.number(machine.written.size());
+  for (const auto& entry : machine.synced.entries) bytes.addEntry(entry);
+  bytes.addNumber(machine.written.size());
   for (const auto& record : machine.written) addRecord(record);
-  bytes.number(machine.writing.size());
+  bytes.addNumber(machine.writing.size());
   for (const auto& save : machine.writing) addRecord(save.record);
-  bytes.number(machine.waiting.size());
+  bytes.addNumber(machine.waiting.size());
   for (const auto& save : machine.waiting) addRecord(save.record);
-  kept = std::make_shared<const StateBytes>(std::move(bytes));
-  return *kept;
+  cached = std::make_shared<const StateBytes>(std::move(bytes));
+  return *cached;
 }
 
 std::uint64_t ModelWorld::fingerprint() const {
@@ -640,58 +643,58 @@
   std::size_t count = machines.size();
   std::vector<std::pair<std::uint64_t, int>> order;
   std::vector<int> labels(count, 1);
-  auto mixMachine = [&](Mixer& mixer, std::size_t at) {
-    const auto& machine = machines[at];
-    const auto& bytes = dump(static_cast<int>(at));
-    mixer.text(bytes.text);
-    for (const auto& group : bytes.groups) mixer.group(group);
-    if (machine.lost) mixer.number(static_cast<std::uint64_t>(toMilliseconds(machine.calm)));
+  auto hashMachine = [&](StateHasher& hasher, std::size_t index) {
+    const auto& machine = machines[index];
+    const auto& bytes = dump(static_cast<int>(index));
+    hasher.text(bytes.text);
+    for (const auto& group : bytes.groups) hasher.group(group);
+    if (machine.lost) hasher.number(static_cast<std::uint64_t>(toMilliseconds(machine.faultFreeTime)));
     if (!machine.up()) return;
-    std::uint64_t ofMembers = 0;
-    for (const auto& mark : StateDump::marks(*machine.log)) {
-      if (mark.member.empty()) {
-        mixer.number(inPlace(mark, clock));
+    std::uint64_t memberSum = 0;
+    for (const auto& timestamp : StateDump::timestamps(*machine.log)) {
+      if (timestamp.member.empty()) {
+        hasher.number(ageNumber(timestamp, clock));
         continue;
       }
-      Mixer one(labels);
-      one.text(mark.member);
-      one.number(inPlace(mark, clock) + static_cast<std::uint64_t>(mark.matters.count()));
-      ofMembers += one.sum;
+      StateHasher one(labels);
+      one.text(timestamp.member);
+      one.number(ageNumber(timestamp, clock) + static_cast<std::uint64_t>(timestamp.maxAge.count()));
+      memberSum += one.sum;
     }
-    mixer.number(ofMembers);
+    hasher.number(memberSum);
   };
-  for (std::size_t at = 0; at < count; ++at) {
+  for (std::size_t index = 0; index < count; ++index) {
     labels.assign(count, 1);
-    labels[at] = 0;
-    Mixer mixer(labels);
-    mixMachine(mixer, at);
-    order.emplace_back(mixer.sum, static_cast<int>(at));
+    labels[index] = 0;
+    StateHasher hasher(labels);
+    hashMachine(hasher, index);
+    order.emplace_back(hasher.sum, static_cast<int>(index));
   }
   std::sort(order.begin(), order.end());
-  for (std::size_t place = 0; place < count; ++place)
-    labels[static_cast<std::size_t>(order[place].second)] = static_cast<int>(place);
-  Mixer complete(labels);
-  for (const auto& [sum, at] : order) mixMachine(complete, static_cast<std::size_t>(at));
-  std::uint64_t letters = 0;
+  for (std::size_t position = 0; position < count; ++position)
+    labels[static_cast<std::size_t>(order[position].second)] = static_cast<int>(position);
+  StateHasher stateHasher(labels);
+  for (const auto& [sum, index] : order) hashMachine(stateHasher, static_cast<std::size_t>(index));
+  std::uint64_t packetSum = 0;
   for (const auto& packet : packets) {
-    const auto& letter = *packet.letter;
+    const auto& content = *packet.content;
     /// Only the age of the time in a heartbeat matters, so the time is left out of the encoding.
-    Message message = letter.message;
+    Message message = content.message;
     std::int64_t sentAt = 0;
-    if (auto* hold = std::get_if<Heartbeat>(&message)) std::swap(sentAt, hold->sentAt);
-    if (auto* kept = std::get_if<HeartbeatResponse>(&message)) std::swap(sentAt, kept->sentAt);
-    if (letter.bytes.empty()) letter.bytes = encodeMessage(message);
-    Mixer one(labels);
+    if (auto* heartbeat = std::get_if<Heartbeat>(&message)) std::swap(sentAt, heartbeat->sentAt);
+    if (auto* response = std::get_if<HeartbeatResponse>(&message)) std::swap(sentAt, response->sentAt);
+    if (content.bytes.empty()) content.bytes = encodeMessage(message);
+    StateHasher one(labels);
     one.number(static_cast<std::uint64_t>(labels[static_cast<std::size_t>(packet.from)] * 16 +
                                           labels[static_cast<std::size_t>(packet.to)]));
-    one.text(letter.bytes);
-    if (sentAt > 0) one.number(inPlace({fromNanoseconds(sentAt), timing.lease, {}}, clock));
+    one.text(content.bytes);
+    if (sentAt > 0) one.number(ageNumber({fromNanoseconds(sentAt), timing.lease, {}}, clock));
     if (sentAt < 0) one.number(2);
-    letters += one.sum;
+    packetSum += one.sum;
   }
-  complete.number(letters);
-  complete.text(history->bytes());
-  return complete.sum;
+  stateHasher.number(packetSum);
+  stateHasher.text(history->serialized());
+  return stateHasher.sum;
 }
 
 }  // namespace tt::model
--- a/src/model/model_world.hpp
+++ b/src/model/model_world.hpp
@@ -7,7 +7,7 @@
 namespace tt::model {
 
 /// A machine of the model: its disk and, while its process runs, a real ReplicatedLog with its Election.
-struct Machine {
+struct ModelMachine {
   std::optional<ReplicatedLog> log;
   bool frozen{false};
   /// Number of the disk, counted from 0. A process with a new disk has a new id.
@@ -20,12 +20,12 @@
   std::vector<Record> written;
   /// Whether the disk counts as lost since it was replaced, and for how long all machines have run without a fault.
   bool lost{false};
-  Duration calm{0};
+  Duration faultFreeTime{0};
   bool up() const { return log.has_value(); }
 };
 
 /// A message as it was sent, and its encoding, which is made when it is first needed.
-struct Letter {
+struct SentMessage {
   Message message;
   mutable std::string bytes;
 };
@@ -33,7 +33,7 @@
 /// A message in the network.
 struct Packet {
   int from{0}, to{0};
-  std::shared_ptr<const Letter> letter;
+  std::shared_ptr<const SentMessage> content;
 };
 
 /// The model: real replicated logs with simulated network, disks, clock and clients. It executes one event at a time
@@ -56,10 +56,10 @@
   /// A hash of the state. It is equal for states that differ only by a permutation of the replicas.
   std::uint64_t fingerprint() const;
 
-  const Setup& setup() const { return worldSetup; }
+  const Setup& setup() const { return initialSetup; }
   const std::vector<Packet>& network() const { return packets; }
-  const Machine& machine(int number) const { return machines[static_cast<std::size_t>(number)]; }
-  const History& past() const { return *history; }
+  const ModelMachine& machine(int number) const { return machines[static_cast<std::size_t>(number)]; }
+  const History& recordedHistory() const { return *history; }
   TimePoint now() const { return clock; }
   /// The machine that holds a valid lease as leader; nothing if there is none.
   std::optional<int> leader() const;
@@ -70,7 +70,7 @@
 
   /// A saved state of this ModelWorld. States share the copies of machines that did not change between them.
   struct State {
-    std::vector<std::shared_ptr<const Machine>> machines;
+    std::vector<std::shared_ptr<const ModelMachine>> machines;
     std::vector<std::shared_ptr<const StateBytes>> dumps;
     std::vector<Packet> packets;
     std::shared_ptr<const History> history;
@@ -80,19 +80,19 @@
   void load(const State& state);
 
   /// If set, called with descriptions of what happens during events.
-  std::function<void(const std::string&)> tell;
+  std::function<void(const std::string&)> onEvent;
 
  private:
-  Setup worldSetup;
+  Setup initialSetup;
   Defences defences;
-  std::vector<Machine> machines;
+  std::vector<ModelMachine> machines;
   /// Copies of machines for saved states; null where the machine has changed since.
-  std::vector<std::shared_ptr<const Machine>> images;
+  std::vector<std::shared_ptr<const ModelMachine>> machineCopies;
   /// Cached serializations of machines; null where the machine has changed since.
   mutable std::vector<std::shared_ptr<const StateBytes>> dumps;
   std::vector<Packet> packets;
   std::optional<History> history;
-  std::shared_ptr<const History> historyImage;
+  std::shared_ptr<const History> historyCopy;
   TimePoint clock;
   std::mt19937_64 random;
   Journal journal;
@@ -102,55 +102,55 @@
   std::string idOf(int number) const;
   static std::string addressOf(int number);
   /// Starts a process with the state that is on its disk.
-  void boot(int number);
-  /// Stops a process. `kept`: number of unsynced batches that survive. `powerGone`: what was not synced may be lost;
-  /// otherwise only the process ends, and what it has written stays.
-  void halt(int number, std::size_t kept, bool powerGone);
+  void startProcess(int number);
+  /// Stops a process. `survivingBatches`: number of unsynced batches that survive. `powerFailed`: what was not synced
+  /// may be lost; otherwise only the process ends, and what it has written stays.
+  void stopProcess(int number, std::size_t survivingBatches, bool powerFailed);
   /// Runs an action of a replica, performs its effects and checks the rules.
-  void drive(int number, const std::function<void(Effects&)>& action);
+  void runReplica(int number, const std::function<void(Effects&)>& action);
   /// Puts a message into the network, or hands it to the client.
-  void post(int from, const std::string& address, Message message);
-  void toClient(int from, const ChangeResponse& answer);
-  /// Delivers the message at an index of the network. `keep`: a copy stays in the network.
-  bool deliver(std::size_t at, bool keep);
+  void sendMessage(int from, const std::string& address, Message message);
+  void deliverToClient(int from, const ChangeResponse& response);
+  /// Delivers the message at an index of the network. `keepCopy`: a copy stays in the network.
+  bool deliver(std::size_t index, bool keepCopy);
   /// Completes the sync of the batch that is being written.
   bool syncDisk(int number);
   /// Index of the message that an event names.
-  std::optional<std::size_t> find(const Choice& choice) const;
+  std::optional<std::size_t> findPacket(const Choice& choice) const;
   /// Whether a replica would send join requests: it is not a member, or has not heard from a leader for long.
-  bool mayJoin(int number) const;
+  bool wantsToJoin(int number) const;
   void sendJoin(int number, int other);
   void sendChange(int number, int change);
   /// Runs the fleet without faults and sends a new change. Reports a violation of no-majority if the change is not
   /// committed in time.
   void checkLiveness();
-  /// Runs rounds in which time passes, all timers run, and all messages and syncs complete. `allUp`: stopped machines
-  /// are started and frozen ones woken.
-  void fairRounds(Duration span, bool allUp);
+  /// Runs rounds in which time passes, all timers run, and all messages and syncs complete. `restartAll`: stopped
+  /// machines are started and frozen ones woken.
+  void runWithoutFaults(Duration span, bool restartAll);
   /// Discards the copies of a machine that has changed.
-  void changed(int number);
+  void discardCopies(int number);
   /// Counts a round without faults. A replaced disk no longer counts as lost after enough of them in sequence.
-  void countCalm();
+  void countFaultFreeRound();
   /// Starts this count again at zero.
-  void breakCalm();
+  void resetFaultFreeTime();
   int lostDisks() const;
-  History& writeHistory();
+  History& mutableHistory();
   const StateBytes& dump(int number) const;
   /// Checks the rules that concern a replica after it has run.
   void checkMachine(int number);
   /// Checks that two logs with an entry of the same index and term are identical up to it.
-  void checkLogs(const ReplicatedLog& one, const ReplicatedLog& other);
+  void checkLogMatching(const ReplicatedLog& one, const ReplicatedLog& other);
   /// Checks that a leader has all entries that were committed in earlier terms.
-  void checkComplete(const ReplicatedLog& log);
+  void checkLeaderCompleteness(const ReplicatedLog& log);
   /// Checks that an acknowledged change is on enough disks to survive the fault budget.
   void checkAcknowledged(int change);
   /// Checks that a majority of the members before an entry, and for a membership entry of the new members too, has it.
-  void checkAgreed(const LogEntry& entry);
+  void checkCommitted(const LogEntry& entry);
   void checkMajority(const LogEntry& entry, const std::vector<Member>& members);
   /// Whether an entry is synced to a machine's disk.
-  bool holdsEntry(const Machine& machine, const History::AgreedRow& row) const;
-  void say(const std::string& text) const {
-    if (tell) tell(text);
+  bool hasSyncedEntry(const ModelMachine& machine, const History::CommittedEntry& row) const;
+  void trace(const std::string& text) const {
+    if (onEvent) onEvent(text);
   }
 };
 
--- a/src/model/search.hpp
+++ b/src/model/search.hpp
@@ -14,8 +14,8 @@
   std::uint64_t states{0}, events{0}, walks{0};
   int depth{0};
   std::vector<Counterexample> found;
-  /// Whether a breadth-first search visited all reachable states, that is, did not end at a limit.
-  bool whole{false};
+  /// Whether a breadth-first search visited all states that are reachable within its depth.
+  bool complete{false};
 };
 
 /// Parameters of a search by random walks. `events`: number of events of a walk.
@@ -49,8 +49,9 @@
 /// shortest one.
 SearchReport searchBreadthFirst(const Setup& setup, const BreadthFirstLimits& limits);
 
-/// Replays a run and returns the violation at which it ends, if any. `tell` is called with a description of each event.
-std::optional<Violation> replay(const Run& run, const std::function<void(const std::string&)>& tell = {});
+/// Replays a run and returns the violation at which it ends, if any. `onEvent` is called with a description of each
+/// event.
+std::optional<Violation> replay(const Run& run, const std::function<void(const std::string&)>& onEvent = {});
 
 /// Removes events from a run as long as it still violates the same rule.
 Run shrink(const Run& run, const std::string& rule);
--- a/src/model/setup.cpp
+++ b/src/model/setup.cpp
@@ -8,7 +8,7 @@
 namespace {
 const std::string setupWord = "setup";
 /// The number of a machine is a single digit in its id.
-constexpr int mostMachines = 9;
+constexpr int maxMachines = 9;
 /// Any number of this many digits fits into an int.
 constexpr std::size_t maxNumberDigits = 9;
 }  // namespace
@@ -69,20 +69,20 @@
       return makeError(Code::unknownField, name);
     }
   }
-  if (setup.voters < 1 || setup.machines() > mostMachines)
+  if (setup.voters < 1 || setup.machines() > maxMachines)
     return makeError(Code::badField, "voters", "voters and spares must be 1 to 9 in total");
   if (auto defences = setup.defences(); !defences) return defences.error();
   return setup;
 }
 
 Result<Defences> Setup::defences() const {
-  Defences standing;
+  Defences enabled;
   for (const auto& name : disabledDefences) {
     auto defence = Defences::named(name);
     if (!defence) return makeError(Code::badField, name, "is not the name of a defence");
-    standing.disable(*defence);
+    enabled.disable(*defence);
   }
-  return standing;
+  return enabled;
 }
 
 void Setup::applyTiming() const {
@@ -90,7 +90,7 @@
   timing.minVoters = minVoters;
 }
 
-std::string Run::text() const { return setup.text() + "\n" + printChoices(choices); }
+std::string Run::text() const { return setup.text() + "\n" + writeChoices(choices); }
 
 Result<Run> Run::parse(const std::string& text) {
   Run run;
--- a/src/model/state_dump.hpp
+++ b/src/model/state_dump.hpp
@@ -10,9 +10,9 @@
   std::vector<std::vector<std::string>> groups;
 
   /// Appends a number, a text, or an entry of the log.
-  void number(std::uint64_t value);
-  void word(const std::string& value);
-  void entry(const LogEntry& entry);
+  void addNumber(std::uint64_t value);
+  void addText(const std::string& value);
+  void addEntry(const LogEntry& entry);
 };
 
 /// Reads the complete state of a replica's log and election, including private members, so that the model checker can
@@ -23,12 +23,12 @@
   static StateBytes bytes(const ReplicatedLog& log);
   /// A time point in the state, and the age from which on a higher age makes no difference. `member`: the id of the
   /// member that it concerns; time points of members are unordered.
-  struct Mark {
+  struct Timestamp {
     TimePoint at;
-    Duration matters;
+    Duration maxAge;
     std::string member;
   };
-  static std::vector<Mark> marks(const ReplicatedLog& log);
+  static std::vector<Timestamp> timestamps(const ReplicatedLog& log);
   /// The last snapshot.
   static const Snapshot& base(const ReplicatedLog& log) { return log.lastSnapshot; }
 };
--- a/src/sim/history_lines.cpp
+++ b/src/sim/history_lines.cpp
@@ -6,18 +6,18 @@
 constexpr const char* kindNames[] = {"change", "nameWeights", "read", "readWeights"};
 constexpr const char* outcomeNames[] = {"unclear", "taken", "refusedStale", "refusedInvalid", "seen"};
 /// JSON numbers are doubles, which represent integers exactly up to 2^53.
-constexpr std::int64_t mostRevision = std::int64_t(1) << 53;
+constexpr std::int64_t maxRevision = std::int64_t(1) << 53;
 /// Any number of this many digits fits into 64 bits.
 constexpr std::size_t maxTimeDigits = 18;
 
 template <typename Kind, std::size_t count>
-std::optional<Kind> namedIn(const char* const (&names)[count], const std::string& name) {
-  for (std::size_t at = 0; at < count; ++at)
-    if (name == names[at]) return static_cast<Kind>(at);
+std::optional<Kind> parseName(const char* const (&names)[count], const std::string& name) {
+  for (std::size_t index = 0; index < count; ++index)
+    if (name == names[index]) return static_cast<Kind>(index);
   return std::nullopt;
 }
 
-Json jsonOfItems(const std::vector<ItemChange>& items) {
+Json itemsToJson(const std::vector<ItemChange>& items) {
   JsonArray rows;
   for (const auto& item : items) {
     JsonObject row{{"name", Json(item.name)}};
@@ -27,7 +27,7 @@
   return Json(rows);
 }
 
-Result<std::vector<ItemChange>> itemsOf(const Json& list) {
+Result<std::vector<ItemChange>> parseItems(const Json& list) {
   std::vector<ItemChange> items;
   if (!list.is<JsonArray>()) return makeError(Code::badField, "items", "must be an array");
   for (const auto& row : list.get<JsonArray>()) {
@@ -46,7 +46,7 @@
   return items;
 }
 
-Result<std::int64_t> momentField(const JsonObject& fields, const std::string& name) {
+Result<std::int64_t> parseTime(const JsonObject& fields, const std::string& name) {
   auto text = stringField(fields, name);
   if (!text) return text.error();
   if (text.value().empty() || text.value().find_first_not_of("0123456789") != std::string::npos ||
@@ -55,28 +55,28 @@
   return static_cast<std::int64_t>(std::stoll(text.value()));
 }
 
-Result<void> readInitial(History& history, const JsonObject& fields) {
-  auto revision = integerField(fields, "revision", 0, 0, mostRevision);
+Result<void> parseInitial(History& history, const JsonObject& fields) {
+  auto revision = integerField(fields, "revision", 0, 0, maxRevision);
   if (!revision) return revision.error();
   history.initialRevision = static_cast<std::uint64_t>(revision.value());
   auto found = fields.find("items");
   if (found == fields.end()) return makeError(Code::missingField, "items");
-  auto items = itemsOf(found->second);
+  auto items = parseItems(found->second);
   if (!items) return items.error();
   for (const auto& item : items.value())
     if (item.value) history.initialItems[item.name] = *item.value;
   return boost::outcome_v2::success();
 }
 
-Result<Operation> readOperation(const JsonObject& fields) {
+Result<Operation> parseOperation(const JsonObject& fields) {
   Operation operation;
   auto kind = stringField(fields, "kind"), outcome = stringField(fields, "outcome"),
        client = stringField(fields, "client");
   if (!kind) return kind.error();
   if (!outcome) return outcome.error();
   if (!client) return client.error();
-  auto knownKind = namedIn<OperationKind>(kindNames, kind.value());
-  auto knownOutcome = namedIn<OperationOutcome>(outcomeNames, outcome.value());
+  auto knownKind = parseName<OperationKind>(kindNames, kind.value());
+  auto knownOutcome = parseName<OperationOutcome>(outcomeNames, outcome.value());
   if (!knownKind) return makeError(Code::badField, "kind", "is not a known kind of operation");
   if (!knownOutcome) return makeError(Code::badField, "outcome", "is not a known outcome");
   operation.kind = *knownKind;
@@ -85,26 +85,26 @@
   operation.through = stringOr(Json(fields), "through");
   operation.changeId = stringOr(Json(fields), "changeId");
   operation.model = stringOr(Json(fields), "model");
-  auto began = momentField(fields, "began");
+  auto began = parseTime(fields, "began");
   if (!began) return began.error();
   operation.began = began.value();
   if (fields.count("ended")) {
-    auto ended = momentField(fields, "ended");
+    auto ended = parseTime(fields, "ended");
     if (!ended) return ended.error();
     operation.ended = ended.value();
   }
   if (operation.outcome != OperationOutcome::unclear && !operation.ended) return makeError(Code::missingField, "ended");
   for (auto [name, target] : {std::pair{"revision", &operation.revision}, {"seen", &operation.resultRevision}}) {
-    auto number = integerField(fields, name, 0, 0, mostRevision);
+    auto number = integerField(fields, name, 0, 0, maxRevision);
     if (!number) return number.error();
     *target = static_cast<std::uint64_t>(number.value());
   }
   if (fields.count("base")) {
-    auto base = integerField(fields, "base", 0, 0, mostRevision);
+    auto base = integerField(fields, "base", 0, 0, maxRevision);
     if (!base) return base.error();
     operation.base = static_cast<std::uint64_t>(base.value());
   }
-  for (auto [name, target] : {std::pair{"whole", &operation.complete}}) {
+  for (auto [name, target] : {std::pair{"whole", &operation.replacesAll}}) {
     auto flag = boolField(fields, name, false);
     if (!flag) return flag.error();
     *target = flag.value();
@@ -120,7 +120,7 @@
     operation.resultDigest = std::strtoull(digest.value().c_str(), nullptr, 10);
   }
   if (auto found = fields.find("items"); found != fields.end()) {
-    auto items = itemsOf(found->second);
+    auto items = parseItems(found->second);
     if (!items) return items.error();
     operation.items = std::move(items.value());
   }
@@ -146,10 +146,10 @@
   addNumber("seen", operation.resultRevision);
   if (operation.ended) fields["ended"] = Json(std::to_string(*operation.ended));
   if (operation.base) fields["base"] = Json(static_cast<double>(*operation.base));
-  if (operation.complete) fields["whole"] = Json(true);
+  if (operation.replacesAll) fields["whole"] = Json(true);
   if (operation.valid) fields["valid"] = Json(*operation.valid);
   if (operation.resultDigest) fields["digest"] = Json(std::to_string(*operation.resultDigest));
-  if (!operation.items.empty()) fields["items"] = jsonOfItems(operation.items);
+  if (!operation.items.empty()) fields["items"] = itemsToJson(operation.items);
   return Json(fields).serialize();
 }
 
@@ -158,25 +158,25 @@
   for (const auto& [name, value] : items) rows.push_back(ItemChange{name, value});
   return Json(JsonObject{{"kind", Json("initial")},
                          {"revision", Json(static_cast<double>(revision))},
-                         {"items", jsonOfItems(rows)}})
+                         {"items", itemsToJson(rows)}})
       .serialize();
 }
 
 Result<History> readHistory(const std::vector<std::string>& lines) {
   History history;
-  for (std::size_t at = 0; at < lines.size(); ++at) {
-    std::string place = "line " + std::to_string(at + 1);
-    auto read = parseJson(lines[at]);
-    if (!read || !read.value().is<JsonObject>()) return makeError(Code::badJson, place, "is not a JSON object");
+  for (std::size_t index = 0; index < lines.size(); ++index) {
+    std::string location = "line " + std::to_string(index + 1);
+    auto read = parseJson(lines[index]);
+    if (!read || !read.value().is<JsonObject>()) return makeError(Code::badJson, location, "is not a JSON object");
     const auto& fields = read.value().get<JsonObject>();
     if (stringOr(read.value(), "kind") == "initial") {
-      if (auto done = readInitial(history, fields); !done)
-        return makeError(done.error().code, place + " " + done.error().subject, done.error().text);
+      if (auto done = parseInitial(history, fields); !done)
+        return makeError(done.error().code, location + " " + done.error().subject, done.error().text);
       continue;
     }
-    auto operation = readOperation(fields);
+    auto operation = parseOperation(fields);
     if (!operation)
-      return makeError(operation.error().code, place + " " + operation.error().subject, operation.error().text);
+      return makeError(operation.error().code, location + " " + operation.error().subject, operation.error().text);
     history.operations.push_back(std::move(operation.value()));
   }
   return history;
--- a/src/sim/linearizability.cpp
+++ b/src/sim/linearizability.cpp
@@ -9,13 +9,13 @@
 namespace {
 constexpr std::int64_t never = std::numeric_limits<std::int64_t>::max();
 /// Limits of the operations that an explanation lists: in all, and of the culprit with the end of the longest order.
-constexpr std::size_t mostLinesShown = 12;
+constexpr std::size_t maxOperationsShown = 12;
 constexpr std::size_t maxOrderLines = 4;
 /// The value number of an item that does not exist.
 constexpr std::uint32_t noValue = 0;
 
 /// The hash function of SplitMix64.
-std::uint64_t mixed(std::uint64_t value) {
+std::uint64_t mixBits(std::uint64_t value) {
   value += 0x9e3779b97f4a7c15;
   value = (value ^ (value >> 30)) * 0xbf58476d1ce4e5b9;
   value = (value ^ (value >> 27)) * 0x94d049bb133111eb;
@@ -23,13 +23,13 @@
 }
 
 std::uint64_t itemDigest(const std::string& name, const std::string& value) {
-  return mixed(rendezvousHash(name, value));
+  return mixBits(rendezvousHash(name, value));
 }
 
 /// The value of an item after a change; `before` is empty if the item did not exist.
 std::optional<std::string> itemAfter(const std::optional<std::string>& before, const ItemChange& change,
-                                     bool complete) {
-  if (!change.value || complete || !before) return change.value;
+                                     bool replacesAll) {
+  if (!change.value || replacesAll || !before) return change.value;
   auto target = parseJson(*before), patch = parseJson(*change.value);
   if (!target || !patch) return change.value;
   mergePatch(target.value(), patch.value());
@@ -40,19 +40,19 @@
 /// step, because only the first attempt that takes effect changes the register; the others show only that it had taken
 /// effect by their end.
 struct Step {
-  /// `changes`: changes the register. `optional`: it is not known whether it took effect.
-  bool changes{false}, optional{false};
+  /// `isChange`: changes the register. `optional`: it is not known whether it took effect.
+  bool isChange{false}, optional{false};
   std::int64_t began{0}, ended{never};
   /// Index of the operation that represents the step in explanations.
   std::size_t operation{0};
   std::optional<std::uint64_t> base;
   /// The requested revision and the revision in the response; 0 if there is none.
-  std::uint64_t asked{0}, seen{0};
+  std::uint64_t requestedRevision{0}, resultRevision{0};
   std::optional<std::uint64_t> digest;
-  bool refusal{false};
+  bool isRefusal{false};
   /// Number of the core that a read was sent to.
-  std::size_t place{0};
-  bool reads() const { return !changes && !refusal; }
+  std::size_t core{0};
+  bool isRead() const { return !isChange && !isRefusal; }
 };
 
 /// A state of the register: `values` holds the value number of each item, by the item's column.
@@ -65,54 +65,56 @@
 class ItemTable {
  public:
   explicit ItemTable(const RegisterItems& initial) {
-    for (const auto& [name, value] : initial) first.emplace_back(columnOf(name), valueOf(value));
+    for (const auto& [name, value] : initial) initialValues.emplace_back(columnOf(name), valueOf(value));
   }
   State initialState(std::uint64_t revision) const {
     State state;
     state.revision = revision;
-    for (auto [column, value] : first) set(state, column, value);
+    for (auto [column, value] : initialValues) set(state, column, value);
     return state;
   }
   void apply(State& state, const Operation& change) {
-    if (change.complete) {
+    if (change.replacesAll) {
       state.values.clear();
       state.digest = 0;
     }
     for (const auto& item : change.items) {
       std::uint32_t column = columnOf(item.name);
       std::uint32_t before = column < state.values.size() ? state.values[column] : noValue;
-      set(state, column, merged(before, item, change.complete));
+      set(state, column, merged(before, item, change.replacesAll));
     }
   }
 
  private:
+  /// The columns of items by name, and the numbers of values; the names and values by these numbers.
   std::unordered_map<std::string, std::uint32_t> columns, valueIds;
   std::vector<std::string> columnNames, values{std::string()};
-  std::vector<std::pair<std::uint32_t, std::uint32_t>> first;
+  std::vector<std::pair<std::uint32_t, std::uint32_t>> initialValues;
+  /// Results by the value before and the patch; and digests of items by column and value.
   std::map<std::pair<std::uint32_t, std::uint32_t>, std::uint32_t> mergedValues;
   mutable std::map<std::pair<std::uint32_t, std::uint32_t>, std::uint64_t> digests;
 
   std::uint32_t columnOf(const std::string& name) {
-    auto [row, fresh] = columns.try_emplace(name, static_cast<std::uint32_t>(columnNames.size()));
-    if (fresh) columnNames.push_back(name);
+    auto [row, inserted] = columns.try_emplace(name, static_cast<std::uint32_t>(columnNames.size()));
+    if (inserted) columnNames.push_back(name);
     return row->second;
   }
   std::uint32_t valueOf(const std::string& value) {
-    auto [row, fresh] = valueIds.try_emplace(value, static_cast<std::uint32_t>(values.size()));
-    if (fresh) values.push_back(value);
+    auto [row, inserted] = valueIds.try_emplace(value, static_cast<std::uint32_t>(values.size()));
+    if (inserted) values.push_back(value);
     return row->second;
   }
-  std::uint32_t merged(std::uint32_t before, const ItemChange& item, bool complete) {
+  std::uint32_t merged(std::uint32_t before, const ItemChange& item, bool replacesAll) {
     if (!item.value) return noValue;
     std::uint32_t patch = valueOf(*item.value);
-    if (complete || before == noValue || before == patch) return patch;
-    auto [row, fresh] = mergedValues.try_emplace({before, patch}, noValue);
-    if (fresh) row->second = valueOf(*itemAfter(values[before], item, false));
+    if (replacesAll || before == noValue || before == patch) return patch;
+    auto [row, inserted] = mergedValues.try_emplace({before, patch}, noValue);
+    if (inserted) row->second = valueOf(*itemAfter(values[before], item, false));
     return row->second;
   }
   std::uint64_t digestAt(std::uint32_t column, std::uint32_t value) const {
-    auto [row, fresh] = digests.try_emplace({column, value}, 0);
-    if (fresh) row->second = itemDigest(columnNames[column], values[value]);
+    auto [row, inserted] = digests.try_emplace({column, value}, 0);
+    if (inserted) row->second = itemDigest(columnNames[column], values[value]);
     return row->second;
   }
   void set(State& state, std::uint32_t column, std::uint32_t value) const {
@@ -124,13 +126,13 @@
   }
 };
 
-/// `deepest`: number of required steps in the longest order found; `order` and `deepestRevision`: its changes, as
+/// `longestLength`: number of required steps in the longest order found; `order` and `longestRevision`: its changes, as
 /// indexes of operations, and the revision that it ends at.
 struct SearchResult {
-  bool found{false}, ranOut{false};
-  std::size_t steps{0}, deepest{0};
+  bool found{false}, limitReached{false};
+  std::size_t steps{0}, longestLength{0};
   std::vector<std::size_t> order;
-  std::uint64_t deepestRevision{0};
+  std::uint64_t longestRevision{0};
 };
 
 /// The linearizability search of Wing and Gong with Lowe's cache of visited configurations. The search appends steps to
@@ -144,16 +146,16 @@
       : operations(allOperations),
         steps(std::move(allSteps)),
         items(itemTable),
-        weights(weightsOnly),
+        isWeightsRegister(weightsOnly),
         linearizableReads(orderReads),
-        mostSteps(stepLimit),
-        closed(steps.size(), false) {
+        maxSteps(stepLimit),
+        ordered(steps.size(), false) {
     std::sort(steps.begin(), steps.end(), [](const Step& one, const Step& other) { return one.began < other.began; });
-    for (std::size_t at = 0; at < steps.size(); ++at) {
-      (steps[at].optional ? optionals : musts).push_back(at);
-      keys.emplace_back(mixed(2 * at + 1), mixed(~(2 * at)));
+    for (std::size_t index = 0; index < steps.size(); ++index) {
+      (steps[index].optional ? optionalSteps : requiredSteps).push_back(index);
+      stepKeys.emplace_back(mixBits(2 * index + 1), mixBits(~(2 * index)));
     }
-    open = musts.size();
+    remaining = requiredSteps.size();
   }
 
   SearchResult run(const State& initial) {
@@ -169,82 +171,85 @@
   const std::vector<Operation>& operations;
   std::vector<Step> steps;
   ItemTable& items;
-  bool weights, linearizableReads;
-  std::size_t mostSteps;
+  bool isWeightsRegister, linearizableReads;
+  std::size_t maxSteps;
   /// Whether each step is in the order.
-  std::vector<bool> closed;
+  std::vector<bool> ordered;
   /// Indexes of the required and of the optional steps, by the time at which they began; and the changes in the order.
-  std::vector<std::size_t> musts, optionals, order;
+  std::vector<std::size_t> requiredSteps, optionalSteps, order;
   /// A 128-bit random key for each step; the XOR of the keys of the steps in the order identifies their set.
-  std::vector<std::pair<std::uint64_t, std::uint64_t>> keys;
-  std::pair<std::uint64_t, std::uint64_t> closedKey{0, 0};
+  std::vector<std::pair<std::uint64_t, std::uint64_t>> stepKeys;
+  std::pair<std::uint64_t, std::uint64_t> orderedKey{0, 0};
   /// The visited configurations: hashes of the set of steps in the order and the state that they lead to.
-  std::unordered_set<std::pair<std::uint64_t, std::uint64_t>, KeyHash> tried;
+  std::unordered_set<std::pair<std::uint64_t, std::uint64_t>, KeyHash> visited;
   /// Number of required steps that are not yet in the order.
-  std::size_t open{0};
+  std::size_t remaining{0};
   SearchResult result;
 
   /// Adds a step to the order or takes it out again.
-  void toggle(std::size_t at) {
-    closed[at] = !closed[at];
-    if (!steps[at].optional) open += closed[at] ? std::size_t(-1) : 1;
-    closedKey.first ^= keys[at].first;
-    closedKey.second ^= keys[at].second;
+  void toggle(std::size_t index) {
+    ordered[index] = !ordered[index];
+    if (!steps[index].optional) remaining += ordered[index] ? std::size_t(-1) : 1;
+    orderedKey.first ^= stepKeys[index].first;
+    orderedKey.second ^= stepKeys[index].second;
   }
 
   /// The earliest end of the required steps (or only of the changes among them) that are not yet in the order. `from`
-  /// is the first index in `musts` that may still be open.
-  std::int64_t firstEnd(std::size_t from, bool onlyChanges) const {
+  /// is the first index in `requiredSteps` that may not yet be in the order.
+  std::int64_t earliestEnd(std::size_t from, bool onlyChanges) const {
     std::int64_t end = never;
-    for (std::size_t row = from; row < musts.size() && steps[musts[row]].began <= end; ++row)
-      if (!closed[musts[row]] && (steps[musts[row]].changes || !onlyChanges))
-        end = std::min(end, steps[musts[row]].ended);
+    for (std::size_t row = from; row < requiredSteps.size() && steps[requiredSteps[row]].began <= end; ++row)
+      if (!ordered[requiredSteps[row]] && (steps[requiredSteps[row]].isChange || !onlyChanges))
+        end = std::min(end, steps[requiredSteps[row]].ended);
     return end;
   }
 
   std::uint64_t revisionAfter(const Step& step, const State& state) const {
-    if (weights) return std::max(state.revision, step.asked);
-    return step.asked ? step.asked : state.revision + 1;
+    if (isWeightsRegister) return std::max(state.revision, step.requestedRevision);
+    return step.requestedRevision ? step.requestedRevision : state.revision + 1;
   }
 
   /// Whether a change can be applied to a state.
-  bool fits(const Step& step, const State& state) const {
-    if (weights) return true;
+  bool isApplicable(const Step& step, const State& state) const {
+    if (isWeightsRegister) return true;
     if (step.base && *step.base != state.revision) return false;
-    if (step.asked && step.asked <= state.revision) return false;
-    return !step.seen || step.seen == revisionAfter(step, state);
+    if (step.requestedRevision && step.requestedRevision <= state.revision) return false;
+    return !step.resultRevision || step.resultRevision == revisionAfter(step, state);
   }
 
   /// Whether a step is valid in a state and leaves it unchanged.
-  bool leavesAlone(const Step& step, const State& state) const {
-    if (step.changes) return weights && step.asked <= state.revision;
-    if (step.refusal && weights) return step.asked < state.revision;
-    if (step.refusal)
-      return (step.base && *step.base != state.revision) || (step.asked && step.asked <= state.revision);
-    return step.seen == state.revision && (!step.digest || *step.digest == state.digest);
+  bool leavesStateUnchanged(const Step& step, const State& state) const {
+    if (step.isChange) return isWeightsRegister && step.requestedRevision <= state.revision;
+    if (step.isRefusal && isWeightsRegister) return step.requestedRevision < state.revision;
+    if (step.isRefusal)
+      return (step.base && *step.base != state.revision) ||
+             (step.requestedRevision && step.requestedRevision <= state.revision);
+    return step.resultRevision == state.revision && (!step.digest || *step.digest == state.digest);
   }
 
   /// Appends all steps that may be next, are valid and leave the state unchanged; repeats this, as each may allow
   /// others.
-  void closeAllThatLeaveAlone(const State& state, std::size_t& from, std::vector<std::size_t>& closedHere) {
-    for (bool again = true; again;) {
-      again = false;
-      while (from < musts.size() && closed[musts[from]]) ++from;
-      std::int64_t end = firstEnd(from, false);
-      std::int64_t endForReads = linearizableReads ? end : firstEnd(from, true);
-      std::map<std::size_t, std::int64_t> endByPlace;
-      for (std::size_t row = from; row < musts.size() && steps[musts[row]].began <= endForReads; ++row) {
-        std::size_t at = musts[row];
-        if (closed[at]) continue;
-        const auto& step = steps[at];
-        auto held = step.reads() ? endByPlace.try_emplace(step.place, never).first : endByPlace.end();
-        std::int64_t bound = step.reads() ? std::min(endForReads, held->second) : end;
-        if (step.began <= bound && leavesAlone(step, state)) {
-          toggle(at);
-          closedHere.push_back(at);
-          again = true;
-        } else if (step.reads()) {
-          held->second = std::min(held->second, step.ended);
+  void appendUnchangingSteps(const State& state, std::size_t& from, std::vector<std::size_t>& appended) {
+    for (bool progressed = true; progressed;) {
+      progressed = false;
+      while (from < requiredSteps.size() && ordered[requiredSteps[from]]) ++from;
+      std::int64_t end = earliestEnd(from, false);
+      std::int64_t endForReads = linearizableReads ? end : earliestEnd(from, true);
+      std::map<std::size_t, std::int64_t> earliestReadEndByCore;
+      for (std::size_t row = from; row < requiredSteps.size() && steps[requiredSteps[row]].began <= endForReads;
+           ++row) {
+        std::size_t index = requiredSteps[row];
+        if (ordered[index]) continue;
+        const auto& step = steps[index];
+        auto earliestReadEnd =
+            step.isRead() ? earliestReadEndByCore.try_emplace(step.core, never).first : earliestReadEndByCore.end();
+        std::int64_t bound = step.isRead() ? std::min(endForReads, earliestReadEnd->second) : end;
+        if (step.began <= bound && leavesStateUnchanged(step, state)) {
+          toggle(index);
+          appended.push_back(index);
+          progressed = true;
+        } else if (step.isRead()) {
+          earliestReadEnd->second = std::min(earliestReadEnd->second, step.ended);
         }
       }
     }
@@ -252,56 +257,60 @@
 
   /// The changes that may be next: the required ones by their end (weights: by their number), then the optional ones.
   std::vector<std::size_t> candidates(const State& state, std::size_t from) const {
-    std::int64_t end = firstEnd(from, false);
+    std::int64_t end = earliestEnd(from, false);
     std::vector<std::size_t> rows;
-    for (std::size_t row = from; row < musts.size() && steps[musts[row]].began <= end; ++row)
-      if (!closed[musts[row]] && steps[musts[row]].changes && fits(steps[musts[row]], state))
-        rows.push_back(musts[row]);
+    for (std::size_t row = from; row < requiredSteps.size() && steps[requiredSteps[row]].began <= end; ++row)
+      if (!ordered[requiredSteps[row]] && steps[requiredSteps[row]].isChange &&
+          isApplicable(steps[requiredSteps[row]], state))
+        rows.push_back(requiredSteps[row]);
     std::stable_sort(rows.begin(), rows.end(), [&](std::size_t one, std::size_t other) {
-      return weights ? steps[one].asked < steps[other].asked : steps[one].ended < steps[other].ended;
+      return isWeightsRegister ? steps[one].requestedRevision < steps[other].requestedRevision
+                               : steps[one].ended < steps[other].ended;
     });
-    for (std::size_t at : optionals) {
-      if (steps[at].began > end) break;
-      if (!closed[at] && fits(steps[at], state) && !(weights && leavesAlone(steps[at], state))) rows.push_back(at);
+    for (std::size_t index : optionalSteps) {
+      if (steps[index].began > end) break;
+      if (!ordered[index] && isApplicable(steps[index], state) &&
+          !(isWeightsRegister && leavesStateUnchanged(steps[index], state)))
+        rows.push_back(index);
     }
     return rows;
   }
 
-  void rememberDeepest(const State& state) {
-    std::size_t depth = musts.size() - open;
-    if (depth < result.deepest) return;
-    result.deepest = depth;
-    result.deepestRevision = state.revision;
+  void recordLongest(const State& state) {
+    std::size_t depth = requiredSteps.size() - remaining;
+    if (depth < result.longestLength) return;
+    result.longestLength = depth;
+    result.longestRevision = state.revision;
     result.order.clear();
-    for (std::size_t at : order) result.order.push_back(steps[at].operation);
+    for (std::size_t index : order) result.order.push_back(steps[index].operation);
   }
 
   /// Extends the order from a state; returns whether all required steps could be appended.
   bool explore(const State& state, std::size_t from) {
-    if (++result.steps > mostSteps) {
-      result.ranOut = true;
+    if (++result.steps > maxSteps) {
+      result.limitReached = true;
       return false;
     }
-    std::vector<std::size_t> closedHere;
-    closeAllThatLeaveAlone(state, from, closedHere);
-    rememberDeepest(state);
-    if (open == 0) return true;
+    std::vector<std::size_t> appended;
+    appendUnchangingSteps(state, from, appended);
+    recordLongest(state);
+    if (remaining == 0) return true;
     bool found = false;
-    std::uint64_t stateKey = mixed(state.revision * 31 + mixed(state.digest));
-    if (tried.insert({closedKey.first ^ stateKey, closedKey.second + mixed(stateKey)}).second) {
-      for (std::size_t at : candidates(state, from)) {
+    std::uint64_t stateKey = mixBits(state.revision * 31 + mixBits(state.digest));
+    if (visited.insert({orderedKey.first ^ stateKey, orderedKey.second + mixBits(stateKey)}).second) {
+      for (std::size_t index : candidates(state, from)) {
         State next = state;
-        next.revision = revisionAfter(steps[at], state);
-        if (!weights) items.apply(next, operations[steps[at].operation]);
-        toggle(at);
-        order.push_back(at);
+        next.revision = revisionAfter(steps[index], state);
+        if (!isWeightsRegister) items.apply(next, operations[steps[index].operation]);
+        toggle(index);
+        order.push_back(index);
         found = explore(next, from);
         order.pop_back();
-        toggle(at);
-        if (found || result.ranOut) break;
+        toggle(index);
+        if (found || result.limitReached) break;
       }
     }
-    for (std::size_t at : closedHere) toggle(at);
+    for (std::size_t index : appended) toggle(index);
     return found;
   }
 };
@@ -313,133 +322,135 @@
   RegisterCheck(std::vector<Operation> registerOperations, const History& history, bool weightsOnly)
       : operations(std::move(registerOperations)),
         items(history.initialItems),
-        weights(weightsOnly),
+        isWeightsRegister(weightsOnly),
         linearizableReads(history.linearizableReads) {
-    initial = items.initialState(weights ? 0 : history.initialRevision);
+    initial = items.initialState(isWeightsRegister ? 0 : history.initialRevision);
   }
 
-  HistoryCheckResult run(std::size_t mostSteps) {
-    HistoryCheckResult verdict;
-    std::string wrong = weights ? wrongWeights() : wrongByItself();
-    if (!wrong.empty()) {
-      verdict.linearizable = false;
-      verdict.explanation = wrong;
-      return verdict;
+  HistoryCheckResult run(std::size_t maxSteps) {
+    HistoryCheckResult checkResult;
+    std::string contradiction = isWeightsRegister ? findWeightsContradiction() : findContradiction();
+    if (!contradiction.empty()) {
+      checkResult.linearizable = false;
+      checkResult.explanation = contradiction;
+      return checkResult;
     }
     makeSteps();
-    verdict.nonMonotonicReads = countBehind();
-    auto result = search(never, mostSteps);
-    verdict.steps = result.steps;
-    if (result.found) return verdict;
-    if (result.ranOut) {
-      verdict.undecided = true;
-      verdict.explanation =
+    checkResult.nonMonotonicReads = countNonMonotonicReads();
+    auto result = search(never, maxSteps);
+    checkResult.steps = result.steps;
+    if (result.found) return checkResult;
+    if (result.limitReached) {
+      checkResult.undecided = true;
+      checkResult.explanation =
           "the search for an order reached its limit after " + std::to_string(result.steps) + " steps";
-      return verdict;
+      return checkResult;
     }
-    verdict.linearizable = false;
-    verdict.explanation = offendingWindow(mostSteps);
-    return verdict;
+    checkResult.linearizable = false;
+    checkResult.explanation = explainFailure(maxSteps);
+    return checkResult;
   }
 
  private:
   std::vector<Operation> operations;
   ItemTable items;
-  bool weights, linearizableReads;
-  std::map<std::string, std::size_t> places;
+  bool isWeightsRegister, linearizableReads;
+  std::map<std::string, std::size_t> coreNumbers;
   State initial;
   std::vector<Step> steps;
 
   /// A reason, followed by the given operations in order of time.
-  std::string lines(const std::string& reason, std::vector<std::size_t> rows) const {
+  std::string describeOperations(const std::string& reason, std::vector<std::size_t> rows) const {
     std::sort(rows.begin(), rows.end());
     rows.erase(std::unique(rows.begin(), rows.end()), rows.end());
     std::stable_sort(rows.begin(), rows.end(), [&](std::size_t one, std::size_t other) {
       return operations[one].began < operations[other].began;
     });
     std::string text = reason;
-    std::size_t left = rows.size() > mostLinesShown ? rows.size() - mostLinesShown : 0;
+    std::size_t left = rows.size() > maxOperationsShown ? rows.size() - maxOperationsShown : 0;
     if (left) text += "\n  (" + std::to_string(left) + " earlier operations omitted)";
-    for (std::size_t at = left; at < rows.size(); ++at) text += "\n  " + describeOperation(operations[rows[at]]);
+    for (std::size_t index = left; index < rows.size(); ++index)
+      text += "\n  " + describeOperation(operations[rows[index]]);
     return text;
   }
 
   std::map<std::string, std::vector<std::size_t>> attemptsByChange() const {
     std::map<std::string, std::vector<std::size_t>> attempts;
-    for (std::size_t at = 0; at < operations.size(); ++at)
-      if (operations[at].kind == OperationKind::change) attempts[operations[at].changeId].push_back(at);
+    for (std::size_t index = 0; index < operations.size(); ++index)
+      if (operations[index].kind == OperationKind::change) attempts[operations[index].changeId].push_back(index);
     return attempts;
   }
 
   /// Contradictions between responses about weights; empty if there are none.
-  std::string wrongWeights() const {
+  std::string findWeightsContradiction() const {
     std::map<std::uint64_t, std::size_t> taken, refused;
-    for (std::size_t at = 0; at < operations.size(); ++at) {
-      if (operations[at].kind != OperationKind::nameWeights) continue;
-      if (operations[at].outcome == OperationOutcome::refusedInvalid && operations[at].valid.value_or(false))
-        return lines("valid weights were refused as invalid", {at});
-      if (operations[at].outcome == OperationOutcome::taken) taken[operations[at].revision] = at;
-      if (refusedAt(at)) refused[operations[at].revision] = at;
+    for (std::size_t index = 0; index < operations.size(); ++index) {
+      if (operations[index].kind != OperationKind::nameWeights) continue;
+      if (operations[index].outcome == OperationOutcome::refusedInvalid && operations[index].valid.value_or(false))
+        return describeOperations("valid weights were refused as invalid", {index});
+      if (operations[index].outcome == OperationOutcome::taken) taken[operations[index].revision] = index;
+      if (isRefused(index)) refused[operations[index].revision] = index;
     }
-    for (auto [revision, at] : refused)
+    for (auto [revision, index] : refused)
       if (auto other = taken.find(revision); other != taken.end())
-        return lines("the same weights were both acknowledged and refused", {other->second, at});
+        return describeOperations("the same weights were both acknowledged and refused", {other->second, index});
     return {};
   }
 
   /// Contradictions between responses to changes; empty if there are none.
-  std::string wrongByItself() const {
+  std::string findContradiction() const {
     std::map<std::uint64_t, std::size_t> acknowledged;
     for (const auto& [changeId, attempts] : attemptsByChange()) {
       std::optional<std::size_t> taken, refused;
-      for (std::size_t at : attempts) {
-        const auto& operation = operations[at];
+      for (std::size_t index : attempts) {
+        const auto& operation = operations[index];
         if (operation.outcome == OperationOutcome::refusedInvalid && operation.valid.value_or(false))
-          return lines("a valid change was refused as invalid", {at});
+          return describeOperations("a valid change was refused as invalid", {index});
         if (operation.outcome == OperationOutcome::refusedStale ||
             operation.outcome == OperationOutcome::refusedInvalid)
-          refused = at;
+          refused = index;
         if (operation.outcome != OperationOutcome::taken) continue;
-        if (!operation.valid.value_or(true)) return lines("an invalid change was acknowledged", {at});
+        if (!operation.valid.value_or(true)) return describeOperations("an invalid change was acknowledged", {index});
         std::uint64_t revision = operation.resultRevision;
         if (revision && operation.revision && revision != operation.revision)
-          return lines("a change was acknowledged under another revision than the requested one", {at});
+          return describeOperations("a change was acknowledged under another revision than the requested one", {index});
         if (revision && operation.base && revision <= *operation.base)
-          return lines("a change was acknowledged under a revision not above its base revision", {at});
+          return describeOperations("a change was acknowledged under a revision not above its base revision", {index});
         if (taken && revision && operations[*taken].resultRevision && operations[*taken].resultRevision != revision)
-          return lines("one change was acknowledged under two revisions", {*taken, at});
-        taken = at;
+          return describeOperations("one change was acknowledged under two revisions", {*taken, index});
+        taken = index;
         if (!revision) continue;
-        auto [first, alone] = acknowledged.try_emplace(revision, at);
+        auto [first, alone] = acknowledged.try_emplace(revision, index);
         if (!alone && operations[first->second].changeId != changeId)
-          return lines("two changes were acknowledged under one revision", {first->second, at});
+          return describeOperations("two changes were acknowledged under one revision", {first->second, index});
       }
-      if (taken && refused) return lines("one change was both acknowledged and refused", {*taken, *refused});
+      if (taken && refused)
+        return describeOperations("one change was both acknowledged and refused", {*taken, *refused});
     }
     return {};
   }
 
   void makeSteps() {
-    if (!weights)
+    if (!isWeightsRegister)
       for (const auto& [changeId, attempts] : attemptsByChange()) addChange(attempts);
     std::set<std::uint64_t> refusedRevisions;
-    for (std::size_t at = 0; at < operations.size(); ++at)
-      if (operations[at].kind == OperationKind::nameWeights && refusedAt(at))
-        refusedRevisions.insert(operations[at].revision);
-    for (std::size_t at = 0; at < operations.size(); ++at) {
-      const auto& operation = operations[at];
+    for (std::size_t index = 0; index < operations.size(); ++index)
+      if (operations[index].kind == OperationKind::nameWeights && isRefused(index))
+        refusedRevisions.insert(operations[index].revision);
+    for (std::size_t index = 0; index < operations.size(); ++index) {
+      const auto& operation = operations[index];
       Step step;
-      step.operation = at;
+      step.operation = index;
       step.began = operation.began;
       if (operation.kind == OperationKind::nameWeights) {
-        step.changes = true;
-        step.asked = operation.revision;
+        step.isChange = true;
+        step.requestedRevision = operation.revision;
         step.optional = operation.outcome != OperationOutcome::taken;
         if (!step.optional) step.ended = operation.ended.value_or(never);
-        if (refusedAt(at)) {
+        if (isRefused(index)) {
           if (operation.outcome == OperationOutcome::refusedInvalid) continue;
-          step.changes = step.optional = false;
-          step.refusal = true;
+          step.isChange = step.optional = false;
+          step.isRefusal = true;
           step.ended = operation.ended.value_or(never);
         } else if (refusedRevisions.count(operation.revision)) {
           continue;
@@ -447,17 +458,17 @@
         steps.push_back(step);
       } else if (operation.kind != OperationKind::change && operation.outcome == OperationOutcome::seen) {
         step.ended = operation.ended.value_or(never);
-        step.seen = operation.resultRevision;
+        step.resultRevision = operation.resultRevision;
         step.digest = operation.resultDigest;
-        step.place = places.try_emplace(operation.through, places.size()).first->second;
+        step.core = coreNumbers.try_emplace(operation.through, coreNumbers.size()).first->second;
         steps.push_back(step);
       }
     }
   }
 
-  bool refusedAt(std::size_t at) const {
-    return operations[at].outcome == OperationOutcome::refusedStale ||
-           operations[at].outcome == OperationOutcome::refusedInvalid;
+  bool isRefused(std::size_t index) const {
+    return operations[index].outcome == OperationOutcome::refusedStale ||
+           operations[index].outcome == OperationOutcome::refusedInvalid;
   }
 
   /// Adds the steps of one change, which was sent in these attempts: one for each refusal, and the change itself unless
@@ -465,134 +476,141 @@
   void addChange(const std::vector<std::size_t>& attempts) {
     bool refused = false;
     Step change;
-    change.changes = change.optional = true;
+    change.isChange = change.optional = true;
     change.began = never;
     change.operation = attempts.front();
     change.base = operations[attempts.front()].base;
-    change.asked = operations[attempts.front()].revision;
-    for (std::size_t at : attempts) {
-      const auto& operation = operations[at];
+    change.requestedRevision = operations[attempts.front()].revision;
+    for (std::size_t index : attempts) {
+      const auto& operation = operations[index];
       change.began = std::min(change.began, operation.began);
       if (operation.outcome == OperationOutcome::taken) {
         change.optional = false;
         std::int64_t ended = operation.ended.value_or(never);
-        if (ended < change.ended) change.operation = at;
+        if (ended < change.ended) change.operation = index;
         change.ended = std::min(change.ended, ended);
-        change.seen = std::max(change.seen, operation.resultRevision);
+        change.resultRevision = std::max(change.resultRevision, operation.resultRevision);
       }
-      if (!refusedAt(at)) continue;
+      if (!isRefused(index)) continue;
       refused = true;
       if (operation.outcome == OperationOutcome::refusedInvalid) continue;
-      Step query;
-      query.refusal = true;
-      query.began = operation.began;
-      query.ended = operation.ended.value_or(never);
-      query.operation = at;
-      query.base = operation.base;
-      query.asked = operation.revision;
-      steps.push_back(query);
+      Step refusedAttempt;
+      refusedAttempt.isRefusal = true;
+      refusedAttempt.began = operation.began;
+      refusedAttempt.ended = operation.ended.value_or(never);
+      refusedAttempt.operation = index;
+      refusedAttempt.base = operation.base;
+      refusedAttempt.requestedRevision = operation.revision;
+      steps.push_back(refusedAttempt);
     }
     if (!refused && operations[attempts.front()].valid.value_or(true)) steps.push_back(change);
   }
 
   /// Searches an order of the operations that began by a time. Changes that had not ended by then are optional.
-  SearchResult search(std::int64_t until, std::size_t mostSteps) {
-    std::vector<Step> known;
+  SearchResult search(std::int64_t until, std::size_t maxSteps) {
+    std::vector<Step> stepsUntil;
     for (auto step : steps) {
       if (step.began > until) continue;
       if (step.ended > until) {
-        if (!step.changes) continue;
+        if (!step.isChange) continue;
         step.optional = true;
         step.ended = never;
       }
-      known.push_back(step);
+      stepsUntil.push_back(step);
     }
-    return Search(operations, std::move(known), items, weights, linearizableReads, mostSteps).run(initial);
+    return Search(operations, std::move(stepsUntil), items, isWeightsRegister, linearizableReads, maxSteps)
+        .run(initial);
   }
 
   /// Counts the reads that returned an older revision than another read that ended before they began.
-  std::size_t countBehind() const {
+  std::size_t countNonMonotonicReads() const {
     std::vector<std::pair<std::int64_t, std::uint64_t>> ended;
     std::vector<const Step*> began;
     for (const auto& step : steps)
-      if (step.reads()) {
-        ended.emplace_back(step.ended, step.seen);
+      if (step.isRead()) {
+        ended.emplace_back(step.ended, step.resultRevision);
         began.push_back(&step);
       }
     std::sort(ended.begin(), ended.end());
     std::sort(began.begin(), began.end(), [](const Step* one, const Step* other) { return one->began < other->began; });
-    std::size_t behind = 0, next = 0;
+    std::size_t staleReads = 0, next = 0;
     std::uint64_t shown = 0;
     for (const auto* step : began) {
       for (; next < ended.size() && ended[next].first < step->began; ++next)
         shown = std::max(shown, ended[next].second);
-      behind += step->seen < shown;
+      staleReads += step->resultRevision < shown;
     }
-    return behind;
+    return staleReads;
   }
 
   /// Finds by bisection the shortest beginning of the history that has no valid order, and explains the operation at
-  /// its end with the operations around it.
-  std::string offendingWindow(std::size_t mostSteps) {
+  /// its end with the operations around it. A part on which the search reaches its limit counts as valid.
+  std::string explainFailure(std::size_t maxSteps) {
     std::vector<std::int64_t> ends;
     for (const auto& step : steps)
       if (!step.optional && step.ended != never) ends.push_back(step.ended);
     std::sort(ends.begin(), ends.end());
-    std::size_t good = 0, bad = ends.size() - 1;
-    while (good < bad) {
-      std::size_t middle = (good + bad) / 2;
-      auto result = search(ends[middle], mostSteps);
-      if (result.found || result.ranOut)
-        good = middle + 1;
+    std::size_t low = 0, high = ends.size() - 1;
+    while (low < high) {
+      std::size_t middle = (low + high) / 2;
+      auto result = search(ends[middle], maxSteps);
+      if (result.found || result.limitReached)
+        low = middle + 1;
       else
-        bad = middle;
+        high = middle;
     }
-    std::int64_t end = ends[bad];
-    auto failed = search(end, mostSteps);
+    std::int64_t end = ends[high];
+    auto failed = search(end, maxSteps);
     std::optional<Step> culprit;
     for (const auto& step : steps)
-      if (step.ended == end && (!culprit || !step.changes)) culprit = step;
+      if (step.ended == end && (!culprit || !step.isChange)) culprit = step;
     std::vector<std::size_t> rows{culprit->operation};
-    for (std::size_t at = failed.order.size(); at-- > 0 && rows.size() < maxOrderLines;)
-      rows.push_back(failed.order[at]);
+    for (std::size_t index = failed.order.size(); index-- > 0 && rows.size() < maxOrderLines;)
+      rows.push_back(failed.order[index]);
     for (const auto& step : steps)
-      if (step.changes && step.began <= end && step.ended >= culprit->began) rows.push_back(step.operation);
-    addOverlooked(*culprit, rows);
-    return lines("no valid order contains: " + describeOperation(operations[culprit->operation]) + "; " +
-                     reasonOf(*culprit) + "; the longest valid order of the operations before it ends at revision " +
-                     std::to_string(failed.deepestRevision),
-                 rows);
+      if (step.isChange && step.began <= end && step.ended >= culprit->began) rows.push_back(step.operation);
+    addNewestKnown(*culprit, rows);
+    return describeOperations("no valid order contains: " + describeOperation(operations[culprit->operation]) + "; " +
+                                  reasonFor(*culprit) +
+                                  "; the longest valid order of the operations before it ends at revision " +
+                                  std::to_string(failed.longestRevision),
+                              rows);
   }
 
   /// Adds the operation that ended before the culprit began and showed the newest revision.
-  void addOverlooked(const Step& culprit, std::vector<std::size_t>& rows) const {
+  void addNewestKnown(const Step& culprit, std::vector<std::size_t>& rows) const {
     const Step* newest = newestBefore(culprit);
     if (newest) rows.push_back(newest->operation);
   }
   const Step* newestBefore(const Step& culprit) const {
     const Step* newest = nullptr;
     for (const auto& step : steps) {
-      if (step.refusal || step.ended >= culprit.began) continue;
-      if (step.reads() && !linearizableReads && culprit.reads() && step.place != culprit.place) continue;
-      if (!newest || shownBy(step) > shownBy(*newest)) newest = &step;
+      if (step.isRefusal || step.ended >= culprit.began) continue;
+      if (step.isRead() && !linearizableReads && culprit.isRead() && step.core != culprit.core) continue;
+      if (!newest || shownRevision(step) > shownRevision(*newest)) newest = &step;
     }
     return newest;
   }
   /// The revision that a step shows to be current at its end.
-  std::uint64_t shownBy(const Step& step) const { return step.seen ? step.seen : step.asked; }
+  std::uint64_t shownRevision(const Step& step) const {
+    return step.resultRevision ? step.resultRevision : step.requestedRevision;
+  }
 
-  std::string reasonOf(const Step& culprit) const {
+  std::string reasonFor(const Step& culprit) const {
     const Step* newest = newestBefore(culprit);
-    std::uint64_t known = newest ? shownBy(*newest) : 0;
-    if (culprit.refusal)
-      return culprit.base && *culprit.base >= known ? "it was refused as stale while its base revision was current"
-                                                    : "it was refused as stale, but in no possible state was it stale";
-    if (culprit.changes) {
-      if (culprit.base && *culprit.base < known) return "it was accepted on a base revision that was no longer current";
+    std::uint64_t newestRevision = newest ? shownRevision(*newest) : 0;
+    if (culprit.isRefusal)
+      return culprit.base && *culprit.base >= newestRevision
+                 ? "it was refused as stale while its base revision was current"
+                 : "it was refused as stale, but in no possible state was it stale";
+    if (culprit.isChange) {
+      if (culprit.base && *culprit.base < newestRevision)
+        return "it was accepted on a base revision that was no longer current";
       return "it was acknowledged, but could be applied to no possible state";
     }
-    if (culprit.seen < known) return "it is older than revision " + std::to_string(known) + ", known before it began";
-    if (culprit.seen == known) return "its items differ from those of that revision";
+    if (culprit.resultRevision < newestRevision)
+      return "it is older than revision " + std::to_string(newestRevision) + ", known before it began";
+    if (culprit.resultRevision == newestRevision) return "its items differ from those of that revision";
     return "no known operation can have produced that revision with these items by then";
   }
 };
@@ -610,10 +628,10 @@
 }  // namespace
 
 RegisterItems itemsAfter(const RegisterItems& before, const Operation& change) {
-  RegisterItems after = change.complete ? RegisterItems() : before;
+  RegisterItems after = change.replacesAll ? RegisterItems() : before;
   for (const auto& item : change.items) {
     auto old = after.find(item.name);
-    auto value = itemAfter(old == after.end() ? std::nullopt : std::optional(old->second), item, change.complete);
+    auto value = itemAfter(old == after.end() ? std::nullopt : std::optional(old->second), item, change.replacesAll);
     if (value)
       after[item.name] = *value;
     else
@@ -664,27 +682,27 @@
   return text;
 }
 
-HistoryCheckResult checkHistory(const History& history, std::size_t mostSteps) {
+HistoryCheckResult checkHistory(const History& history, std::size_t maxSteps) {
   std::vector<Operation> configuration;
   std::map<std::string, std::vector<Operation>> weightsByModel;
-  HistoryCheckResult complete;
+  HistoryCheckResult total;
   for (const auto& operation : history.operations) {
-    ++complete.operations;
-    complete.unclear += operation.outcome == OperationOutcome::unclear;
+    ++total.operations;
+    total.unclear += operation.outcome == OperationOutcome::unclear;
     (isWeights(operation) ? weightsByModel[operation.model] : configuration).push_back(operation);
   }
   auto add = [&](HistoryCheckResult part) {
-    complete.steps += part.steps;
-    complete.nonMonotonicReads += part.nonMonotonicReads;
-    complete.undecided = complete.undecided || part.undecided;
-    complete.linearizable = complete.linearizable && part.linearizable;
+    total.steps += part.steps;
+    total.nonMonotonicReads += part.nonMonotonicReads;
+    total.undecided = total.undecided || part.undecided;
+    total.linearizable = total.linearizable && part.linearizable;
     if (part.explanation.empty()) return;
-    complete.explanation += (complete.explanation.empty() ? "" : "\n") + part.explanation;
+    total.explanation += (total.explanation.empty() ? "" : "\n") + part.explanation;
   };
-  add(RegisterCheck(std::move(configuration), history, false).run(mostSteps));
+  add(RegisterCheck(std::move(configuration), history, false).run(maxSteps));
   for (auto& [model, operations] : weightsByModel)
-    add(RegisterCheck(std::move(operations), history, true).run(mostSteps));
-  return complete;
+    add(RegisterCheck(std::move(operations), history, true).run(maxSteps));
+  return total;
 }
 
 }  // namespace tt
--- a/src/sim/linearizability.hpp
+++ b/src/sim/linearizability.hpp
@@ -6,8 +6,9 @@
 /// The operations that operators' clients invoke on a register. There is one register for the configuration and one for
 /// each model's weights; `nameWeights` announces new weights for a model.
 enum class OperationKind : int { change = 0, nameWeights = 1, readConfiguration = 2, readWeights = 3 };
-/// The outcome of an operation as its client saw it. `taken`: acknowledged. `seen`: a read that returned. `unclear`: no
-/// definite response; the operation may take effect at any time after its start, or never.
+/// The outcome of an operation as its client saw it. `unclear`: no definite response; the operation may take effect at
+/// any time after its start, or never. `taken`: acknowledged. `refusedStale`: refused because its condition on the
+/// current revision was not met, or because newer weights were announced. `seen`: a read that returned.
 enum class OperationOutcome : int { unclear = 0, taken = 1, refusedStale = 2, refusedInvalid = 3, seen = 4 };
 
 /// An item that a change sets or, if it has no value, removes. Values are serialized JSON.
@@ -35,7 +36,7 @@
   std::uint64_t revision{0};
   /// Whether a change replaces all items. Otherwise it is merged into the items that it names (JSON merge patch, RFC
   /// 7396).
-  bool complete{false};
+  bool replacesAll{false};
   std::vector<ItemChange> items;
   /// Whether the client knows that the change is valid in every state (true) or in none (false).
   std::optional<bool> valid;
@@ -64,18 +65,19 @@
   bool linearizable{true}, undecided{false};
   /// If a check fails: a line with the reason, then the operations for which no valid order exists, one per line.
   std::string explanation;
+  /// Number of operations, of those with the outcome `unclear`, and of states that the search visited.
   std::size_t operations{0}, unclear{0}, steps{0};
   /// Number of reads that returned an older revision than another read had returned before they began.
   std::size_t nonMonotonicReads{0};
 };
 
 /// Default limit of the states that the search for an order may visit.
-constexpr std::size_t mostHistorySteps = 400'000;
+constexpr std::size_t defaultMaxSteps = 400'000;
 
 /// Checks whether the history is linearizable: whether there is an order of the operations that respects real time and
 /// in which a register with compare-and-set would have given the same responses. The configuration and the weights of
 /// each model are separate registers.
-HistoryCheckResult checkHistory(const History& history, std::size_t mostSteps = mostHistorySteps);
+HistoryCheckResult checkHistory(const History& history, std::size_t maxSteps = defaultMaxSteps);
 /// Returns the digest that a read of these items reports. It does not depend on the order of the items.
 std::uint64_t contentDigest(const RegisterItems& items);
 /// Returns the items after a change.
--- a/src/sim/operators.cpp
+++ b/src/sim/operators.cpp
@@ -5,11 +5,11 @@
 namespace tt {
 namespace {
 /// The sections that the history check covers.
-constexpr const char* watchedSections[] = {"routes", "keys"};
+constexpr const char* trackedSections[] = {"routes", "keys"};
 
 /// The part of an item that the check compares. Of a key only the tenant is compared: a request contains the secret,
 /// but the configuration stores its hash.
-std::string watchedItem(const std::string& section, const Json& item) {
+std::string trackedPart(const std::string& section, const Json& item) {
   if (section != "keys" || !item.is<JsonObject>()) return item.serialize();
   return Json(JsonObject{{"tenant", Json(stringOr(item, "tenant"))}}).serialize();
 }
@@ -20,12 +20,12 @@
   return history.operations.size() - 1;
 }
 
-void OperatorHistory::end(std::size_t at, std::int64_t when, const OperatorResponse& response) {
-  auto& operation = history.operations[at];
+void OperatorHistory::end(std::size_t index, std::int64_t endTime, const OperatorResponse& response) {
+  auto& operation = history.operations[index];
   auto outcome = outcomeOf(static_cast<Code>(response.code));
   if (operation.outcome != OperationOutcome::unclear || outcome == OperationOutcome::unclear) return;
   operation.outcome = outcome;
-  operation.ended = when;
+  operation.ended = endTime;
   if (outcome == OperationOutcome::taken && operation.kind == OperationKind::change)
     operation.resultRevision = response.revision;
 }
@@ -76,16 +76,16 @@
   operation.changeId = request.changeId;
   if (request.ifRevision >= 0) operation.base = static_cast<std::uint64_t>(request.ifRevision);
   if (request.toRevision > 0) operation.revision = static_cast<std::uint64_t>(request.toRevision);
-  operation.complete = request.complete;
+  operation.replacesAll = request.complete;
   auto body = parseJson(request.body);
   if (!body || !body.value().is<JsonObject>()) return operation;
-  for (const char* section : watchedSections) {
+  for (const char* section : trackedSections) {
     const auto& sections = body.value().get<JsonObject>();
     auto found = sections.find(section);
     if (found == sections.end() || !found->second.is<JsonObject>()) continue;
     for (const auto& [name, item] : found->second.get<JsonObject>()) {
       ItemChange change{std::string(section) + "." + name, std::nullopt};
-      if (!item.is<picojson::null>()) change.value = watchedItem(section, item);
+      if (!item.is<picojson::null>()) change.value = trackedPart(section, item);
       operation.items.push_back(std::move(change));
     }
   }
@@ -94,18 +94,18 @@
 
 RegisterItems trackedItems(const Configuration& configuration) {
   JsonObject sections;
-  for (const char* name : watchedSections)
+  for (const char* name : trackedSections)
     if (const auto* section = configuration.findSection(name)) sections[name] = Json(*section);
   return trackedItems(sections);
 }
 
 RegisterItems trackedItems(const JsonObject& sections) {
   RegisterItems items;
-  for (const char* name : watchedSections) {
+  for (const char* name : trackedSections) {
     auto section = sections.find(name);
     if (section == sections.end() || !section->second.is<JsonObject>()) continue;
     for (const auto& [itemName, item] : section->second.get<JsonObject>())
-      items[std::string(name) + "." + itemName] = watchedItem(name, item);
+      items[std::string(name) + "." + itemName] = trackedPart(name, item);
   }
   return items;
 }
--- a/src/sim/operators.hpp
+++ b/src/sim/operators.hpp
@@ -27,7 +27,7 @@
   /// Adds an operation without an outcome; returns its index.
   std::size_t begin(Operation operation);
   /// Adds the response to the operation at an index. Ignores it if it is not definite or not the first definite one.
-  void end(std::size_t at, std::int64_t when, const OperatorResponse& response);
+  void end(std::size_t index, std::int64_t endTime, const OperatorResponse& response);
   /// Adds a read that returned a revision and, if known, the digest of the items.
   void addRead(std::int64_t began, std::int64_t ended, const std::string& core, std::uint64_t revision,
                std::optional<std::uint64_t> digest);
--- a/src/sim/standin.hpp
+++ b/src/sim/standin.hpp
@@ -58,66 +58,67 @@
 /// token is a made-up text.
 class StandInBackend : public Node {
  public:
-  StandInBackend(StandInSettings keeperSettings, std::string incarnationMark);
+  StandInBackend(StandInSettings initialSettings, std::string ownIncarnation);
   void handle(Effects& effects, const std::string& from, const Message& message) override;
   void tick(Effects& effects) override;
   StandInFaults faults;
   const std::deque<RunRecord>& runs() const { return records; }
-  const StandInSettings& settings() const { return given; }
+  const StandInSettings& settings() const { return config; }
   const std::string& weights() const { return currentWeights; }
-  bool draining() const { return drains; }
+  bool draining() const { return isDraining; }
   std::size_t cachedBlockCount() const { return cachedBlocks.size(); }
   bool hasBlock(const BlockHash& hash) const { return cachedBlocks.count(hash) > 0; }
-  /// Empties the block cache. `saying`: appends a cache event for it.
-  void clearCache(Effects& effects, bool saying);
-  void evict(Effects& effects, const Hashes& hashes) { drop(effects, hashes); }
+  /// Empties the block cache. `announce`: appends a cache event for it.
+  void clearCache(Effects& effects, bool announce);
+  void evict(Effects& effects, const Hashes& hashes) { removeBlocks(effects, hashes); }
   /// Number of cached blocks that were used with other weights than those that computed them. Any is an error.
   std::int64_t crossWeights{0};
   /// Number of cached blocks that one tenant computed and another used, by "OWNER>USER".
   std::map<std::string, std::int64_t> crossTenants;
   /// Number of blocks fetched from other workers and stores.
-  std::int64_t pulledBlocks{0};
+  std::int64_t fetchedBlockCount{0};
 
  private:
   /// A cached block. `origin`: the weights and tenant that it was computed for, as WEIGHTS/TENANT. `place`: its place
   /// in the list of blocks by last use.
-  struct Kept {
+  struct CachedBlock {
     std::string origin;
     std::list<BlockHash>::iterator place;
   };
   /// A request in progress.
   struct Run {
-    WorkerOrder ask;
+    WorkerOrder request;
     std::string from;
     /// Number of its RunRecord, counted from the start of the process.
     std::size_t record;
-    /// `queued`: waits to start. `pulling`: has requested blocks. `waiting`: blocks are on their way. `computing`:
-    /// computes the remaining blocks of the prompt. `talking`: sends tokens.
-    enum class Phase { queued, pulling, waiting, computing, talking } phase{Phase::computing};
+    /// `queued`: waits to start. `fetching`: has requested blocks. `transferring`: blocks are on their way.
+    /// `computing`: computes the remaining blocks of the prompt. `sendingTokens`: sends tokens.
+    enum class Phase { queued, fetching, transferring, computing, sendingTokens } phase{Phase::computing};
     /// When the phase ends, or when the next token is sent.
     TimePoint due{};
-    Hashes pulled;
+    Hashes fetchedBlocks;
     Strings origins;
     /// Number of tokens sent.
-    int said{0};
+    int tokensSent{0};
     /// Whether the start of the computation was noted in the journal.
-    bool began{false};
+    bool startNoted{false};
   };
-  StandInSettings given;
+  StandInSettings config;
   std::string incarnation, currentWeights, loadingWeights, loadingModel;
-  bool drains{false};
+  bool isDraining{false};
+  /// When the weights that are being loaded will be loaded; unset if none are.
   TimePoint loadDue{};
-  std::unordered_map<BlockHash, Kept, BlockHashHasher> cachedBlocks;
+  std::unordered_map<BlockHash, CachedBlock, BlockHashHasher> cachedBlocks;
   /// The cached blocks, least recently used first.
-  std::list<BlockHash> byUse;
+  std::list<BlockHash> blocksByUse;
   /// A cache event for reports; a lost one is left out of them.
-  struct Told {
+  struct PendingEvent {
     CacheEvent event;
     TimePoint at;
     bool lost{false};
   };
   /// The newest cache events.
-  std::deque<Told> events;
+  std::deque<PendingEvent> events;
   /// `highestTerm`: the highest term of a command. `recordBase`: number of the oldest record that is retained.
   std::uint64_t sequence{0}, highestTerm{0}, recordBase{0};
   std::map<std::string, Run> running;
@@ -125,20 +126,21 @@
   std::string lastHolder;
 
   /// Appends a cache event for the next report, unless an injected fault suppresses it.
-  void tell(Effects& effects, CacheEventKind kind, const Hashes& hashes);
+  void addCacheEvent(Effects& effects, CacheEventKind kind, const Hashes& hashes);
   /// Caches blocks and evicts the least recently used ones beyond the capacity.
-  void keep(Effects& effects, const Hashes& hashes, const Strings& origins);
+  void cacheBlocks(Effects& effects, const Hashes& hashes, const Strings& origins);
   /// Removes blocks from the cache.
-  void drop(Effects& effects, const Hashes& hashes);
+  void removeBlocks(Effects& effects, const Hashes& hashes);
   /// Requests the missing blocks if the request names a source for them; otherwise starts the computation.
   void leaveQueue(Effects& effects, Run& run);
   /// Starts to compute the blocks that are not cached. Counts cached blocks of other weights and tenants.
-  void begin(Effects& effects, Run& run);
-  /// Ends a request and sends the outcome. `word`: the outcome in its record.
-  void end(Effects& effects, const std::string& requestId, AttemptOutcome outcome, Code code, const char* word);
-  void onOrder(Effects& effects, const std::string& from, const WorkerOrder& ask);
-  void onReport(Effects& effects, const std::string& from, const ReportAsk& ask);
-  void onControl(Effects& effects, const std::string& from, const ControlAsk& ask);
+  void startComputing(Effects& effects, Run& run);
+  /// Ends a request and sends the outcome. `outcomeText`: the outcome in its record.
+  void finish(Effects& effects, const std::string& requestId, AttemptOutcome outcome, Code code,
+              const char* outcomeText);
+  void onOrder(Effects& effects, const std::string& from, const WorkerOrder& request);
+  void onReport(Effects& effects, const std::string& from, const ReportAsk& request);
+  void onControl(Effects& effects, const std::string& from, const ControlAsk& request);
   /// The record of a request; null if it is no longer retained.
   RunRecord* recordOf(const Run& run);
 };
@@ -151,10 +153,10 @@
   void set(const Machine& machine);
   void mark(const std::string& name, bool leaving);
   void remove(const std::string& name);
-  const std::map<std::string, Machine>& machines() const { return rows; }
+  const std::map<std::string, Machine>& machines() const { return machinesByName; }
 
  private:
-  std::map<std::string, Machine> rows;
+  std::map<std::string, Machine> machinesByName;
 };
 
 }  // namespace tt
--- a/src/sim/version_check.hpp
+++ b/src/sim/version_check.hpp
@@ -29,7 +29,7 @@
 
  private:
   /// The announced weights of each model by log index.
-  std::map<std::string, std::map<std::uint64_t, std::string>> namingsByModel;
+  std::map<std::string, std::map<std::uint64_t, std::string>> announcementsByModel;
   /// The time of the first acknowledgement by log index.
   std::map<std::uint64_t, TimePoint> acknowledgedAt;
 };
--- a/tests/history_lines.cpp
+++ b/tests/history_lines.cpp
@@ -9,7 +9,7 @@
 using namespace tt;
 
 namespace {
-std::vector<std::string> soundLines() {
+std::vector<std::string> validLines() {
   Operation change;
   change.client = "operator-1";
   change.through = "127.0.0.1:1";
@@ -39,41 +39,41 @@
 }  // namespace
 
 Test(history_lines, are_read_back_as_they_were_written) {
-  auto lines = soundLines();
+  auto lines = validLines();
   auto history = readHistory(lines);
   cr_assert(history, "%s", history.error().subject.c_str());
   cr_expect_eq(history.value().initialRevision, 3u);
   cr_assert_eq(history.value().operations.size(), 3u);
-  for (std::size_t at = 0; at < 3; ++at) {
-    std::string written = writeOperation(history.value().operations[at]);
-    cr_expect_str_eq(written.c_str(), lines[at + 1].c_str());
+  for (std::size_t index = 0; index < 3; ++index) {
+    std::string written = writeOperation(history.value().operations[index]);
+    cr_expect_str_eq(written.c_str(), lines[index + 1].c_str());
   }
-  auto verdict = checkHistory(history.value());
-  cr_expect(verdict.linearizable, "%s", verdict.explanation.c_str());
+  auto result = checkHistory(history.value());
+  cr_expect(result.linearizable, "%s", result.explanation.c_str());
   history.value().operations.back().resultRevision = 3;
   cr_expect_not(checkHistory(history.value()).linearizable);
 }
 
-Test(history_lines, a_malformed_line_is_named) {
-  auto lines = soundLines();
+Test(history_lines, an_error_names_the_malformed_line) {
+  auto lines = validLines();
   for (const char* bad : {"", "x", "[]", "{}", R"({"kind":"change","outcome":"taken","client":"a","began":"1"})",
                           R"({"kind":"change","outcome":"seen","client":"a","began":"one","ended":"2"})",
                           R"({"kind":"change","outcome":"perhaps","client":"a","began":"1","ended":"2"})",
                           R"({"kind":"initial","revision":-1,"items":[]})",
                           R"({"kind":"initial","revision":1,"items":[{"value":"x"}]})"}) {
-    auto bent = lines;
-    bent[2] = bad;
-    auto history = readHistory(bent);
+    auto corrupted = lines;
+    corrupted[2] = bad;
+    auto history = readHistory(corrupted);
     cr_assert_not(history, "the malformed line was accepted: %s", bad);
     cr_expect_neq(history.error().subject.find("line 3"), std::string::npos, "%s: %s", bad,
                   history.error().subject.c_str());
   }
 }
 
-Test(history_lines, bent_bytes_are_a_fault_or_a_history) {
+Test(history_lines, corrupt_bytes_give_an_error_or_a_history) {
   std::mt19937_64 random(5);
   for (int round = 0; round < 4000; ++round) {
-    auto lines = soundLines();
+    auto lines = validLines();
     auto& line = lines[random() % lines.size()];
     for (std::uint64_t flips = 1 + random() % 4; flips > 0; --flips)
       line[random() % line.size()] = static_cast<char>(random() % 256);
@@ -81,7 +81,7 @@
   }
 }
 
-Test(history_lines, a_request_touches_the_watched_items_only) {
+Test(history_lines, a_request_becomes_an_operation_on_tracked_items_only) {
   OperatorRequest request{};
   request.body =
       R"({"routes":{"a":{"model":"m"},"b":null},"keys":{"k":{"tenant":"t","secret":"s"}},"models":{"m":{}}})";
@@ -91,6 +91,6 @@
   cr_expect_eq(operation.base.value_or(0), 7u);
   cr_expect_eq(operation.revision, 9u);
   RegisterItems before{{"routes.b", "{}"}, {"routes.c", "{}"}};
-  RegisterItems wanted{{"routes.a", R"({"model":"m"})"}, {"routes.c", "{}"}, {"keys.k", R"({"tenant":"t"})"}};
-  cr_expect(itemsAfter(before, operation) == wanted);
+  RegisterItems expected{{"routes.a", R"({"model":"m"})"}, {"routes.c", "{}"}, {"keys.k", R"({"tenant":"t"})"}};
+  cr_expect(itemsAfter(before, operation) == expected);
 }
--- a/tests/version_check.cpp
+++ b/tests/version_check.cpp
@@ -9,7 +9,7 @@
 TimePoint at(int seconds) { return TimePoint(std::chrono::hours(1) + std::chrono::seconds(seconds)); }
 
 /// The entries 1 to 3 announce w1, w2 and w3.
-VersionCheck threeVersions() {
+VersionCheck announceThree() {
   VersionCheck check;
   check.recordAnnouncement(model, 1, "w1");
   check.recordAnnouncement(model, 2, "w2");
@@ -18,8 +18,8 @@
 }
 }  // namespace
 
-Test(version_check, counts_from_the_first_newer_naming) {
-  auto check = threeVersions();
+Test(version_check, counts_from_the_first_newer_announcement) {
+  auto check = announceThree();
   check.recordAcknowledgement(1, at(0));
   check.recordAcknowledgement(2, at(10));
   check.recordAcknowledgement(3, at(14));
@@ -29,8 +29,8 @@
   cr_assert(check.supersededFor(model, "w1", at(31)) == Duration(21s));
 }
 
-Test(version_check, naming_back_makes_a_version_the_newest_again) {
-  auto check = threeVersions();
+Test(version_check, announcing_old_weights_again_makes_them_the_newest) {
+  auto check = announceThree();
   check.recordAnnouncement(model, 4, "w1");
   for (std::uint64_t index = 1; index <= 4; ++index) check.recordAcknowledgement(index, at(static_cast<int>(index)));
   cr_assert(!check.supersededAt(model, "w1"));
@@ -38,7 +38,7 @@
   cr_assert(check.supersededAt(model, "w3") == at(4));
 }
 
-Test(version_check, naming_the_newest_again_leaves_the_older_ones_clock) {
+Test(version_check, announcing_the_newest_again_does_not_restart_the_time_of_older_weights) {
   VersionCheck check;
   check.recordAnnouncement(model, 1, "w1");
   check.recordAnnouncement(model, 2, "w2");
@@ -49,8 +49,8 @@
   cr_assert(!check.supersededAt(model, "w2"));
 }
 
-Test(version_check, a_naming_without_acknowledgement_starts_no_clock_but_is_the_newest) {
-  auto check = threeVersions();
+Test(version_check, an_unacknowledged_announcement_supersedes_nothing_but_is_the_newest) {
+  auto check = announceThree();
   check.recordAcknowledgement(2, at(2));
   cr_assert(!check.supersededAt(model, "w2"), "w3 was never acknowledged");
   check.recordAnnouncement(model, 4, "w1");
@@ -58,7 +58,7 @@
 }
 
 Test(version_check, acknowledgements_may_come_out_of_order_and_more_than_once) {
-  auto check = threeVersions();
+  auto check = announceThree();
   check.recordAcknowledgement(3, at(5));
   check.recordAcknowledgement(2, at(7));
   check.recordAcknowledgement(3, at(9));
@@ -66,14 +66,14 @@
   cr_assert(check.supersededAt(model, "w2") == at(5));
 }
 
-Test(version_check, a_version_that_was_never_named_is_older_than_all) {
-  auto check = threeVersions();
+Test(version_check, weights_that_were_never_announced_are_older_than_all) {
+  auto check = announceThree();
   check.recordAcknowledgement(1, at(1));
   cr_assert(check.supersededAt(model, "w0") == at(1));
 }
 
-Test(version_check, models_have_clocks_of_their_own) {
-  auto check = threeVersions();
+Test(version_check, models_are_independent) {
+  auto check = announceThree();
   check.recordAnnouncement("app-llm", 4, "a2");
   check.recordAcknowledgement(4, at(4));
   cr_assert(!check.supersededAt(model, "w1"));
@@ -81,8 +81,8 @@
   cr_assert(check.supersededAt("app-llm", "a1") == at(4));
 }
 
-Test(version_check, only_the_last_acknowledged_naming_is_the_newest) {
-  auto check = threeVersions();
+Test(version_check, only_the_last_acknowledged_announcement_is_the_newest) {
+  auto check = announceThree();
   check.recordAcknowledgement(2, at(2));
   cr_assert(check.isNewest(model, 2), "w3 was never acknowledged");
   check.recordAcknowledgement(3, at(3));
