--- a/src/model/choice.hpp
+++ b/src/model/choice.hpp
@@ -3,11 +3,13 @@
 
 namespace tt::model {
 
-/// The kinds of events: deliver, drop or duplicate a message; complete a disk sync; run a replica's timers (tick); let
-/// time pass without events (wait) or with a fault-free schedule (run; settle also restarts all machines); kill a
-/// process or cut a machine's power; start a process; replace a machine's disk by an empty one (wipe); freeze and wake
-/// a process; send a change or a join request; shut a process down cleanly (leave); and check liveness (live). Their
-/// names are written to files of runs.
+/// The kinds of events. Their names are written to files of runs.
+/// `deliver`, `drop`, `duplicate`: what happens to a message. `sync`: a disk completes a sync. `tick`: a replica runs
+/// its timers. `wait`: time passes, and nothing runs. `run`: time passes in which all running replicas work without
+/// faults. `settle`: the same, but stopped processes are started and frozen ones woken first. `kill`: a process
+/// crashes. `power`: a machine loses power. `start`: a process starts. `wipe`: a machine gets an empty disk. `freeze`,
+/// `wake`: a process stops working for a time. `change`: a client sends a change to a replica. `join`: a replica sends
+/// a join request. `leave`: a process shuts down cleanly. `live`: liveness is checked.
 #define TT_CHOICES(X) \
   X(deliver)          \
   X(drop)             \
--- a/src/model/walks.cpp
+++ b/src/model/walks.cpp
@@ -56,7 +56,7 @@
     tryEvent(Choice{kind, replica, other, 0, number, randomSeed()});
   }
 
-  /// Chooses an event; the numbers are percentages.
+  /// Chooses an event. The constants are percentages; the rest is left to recover().
   void step() {
     int draw = static_cast<int>(randomBelow(100));
     if (draw < 46) return moveMessage();
@@ -97,7 +97,7 @@
     tryEvent(choice);
   }
 
-  /// Lets time pass, mostly for short.
+  /// Lets a time pass, mostly a short one, in which nothing runs.
   void passTime() {
     static const int shortWaits[] = {1, 5, 10, 20, 40, 80, 150};
     static const int longWaits[] = {300, 600, 900, 1150, 1300, 3100, 6200};
--- a/src/sim/linearizability.cpp
+++ b/src/sim/linearizability.cpp
@@ -8,7 +8,8 @@
 namespace tt {
 namespace {
 constexpr std::int64_t never = std::numeric_limits<std::int64_t>::max();
-/// Limits of the operations that an explanation lists: in all, and of the culprit with the end of the longest order.
+/// How many operations an explanation lists at most: in total, and as the culprit with the last changes of the longest
+/// valid order.
 constexpr std::size_t maxOperationsShown = 12;
 constexpr std::size_t maxOrderLines = 4;
 /// The value number of an item that does not exist.
@@ -90,7 +91,7 @@
   std::unordered_map<std::string, std::uint32_t> columns, valueIds;
   std::vector<std::string> columnNames, values{std::string()};
   std::vector<std::pair<std::uint32_t, std::uint32_t>> initialValues;
-  /// Results by the value before and the patch; and digests of items by column and value.
+  /// Caches: merged values by value and patch, and digests of items by column and value.
   std::map<std::pair<std::uint32_t, std::uint32_t>, std::uint32_t> mergedValues;
   mutable std::map<std::pair<std::uint32_t, std::uint32_t>, std::uint64_t> digests;
 
@@ -138,7 +139,7 @@
 /// The linearizability search of Wing and Gong with Lowe's cache of visited configurations. The search appends steps to
 /// the order one by one. A step may be next if no other required step that is not yet in the order ended before it
 /// began. Steps that do not change the register are appended as soon as they are valid; no order is missed by this.
-/// Only changes branch, and their revisions leave few candidates.
+/// The search branches only over changes, and their revisions leave few candidates.
 class Search {
  public:
   Search(const std::vector<Operation>& allOperations, std::vector<Step> allSteps, ItemTable& itemTable,
@@ -164,7 +165,7 @@
   }
 
  private:
-  /// The keys are hashes already.
+  /// Combines the halves of a key, which are hashes already.
   struct KeyHash {
     std::size_t operator()(const std::pair<std::uint64_t, std::uint64_t>& key) const { return key.first ^ key.second; }
   };
@@ -177,7 +178,7 @@
   std::vector<bool> ordered;
   /// Indexes of the required and of the optional steps, by the time at which they began; and the changes in the order.
   std::vector<std::size_t> requiredSteps, optionalSteps, order;
-  /// A 128-bit random key for each step; the XOR of the keys of the steps in the order identifies their set.
+  /// A pseudo-random 128-bit key for each step; the XOR of the keys of the steps in the order identifies their set.
   std::vector<std::pair<std::uint64_t, std::uint64_t>> stepKeys;
   std::pair<std::uint64_t, std::uint64_t> orderedKey{0, 0};
   /// The visited configurations: hashes of the set of steps in the order and the state that they lead to.
@@ -316,7 +317,7 @@
 };
 
 /// Checks the operations of one register. Contradictions that show without a search are reported first; then the
-/// operations are turned into steps and an order of them is searched.
+/// operations are turned into steps, and a valid order of them is searched for.
 class RegisterCheck {
  public:
   RegisterCheck(std::vector<Operation> registerOperations, const History& history, bool weightsOnly)
@@ -506,7 +507,7 @@
     if (!refused && operations[attempts.front()].valid.value_or(true)) steps.push_back(change);
   }
 
-  /// Searches an order of the operations that began by a time. Changes that had not ended by then are optional.
+  /// Searches for an order of the operations that began by a time. Changes that had not ended by then are optional.
   SearchResult search(std::int64_t until, std::size_t maxSteps) {
     std::vector<Step> stepsUntil;
     for (auto step : steps) {
--- a/src/sim/standin.cpp
+++ b/src/sim/standin.cpp
@@ -11,7 +11,8 @@
 constexpr Duration fetchTimeout = 2s;
 /// Fixed part of the time that a request takes to compute.
 constexpr double baseComputeMs = 5;
-/// Longest client mark that is noted in the journal.
+/// A load generator marks its requests by the first word of the last part of the prompt. Longer marks are not noted in
+/// the journal.
 constexpr std::size_t maxMarkLength = 64;
 
 Duration fromMilliseconds(double ms) {
