--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Measures what every role costs against the size of the fleet, for docs/CAPACITY.md; it stops by itself.
-#   scripts/capacity.sh [FOLDER]    about half an hour; CSV, JSON, tables and SVG plots go to FOLDER
-# Environment: BUILD (default build); REPEATS (default 3); TARGET=0 leaves out the run of the whole target, which takes 7 GB.
+# Measures the cost of each role against the size of the fleet, for docs/CAPACITY.md.
+#   scripts/capacity.sh [FOLDER]    takes about half an hour; writes CSV, JSON, tables and SVG plots to FOLDER
+# Environment: BUILD (default build); REPEATS (default 3); TARGET=0 skips the run at the full target size, which takes 7 GB of memory.
 set -u
 here=$(cd "$(dirname "$0")/.." && pwd)
 build=${BUILD:-$here/build}
--- a/scripts/check-style.sh
+++ b/scripts/check-style.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Checks that every source file is formatted as .clang-format says; prints the places that are not.
+# Checks that all source files are formatted according to .clang-format, and prints the places that are not.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 git ls-files '*.cpp' '*.hpp' | xargs clang-format --dry-run -Werror
--- a/scripts/common.sh
+++ b/scripts/common.sh
@@ -1,5 +1,6 @@
-# What the scripts that try a whole fleet share; sourced after deployment and folder are set and the fleet is started.
-# Gives: the fleet's addresses and sizes, tenant, route, victim, and the functions below.
+# Functions shared by the scripts that test a whole fleet. Sourced once the fleet is started; needs here, build, base, deployment and folder.
+# Sets the fleet's addresses and sizes; tenant and victim (the tenants of the deployment's first two keys; victim's key gets revoked); route (the
+# route of the deployment's third kind of request).
 eval "$(fleet where "$folder")"
 . "$here/deployments/$deployment/fleet.env"
 . "$folder/overrides"
@@ -9,14 +10,14 @@
 now() { date +%s%N; }
 ms() { echo $((($2 - $1) / 1000000)); }
 ctl() { "$build/trouttally-ctl" "$@"; }
-load() { # orders of the deployment's kinds, recorded, from callers who come back in every way
+load() { # sends the deployment's kinds of request and records the outcomes; some callers retry: after the delay, at once, or at another proxy
   "$build/trouttally-loadgen" --proxies "$TROUTTALLY_PROXIES" --kinds "$here/deployments/$deployment/kinds.json" \
     --recordFile "$folder/records/callers.json" --obey 40 --ignore 10 --move 20 "$@"
 }
-event() { # notes event $1 about $2 for the audit, with further flags of trouttally-audit
+event() { # records event $1 about $2 for the audit; further arguments are flags of trouttally-audit
   "$build/trouttally-audit" --note "$1" --of "$2" "${@:3}" >>"$folder/records/events.json"
 }
-name_weights() { # names weights $2 under change id $1, again until that is acknowledged; notes both for the audit
+name_weights() { # announces weights $2 under change id $1, retries until acknowledged, and records both for the audit
   local try answer revision naming=(--model "$MODEL" --change "$1")
   event naming "$2" "${naming[@]}"
   for try in $(seq 60); do
@@ -29,14 +30,16 @@
   done
   return 1
 }
-audit() { # joins all records; fails on a breach
+audit() { # audits all records; fails on a violation
   "$build/trouttally-audit" --callers "$folder/records/callers.json" --events "$folder/records/events.json" \
     --workers "$(ls "$folder"/records/worker-*.json "$folder"/records/app.json | paste -sd,)" \
     --blueprint "$here/deployments/$deployment/blueprint.json" ${AUDIT_VERSION_MS:+--versionMs "$AUDIT_VERSION_MS"}
 }
-status() { # what an order at proxy $1 gets, with key $2 if given
+status() { # prints the HTTP status of a request sent to proxy $1, with key $2 if given
   curl -s -m 3 -o /dev/null -w '%{http_code}' -H "Authorization: Bearer ${2:-$tenant-secret-1}" "127.0.0.1:$((base + 400 + $1))/v1/orders" \
     -d "{\"route\":\"$route\",\"model\":\"$MODEL\",\"parts\":[\"x\"],\"maxTokens\":1}"
 }
+# Whether every proxy serves requests.
 served() { local number; for number in $(seq "$EDGES"); do [ "$(status "$number")" = 200 ] || return 1; done; }
+# Prints the core that holds duty $1, such as accord (the leadership of the replicated log) or cell/ZONE.
 holder() { ctl fleet | sed -n "s|^duty     $1 \(core-[0-9]\)-.*|\1|p"; }
--- a/scripts/compare-fetching.sh
+++ b/scripts/compare-fetching.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# The same load on a fresh fleet with fetching on and off, in turn.
+# Compares the same load on a new fleet with and without fetching of cached prefixes.
 #   scripts/compare-fetching.sh DEPLOYMENT [ROUNDS]
-# Environment as for fleet.sh; SECONDS_EACH (default 12).
+# Environment: as for fleet.sh; SECONDS_EACH (duration of each load, default 12).
 set -u
 here=$(cd "$(dirname "$0")/.." && pwd)
 build=${BUILD:-$here/build}
--- a/scripts/cut-fleet.sh
+++ b/scripts/cut-fleet.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Cuts, holds and slows links between real processes and spoils cores' disks, under load, then audits the records.
-#   scripts/cut-fleet.sh DEPLOYMENT [FOLDER]   about two minutes; ends with 1 on a breach, or service not back within 12 s
-# Environment as for fleet.sh.
+# Runs a fleet of real processes under load, injects network and disk faults, and audits the records.
+#   scripts/cut-fleet.sh DEPLOYMENT [FOLDER]   takes about two minutes; exits with 1 on a violation, or if service takes longer than 12 s
+#                                              to recover from a fault
+# Environment: as for fleet.sh; SECONDS_FAULTS (duration of the load, default 100), SCALE (factor for its rates, default 1).
 set -u
 here=$(cd "$(dirname "$0")/.." && pwd)
 build=${BUILD:-$here/build}
@@ -13,7 +14,7 @@
 rm -rf "$folder"
 fleet start "$deployment" "$folder" || exit 1
 . "$here/scripts/common.sh"
-rule() { # rule MODE FROM TO [DELAY]: FROM and TO are core-N, agent-N or '*'
+rule() { # rule MODE FROM TO [DELAY_MS]: adds a rule to trouttally-link; FROM and TO are core-N, agent-N or '*'
   local from to
   from=$(place "$2") to=$(place "$3")
   curl -s -m 2 "127.0.0.1:$((base + 30))/v1/rules" -d "{\"mode\":\"$1\",\"from\":\"$from\",\"to\":\"$to\",\"delayMs\":${4:-0}}" >/dev/null
@@ -28,7 +29,7 @@
 both() { rule "$1" "$2" "$3" && rule "$1" "$3" "$2"; }
 heal() { curl -s -m 2 -X DELETE "127.0.0.1:$((base + 30))/v1/rules" >/dev/null; }
 missed=0 changes=0
-back() { # back WHAT: how long after a fault's end all proxies serve and a change is taken, and that no change was lost
+back() { # back FAULT: measures how long after the end of a fault all proxies serve again, and a configuration change is committed
   local since
   since=$(now)
   changes=$((changes + 1))
@@ -40,36 +41,36 @@
   done
   local changedMs
   changedMs=$(ms "$since" "$(now)")
-  echo "$1: every proxy serves $servedMs ms, a change is taken $changedMs ms after its end"
+  echo "$1: all proxies serve $servedMs ms after its end, a change is committed $changedMs ms after its end"
   if [ "$servedMs" -gt 12000 ] || [ "$changedMs" -gt 12000 ]; then echo "NOT MET: $1"; missed=1; fi
 }
 
 load --seconds "${SECONDS_FAULTS:-100}" --scale "${SCALE:-1}" --everySecond 1 >"$folder/load.txt" &
 loadPid=$!
 sleep 8
-both cut core-4 '*'; sleep 4; heal; back "one core cut off"
+both cut core-4 '*'; sleep 4; heal; back "one core disconnected"
 for one in 1 2; do for other in 3 4; do both cut "core-$one" "core-$other"; done; done
-sleep 5; heal; back "the core cut in two"
+sleep 5; heal; back "the cores partitioned into two halves"
 both cut agent-2 '*'
 echo "{\"keys\":{\"$victim-key\":null}}" | ctl patch - >/dev/null && event revoked "$victim-secret-1"
-sleep 5; heal; back "an agent cut off while a key is revoked"
-rule hold core-1 '*'; sleep 4; heal; back "one core heard by nobody, hearing all"
+sleep 5; heal; back "an agent disconnected while a key is revoked"
+rule hold core-1 '*'; sleep 4; heal; back "one core receives from all, but its messages are held back"
 leader=$(holder accord)
-both hold "$leader" '*'; sleep 10; heal; back "links to the accord's holder dead but open for 10 s"
-rule slow '*' '*' 80; sleep 5; heal; back "every link 80 ms slower"
+both hold "$leader" '*'; sleep 10; heal; back "messages from and to the leader held back for 10 s on open connections"
+rule slow '*' '*' 80; sleep 5; heal; back "80 ms of extra latency on every link"
 for number in 1 2 3 4; do echo "slow 250" >"$folder/core-$number.fault"; done
 lostCore=$(holder accord)
 fleet signal "$lostCore" KILL "$folder"
 sleep 5
 for number in 1 2 3 4; do rm -f "$folder/core-$number.fault"; done
 fleet run "$lostCore" "$folder"
-back "every disk 250 ms slow and the accord's holder killed"
+back "syncs 250 ms slower on all cores, and the leader killed"
 leader=$(holder accord)
-echo stall >"$folder/$leader.fault"; sleep 5; rm -f "$folder/$leader.fault"; back "the accord's holder's disk stalled"
+echo stall >"$folder/$leader.fault"; sleep 5; rm -f "$folder/$leader.fault"; back "the leader's disk stalled"
 echo full >"$folder/core-3.fault"
 echo "{\"routes\":{\"while-full\":{\"model\":\"$MODEL\"}}}" | ctl patch - >/dev/null
 sleep 2
-kill -0 "$(cat "$folder/pids/core-3")" 2>/dev/null && { echo "NOT MET: a core with a full disk went on"; missed=1; }
+kill -0 "$(cat "$folder/pids/core-3")" 2>/dev/null && { echo "NOT MET: a core with a full disk kept running"; missed=1; }
 rm -f "$folder/core-3.fault"; fleet run core-3 "$folder"; back "one core's disk full"
 wait "$loadPid"
 cat "$folder/load.txt"
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,14 +1,14 @@
 #!/usr/bin/env bash
 # Runs a whole fleet of one deployment on loopback.
-#   scripts/fleet.sh start DEPLOYMENT [FOLDER]     starts everything and puts the first blueprint
-#   scripts/fleet.sh stop [FOLDER]                 ends everything that start began
+#   scripts/fleet.sh start DEPLOYMENT [FOLDER]     starts all processes and puts the initial configuration
+#   scripts/fleet.sh stop [FOLDER]                 stops all processes
 #   scripts/fleet.sh run NAME [FOLDER]             starts one process again (core-1, agent-3, worker-12 …)
 #   scripts/fleet.sh signal NAME SIGNAL [FOLDER]   sends one process a signal, such as KILL, STOP or CONT
 #   scripts/fleet.sh where [FOLDER]                prints the addresses that ctl and loadgen need
 # Environment: BUILD (folder with the programs, default build), BASE (first port, default 21000),
-#   EDGES, WORKERS (override the deployment's), FETCHING (true or false),
-#   VERSION_MS (how long after a naming requests may begin on older weights, at cores, agents and proxies),
-#   LINKS=1 (puts trouttally-link between cores and agents; rules at port BASE+30).
+#   EDGES, WORKERS (override the deployment's numbers of proxies and of workers), FETCHING (true or false),
+#   VERSION_MS (how long after newer weights are announced requests may start on older ones; for cores, agents and proxies),
+#   LINKS=1 (connects cores and agents through trouttally-link, whose rules are set at port BASE+30).
 set -u
 here=$(cd "$(dirname "$0")/.." && pwd)
 build=${BUILD:-$here/build}
@@ -27,8 +27,9 @@
   keyHash=$(printf %s "$operatorKey" | sha256sum | cut -d' ' -f1)
   seeds="127.0.0.1:$((base + 1)),127.0.0.1:$((base + 2)),127.0.0.1:$((base + 3)),127.0.0.1:$((base + 4))"
 }
+# The zone of the process with number $1.
 place() { echo "${localities[$((($1 - 1) % ${#localities[@]}))]}"; }
-first() { # the first three of the seeds other than number $1
+first() { # the addresses of the first three cores other than number $1
   local list=() number
   for number in 1 2 3 4; do [ "$number" != "$1" ] && list+=("127.0.0.1:$((base + number))"); done
   (IFS=,; echo "${list[*]:0:3}")
@@ -64,13 +65,13 @@
     *) echo "no such process: $name" >&2; exit 2 ;;
   esac
 }
-pairs() {
+pairs() { # the address pairs of trouttally-link: published address=address listened on
   local number rows=""
   for number in 1 2 3 4; do rows+="127.0.0.1:$((base + number))=127.0.0.1:$((base + 2000 + number)),"; done
   for number in $(seq "$EDGES"); do rows+="127.0.0.1:$((base + 100 + number))=127.0.0.1:$((base + 2100 + number)),"; done
   echo "${rows%,}"
 }
-machines() {
+machines() { # the initial machine list of the platform, as JSON
   local number rows=""
   for number in $(seq "$WORKERS"); do
     rows+="{\"name\":\"worker-$number\",\"address\":\"127.0.0.1:$((base + 500 + number))\",\"locality\":\"$(place "$number")\",\"kind\":\"language\"},"
--- a/scripts/fuzz-sanitized.sh
+++ b/scripts/fuzz-sanitized.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Builds the fuzzer and what it links with the address and undefined-behaviour sanitizers, in a folder of its own, and runs its fixed
-# set: the same inputs each time. Any report of a sanitizer and any broken property fails it.
+# Builds the fuzzer with the address and undefined-behaviour sanitizers in a separate build directory, and runs its fixed rounds, whose
+# inputs are the same each time. Fails on any sanitizer report and any violated property.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${BUILD:-build-fuzz}
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs clang-tidy with the checks of .clang-tidy over the files that are clean; whoever cleans a file adds it to the list.
+# Runs clang-tidy with the checks of .clang-tidy on the files listed here. A file is added to the list once it has no findings.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${BUILD:-build-lint}
@@ -19,7 +19,7 @@
   src/sim/version_check.cpp
   src/tools/naming_records.cpp
 )
-# Only configured, for the commands; without the compiler's own precompiled headers, which clang can't read.
+# Only configures, to get the compile commands. GCC's precompiled headers are disabled, as clang can't read them.
 cmake -G Ninja -B "$build" -S . -DCMAKE_DISABLE_PRECOMPILE_HEADERS=ON >/dev/null
 printf '%s\n' "${files[@]}" | xargs -P 4 -n 1 clang-tidy --quiet -p "$build"
 echo "lint: ${#files[@]} files are clean"
--- a/scripts/measure.sh
+++ b/scripts/measure.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Measures a running fleet of real processes on loopback, with faults, under its deployment's load, and audits its records.
-#   scripts/measure.sh DEPLOYMENT [FOLDER]    starts the fleet, measures, stops it; about three minutes
-# Ends with 1 if the audit finds anything that must never happen, or a figure of the brief was not met.
-# Environment as for fleet.sh; SECONDS_EACH (default 15) for the load runs.
+# Measures a fleet of real processes on loopback under its deployment's load, with and without faults, and audits the records.
+#   scripts/measure.sh DEPLOYMENT [FOLDER]    starts the fleet, measures and stops it; takes about three minutes
+# Exits with 1 if the audit finds a violation or a required time limit is exceeded.
+# Environment: as for fleet.sh; SECONDS_EACH (duration of each load without faults, default 15), SECONDS_FAULTS (duration of the load
+#   with faults, default 110).
 set -u
 here=$(cd "$(dirname "$0")/.." && pwd)
 build=${BUILD:-$here/build}
@@ -15,10 +16,10 @@
 fleet start "$deployment" "$folder" || exit 1
 . "$here/scripts/common.sh"
 missed=0
-within() { # within MS MOST WHAT: says so if a figure is over its bound
-  [ "$1" -le "$2" ] || { echo "NOT MET: $3 took $1 ms, at most $2 wanted"; missed=1; }
+within() { # within MS MAX_MS WHAT: reports a failure if a time exceeds its limit
+  [ "$1" -le "$2" ] || { echo "NOT MET: $3 took $1 ms, limit $2 ms"; missed=1; }
 }
-revisions() { # the lowest revision in force at any proxy
+revisions() { # the lowest revision in force at any proxy; 0 if a proxy does not respond or its view is stale
   local number lowest=999999999 got
   for number in $(seq "$EDGES"); do
     got=$(curl -s -m 1 -H "Authorization: Bearer $TROUTTALLY_OPERATOR_KEY" "127.0.0.1:$((base + 400 + number))/v1/blueprint" | sed -n 's/^{"revision":\([0-9]*\),.*"fresh":true.*/\1/p')
@@ -65,37 +66,37 @@
   runsBefore=$runs
   sleep 0.1
 done
-echo "leaving worker: last new order seen $(ms "$marked" "$lastRun") ms after the mark"
-within "$(ms "$marked" "$lastRun")" 3100 "a mark"
+echo "leaving worker: last new request $(ms "$marked" "$lastRun") ms after it was marked"
+within "$(ms "$marked" "$lastRun")" 3100 "draining a worker"
 event staying worker-7
 curl -s -X PATCH "127.0.0.1:$base/v1/machines" -d '{"name":"worker-7","leaving":false}' >/dev/null
 sleep 1
-echo "at $(ms "$began" "$(now)") ms: weights named"
-name_weights measured-weights "$MODEL-w2" || { echo "NOT MET: weights were never named"; missed=1; }
+echo "at $(ms "$began" "$(now)") ms: new weights are announced"
+name_weights measured-weights "$MODEL-w2" || { echo "NOT MET: the announcement of weights was never acknowledged"; missed=1; }
 named=$(now)
 while [ "$(ctl fleet | grep -c "weights $MODEL-w2 .*serving")" -lt "$WORKERS" ] && [ "$(ms "$named" "$(now)")" -lt 40000 ]; do sleep 0.2; done
-echo "new weights: in use at all $WORKERS workers $(ms "$named" "$(now)") ms after naming"
-within "$(ms "$named" "$(now)")" 25000 "a roll-out"
+echo "new weights: in use at all $WORKERS workers $(ms "$named" "$(now)") ms after the announcement"
+within "$(ms "$named" "$(now)")" 25000 "a rollout of weights"
 leader=$(holder accord)
-echo "at $(ms "$began" "$(now)") ms: $leader, which holds the accord, is killed"
+echo "at $(ms "$began" "$(now)") ms: $leader, the leader of the replicated log, is killed"
 killed=$(now)
 fleet signal "$leader" KILL "$folder"
 until echo "{\"routes\":{\"after-kill\":{\"model\":\"$MODEL\"}}}" | ctl patch - --change-id after-kill >/dev/null 2>&1; do sleep 0.1; done
-echo "a change is taken again $(ms "$killed" "$(now)") ms after the kill"
+echo "a change is committed again $(ms "$killed" "$(now)") ms after the kill"
 sleep 3
 fleet run "$leader" "$folder"
 sleep 4
-echo "at $(ms "$began" "$(now)") ms: two edges, three workers and the store are killed"
+echo "at $(ms "$began" "$(now)") ms: two agents, two proxies, three workers and the store are killed"
 for name in agent-1 proxy-1 agent-2 proxy-2 worker-1 worker-2 worker-3 store; do fleet signal $name KILL "$folder"; done
 sleep 3
 for name in agent-1 proxy-1 agent-2 proxy-2 worker-1 worker-2 worker-3 store; do fleet run $name "$folder"; done
 back=$(now)
 until served; do sleep 0.1; done
 echo "every proxy serves again $(ms "$back" "$(now)") ms after their restart"
-within "$(ms "$back" "$(now)")" 12000 "service after the restart of edges, workers and the store"
-# Each kind of daemon stands still past every lease and wakes.
+within "$(ms "$back" "$(now)")" 12000 "service after the restart of agents, proxies, workers and the store"
+# One process of each kind is suspended for longer than any lease lasts, and then resumed.
 for name in "$(holder accord)" "$(holder "cell/${LOCALITIES%% *}")" agent-3 proxy-4 worker-5 store; do
-  echo "at $(ms "$began" "$(now)") ms: $name stands still for 4 s"
+  echo "at $(ms "$began" "$(now)") ms: $name is suspended for 4 s"
   fleet signal "$name" STOP "$folder"
   [ "$name" = agent-3 ] && echo "{\"keys\":{\"$victim-key\":null}}" | ctl patch - >/dev/null && event revoked "$victim-secret-1"
   sleep 4
@@ -104,12 +105,12 @@
 done
 back=$(now)
 until served; do sleep 0.1; done
-echo "every proxy serves $(ms "$back" "$(now)") ms after the last woke"
-within "$(ms "$back" "$(now)")" 12000 "service after standing still"
+echo "every proxy serves $(ms "$back" "$(now)") ms after the last was resumed"
+within "$(ms "$back" "$(now)")" 12000 "service after suspended processes were resumed"
 wait "$loadPid"
 cat "$folder/under-faults.txt"
 echo "{\"routes\":{\"just-before\":{\"model\":\"$MODEL\"}}}" | ctl patch - >/dev/null && acknowledged=1
-echo "== closing fault: everything but the platform is killed and started again"
+echo "== closing fault: all processes but the platform are killed and started again"
 for file in "$folder"/pids/*; do name=$(basename "$file"); [ "$name" != platform ] && kill -KILL "$(cat "$file")"; done
 sleep 0.5
 for file in "$folder"/pids/*; do name=$(basename "$file"); [ "$name" != platform ] && fleet run "$name" "$folder"; done
--- a/scripts/small-fleet.sh
+++ b/scripts/small-fleet.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
-# A small fleet of real processes: loses its accord's holder, an edge and a worker under load, revokes a key, has weights named in quick
-# succession, lets operators race; is audited.
-#   scripts/small-fleet.sh [FOLDER]     about a minute; counts and order only, and the one span that is promised for old weights
-# Environment as for fleet.sh; BASE is 27000 and VERSION_MS 10000 unless given; AUDIT_VERSION_MS (VERSION_MS unless given) is the span that
-# the audit holds the fleet to: with a shorter one than the fleet's own the audit must find orders that began late.
+# End-to-end test with a small fleet of real processes. Under load the leader of the replicated log, an agent, a proxy and a worker are
+# killed and restarted, a key is revoked and new weights are announced in quick succession; then operators' clients change the
+# configuration concurrently. The records are audited.
+#   scripts/small-fleet.sh [FOLDER]     takes about a minute; apart from the time limit for old weights no times are checked
+# Environment: as for fleet.sh, with the defaults BASE=27000 and VERSION_MS=10000; AUDIT_VERSION_MS (default VERSION_MS) is the limit for old
+# weights that the audit checks. With a limit shorter than the fleet's own the audit must find requests that started too late.
 set -u
 here=$(cd "$(dirname "$0")/.." && pwd)
 build=${BUILD:-$here/build}
@@ -18,12 +19,12 @@
 trap 'fleet stop "$folder" >/dev/null 2>&1' EXIT
 fleet start "$deployment" "$folder" || exit 1
 . "$here/scripts/common.sh"
-take() { # a change, until it is taken; its id makes sending it again safe
+take() { # sends change $2 under change id $1 until it is acknowledged; the id makes resending safe
   local try
   for try in $(seq 60); do echo "$2" | ctl patch - --change-id "$1" >/dev/null 2>&1 && return 0; sleep 0.5; done
-  wrong "change $1 was never taken"
+  wrong "change $1 was never acknowledged"
 }
-serves() { local try; for try in $(seq 60); do [ "$(status "$1")" = 200 ] && return 0; sleep 0.5; done; wrong "proxy $1 never serves"; }
+serves() { local try; for try in $(seq 60); do [ "$(status "$1")" = 200 ] && return 0; sleep 0.5; done; wrong "proxy $1 did not serve a request"; }
 serves 1; serves 2
 load --seconds 12 --scale 0.15 --hangUps 3 >"$folder/load.txt" &
 loadPid=$!
@@ -38,7 +39,8 @@
 event revoked scouts-secret-1
 serves 1; serves 2
 for number in 1 2; do
-  # A proxy that has just lost touch denies everything; it must come to deny this key, and never serve it.
+  # A proxy whose configuration is stale denies all requests with another status. It must never serve this key, and must deny it with 401
+  # in the end.
   for try in $(seq 60); do
     got=$(status $number scouts-secret-1)
     [ "$got" = 200 ] && { wrong "a revoked key was served by proxy $number"; break; }
@@ -49,15 +51,16 @@
 done
 wait "$loadPid"
 cat "$folder/load.txt"
-ctl lag --wait 20 || wrong "somebody lags"
+ctl lag --wait 20 || wrong "a core or agent is not up to date"
 for name in before during; do ctl get | grep -q "\"$name\"" || wrong "change $name is lost"; done
-named() { name_weights "$@" || wrong "naming $1 was never acknowledged"; }
-in_use() { # waits until every worker serves on weights $1
+named() { name_weights "$@" || wrong "the announcement $1 was never acknowledged"; }
+in_use() { # waits until every worker serves with weights $1
   local try
   for try in $(seq 120); do [ "$(ctl fleet | grep -c "weights $1 .*serving")" -ge "$WORKERS" ] && return 0; sleep 0.5; done
   wrong "weights $1 are not in use everywhere"
 }
-namings() { # weights are named six times, once back; a worker, an edge and a cell's holder are killed, and a proxy stands still meanwhile
+namings() { # announces weights six times, once going back to earlier ones, while a core that holds a cell, an agent, a proxy and a worker are
+  # killed and restarted and another proxy is suspended
   load --seconds 26 --scale 0.15 --seed 2 >"$folder/load-namings.txt" &
   local loading=$! killed name try
   sleep 1
@@ -72,7 +75,7 @@
   named weights-4 "$MODEL-w4"
   sleep 2
   fleet signal proxy-1 CONT "$folder"
-  named weights-2 "$MODEL-w2" # sent again: still the first
+  named weights-2 "$MODEL-w2" # a resend, which is not a new announcement
   named weights-2-again "$MODEL-w2"
   sleep 2
   named weights-5 "$MODEL-w5"
@@ -83,8 +86,9 @@
   cat "$folder/load-namings.txt"
 }
 namings
-ctl lag --wait 20 || wrong "somebody lags"
-race() { # operators race, some answers lost, while the accord's holder is killed and comes back; nobody else changes anything
+ctl lag --wait 20 || wrong "a core or agent is not up to date"
+race() { # operators' clients change the configuration concurrently and lose some responses, while the leader is killed and restarted;
+  # nothing else changes the configuration meanwhile
   "$build/trouttally-operators" --cores "$TROUTTALLY_CORES" --key "$TROUTTALLY_OPERATOR_KEY" --history "$folder/operators.jsonl" \
     --clients 6 --changes 120 --lose 20 --seed 7 >"$folder/operators.txt" &
   local racers=$! killed=$(holder accord)
@@ -94,13 +98,13 @@
   fleet run "$killed" "$folder"
   wait "$racers" || wrong "the operators' clients failed"
   cat "$folder/operators.txt"
-  "$build/trouttally-audit" --operators "$folder/operators.jsonl" || wrong "no order explains what operators were told"
+  "$build/trouttally-audit" --operators "$folder/operators.jsonl" || wrong "the operators' history is not linearizable"
 }
 race
 fleet stop "$folder"
-grep -h -i -E "sanitizer|runtime error" "$folder"/logs/* && wrong "a sanitizer spoke"
+grep -h -i -E "sanitizer|runtime error" "$folder"/logs/* && wrong "a sanitizer reported an error"
 audit >"$folder/audit.txt" || failed=1
 cat "$folder/audit.txt"
-grep -q " 6 namings" "$folder/audit.txt" || wrong "the audit does not know of six namings"
+grep -q " 6 namings" "$folder/audit.txt" || wrong "the audit did not count six announcements of weights"
 for load in load load-namings; do grep -q "verdict .* done 0 done" "$folder/$load.txt" || wrong "nothing was served in $load"; done
 exit "$failed"
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,10 +1,10 @@
 #!/usr/bin/env bash
-# Builds everything and runs every test: the parts, then the scenarios on simulated time.
+# Builds everything and runs all tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${BUILD:-build}
 cmake -G Ninja -B "$build" -S . ${TROUTTALLY_SANITIZE:+-DTROUTTALLY_SANITIZE=$TROUTTALLY_SANITIZE}
 cmake --build "$build"
 ctest --test-dir "$build" --output-on-failure
-# ctest hides what passing tests print; what was searched and checked is shown in any case.
+# ctest hides the output of passing tests; these lines show how much was searched and checked.
 grep -hE '^(model|fuzz|operators): ' "$build/Testing/Temporary/LastTest.log" | grep -v ' took '
--- a/src/fuzz/allocation.cpp
+++ b/src/fuzz/allocation.cpp
@@ -9,7 +9,8 @@
 
 std::size_t tt::allocatedBytes() { return allocated; }
 
-/// Every allocation of the program is counted; nothing else about it changes.
+/// Replaces the global allocation functions to count the bytes that each thread allocates. Memory still comes from
+/// malloc.
 void* operator new(std::size_t size) {
   allocated += size;
   if (void* made = std::malloc(size ? size : 1)) return made;
--- a/src/fuzz/clients.cpp
+++ b/src/fuzz/clients.cpp
@@ -4,7 +4,8 @@
 namespace tt {
 namespace {
 
-/// What a gate made of some bytes: the requests that it handed over, and the statuses that it answered with.
+/// What the server did with the bytes of one connection: the requests that it passed to its handler, as text and
+/// parsed, and the status codes of its responses. `refused` counts error responses, `asked` counts "100 Continue".
 struct Read {
   std::vector<std::string> requests;
   std::vector<HttpRequest> rows;
@@ -29,7 +30,8 @@
   return text + "\n" + request.body;
 }
 
-/// One gate on one thread that a client on the same thread talks to.
+/// An HTTP server and a client of it on the same thread. The handler responds to every request with status 299, which
+/// the server itself never sends.
 class Wire {
  public:
   Wire()
@@ -47,7 +49,7 @@
   }
   bool open() { return bool(gate.open()); }
 
-  /// Sends some bytes, cut into pieces at the given places.
+  /// Sends bytes over a new connection, split into several writes at the given offsets.
   Read send(const std::string& bytes, const std::vector<std::size_t>& cuts) {
     read = Read{};
     asio::ip::tcp::socket client(io);
@@ -131,19 +133,22 @@
     if (at < input.size()) cuts.push_back(at);
   }
   auto pieces = wire.send(input, cuts);
-  if (whole.requests != pieces.requests) return broken("cut into pieces it makes other requests", input);
-  if (whole.refused != pieces.refused) return broken("cut into pieces it is answered otherwise", input);
-  if (whole.refused > 1) return broken("something was answered behind a refusal", input);
+  if (whole.requests != pieces.requests)
+    return broken("the same bytes in several writes give different requests", input);
+  if (whole.refused != pieces.refused)
+    return broken("the same bytes in several writes give another number of error responses", input);
+  if (whole.refused > 1) return broken("a connection got more than one error response", input);
   if (whole.statuses.size() != whole.requests.size() + static_cast<std::size_t>(whole.refused + whole.asked))
-    return broken("there are not as many answers as requests", input);
-  if (whole.refused && whole.statuses.back() < 400) return broken("a refusal was not the last word", input);
+    return broken("the number of responses does not match the number of requests", input);
+  if (whole.refused && whole.statuses.back() < 400)
+    return broken("an error response is not the last response of its connection", input);
   for (const auto& request : whole.rows) {
     if (findHeader(request.headers, "Content-Length") && findHeader(request.headers, "Transfer-Encoding"))
-      return broken("a request has two framings", input);
+      return broken("a request has both Content-Length and Transfer-Encoding", input);
     std::string text = written(request);
     auto again = wire.send(text, {});
     if (again.rows.size() != 1 || written(again.rows[0]) != text || again.rows[0].body != request.body)
-      return broken("written again a request is read otherwise: " + text, input);
+      return broken("a request that was serialized again is parsed differently: " + text, input);
   }
   return whole.requests.empty() ? rejected() : accepted();
 }
@@ -155,7 +160,7 @@
   targets.push_back({"clients", 2000, [wire](Mutator& mutator) {
                        if (!*wire) {
                          wire->emplace();
-                         if (!(*wire)->open()) return broken("the gate does not open", {});
+                         if (!(*wire)->open()) return broken("the HTTP server could not open a port", {});
                        }
                        return tryClient(**wire, mutator);
                      }});
--- a/src/fuzz/configurations.cpp
+++ b/src/fuzz/configurations.cpp
@@ -32,7 +32,7 @@
   std::string text = view.text() + "|" + std::to_string(view.bytes()) + "|" + std::to_string(view.revision());
   for (const auto& [name, item] : view.section("routes")) {
     auto route = view.findRoute(name);
-    if (!route) return "a route has no row";
+    if (!route) return "a route cannot be looked up by its name";
     const auto* owner = route->matchesPath() ? view.routeFor(route->host, route->prefix) : nullptr;
     text += "|" + name + ">" + (owner ? owner->name : "") + "," + std::to_string(route->timeout.count()) + "," +
             std::to_string(route->tries) + "," + std::to_string(route->priority);
@@ -58,7 +58,8 @@
   return text;
 }
 
-/// A configuration that grows by what is accepted, and is now and then emptied.
+/// A configuration to which each accepted change is applied, so that later inputs meet its content. It is cleared at
+/// regular intervals.
 struct GrownConfiguration {
   Configuration view;
   std::uint64_t rounds{0};
@@ -70,23 +71,26 @@
     auto changeFormat = manners[mutator.randomBelow(std::size(manners))];
     std::string input = mutator.bentText(goodPatches), before = listed(view);
     auto patch = view.preparePatch(input, changeFormat);
-    if (listed(view) != before) return broken("a change that was only prepared shows", input);
+    if (listed(view) != before) return broken("a change is visible before it is applied", input);
     if (!patch) return rejectedWith(patch.error(), input);
     LogEntry entry{view.index() + 1, 1, static_cast<int>(EntryKind::change), patch.value(), "id", view.revision() + 1};
     Configuration twin = view;
     view.apply(entry);
     twin.apply(entry);
-    if (listed(twin) != listed(view)) return broken("two replicas apply it differently", input);
+    if (listed(twin) != listed(view)) return broken("two replicas differ after they applied the same change", input);
     Configuration whole;
-    if (!whole.installSnapshot(view.snapshot())) return broken("its snapshot cannot be adopted", input);
+    if (!whole.installSnapshot(view.snapshot()))
+      return broken("the configuration's snapshot cannot be installed", input);
     if (listed(whole) != listed(view))
-      return broken("whole it reads otherwise than applied:\n" + listed(whole) + "\n" + listed(view), input);
+      return broken("the configuration installed from the snapshot differs:\n" + listed(whole) + "\n" + listed(view),
+                    input);
     auto again = view.preparePatch(view.text(), ChangeFormat::whole);
-    if (!again) return broken("what is in force would be refused: " + again.error().subject, input);
+    if (!again)
+      return broken("the configuration in force would be rejected as a new one: " + again.error().subject, input);
     LogEntry repeated{view.index() + 1, 1, static_cast<int>(EntryKind::change), again.value(), {}, view.revision() + 1};
     Configuration over = view;
     over.apply(repeated);
-    if (over.text() != view.text()) return broken("what is in force, sent again whole, changes it", input);
+    if (over.text() != view.text()) return broken("replacing the configuration by itself changes it", input);
     return accepted();
   }
 };
@@ -98,12 +102,13 @@
   auto read = Policy::read(input);
   if (!read) return rejectedWith(read.error(), input);
   auto spaced = Policy::read(input + "\n# no more\n\n");
-  if (!spaced) return broken("a comment makes it invalid", input);
+  if (!spaced) return broken("a policy is invalid after a comment was added", input);
   for (bool store : {false, true}) {
     FetchCandidate facts{store, static_cast<double>(mutator.randomBelow(9)),
                          static_cast<double>(mutator.randomBelow(20)),
                          static_cast<double>(mutator.randomBelow(10)) / 10};
-    if (read.value().fetches(facts) != spaced.value().fetches(facts)) return broken("a comment changes it", input);
+    if (read.value().fetches(facts) != spaced.value().fetches(facts))
+      return broken("a policy decides differently after a comment was added", input);
   }
   return accepted();
 }
@@ -116,11 +121,12 @@
   auto made = patchFromManifests(input);
   if (!made) return rejectedWith(made.error(), input);
   auto patch = parseJson(made.value());
-  if (!patch || !patch.value().is<JsonObject>()) return broken("the patch is no object", input);
+  if (!patch || !patch.value().is<JsonObject>()) return broken("the patch is not a JSON object", input);
   for (const auto& [section, items] : patch.value().get<JsonObject>())
-    if (section != "routes" || !items.is<JsonObject>()) return broken("the patch holds more than routes", input);
+    if (section != "routes" || !items.is<JsonObject>())
+      return broken("the patch contains something other than routes", input);
   if (auto prepared = Configuration().preparePatch(made.value(), false); !prepared)
-    if (prepared.error().subject.empty()) return broken("a refusal names no subject", input);
+    if (prepared.error().subject.empty()) return broken("an error has no subject", input);
   return accepted();
 }
 
@@ -134,7 +140,8 @@
   auto read = StateChart::read(input);
   if (!read) return rejectedWith(read.error(), input);
   auto again = StateChart::read("\n# more\n" + input);
-  if (!again || again.value().actions() != read.value().actions()) return broken("a comment changes it", input);
+  if (!again || again.value().actions() != read.value().actions())
+    return broken("a state chart differs after a comment was added", input);
   return accepted();
 }
 
@@ -145,7 +152,7 @@
   std::string input = mutator.bentText(good);
   auto troubles = checkScenario(input);
   for (const auto& trouble : troubles)
-    if (trouble.rfind("line ", 0) != 0) return broken("a trouble names no line: " + trouble, input);
+    if (trouble.rfind("line ", 0) != 0) return broken("an error does not name its line: " + trouble, input);
   return troubles.empty() ? accepted() : rejected();
 }
 
--- a/src/fuzz/contracts.cpp
+++ b/src/fuzz/contracts.cpp
@@ -6,14 +6,16 @@
 
 const std::string hash = "0123456789abcdef0123456789abcdef";
 
+/// Checks that an accepted text can be serialized and read again without a change.
 template <class Read, class Write>
 FuzzOutcome tryText(const std::string& input, Read read, Write write) {
   auto got = read(input);
   if (!got) return rejectedWith(got.error(), input);
   std::string written = write(got.value());
   auto again = read(written);
-  if (!again) return broken("what was written from it is refused: " + again.error().subject + ": " + written, input);
-  if (write(again.value()) != written) return broken("read and written again it differs: " + written, input);
+  if (!again) return broken("the serialized text is rejected: " + again.error().subject + ": " + written, input);
+  if (write(again.value()) != written)
+    return broken("the serialized text differs when read and serialized again: " + written, input);
   return accepted();
 }
 
@@ -59,7 +61,7 @@
   std::string input = mutator.bentText(good);
   auto read = readCallerOrder(input);
   if (!read) return rejectedWith(read.error(), input);
-  return read.value().parts.empty() ? broken("an order without parts is taken", input) : accepted();
+  return read.value().parts.empty() ? broken("a request without prompt parts is accepted", input) : accepted();
 }
 FuzzOutcome tryWorkerLine(Mutator& mutator) {
   static const Strings good{R"({"token":"word"})", R"({"end":"done","code":0,"local":1,"fetched":2,"computed":3})",
@@ -74,7 +76,8 @@
   else
     return rejected();
   auto again = readWorkerLine("o", written);
-  if (again.index() != read.index()) return broken("what was written from it reads otherwise: " + written, input);
+  if (again.index() != read.index())
+    return broken("the serialized line is read as a line of another type: " + written, input);
   return accepted();
 }
 
--- a/src/fuzz/fuzz.hpp
+++ b/src/fuzz/fuzz.hpp
@@ -6,19 +6,22 @@
 
 namespace tt {
 
-/// Makes bent inputs out of good ones: it knows words, numbers, brackets and quoted texts, and puts others in their
-/// place. The same seed makes the same inputs.
+/// Generates fuzz inputs by mutating valid ones: their tokens (words, numbers, quoted strings, punctuation), the values
+/// of a JSON document, or single bytes. The same seed gives the same inputs.
 class Mutator {
  public:
   explicit Mutator(std::uint64_t seed) : randomSource(seed) {}
   std::uint64_t randomBelow(std::uint64_t below) { return below ? randomSource() % below : 0; }
   bool chance(std::uint64_t inSo) { return randomBelow(inSo) == 0; }
   const std::string& pick(const Strings& rows) { return rows[randomBelow(rows.size())]; }
-  /// One of the good texts, bent a few times; one in sixteen is left as it is.
+  /// Picks one of the valid texts and mutates it a few times; one in sixteen is returned unchanged.
   std::string bentText(const Strings& good);
-  /// Bytes bent without regard to words: for frames and records.
+  /// Mutates bytes without regard to tokens, for binary formats. Some mutations insert bytes of `other`, which is also
+  /// returned if all bytes have been removed.
   std::string bentBytes(std::string bytes, const std::string& other);
+  /// A number, as text, at or beyond a limit of a numeric type or with unusual syntax.
   std::string boundaryNumber();
+  /// A short string of a kind that occurs in valid inputs.
   std::string word();
   std::mt19937_64& source() { return randomSource; }
 
@@ -28,7 +31,8 @@
   std::string bendTree(const std::string& text, const std::string& other);
 };
 
-/// Fills any message or carried struct with drawn values, by way of the table that makes its wire form.
+/// Fills a message or a struct within one with random values, through the serialize() method that also defines its wire
+/// format.
 class Filler {
  public:
   explicit Filler(Mutator& drawn) : mutator(drawn) {}
@@ -51,7 +55,7 @@
   for (auto& row : rows) serializeField(filler, row);
 }
 
-/// What one round came to. A broken property is told with the input that broke it.
+/// The outcome of one round. If a property was violated, `broken` describes it and `input` is the input that did it.
 struct FuzzOutcome {
   bool accepted{false};
   std::string broken, input;
@@ -59,27 +63,28 @@
 FuzzOutcome accepted();
 FuzzOutcome rejected();
 FuzzOutcome broken(std::string property, std::string input);
-/// What a refusal must look like: a code that is known and a subject.
+/// The outcome for an input that was rejected with an error. Checks that the error has a known code and a subject.
 FuzzOutcome rejectedWith(const Error& trouble, const std::string& input);
 
-/// A parser and the properties that it must keep. A target may keep state from round to round.
+/// A parser under test and the properties that it must hold. A target may keep state between its rounds.
 struct FuzzTarget {
   std::string name;
-  /// Its rounds in the fixed set.
+  /// Rounds in the fixed run that the tests use.
   std::size_t rounds{0};
   std::function<FuzzOutcome(Mutator&)> once;
 };
 using FuzzTargets = std::vector<FuzzTarget>;
 
+/// Each of these registers the targets for one group of formats.
 void addConfigurationTargets(FuzzTargets& targets);
 void addContractTargets(FuzzTargets& targets);
 void addFrameTargets(FuzzTargets& targets);
 void addRingTargets(FuzzTargets& targets);
 void addClientTargets(FuzzTargets& targets);
-/// The platform's bodies and settings, where the platform is built.
+/// The platform's request and response bodies and its settings. Defined only in builds that include the platform.
 void addWireTargets(FuzzTargets& targets);
 
-/// Bytes that this thread has allocated so far, freed or not.
+/// Total bytes that this thread has allocated so far, including those freed since.
 std::size_t allocatedBytes();
 
 }  // namespace tt
--- a/src/fuzz/mutation.cpp
+++ b/src/fuzz/mutation.cpp
@@ -48,7 +48,7 @@
   return (letter >= '0' && letter <= '9') || (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z') ||
          letter == '_' || letter == '-' || letter == '.';
 }
-/// The text cut into words, quoted texts, runs of blanks and single signs.
+/// Splits a text into words, quoted strings and single other characters. Returns the offset and length of each.
 std::vector<std::pair<std::size_t, std::size_t>> tokensOf(const std::string& text) {
   std::vector<std::pair<std::size_t, std::size_t>> tokens;
   for (std::size_t at = 0; at < text.size();) {
@@ -135,7 +135,7 @@
   }
 }
 
-/// Bends a value of a JSON text, so that the text stays one; empty if it is none.
+/// Mutates one value of a JSON text; the result is valid JSON. Returns an empty string if the text is not valid JSON.
 std::string Mutator::bendTree(const std::string& text, const std::string& other) {
   auto read = parseJson(text);
   auto donor = parseJson(other);
@@ -254,9 +254,9 @@
   return FuzzOutcome{false, std::move(property), std::move(input)};
 }
 FuzzOutcome rejectedWith(const Error& trouble, const std::string& input) {
-  if (trouble.code == Code::done) return broken("a refusal has no code", input);
-  if (trouble.subject.empty()) return broken("a refusal names no subject", input);
-  if (std::string(codeName(trouble.code)).empty()) return broken("a refusal's code is not known", input);
+  if (trouble.code == Code::done) return broken("an error has the code for success", input);
+  if (trouble.subject.empty()) return broken("an error has no subject", input);
+  if (std::string(codeName(trouble.code)).empty()) return broken("an error has an unknown code", input);
   return rejected();
 }
 
--- a/src/fuzz/records.cpp
+++ b/src/fuzz/records.cpp
@@ -20,7 +20,7 @@
   std::vector<std::string> rows;
 };
 
-/// All that was ever written, by the record's own bytes.
+/// The encoded bytes of all records that were ever written, by kind.
 struct Written {
   std::set<std::string> identities, votes, entries, snapshots;
   void note(const Record& record) {
@@ -30,6 +30,7 @@
                                                      : snapshots;
     rows.insert(record.bytes);
   }
+  /// Names a part of the recovered state that was never written; empty if there is none.
   std::string strangerIn(const RecoveredState& found) const {
     if (!found.identity.empty() && !identities.count(found.identity)) return "an identity";
     for (const auto& [duty, vote] : found.votes)
@@ -64,7 +65,8 @@
   return batch;
 }
 
-/// Bends the files as disks do: bits, pages that were not written, ends that were, parts of one file in another.
+/// Damages the files in ways in which disks fail: flipped bits, ranges, pages or tails that were not written (zeros),
+/// and data that was written to the wrong place or the wrong file.
 void bendFiles(Mutator& mutator, std::vector<std::string>& rows) {
   constexpr std::size_t page = 512;
   for (std::uint64_t times = 1 + mutator.randomBelow(3); times > 0; --times) {
@@ -106,7 +108,7 @@
   std::uint64_t index = 0, term = 1;
   {
     auto ring = Ring::open(files);
-    if (!ring) return broken("empty files cannot be opened", {});
+    if (!ring) return broken("a ring of empty files cannot be opened", {});
     std::vector<Record> first{identityRecord("core-x")};
     for (std::uint64_t batches = 1 + mutator.randomBelow(40); batches > 0; --batches) {
       term += mutator.chance(10);
@@ -116,32 +118,32 @@
       batch.insert(batch.begin(), first.begin(), first.end());
       first.clear();
       for (const auto& record : batch) written.note(record);
-      if (!ring.value()->append(batch)) return broken("a batch cannot be written", {});
+      if (!ring.value()->append(batch)) return broken("a batch cannot be appended", {});
       sum = ring.value()->held();
     }
   }
   MemoryRing same = files;
   auto whole = Ring::open(same);
-  if (!whole) return broken("what was synced cannot be opened", {});
+  if (!whole) return broken("an undamaged ring cannot be opened", {});
   if (whole.value()->held().entries.size() != sum.entries.size() || !written.strangerIn(whole.value()->held()).empty())
-    return broken("what was synced does not come back", {});
+    return broken("synced records are not recovered", {});
   bendFiles(mutator, files.rows);
   std::string input;
   for (const auto& row : files.rows) input += row.substr(0, row.find_last_not_of('\0') + 1) + "|";
   auto opened = Ring::open(files);
   if (!opened) return rejectedWith(opened.error(), input);
   auto stranger = written.strangerIn(opened.value()->held());
-  if (!stranger.empty()) return broken(stranger + " is returned that was never written", input);
+  if (!stranger.empty()) return broken("recovery returned " + stranger + " that was never written", input);
   LogEntry more{index + 1, term, 1, "more", {}, 0};
   written.note(entryRecord(more));
   written.note(identityRecord("core-x"));
   if (!opened.value()->append({identityRecord("core-x"), entryRecord(more)}))
-    return broken("a ring that opened cannot be written", input);
+    return broken("a damaged ring that was recovered cannot be appended to", input);
   auto again = Ring::open(files);
   if (!again) return rejectedWith(again.error(), input);
   const auto& held = again.value()->held();
   if (held.entries.empty() || held.entries.back().body != "more")
-    return broken("what was written after a torn end is lost", input);
+    return broken("an entry that was appended after recovery is lost", input);
   return accepted();
 }
 
--- a/src/tools/audit.cpp
+++ b/src/tools/audit.cpp
@@ -8,9 +8,14 @@
 namespace tt {
 namespace {
 constexpr std::int64_t second = 1'000'000'000;
+/// How long after the acknowledgement of its revocation a key may still be accepted.
 constexpr std::int64_t revokedWithin = 5 * second;
+/// How long after it was marked as leaving a worker may still get new requests.
 constexpr std::int64_t leavingWithin = 3 * second;
+/// How long after the acknowledgement of newer weights a run may still use older ones.
 constexpr Duration weightsWithin = 25s;
+/// The highest ratio of retries to first attempts in a window, and the fewest first attempts in a window that is
+/// judged.
 constexpr double retryShareMost = 0.2;
 constexpr std::int64_t ordersEnough = 40;
 
@@ -33,7 +38,7 @@
   return std::strtoll(stringOr(row, name).c_str(), nullptr, 10);
 }
 
-/// Takes an event about a naming of weights into the records; says whether it holds all that is needed.
+/// Adds an event about an announcement of weights to the records. Returns false if a required field is missing.
 bool readNaming(const Json& event, NamingRecords& namings) {
   std::string changeId = stringOr(event, "change"), weights = stringOr(event, "name"), model = stringOr(event, "model");
   TimePoint at = fromNanoseconds(momentOf(event, "at"));
@@ -47,7 +52,7 @@
   return revision > 0;
 }
 
-/// For how long the weights that a worker's row tells had been superseded at its moment.
+/// For how long these weights had been superseded when a worker's event happened; nothing if they were the newest.
 std::optional<Duration> supersededFor(const NamingRecords& namings, const WorkerRow& row, const std::string& weights) {
   if (weights == "-") return std::nullopt;
   return namings.supersededFor(row.model, weights, fromNanoseconds(row.at));
@@ -131,9 +136,10 @@
       ++result.runs;
       if (words[3] != "-") runsByMark[words[3]].push_back(&row);
       for (const auto& [from, until] : leaving[row.worker])
-        if (row.at > from + leavingWithin && row.at < until) breach("leaving-used", words[0] + " at " + row.worker);
+        if (row.at > from + leavingWithin && row.at < until)
+          breach("leaving-used", words[0] + " ran at " + row.worker + ", which was leaving");
       if (auto late = supersededFor(namings, row, words[1]); late && *late > weightsWithin)
-        breach("weights-late", words[0] + " ran under " + words[1] + " at " + row.worker);
+        breach("weights-late", words[0] + " ran with old weights " + words[1] + " at " + row.worker);
     }
     if (row.event == "order began") ++result.begins;
     if (row.event == "order began" && words.size() >= 2) {
@@ -153,7 +159,8 @@
     if (row.event == "pulled") {
       auto move = moveBlocks.find(row.subject);
       if (move == moveBlocks.end() || row.number > move->second)
-        breach("fetch-beyond", row.worker + " pulled " + std::to_string(row.number) + " blocks for " + row.subject);
+        breach("fetch-beyond", row.worker + " pulled " + std::to_string(row.number) + " blocks for the move " +
+                                   row.subject + ", which named fewer");
     }
     if (row.event == "cross weights") breach("other-weights", row.worker + " " + row.subject);
     if (row.event == "cross tenant") {
@@ -164,8 +171,8 @@
     if (row.event == "command taken" && words.size() >= 3) {
       auto& last = commandBy[row.worker];
       if (row.number < last.first || (row.number == last.first && words[1] != last.second && !last.second.empty()))
-        breach("two-holders", row.worker + " took term " + std::to_string(row.number) + " of " + words[1] + " after " +
-                                  std::to_string(last.first) + " of " + last.second);
+        breach("two-holders", row.worker + " accepted term " + std::to_string(row.number) + " of " + words[1] +
+                                  " after term " + std::to_string(last.first) + " of " + last.second);
       last = {row.number, words[1]};
     }
   }
@@ -181,17 +188,19 @@
       auto& sum = runsByIntent[order.intent];
       bool before = sum > 1;
       sum += ran;
-      if (sum > 1 && !before) breach("runs-twice", order.intent + " of kind " + order.kind);
+      if (sum > 1 && !before) breach("runs-twice", order.intent + " of kind " + order.kind + " ran more than once");
     }
     if (order.verdict == "not run" && ran > 0)
-      breach("not-run-but-ran", order.mark + " ran at " + runs->second.front()->worker);
+      breach("not-run-but-ran", order.mark + " was reported as not run but ran at " + runs->second.front()->worker);
     if (order.verdict == "done" && !isWholeAnswer(order.text, order.tokens))
-      breach("stitched", order.mark + " got " + order.text.substr(0, 80));
-    if (order.verdict == "done" && ran == 0) breach("stitched", order.mark + " is called done and ran nowhere");
+      breach("stitched", order.mark + " got an incomplete or mixed response: " + order.text.substr(0, 80));
+    if (order.verdict == "done" && ran == 0)
+      breach("stitched", order.mark + " was reported as done but ran at no worker");
     if (auto revoked = revokedAt.find(order.key); revoked != revokedAt.end()) {
-      if (order.sentAt > revoked->second + revokedWithin && ran > 0) breach("revoked-works", order.mark + " was taken");
+      if (order.sentAt > revoked->second + revokedWithin && ran > 0)
+        breach("revoked-works", order.mark + " ran with a revoked key");
       if (order.lastAt > revoked->second + revokedWithin && !order.text.empty())
-        breach("revoked-works", order.mark + " still streamed");
+        breach("revoked-works", order.mark + " still received a response with a revoked key");
     }
   }
 
@@ -209,8 +218,8 @@
       double share = static_cast<double>(again) / static_cast<double>(orders);
       result.worstRetryShare = std::max(result.worstRetryShare, share);
       if (share > retryShareMost)
-        breach("too-many-retries", std::to_string(again) + " of " + std::to_string(orders) + " within " +
-                                       std::to_string(span / second) + " s");
+        breach("too-many-retries", std::to_string(again) + " retries of " + std::to_string(orders) +
+                                       " requests within " + std::to_string(span / second) + " s");
     }
   return result;
 }
--- a/src/tools/audit.hpp
+++ b/src/tools/audit.hpp
@@ -6,30 +6,34 @@
 
 namespace tt {
 
-/// The records of a run: what callers were told, what back ends did, and when operators and platform said what.
+/// The records of a run, as lines of JSON: the requests as the load generators saw them, the events of the workers, and
+/// the actions of operators and of the platform.
 struct AuditRecords {
   std::vector<std::string> callers, workers, events;
-  /// Tenants that share with nobody.
+  /// Tenants whose cached blocks must not be shared with other tenants.
   std::set<std::string> isolated;
-  /// How long after the acknowledgement of newer weights orders may begin on older ones.
+  /// How long after the acknowledgement of newer weights requests may start on older ones.
   Duration oldWeightsTimeout{20s};
 };
-/// What the records show of each line of "what must never happen".
+/// What an audit found: the violations of each invariant, and how much was examined.
 struct AuditResult {
   std::map<std::string, std::vector<std::string>> breaches;
   std::int64_t orders{0}, runs{0}, retries{0}, unreadable{0};
-  /// How many orders began, and how many namings of weights were acknowledged.
+  /// The requests that workers started, and the announcements of weights that were acknowledged.
   std::int64_t begins{0}, namings{0};
-  /// The longest time after the acknowledgement of newer weights at which an order began on older ones.
+  /// The longest time after the acknowledgement of newer weights at which a request started on older ones.
   std::optional<Duration> latestOldBegin;
+  /// The highest ratio of retries to first attempts in any window.
   double worstRetryShare{0};
   std::int64_t breachCount() const;
 };
-/// Joins the records. Moments in them are of the machine's one steady clock, in nanoseconds.
+/// Checks the records against all invariants. Times in the records are nanoseconds of the steady clock of the one
+/// machine that all processes ran on.
 AuditResult auditRecords(const AuditRecords& records);
-/// The lines that an audit looks at, in the order of the brief.
+/// The names of the invariants, in the order in which they are reported.
 const std::vector<std::string>& auditedLines();
-/// Whether a text is the whole answer of one run of a stand-in worker.
+/// Whether a text is the complete output of one run of a stand-in worker: the tokens 1 to `tokens`, all from one
+/// worker.
 bool isWholeAnswer(const std::string& text, std::int64_t tokens);
 
 }  // namespace tt
--- a/src/tools/counting_allocator.cpp
+++ b/src/tools/counting_allocator.cpp
@@ -5,9 +5,11 @@
 
 #include "resource_meters.hpp"
 
-/// The program's allocator: the C library's, with each thread's allocations counted on the account that it has open.
+/// Replaces the global allocation functions to add the size of each allocation to the thread's current heapAccount, and
+/// to subtract it when the memory is freed. Memory still comes from malloc.
 
 namespace {
+/// Bytes that glibc's malloc stores in front of each block.
 constexpr std::int64_t chunkHeadBytes = 8;
 
 std::int64_t chunkBytes(void* block) { return static_cast<std::int64_t>(::malloc_usable_size(block)) + chunkHeadBytes; }
--- a/src/tools/main_agent.cpp
+++ b/src/tools/main_agent.cpp
@@ -9,17 +9,21 @@
   std::string webAddress, listenAddress;
   double threads = 2, versionMs = versionMsUsual;
   bool chatty = false;
-  Settings reader("trouttally-agent", "The agent beside a proxy: link to the control plane, relay of news");
-  reader.text("name", &settings.name, "this machine's name", true)
-      .address("address", &settings.address, "where other processes reach this one")
-      .address("listen", &listenAddress, "where it listens, if not at its address", false)
-      .text("locality", &settings.zone, "this machine's locality", true)
-      .addresses("seeds", &settings.seeds, "three cores to start from")
-      .address("webAddress", &webAddress, "where condition and counters are read", false)
+  Settings reader(
+      "trouttally-agent",
+      "The agent beside a proxy: receives configuration and cache index from the control plane and relays them");
+  reader.text("name", &settings.name, "name of this process", true)
+      .address("address", &settings.address, "address at which other processes reach this one")
+      .address("listen", &listenAddress, "address to listen on, if it differs from the address", false)
+      .text("locality", &settings.zone, "zone of this machine", true)
+      .addresses("seeds", &settings.seeds, "addresses of three cores to contact first")
+      .address("webAddress", &webAddress, "address of the HTTP server for /v1/condition and /v1/counters", false)
       .number("versionMs", &versionMs, versionMsLeast, versionMsMost,
-              "milliseconds after a naming for which requests may begin on older weights; the same at every process")
-      .number("threads", &threads, 1, 64, "threads in the pool")
-      .flag("chatty", &chatty, "log more");
+              "milliseconds after newer weights are announced during which requests may still start on older ones; "
+              "must be the "
+              "same for all processes")
+      .number("threads", &threads, 1, 64, "threads of the I/O pool")
+      .flag("chatty", &chatty, "log more detail");
   if (auto code = reader.read(count, words)) return *code;
   if (auto done = setVersionSpan(versionMs); !done) return reportStartFailure(done.error());
   startLog("agent", settings.name, chatty);
--- a/src/tools/main_audit.cpp
+++ b/src/tools/main_audit.cpp
@@ -11,7 +11,7 @@
 using namespace tt;
 
 namespace {
-/// An event that a script notes for the audit.
+/// An event that a script records for the audit.
 struct EventNote {
   std::string event, name, model, changeId;
   double revision{0};
@@ -22,16 +22,18 @@
   static const std::set<std::string> events{"revoked", "leaving", "staying", "naming", "named"};
   if (!events.count(note.event))
     return makeError(Code::badProps, "note", "must be revoked, leaving, staying, naming or named");
-  if (note.isNaming() && note.name.empty()) return makeError(Code::badProps, "of", "must be given with a naming");
-  if (note.isNaming() && note.model.empty()) return makeError(Code::badProps, "model", "must be given with a naming");
+  if (note.isNaming() && note.name.empty())
+    return makeError(Code::badProps, "of", "must be given for naming and named");
+  if (note.isNaming() && note.model.empty())
+    return makeError(Code::badProps, "model", "must be given for naming and named");
   if (note.isNaming() && note.changeId.empty())
-    return makeError(Code::badProps, "change", "must be given with a naming");
+    return makeError(Code::badProps, "change", "must be given for naming and named");
   if (note.event == "named" && note.revision < 1)
-    return makeError(Code::badProps, "revision", "must be given with an acknowledgement");
+    return makeError(Code::badProps, "revision", "must be given for named");
   return boost::outcome_v2::success();
 }
 
-/// The line for the events' file, of this moment.
+/// The event as a line for the events file, with the current time.
 std::string writeNote(const EventNote& note) {
   JsonObject row;
   row["at"] = Json(std::to_string(toNanoseconds(Clock::now())));
@@ -45,15 +47,15 @@
   return Json(row).serialize();
 }
 
-/// Says how late orders began on weights that were superseded.
+/// Prints how late requests started on superseded weights.
 void printBegins(const AuditResult& result, const AuditRecords& records) {
-  std::cout << "audit: " << result.begins << " orders began, " << result.namings
-            << " namings; latest begin on old weights: ";
+  std::cout << "audit: " << result.begins << " requests started, " << result.namings
+            << " namings; latest start on old weights: ";
   if (result.latestOldBegin)
     std::cout << toMilliseconds(*result.latestOldBegin) << " ms after newer ones were acknowledged";
   else
     std::cout << "none";
-  std::cout << " (" << toMilliseconds(records.oldWeightsTimeout) << " ms promised)\n";
+  std::cout << " (" << toMilliseconds(records.oldWeightsTimeout) << " ms allowed)\n";
 }
 
 Result<std::vector<std::string>> readLines(const std::vector<std::string>& files) {
@@ -67,21 +69,22 @@
   return lines;
 }
 
-/// Checks one register's history, prints what came of it, and says whether it is sound.
+/// Checks the history of one fleet's configuration for linearizability and prints the result. Returns whether it is
+/// linearizable.
 Result<bool> auditOperators(const std::string& file) {
   auto lines = readLines({file});
   if (!lines) return lines.error();
   auto history = readHistory(lines.value());
   if (!history) return makeError(history.error().code, file + ": " + history.error().subject, history.error().text);
-  if (history.value().operations.empty()) return makeError(Code::badProps, file, "holds no operation");
+  if (history.value().operations.empty()) return makeError(Code::badProps, file, "contains no operation");
   history.value().readsInOrder = false;
   auto verdict = checkHistory(history.value());
   std::cout << "audit: operators: " << verdict.operations << " operations, " << verdict.unclear
-            << " without a clear answer, " << verdict.readsBehind << " reads behind another, " << verdict.steps
-            << " steps: "
+            << " with an unknown outcome, " << verdict.readsBehind << " reads older than an earlier read, "
+            << verdict.steps << " steps: "
             << (verdict.undecided      ? "UNDECIDED"
-                : verdict.linearizable ? "one order explains them all"
-                                       : "NO ORDER EXPLAINS THEM")
+                : verdict.linearizable ? "linearizable"
+                                       : "NOT LINEARIZABLE")
             << "\n";
   if (!verdict.trouble.empty()) std::cout << verdict.trouble << "\n";
   return verdict.linearizable && !verdict.undecided;
@@ -94,21 +97,23 @@
   EventNote note;
   double versionMs = versionMsUsual;
   Settings reader("trouttally-audit",
-                  "Joins the records of a run and counts what must never happen; ends with 1 if any of it did");
-  reader.texts("callers", &callers, "the load generators' records")
-      .texts("workers", &workers, "the stand-in back ends' records")
-      .texts("events", &events, "what operators and the platform did, and when")
-      .texts("operators", &operators, "histories of trouttally-operators, each of one fleet; may be given alone")
-      .text("blueprint", &configuration, "the deployment's blueprint, for its isolated tenants")
+                  "Checks the records of a run against the invariants; exits with 1 if one was violated");
+  reader.texts("callers", &callers, "record files of the load generators")
+      .texts("workers", &workers, "record files of the stand-in workers")
+      .texts("events", &events, "files with the actions of operators and of the platform, see --note")
+      .texts("operators", &operators,
+             "histories written by trouttally-operators, each of one fleet; may be given alone")
+      .text("blueprint", &configuration, "the deployment's configuration file, which names the isolated tenants")
       .number("versionMs", &versionMs, versionMsLeast, versionMsMost,
-              "milliseconds after the acknowledgement of newer weights for which orders may begin on older ones")
-      .text(
-          "note", &note.event,
-          "print a line for the events' file instead: revoked, leaving, staying, naming (sent) or named (acknowledged)")
-      .text("of", &note.name, "what that event is about: a key's secret, a worker or weights")
-      .text("model", &note.model, "the model whose weights are named")
-      .text("change", &note.changeId, "the change id of a naming")
-      .number("revision", &note.revision, 0, 1e15, "the revision that the acknowledgement of a naming told");
+              "milliseconds after the acknowledgement of newer weights during which requests may start on older ones")
+      .text("note", &note.event,
+            "instead of an audit, print a line for the events file: revoked, leaving, staying, naming (weights "
+            "announced) or "
+            "named (announcement acknowledged)")
+      .text("of", &note.name, "subject of that event: the secret of a key, a worker or weights")
+      .text("model", &note.model, "model whose weights are announced")
+      .text("change", &note.changeId, "change id of the announcement")
+      .number("revision", &note.revision, 0, 1e15, "revision in the acknowledgement of the announcement");
   if (auto code = reader.read(count, words)) return *code;
   if (!note.event.empty()) {
     if (auto done = checkNote(note); !done) return reportStartFailure(done.error());
@@ -132,22 +137,22 @@
   if (!operators.empty() && records.callers.empty() && records.workers.empty()) return sound ? 0 : 1;
   if (records.callers.empty() || records.workers.empty())
     return reportStartFailure(
-        makeError(Code::badProps, "callers", "an audit needs records of callers and of back ends"));
+        makeError(Code::badProps, "callers", "the records of callers and of workers must both be given"));
   if (!configuration.empty()) {
     std::ifstream source(configuration);
     std::stringstream bytes;
     bytes << source.rdbuf();
     auto read = parseJson(bytes.str());
     if (!read || !read.value().is<JsonObject>())
-      return reportStartFailure(makeError(Code::badProps, "blueprint", "cannot be read"));
+      return reportStartFailure(makeError(Code::badProps, "blueprint", configuration + " is not a JSON object"));
     auto tenants = read.value().get<JsonObject>().find("tenants");
     if (tenants != read.value().get<JsonObject>().end() && tenants->second.is<JsonObject>())
       for (const auto& [tenant, row] : tenants->second.get<JsonObject>())
         if (boolOr(row, "isolated", false)) records.isolated.insert(tenant);
   }
   auto result = auditRecords(records);
-  std::cout << "audit: " << result.orders << " orders, " << result.runs << " runs, " << result.retries
-            << " repeat tries (worst span " << static_cast<int>(1000 * result.worstRetryShare) / 10.0 << " %), "
+  std::cout << "audit: " << result.orders << " requests, " << result.runs << " runs, " << result.retries
+            << " retries (worst window " << static_cast<int>(1000 * result.worstRetryShare) / 10.0 << " %), "
             << result.unreadable << " unreadable lines\n";
   printBegins(result, records);
   for (const auto& line : auditedLines()) {
--- a/src/tools/main_core.cpp
+++ b/src/tools/main_core.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// How long operators' calls that are open when the process is told to stop may take, and the last answers to leave.
+/// At shutdown: how long open operator requests may take, and how long the last responses may take to be sent.
 constexpr Duration answersMost = 3s, lastAnswers = 100ms;
 
 struct CoreMain {
@@ -40,25 +40,27 @@
 int main(int count, char** words) {
   CoreMain given;
   bool chatty = false;
-  Settings reader("trouttally-core", "A core of the fleet: accord, cells, operator API");
-  reader.text("name", &given.settings.name, "this machine's name", true)
-      .address("address", &given.settings.address, "where other processes reach this one")
-      .address("listen", &given.listenAddress, "where it listens, if not at its address", false)
+  Settings reader("trouttally-core", "A core of the fleet: replicated log, cells, operator API");
+  reader.text("name", &given.settings.name, "name of this core", true)
+      .address("address", &given.settings.address, "address at which other processes reach this one")
+      .address("listen", &given.listenAddress, "address to listen on, if it differs from the address", false)
       .text("diskFaults", &given.diskFaults,
-            "for tries only: a file whose word the ring obeys: slow MS, stall, full, well")
-      .text("locality", &given.settings.zone, "this machine's locality", true)
-      .addresses("seeds", &given.settings.seeds, "the other first cores")
-      .texts("localities", &given.settings.zones, "all localities that cells stand for")
-      .address("platform", &given.settings.platformAddress, "the platform's HTTP address", false)
-      .address("operatorAddress", &given.operatorAddress, "where operators reach this core")
+            "for fault injection in trials: a file that names the disk fault: slow MS, stall, full or well (no fault)")
+      .text("locality", &given.settings.zone, "zone of this machine", true)
+      .addresses("seeds", &given.settings.seeds, "addresses of the other initial cores")
+      .texts("localities", &given.settings.zones, "all zones; each has a cell")
+      .address("platform", &given.settings.platformAddress, "HTTP address of the platform", false)
+      .address("operatorAddress", &given.operatorAddress, "address of the HTTP server for operators")
       .text("operatorKeyHash", &given.operatorKeyHash, "SHA-256 of the operator key, in hex", true)
-      .text("dataFolder", &given.dataFolder, "the folder that all files live under", true)
-      .number("ringFiles", &given.ringFiles, 3, 64, "how many files the ring has")
-      .number("ringFileKiB", &given.ringFileKiB, 3072, 262144, "the size of each ring file")
+      .text("dataFolder", &given.dataFolder, "directory of the on-disk log", true)
+      .number("ringFiles", &given.ringFiles, 3, 64, "number of files of the ring log")
+      .number("ringFileKiB", &given.ringFileKiB, 3072, 262144, "size of each of these files in KiB")
       .number("versionMs", &given.versionMs, versionMsLeast, versionMsMost,
-              "milliseconds after a naming for which requests may begin on older weights; the same at every process")
-      .number("threads", &given.threads, 1, 64, "threads in the pool")
-      .flag("chatty", &chatty, "log more");
+              "milliseconds after newer weights are announced during which requests may still start on older ones; "
+              "must be the "
+              "same for all processes")
+      .number("threads", &given.threads, 1, 64, "threads of the I/O pool")
+      .flag("chatty", &chatty, "log more detail");
   if (auto code = reader.read(count, words)) return *code;
   if (auto done = setVersionSpan(given.versionMs); !done) return reportStartFailure(done.error());
   if (given.operatorKeyHash.size() != 64)
@@ -72,7 +74,7 @@
   auto opened = Ring::openOrReset(ringFiles);
   if (!opened) return reportDiskFailure(opened.error());
   auto& ring = opened.value().ring;
-  if (ring->tornTailDropped()) logInfo("Torn end dropped.");
+  if (ring->tornTailDropped()) logInfo("Dropped a tail of the ring log that was never synced.");
   given.settings.maxRecordBytes = ring->maxCheckpointBytes() / 2;
   if (given.settings.zones.empty()) given.settings.zones.push_back(given.settings.zone);
 
@@ -101,7 +103,7 @@
       made.url = "http://" + to + "/v1/machines";
       call(to, made, [&, to, askedAt = machinesAsk->askedAt](const std::string& body) {
         auto reply = readMachines(body);
-        if (!reply) return logWarning("Malformed list from the platform (" + reply.error().subject + ").");
+        if (!reply) return logWarning("Malformed machine list from the platform (" + reply.error().subject + ").");
         reply.value().askedAt = askedAt;
         host.handle(to, reply.value());
       });
--- a/src/tools/main_ctl.cpp
+++ b/src/tools/main_ctl.cpp
@@ -53,41 +53,44 @@
   return lines;
 }
 constexpr const char* exitCodes =
-    "Exit codes: 0 done; 1 denied, no core answered, or (diff, lag) there is something to tell; 2 wrong use; 3 only "
+    "Exit codes: 0 success; 1 denied, no core answered, or (diff, lag) a difference was found; 2 wrong usage; 3 only "
     "some cores answered";
 }  // namespace
 
 int main(int count, char** words) {
-  CLI::App app("Reads and changes what a trouttally fleet has in force", "trouttally-ctl");
+  CLI::App app("Reads and changes the configuration and shows the state of a trouttally fleet", "trouttally-ctl");
   app.set_version_flag("--version", std::string("trouttally-ctl ") + TROUTTALLY_VERSION);
   app.require_subcommand(1);
   app.footer(exitCodes);
   std::string coreList, key, file, changeId, sinceRevision, revision, member;
-  auto* cores = app.add_option("--cores", coreList, "operator addresses of cores, tried in turn, commas between")
+  auto* cores = app.add_option("--cores", coreList, "operator addresses of cores, separated by commas, tried in turn")
                     ->envname("TROUTTALLY_CORES");
   cores->required();
   app.add_option("--key", key, "the operator key")->envname("TROUTTALLY_OPERATOR_KEY")->required();
-  auto* put = app.add_subcommand("put", "Make the blueprint be what a file says");
-  auto* patch = app.add_subcommand("patch", "Change a part of the blueprint (JSON merge patch)");
-  auto* manifest = app.add_subcommand(
-      "manifest", "Patch the routes with HTTPRoute manifests in the manner of the Gateway API (JSON)");
+  auto* put = app.add_subcommand("put", "Replace the whole configuration (blueprint) by a file");
+  auto* patch = app.add_subcommand("patch", "Change a part of the configuration (JSON merge patch)");
+  auto* manifest = app.add_subcommand("manifest", "Change routes by Gateway API HTTPRoute manifests (JSON)");
   for (auto* verb : {put, patch, manifest}) {
     verb->add_option("file", file, "the file, or - for standard input")->required();
     verb->add_option("--change-id", changeId,
-                     "a name under which the change may be sent again without being taken twice");
+                     "unique id of the change, under which it can be resent without being applied twice");
     verb->add_option(
         "--since-revision", sinceRevision,
-        "the revision in force when this change id was first sent: a resend that would no longer be known is denied");
-    verb->add_option("--if-revision", revision, "take it only if this revision is in force");
+        "the revision in force when this change id was first sent; a resend is denied if that is so long ago that the "
+        "id may have been forgotten");
+    verb->add_option("--if-revision", revision, "apply the change only if this revision is in force");
   }
-  auto* get = app.add_subcommand("get", "Show the blueprint in force");
-  auto* condition = app.add_subcommand("condition", "Show duties, terms, members, agents, workers of one core");
-  auto* fleet = app.add_subcommand("fleet", "Show who holds which duty, and every agent and worker, in a few lines");
-  auto* diff = app.add_subcommand("diff", "Show what put would change, item by item, and send nothing");
+  auto* get = app.add_subcommand("get", "Show the configuration in force");
+  auto* condition =
+      app.add_subcommand("condition", "Show the duties, terms, members, agents and workers as one core knows them");
+  auto* fleet =
+      app.add_subcommand("fleet", "Show the holder of each duty, and each core, agent and worker in one line");
+  auto* diff = app.add_subcommand("diff", "Show what put would change, item by item, without changing it");
   diff->add_option("file", file, "the file, or - for standard input")->required();
-  auto* lag = app.add_subcommand("lag", "Show which daemons have not got the newest agreed change, or cannot tell");
+  auto* lag = app.add_subcommand(
+      "lag", "Show which cores and agents lack the newest committed change or do not know whether they do");
   double waitSeconds = 0;
-  lag->add_option("--wait", waitSeconds, "ask again for this many seconds until nobody lags")
+  lag->add_option("--wait", waitSeconds, "poll for up to this many seconds until all are up to date")
       ->check(CLI::Range(0.0, 3600.0));
   auto* counters = app.add_subcommand("counters", "Show a core's counters");
   try {
@@ -153,7 +156,7 @@
         newest = std::max(newest, commit);
         commits.emplace_back(stringOr(read.value(), "core"), commit);
         if (!boolOr(read.value(), "confirmed", false))
-          lines.push_back("core     " + stringOr(read.value(), "core") + " cannot tell whether it is up to date");
+          lines.push_back("core     " + stringOr(read.value(), "core") + " does not know whether it is up to date");
         const auto& whole = read.value().get<JsonObject>();
         if (auto rows = whole.find("agents"); rows != whole.end() && rows->second.is<JsonObject>())
           for (const auto& [name, row] : rows->second.get<JsonObject>()) {
@@ -238,7 +241,7 @@
     if (!after || !after.value().is<JsonObject>())
       return reportStartFailure(makeError(Code::badJson, file, after ? "must be an object" : after.error().text));
     if (!before || !before.value().is<JsonObject>() || !before.value().get<JsonObject>().count("blueprint"))
-      return reportStartFailure(makeError(Code::badJson, "answer"));
+      return reportStartFailure(makeError(Code::badJson, "answer", "the core's response has no blueprint"));
     auto lines = differences(before.value().get<JsonObject>().at("blueprint").get<JsonObject>(),
                              after.value().get<JsonObject>());
     for (const auto& line : lines) std::cout << line << "\n";
--- a/src/tools/main_fuzz.cpp
+++ b/src/tools/main_fuzz.cpp
@@ -11,7 +11,7 @@
   constexpr std::size_t mostTold = 4000;
   std::string text;
   for (char letter : bytes) {
-    if (text.size() > mostTold) return text + " and more";
+    if (text.size() > mostTold) return text + " [truncated]";
     auto byte = static_cast<unsigned char>(letter);
     char written[8];
     std::snprintf(written, sizeof written, byte < 0x20 || byte > 0x7e || byte == '\\' ? "\\x%02x" : "%c", byte);
@@ -20,12 +20,12 @@
   return text;
 }
 
-/// Each round has a seed of its own, so that any one can be played alone.
+/// The seed of one round. Each round has its own, so that any round can be run alone.
 std::uint64_t seedOf(std::uint64_t seed, const std::string& name, std::uint64_t round) {
   return rendezvousHash(name, std::to_string(seed) + "/" + std::to_string(round));
 }
 
-/// Plays one target; whether all its properties held.
+/// Runs rounds of one target up to the first violation. Returns whether all properties held.
 bool play(const FuzzTarget& target, std::uint64_t seed, std::uint64_t first, std::uint64_t rounds, bool tells) {
   std::uint64_t taken = 0, refused = 0;
   for (std::uint64_t round = first; round < first + rounds; ++round) {
@@ -43,7 +43,7 @@
             << std::endl;
   return true;
 }
-/// What is played, as the flags say.
+/// The command-line options.
 struct FuzzOptions {
   std::string target{"all"};
   std::uint64_t seed{1}, rounds{0}, first{0};
@@ -53,12 +53,12 @@
 };
 
 void addOptions(CLI::App& app, FuzzOptions& options) {
-  app.add_option("--target", options.target, "one target, or all");
+  app.add_option("--target", options.target, "name of a target, or all");
   app.add_option("--seed", options.seed, "the same seed makes the same inputs");
-  app.add_option("--rounds", options.rounds, "rounds for each target instead of its own number");
-  app.add_option("--first", options.first, "the first round");
-  app.add_flag("--tell", options.tells, "print each round before it is played");
-  app.add_flag("--list", options.lists, "print the targets and end");
+  app.add_option("--rounds", options.rounds, "rounds of each target, instead of its default number");
+  app.add_option("--first", options.first, "number of the first round");
+  app.add_flag("--tell", options.tells, "print the number of each round before it runs");
+  app.add_flag("--list", options.lists, "print the targets with their numbers of rounds, and exit");
 }
 
 FuzzTargets allTargets() {
@@ -74,7 +74,7 @@
   return targets;
 }
 
-/// Lists or plays the targets that are asked for; the program's exit code.
+/// Lists or runs the selected targets. Returns the exit code.
 int run(const FuzzOptions& options) {
   bool sound = true, found = false;
   for (const auto& target : allTargets()) {
@@ -94,7 +94,7 @@
 }  // namespace
 
 int main(int count, char** words) {
-  CLI::App app("Gives every parser bent inputs and checks that it keeps its properties", "trouttally-fuzz");
+  CLI::App app("Feeds every parser mutated inputs and checks its properties", "trouttally-fuzz");
   app.set_version_flag("--version", std::string("trouttally-fuzz ") + TROUTTALLY_VERSION);
   FuzzOptions options;
   addOptions(app, options);
--- a/src/tools/main_keeper.cpp
+++ b/src/tools/main_keeper.cpp
@@ -18,24 +18,24 @@
   std::string recordFile;
   double slots = 8, keepMost = 4000, loadMs = 1500, threads = 2;
   bool chatty = false;
-  Settings reader(programName, "A stand-in back end for trying and testing the fleet");
-  reader.text("name", &settings.name, "this machine's name", true)
-      .address("address", &settings.address, "where this back end is reached over HTTP")
+  Settings reader(programName, "A stand-in worker or store, for tests and trials of a fleet");
+  reader.text("name", &settings.name, "name of this process", true)
+      .address("address", &settings.address, "address of the HTTP server")
 #ifndef TT_STORE
       .text("kind", &settings.kind, "language or app")
-      .text("model", &settings.model, "the model this worker serves")
-      .text("weights", &settings.weights, "the weights it starts with")
-      .address("store", &settings.storeAddress, "the store's HTTP address", false)
-      .number("slots", &slots, 1, 1024, "orders it runs at a time")
+      .text("model", &settings.model, "model that this worker serves")
+      .text("weights", &settings.weights, "weights at the start")
+      .address("store", &settings.storeAddress, "HTTP address of the store", false)
+      .number("slots", &slots, 1, 1024, "requests that run concurrently")
       .number("blockMs", &settings.blockMs, 0, 10000, "milliseconds to compute one block")
       .number("tokenMs", &settings.tokenMs, 0, 10000, "milliseconds between tokens")
       .number("linkMs", &settings.linkMs, 0, 10000, "milliseconds to pull one block")
       .number("loadMs", &loadMs, 0, 600000, "milliseconds to load weights")
 #endif
-      .text("recordFile", &recordFile, "a file that what this back end did is added to")
-      .number("keepMost", &keepMost, 1, 10000000, "blocks it keeps at most")
-      .number("threads", &threads, 1, 64, "threads in the pool")
-      .flag("chatty", &chatty, "log more");
+      .text("recordFile", &recordFile, "file to append events to, for trouttally-audit")
+      .number("keepMost", &keepMost, 1, 10000000, "capacity of the cache in blocks")
+      .number("threads", &threads, 1, 64, "threads of the I/O pool")
+      .flag("chatty", &chatty, "log more detail");
   if (auto code = reader.read(count, words)) return *code;
 #ifdef TT_STORE
   settings.kind = "store";
--- a/src/tools/main_link.cpp
+++ b/src/tools/main_link.cpp
@@ -7,17 +7,23 @@
 
 namespace {
 
+/// What happens to connections from one peer to another; "*" is any peer. Modes: open, cut (closed), hold (bytes are
+/// held back) and slow (each piece is delayed).
 struct Rule {
   std::string from, to, mode;
   Duration delay{};
 };
 
+/// Accepts connections at the published addresses of processes and forwards them to where these really listen, as the
+/// rules allow.
 class Links {
  public:
   explicit Links(asio::io_context& context) : io(context) {}
   Result<void> open(const std::string& shownAddress, const std::string& realAddress);
+  /// Adds a rule, which takes precedence over earlier ones.
   void set(Rule rule);
   void clear();
+  /// The newest rule that matches; mode open if there is none.
   Rule ruleFor(const std::string& from, const std::string& to);
   void forget(const std::shared_ptr<class Passage>& passage);
   asio::io_context& io;
@@ -28,9 +34,12 @@
   std::set<std::shared_ptr<Passage>> passages;
   std::vector<std::unique_ptr<tcp::acceptor>> acceptors;
   void accept(tcp::acceptor& acceptor, const std::string& shownAddress, const std::string& realAddress);
+  /// Applies changed rules to the connections that are open.
   void apply();
 };
 
+/// One forwarded connection. It reads the frame by which the connecting peer identifies itself, connects to the real
+/// address, and forwards bytes in that direction only, as peers send nothing back on a connection.
 class Passage : public std::enable_shared_from_this<Passage> {
  public:
   Passage(Links& owner, tcp::socket accepted, std::string shown, std::string real)
@@ -53,6 +62,7 @@
                        });
     });
   }
+  /// Closes the connection or resumes forwarding if the rules now say so.
   void look() {
     if (!hello.empty() && links.ruleFor(hello, shownAddress).mode == "cut") return close();
     if (waiting) passOn();
@@ -197,11 +207,12 @@
   std::string name = "link", webAddress;
   std::vector<std::string> pairs;
   Settings reader("trouttally-link",
-                  "A stand-in network between the fleet's own processes, whose links can be cut, held or slowed");
-  reader.text("name", &name, "this process's name")
-      .texts("pairs", &pairs, "SHOWN=REAL: the address that others know a process by, and the one it listens at")
+                  "A proxy between the fleet's own processes that can cut, hold or slow their connections");
+  reader.text("name", &name, "name of this process")
+      .texts("pairs", &pairs,
+             "SHOWN=REAL: the address at which others reach a process, and the address on which it listens")
       .address("webAddress", &webAddress,
-               "where rules are set: POST /v1/rules {from, to, mode, delayMs}, DELETE /v1/rules");
+               "address of the HTTP server for rules: POST /v1/rules {from, to, mode, delayMs}, DELETE /v1/rules");
   if (auto code = reader.read(count, words)) return *code;
   startLog("link", name, false);
   asio::io_context context;
@@ -231,7 +242,7 @@
     answer->finish(200, "{}");
   });
   if (auto done = server.open(); !done) return reportStartFailure(done.error());
-  logInfo("Passing on " + std::to_string(pairs.size()) + " addresses.");
+  logInfo("Forwarding connections of " + std::to_string(pairs.size()) + " addresses.");
   runThreadPool(context, 1, [&] { server.close(); });
   return 0;
 }
--- a/src/tools/main_loadgen.cpp
+++ b/src/tools/main_loadgen.cpp
@@ -11,6 +11,8 @@
 
 namespace {
 
+/// A kind of request, as the kinds file describes it: how often it is sent, and the size of its prompt. Each prompt
+/// starts with one of `prefixes` shared prefixes of sharedBytes.
 struct Kind {
   std::string name, route, model;
   double rate{1};
@@ -19,11 +21,14 @@
   bool repeatable{false};
   std::vector<std::string> keys;
 };
+/// Counts and measurements of one kind. Latencies count from the time at which a request was due, so that a delay in
+/// the load generator or the proxy is not left out.
 struct Tally {
   std::int64_t sent{0}, done{0}, local{0}, fetched{0}, computed{0}, tries{0}, unfinished{0}, torn{0};
   std::vector<double> firstMs, wholeMs;
   std::map<std::string, std::int64_t> verdicts;
 };
+/// One attempt to send a request. Attempts of the same request have the same intent.
 struct Shot {
   std::size_t kind{0}, prefix{0};
   TimePoint due{};
@@ -31,6 +36,7 @@
   int attempt{1};
   std::uint64_t own{0};
 };
+/// What has been received of the response to one attempt.
 struct Seen {
   bool first{false}, last{false}, gone{false};
   std::string text, verdict;
@@ -67,6 +73,7 @@
   return kinds;
 }
 
+/// A text of this length that depends only on the seed.
 std::string words(const std::string& seed, std::size_t bytes) {
   std::string text;
   for (std::uint64_t at = 0; text.size() < bytes; ++at)
@@ -88,19 +95,20 @@
   std::vector<std::string> proxies;
   double seconds = 20, seed = 1, scale = 1, everySecond = 0, obey = 0, ignore = 0, move = 0, hangUps = 0;
   Settings reader("trouttally-loadgen",
-                  "Sends a deployment's kinds of order at their intended times and measures what comes back");
-  reader.addresses("proxies", &proxies, "callers' addresses of the proxies")
-      .text("kinds", &kindsFile, "JSON file with the kinds of order", true)
-      .number("seconds", &seconds, 0.1, 36000, "how long to send")
-      .number("scale", &scale, 0.001, 1000, "times the file's rates")
-      .number("seed", &seed, 0, 1e15, "seed for the order of things")
-      .number("everySecond", &everySecond, 0, 1, "1 prints a line each second")
-      .text("json", &jsonFile, "also write the figures to this file")
-      .text("recordFile", &recordFile, "a file that each order's story is added to, for trouttally-audit")
-      .number("obey", &obey, 0, 100, "per cent of callers told 'not run' that come back when they are told to")
-      .number("ignore", &ignore, 0, 100, "per cent that come back at once")
-      .number("move", &move, 0, 100, "per cent that try the next proxy at once")
-      .number("hangUps", &hangUps, 0, 100, "per cent of callers that hang up within 600 ms");
+                  "Sends a deployment's kinds of request as an open-loop load and measures the responses");
+  reader.addresses("proxies", &proxies, "addresses at which the proxies serve callers")
+      .text("kinds", &kindsFile, "JSON file with the kinds of request", true)
+      .number("seconds", &seconds, 0.1, 36000, "duration of the load")
+      .number("scale", &scale, 0.001, 1000, "factor by which the rates of the file are multiplied")
+      .number("seed", &seed, 0, 1e15, "seed of the random number generator")
+      .number("everySecond", &everySecond, 0, 1, "1 also prints a table with one line for each second")
+      .text("json", &jsonFile, "also write the results to this file")
+      .text("recordFile", &recordFile, "file to append the outcome of each attempt to, for trouttally-audit")
+      .number("obey", &obey, 0, 100,
+              "per cent of unsuccessful attempts that are retried after the delay that the response names")
+      .number("ignore", &ignore, 0, 100, "per cent that are retried at once")
+      .number("move", &move, 0, 100, "per cent that are retried at once at the next proxy")
+      .number("hangUps", &hangUps, 0, 100, "per cent of callers that disconnect within 600 ms");
   if (auto code = reader.read(count, arguments)) return *code;
   if (proxies.empty()) return reportStartFailure(makeError(Code::badProps, "proxies", "must be given"));
   std::ifstream source(kindsFile);
--- a/src/tools/main_model.cpp
+++ b/src/tools/main_model.cpp
@@ -19,7 +19,7 @@
     std::cout << "VIOLATION " << name << " " << found.broken.rule << " (" << found.run.choices.size()
               << " events, shortened to " << shorter.choices.size() << ")\n";
     auto broken = replay(shorter, [](const std::string& line) { std::cout << "  " << line << "\n"; });
-    std::cout << "  => " << (broken ? broken->rule + ": " + broken->text : "not broken when played again") << "\n";
+    std::cout << "  => " << (broken ? broken->rule + ": " + broken->text : "not broken in a replay") << "\n";
     std::cout << "  " << shorter.setup.text() << "\n";
     if (keepFolder.empty()) continue;
     std::string file = keepFolder + "/" + name + "-" + std::to_string(++number) + ".run";
@@ -59,7 +59,8 @@
   return broken ? 1 : 0;
 }
 
-/// Runs sets in which no rule may be broken, or such in which each must find a broken one.
+/// Runs the sets whose names begin with `only`. No rule may be broken in them or, with mustBreak, each must find a
+/// broken rule. Returns the exit code.
 int runSets(const std::vector<FixedSet>& sets, bool mustBreak, const std::string& only, std::size_t threads,
             const std::vector<std::string>& known, const std::string& keepFolder) {
   int wrong = 0;
@@ -80,11 +81,11 @@
     }
     printReport(set.name, report, Clock::now() - began);
   }
-  if (ran == 0) std::cerr << "no set is named " << only << "\n";
+  if (ran == 0) std::cerr << "no set has a name that begins with " << only << "\n";
   return ran == 0 ? 2 : wrong > 0 ? 1 : 0;
 }
 
-/// What the program is asked to do, as its flags say.
+/// The command-line options.
 struct ModelOptions {
   Setup setup;
   WalkLimits walks;
@@ -98,7 +99,7 @@
   ModelOptions() { breadth.states = 0; }
 };
 
-/// A flag that takes a whole number.
+/// An option that takes an integer.
 struct CountFlag {
   const char* name;
   int& value;
@@ -110,53 +111,54 @@
 }
 
 void addModeFlags(CLI::App& app, ModelOptions& options) {
-  app.add_option("--replay", options.replayFile, "play a kept run and say each event");
-  app.add_option("--keep", options.keepFolder, "keep the shortened run of each violation in this folder");
+  app.add_option("--replay", options.replayFile, "replay a saved run and print each event");
+  app.add_option("--keep", options.keepFolder, "save the shortened run of each violation in this directory");
   app.add_flag("--fixed", options.fixed, "run the fixed sets: no rule may be broken");
-  app.add_flag("--controls", options.controls, "run the control sets: each must find a broken rule");
-  app.add_option("--set", options.only, "of these run only those whose names begin so");
+  app.add_flag("--controls", options.controls, "run the negative control sets: each must find a broken rule");
+  app.add_option("--set", options.only, "run only the sets whose names begin with this");
 }
 
 void addSetupFlags(CLI::App& app, ModelOptions& options) {
   auto& setup = options.setup;
-  app.add_option("--without", options.without, "take this defence out");
-  app.add_option("--known", options.known, "by hand: pass over the breaking of this rule");
-  app.add_option("--room", setup.room, "bytes of records that a replica may hold");
-  app.add_option("--open-syncs", setup.openSyncs, "whether a start syncs what it finds written");
-  app.add_option("--network-room", setup.networkRoom, "messages under way at most");
-  addCountFlags(app, {{"--voters", setup.voters, "replicas that form the fleet"},
-                      {"--spares", setup.spares, "empty replicas that may join"},
-                      {"--changes", setup.changes, "changes that clients send"},
-                      {"--fault-budget", setup.faultBudget, "disks that may be lost at once"},
-                      {"--catch-up-ms", options.catchUpMs, "how long a new disk counts as lost"},
-                      {"--member-gone-ms", options.memberGoneMs, "silence after which a voter is taken out"}});
+  app.add_option("--without", options.without, "disable this defence");
+  app.add_option("--known", options.known, "ignore violations of this rule");
+  app.add_option("--room", setup.room, "bytes of records that a replica can store");
+  app.add_option("--open-syncs", setup.openSyncs, "whether a starting replica syncs the records that it finds");
+  app.add_option("--network-room", setup.networkRoom, "maximum number of messages in transit");
+  addCountFlags(app,
+                {{"--voters", setup.voters, "initial voters"},
+                 {"--spares", setup.spares, "empty replicas that can join"},
+                 {"--changes", setup.changes, "changes that clients send"},
+                 {"--fault-budget", setup.faultBudget, "disks that can be lost at the same time"},
+                 {"--catch-up-ms", options.catchUpMs, "milliseconds during which a replaced disk still counts as lost"},
+                 {"--member-gone-ms", options.memberGoneMs, "milliseconds of silence after which a voter is removed"}});
 }
 
 void addWalkFlags(CLI::App& app, ModelOptions& options) {
   auto& walks = options.walks;
-  app.add_option("--walks", walks.walks, "seeded walks");
+  app.add_option("--walks", walks.walks, "number of random walks");
   app.add_option("--first-seed", walks.firstSeed, "seed of the first walk");
-  app.add_option("--events", walks.events, "events of a walk");
-  app.add_option("--threads", walks.threads, "walks at a time");
-  app.add_option("--most-found", walks.mostFound, "end after so many violations");
-  app.add_option("--seconds", options.seconds, "by hand: end after so long");
+  app.add_option("--events", walks.events, "events in each walk");
+  app.add_option("--threads", walks.threads, "walks run concurrently");
+  app.add_option("--most-found", walks.mostFound, "stop after this many violations");
+  app.add_option("--seconds", options.seconds, "stop after this many seconds; 0 means no limit");
 }
 
 void addBreadthFlags(CLI::App& app, ModelOptions& options) {
   auto& breadth = options.breadth;
-  app.add_option("--states", breadth.states, "search breadth-first for so many states");
+  app.add_option("--states", breadth.states, "search breadth-first, up to this many states");
   app.add_option("--opening", options.openingFile,
-                 "a file of events that lead to where the breadth-first search starts");
-  addCountFlags(app, {{"--depth", breadth.depth, "events that a breadth-first run may hold"},
-                      {"--crashes", breadth.crashes, "crashes that a breadth-first run may hold"},
-                      {"--drops", breadth.drops, "lost messages that a breadth-first run may hold"},
-                      {"--duplicates", breadth.duplicates, "doubled messages that a breadth-first run may hold"},
-                      {"--wipes", breadth.wipes, "lost disks that a breadth-first run may hold"},
-                      {"--waits", breadth.waits, "waits that a breadth-first run may hold"},
-                      {"--sends", breadth.changes, "changes that a breadth-first run sends, resends included"}});
+                 "file with the events that lead to the initial state of the breadth-first search");
+  addCountFlags(app, {{"--depth", breadth.depth, "maximum number of events in a breadth-first run"},
+                      {"--crashes", breadth.crashes, "maximum number of crashes in it"},
+                      {"--drops", breadth.drops, "maximum number of lost messages in it"},
+                      {"--duplicates", breadth.duplicates, "maximum number of duplicated messages in it"},
+                      {"--wipes", breadth.wipes, "maximum number of lost disks in it"},
+                      {"--waits", breadth.waits, "maximum number of waits in it"},
+                      {"--sends", breadth.changes, "maximum number of changes sent in it, resends included"}});
 }
 
-/// Brings the flags into the setup and the limits; whether they hold together.
+/// Completes the setup and the limits from the options. Returns false after an error, which it prints.
 bool completeOptions(ModelOptions& options) {
   auto& setup = options.setup;
   setup.catchUp = std::chrono::milliseconds(options.catchUpMs);
@@ -176,7 +178,7 @@
   return opening.has_value();
 }
 
-/// Searches as the flags say, by walks or breadth-first.
+/// Searches by random walks or breadth-first, as the options say. Returns the exit code.
 int runSearch(ModelOptions& options) {
   if (!completeOptions(options)) return 2;
   bool isBreadth = options.breadth.states > 0;
@@ -198,7 +200,8 @@
 }  // namespace
 
 int main(int count, char** words) {
-  CLI::App app("Searches the orders of events of the real agreement for one that breaks a rule", "trouttally-model");
+  CLI::App app("Model checker of the replicated log: searches event orders, with faults, for one that breaks a rule",
+               "trouttally-model");
   app.set_version_flag("--version", std::string("trouttally-model ") + TROUTTALLY_VERSION);
   ModelOptions options;
   addModeFlags(app, options);
--- a/src/tools/main_operators.cpp
+++ b/src/tools/main_operators.cpp
@@ -17,6 +17,7 @@
 constexpr int mostTries = 60;
 constexpr double mostCount = 100000;
 
+/// State that all clients share: the settings, and the history file.
 struct Shared {
   std::vector<std::string> cores;
   std::string key, runName;
@@ -41,7 +42,7 @@
   return std::chrono::duration_cast<std::chrono::nanoseconds>(Clock::now().time_since_epoch()).count();
 }
 
-/// What a read gave back.
+/// The configuration that a read returned.
 struct ReadBack {
   std::uint64_t revision{0};
   RegisterItems items;
@@ -50,16 +51,18 @@
 Result<ReadBack> readBackOf(const WebResult& result) {
   if (!result.reached || result.status != 200) return makeError(Code::httpFault, "read", result.errorMessage);
   auto body = parseJson(result.body);
-  if (!body || !body.value().is<JsonObject>()) return makeError(Code::badJson, "read");
+  if (!body || !body.value().is<JsonObject>())
+    return makeError(Code::badJson, "read", "the response is not a JSON object");
   const auto& fields = body.value().get<JsonObject>();
   auto configuration = fields.find("blueprint");
   if (configuration == fields.end() || !configuration->second.is<JsonObject>())
-    return makeError(Code::badField, "read");
+    return makeError(Code::badField, "read", "the response has no blueprint");
   return ReadBack{static_cast<std::uint64_t>(integerOr(body.value(), "revision", 0)),
                   watchedItems(configuration->second.get<JsonObject>())};
 }
 
-/// One operator's client: reads, changes on what it read, sends again what had no clear answer.
+/// One operator's client. It reads the configuration, sends a change on condition that the revision it read is still in
+/// force, and resends a change whose outcome is unknown.
 class Client {
  public:
   Client(Shared& sharedState, int number)
@@ -167,14 +170,17 @@
   std::string out;
   double clients = 4, changes = 60, lose = 15, seed = 1;
   Settings reader("trouttally-operators",
-                  "Lets operators' clients race for the configuration and writes what they did, for trouttally-audit");
+                  "Runs concurrent operators' clients that change the configuration, and writes their history for "
+                  "trouttally-audit");
   reader.addresses("cores", &shared.cores, "operator addresses of the cores")
-      .text("key", &shared.key, "the operator key", true)
-      .text("history", &out, "the file that the operations are written to", true)
-      .number("clients", &clients, 1, 64, "how many clients there are")
-      .number("changes", &changes, 1, mostCount, "how many changes they make together")
-      .number("lose", &lose, 0, 100, "per cent of the calls that are given up before their answer can be awaited")
-      .number("seed", &seed, 1, mostCount, "the seed of what they choose");
+      .text("key", &shared.key, "operator key", true)
+      .text("history", &out, "file to write the history to", true)
+      .number("clients", &clients, 1, 64, "number of clients")
+      .number("changes", &changes, 1, mostCount, "total number of changes")
+      .number(
+          "lose", &lose, 0, 100,
+          "per cent of the changes that are sent with a timeout of 1 to 60 ms, so that the outcome may stay unknown")
+      .number("seed", &seed, 1, mostCount, "seed of the random number generators");
   if (auto code = reader.read(count, words)) return *code;
   if (shared.cores.empty()) return reportStartFailure(makeError(Code::missingField, "cores"));
   shared.changes = static_cast<int>(changes);
@@ -196,7 +202,7 @@
     else
       std::this_thread::sleep_for(200ms);
   }
-  if (!initial) return reportStartFailure(makeError(Code::httpFault, "cores", "none answers a read"));
+  if (!initial) return reportStartFailure(makeError(Code::httpFault, "cores", "no core answers a read"));
   shared.file << writeInitial(initial->revision, initial->items) << "\n";
 
   std::vector<std::thread> threads;
--- a/src/tools/main_platform.cpp
+++ b/src/tools/main_platform.cpp
@@ -10,11 +10,12 @@
 int main(int count, char** words) {
   std::string name = "platform", address, listFile;
   double threads = 1;
-  Settings reader("trouttally-platform", "A stand-in platform that lists machines and marks those that leave");
-  reader.text("name", &name, "this machine's name")
-      .address("address", &address, "where it is reached over HTTP")
-      .text("list", &listFile, "JSON file with the first list of machines")
-      .number("threads", &threads, 1, 64, "threads in the pool");
+  Settings reader("trouttally-platform",
+                  "A stand-in platform, for tests and trials: lists machines and marks those that leave");
+  reader.text("name", &name, "name of this process")
+      .address("address", &address, "address of the HTTP server")
+      .text("list", &listFile, "JSON file with the initial list of machines")
+      .number("threads", &threads, 1, 64, "threads of the I/O pool");
   if (auto code = reader.read(count, words)) return *code;
   startLog("platform", name, false);
   PlatformNode platform;
--- a/src/tools/main_proxy.cpp
+++ b/src/tools/main_proxy.cpp
@@ -6,11 +6,13 @@
 using namespace tt;
 
 namespace {
-/// How long orders that are open when the process is told to stop may take, and the last answers to leave.
+/// At shutdown: how long open requests may take, and how long the last responses may take to be sent.
 constexpr Duration openOrdersMost = 10s, lastAnswers = 100ms;
 
+/// The HTTP calls to workers that are in progress, by the id of the attempt. Thread-safe.
 class WorkerCalls {
  public:
+  /// Starts a call while the lock is held, so that the call cannot end before it is listed.
   void start(const std::string& sendId, const std::function<std::uint64_t()>& startCall) {
     std::lock_guard<std::mutex> guard(lock);
     rows[sendId] = startCall();
@@ -35,20 +37,25 @@
   std::string callerAddress, operatorKeyHash;
   double threads = 3, maxPending = 64, blockMs = 4, versionMs = versionMsUsual;
   bool chatty = false;
-  Settings reader("trouttally-proxy", "A proxy of the fleet: takes orders from callers, plans them, carries them out");
-  reader.text("name", &settings.name, "this machine's name", true)
-      .address("address", &settings.address, "where the agent reaches this process")
-      .text("locality", &settings.zone, "this machine's locality", true)
-      .address("agentAddress", &settings.agentAddress, "the agent beside this proxy")
-      .address("callerAddress", &callerAddress, "where callers reach this proxy")
-      .text("operatorKeyHash", &operatorKeyHash, "SHA-256 of the operator key, for reading what is in force")
-      .flag("fetching", &settings.fetching, "fetch prefixes from peers and the store")
-      .number("pendingMost", &maxPending, 1, 100000, "orders that may be pending here")
-      .number("blockMs", &blockMs, 0.01, 10000, "milliseconds a worker needs for one block")
+  Settings reader(
+      "trouttally-proxy",
+      "A proxy of the fleet: accepts requests of callers, routes them to workers and streams the responses");
+  reader.text("name", &settings.name, "name of this proxy", true)
+      .address("address", &settings.address, "address at which the agent reaches this process")
+      .text("locality", &settings.zone, "zone of this machine", true)
+      .address("agentAddress", &settings.agentAddress, "address of the agent beside this proxy")
+      .address("callerAddress", &callerAddress, "address of the HTTP server for callers")
+      .text("operatorKeyHash", &operatorKeyHash,
+            "SHA-256 of the operator key in hex, for reading the configuration here")
+      .flag("fetching", &settings.fetching, "fetch cached prefixes from other workers and the store")
+      .number("pendingMost", &maxPending, 1, 100000, "maximum number of requests that wait for a worker")
+      .number("blockMs", &blockMs, 0.01, 10000, "milliseconds that a worker needs to compute one block")
       .number("versionMs", &versionMs, versionMsLeast, versionMsMost,
-              "milliseconds after a naming for which requests may begin on older weights; the same at every process")
-      .number("threads", &threads, 1, 64, "threads in the pool")
-      .flag("chatty", &chatty, "log more");
+              "milliseconds after newer weights are announced during which requests may still start on older ones; "
+              "must be the "
+              "same for all processes")
+      .number("threads", &threads, 1, 64, "threads of the I/O pool")
+      .flag("chatty", &chatty, "log more detail");
   if (auto code = reader.read(count, words)) return *code;
   if (auto done = setVersionSpan(versionMs); !done) return reportStartFailure(done.error());
   settings.maxPending = static_cast<std::size_t>(maxPending);
--- a/src/tools/main_sim.cpp
+++ b/src/tools/main_sim.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t mostTroublesShown = 6;
 constexpr std::uint64_t repeatSeeds = 1000;
 
-/// What is run and printed, as the flags say.
+/// The command-line options.
 struct SimOptions {
   std::vector<std::string> files;
   std::uint64_t seed{0}, firstSeed{1}, randomScenarios{0}, repeats{1};
@@ -25,7 +25,7 @@
   bool codes{false}, figures{false}, printRandom{false};
 };
 
-/// One run of one scenario.
+/// One run of one scenario. Without a seed, the scenario's own is used.
 struct Job {
   std::string name, text;
   std::optional<std::uint64_t> seed;
@@ -34,19 +34,20 @@
 
 void addOptions(CLI::App& app, SimOptions& options) {
   app.add_option("files", options.files, "scenario files");
-  app.add_option("--seed", options.seed, "run with this seed instead of the files' own");
+  app.add_option("--seed", options.seed, "run with this seed instead of those in the files");
   app.add_option("--random", options.randomScenarios, "also run this many scenarios of random faults");
-  app.add_option("--first-seed", options.firstSeed, "the first random scenario's seed");
-  app.add_option("--repeats", options.repeats, "run each file with this many seeds, from its own on");
-  app.add_option("--keep", options.keepFolder, "reduce each failing random scenario and keep it in this folder");
-  app.add_option("--threads", options.threads, "scenarios at a time");
-  app.add_option("--trace", options.trace, "print journal events whose kind holds this text (* for all)");
+  app.add_option("--first-seed", options.firstSeed, "seed of the first random scenario");
+  app.add_option("--repeats", options.repeats, "run each file with its own seed and with others, this many in all");
+  app.add_option("--keep", options.keepFolder, "reduce each failing random scenario and save it in this directory");
+  app.add_option("--threads", options.threads, "scenarios run concurrently");
+  app.add_option("--trace", options.trace, "print journal events whose kind contains this text (* for all)");
   app.add_flag("--figures", options.figures, "print each scenario's figures");
-  app.add_flag("--codes", options.codes, "print the table of result codes and end");
-  app.add_flag("--print-random", options.printRandom, "print the random scenario of --first-seed and end");
+  app.add_flag("--codes", options.codes, "print the table of result codes and exit");
+  app.add_flag("--print-random", options.printRandom, "print the random scenario of --first-seed and exit");
 }
 
-/// A file's runs: the first with its own seed and its control runs, the others with other seeds. Whether it was read.
+/// Adds the runs of a file: one with its own seed and its negative controls, and the repeats with other seeds and
+/// without controls. Returns false if the file cannot be read.
 bool addFileJobs(const SimOptions& options, const std::string& file, std::vector<Job>& jobs) {
   std::ifstream source(file);
   if (!source) {
@@ -72,19 +73,19 @@
   }
 }
 
-/// Runs scenarios on several threads, prints those that fail, and counts.
+/// Runs scenarios on several threads, prints the results and counts them.
 class ScenarioRunner {
  public:
   ScenarioRunner(const SimOptions& given, std::vector<Job> list) : options(given), jobs(std::move(list)) {}
 
-  /// Whether all scenarios passed, and there was one.
+  /// Runs all. Returns whether all passed and there was at least one.
   bool run() {
     std::vector<std::thread> pool;
     for (std::size_t number = 0; number < std::min(options.threads, jobs.size()); ++number)
       pool.emplace_back([this] { work(); });
     for (auto& thread : pool) thread.join();
     std::cout << "operators: " << operations << " operations checked, " << unclear
-              << " of them without a clear answer\n";
+              << " of them with an unknown outcome\n";
     std::cout << passed << " passed, " << failed << " failed\n";
     return failed == 0 && passed > 0;
   }
@@ -93,7 +94,7 @@
   const SimOptions& options;
   const std::vector<Job> jobs;
   std::atomic<std::size_t> next{0};
-  /// Guards the counts and what is printed.
+  /// Protects the counts and the output.
   std::mutex lock;
   std::size_t passed{0}, failed{0}, operations{0}, unclear{0};
 
@@ -144,8 +145,7 @@
 }  // namespace
 
 int main(int count, char** words) {
-  CLI::App app("Runs scenarios of a whole fleet on simulated time and checks all that must never happen",
-               "trouttally-sim");
+  CLI::App app("Runs scenarios of a whole fleet in simulated time and checks the fleet's invariants", "trouttally-sim");
   app.set_version_flag("--version", std::string("trouttally-sim ") + TROUTTALLY_VERSION);
   SimOptions options;
   addOptions(app, options);
--- a/src/tools/naming_records.hpp
+++ b/src/tools/naming_records.hpp
@@ -7,22 +7,22 @@
 
 namespace tt {
 
-/// The namings of weights as operators noted them: when each change was first sent, and when its acknowledgement came.
+/// The announcements of weights that operators made: when each was first sent, and when it was first acknowledged.
 ///
-/// A naming is known by its change id, so that a resend neither counts twice nor moves the first acknowledgement. Its
-/// place among the others is the revision that the acknowledgement told.
+/// An announcement is identified by its change id, so that a resend neither counts twice nor moves the first
+/// acknowledgement. Announcements are ordered by the revisions in their acknowledgements.
 class NamingRecords {
  public:
-  /// Notes that a change that names these weights was sent.
+  /// Records that a change that announces these weights was sent.
   void sent(const std::string& changeId, const std::string& model, const std::string& weights, TimePoint at);
-  /// Notes that a change that names these weights was acknowledged with this revision.
+  /// Records that a change that announces these weights was acknowledged with this revision.
   void acknowledged(const std::string& changeId, const std::string& model, const std::string& weights,
                     std::uint64_t revision, TimePoint at);
-  /// How long before `now` the first naming newer than these weights was acknowledged; nothing if none was, or if it
-  /// cannot be told, since a change that names these weights was sent and never acknowledged. A change that was first
-  /// sent after `now` does not make its weights newer; one whose sending was not noted counts as sent before.
+  /// How long before `now` the first announcement newer than these weights was acknowledged; nothing if none was. Also
+  /// nothing if a change that announces these weights was sent and never acknowledged, as it may have taken effect. A
+  /// change that was first sent after `now` is ignored; one whose sending was not recorded counts as sent before.
   std::optional<Duration> supersededFor(const std::string& model, const std::string& weights, TimePoint now) const;
-  /// How many namings were acknowledged.
+  /// The number of announcements that were acknowledged.
   std::size_t acknowledgedCount() const;
 
  private:
--- a/tests/old_weights_audit.cpp
+++ b/tests/old_weights_audit.cpp
@@ -10,7 +10,8 @@
 
 std::string nanoseconds(double seconds) { return std::to_string(static_cast<std::int64_t>(seconds * 1e9)); }
 
-/// The records of a run in which weights are named, made by hand; moments are in seconds.
+/// The records of a run in which weights are announced ("named"), for the audit of orders that began on old weights.
+/// Times are in seconds.
 class Run {
  public:
   Run() { records.oldWeightsTimeout = 10s; }
@@ -25,7 +26,7 @@
     records.events.push_back(Json(row).serialize());
     return *this;
   }
-  /// A naming that is acknowledged a tenth of a second after it was sent.
+  /// An announcement that is acknowledged 0.1 s after it was sent.
   Run& named(const std::string& changeId, const std::string& weights, int revision, double at) {
     return sent(changeId, weights, at - 0.1).acknowledged(changeId, weights, revision, at);
   }
@@ -41,7 +42,7 @@
     return *this;
   }
   AuditResult audit() const { return auditRecords(records); }
-  /// What the audit says of orders that began on old weights.
+  /// The violations that the audit reports for orders that began on old weights.
   std::vector<std::string> found() const {
     auto result = audit();
     cr_assert_eq(result.unreadable, 0);
@@ -63,7 +64,7 @@
   }
 };
 
-/// Weights named four times, every four seconds; w1 is what the workers had before.
+/// Four announcements, one every four seconds; w1 are the weights that the workers had before.
 Run fourNamings() {
   Run run;
   run.named("c2", "w2", 2, 100).named("c3", "w3", 3, 104).named("c4", "w4", 4, 108).named("c5", "w5", 5, 112);
@@ -83,7 +84,7 @@
 Test(old_weights_audit, later_namings_do_not_give_an_old_version_more_time) {
   auto run = fourNamings();
   run.began("late", "w1", 113).began("on-the-second", "w2", 113.9).began("late-on-the-second", "w2", 114.1);
-  cr_assert_eq(run.found().size(), 2u, "w1 ended at 110 and w2 at 114, whatever was named since");
+  cr_assert_eq(run.found().size(), 2u, "w1 may be used until 110 and w2 until 114, whatever was announced later");
 }
 
 Test(old_weights_audit, the_newest_version_may_be_used_for_ever) {
@@ -122,7 +123,7 @@
   run.sent("c2", "w2", 113).acknowledged("c2", "w2", 2, 113.2);
   run.began("late-on-the-resent", "w2", 120).began("late-on-the-first", "w1", 112).began("newest", "w5", 500);
   auto found = run.found();
-  cr_assert_eq(found.size(), 2u, "a resend makes its weights not the newest, and moves no end");
+  cr_assert_eq(found.size(), 2u, "a resend neither makes its weights the newest nor extends the use of older ones");
   cr_assert_eq(run.audit().namings, 4);
 }
 
@@ -138,7 +139,7 @@
   run.sent("c2", "w2", 100).sent("c3", "w3", 100.1);
   run.acknowledged("c3", "w3", 3, 101).acknowledged("c2", "w2", 2, 105);
   run.began("newest", "w3", 500).began("old", "w2", 112).began("oldest", "w1", 112);
-  cr_assert_eq(run.found().size(), 2u, "w2 and w1 ended 10 s after w3 was acknowledged");
+  cr_assert_eq(run.found().size(), 2u, "w2 and w1 may be used until 10 s after w3 was acknowledged");
 }
 
 Test(old_weights_audit, weights_whose_naming_was_never_acknowledged_are_not_judged) {
@@ -162,7 +163,7 @@
   run.records.oldWeightsTimeout = 20s;
   cr_expect(run.found().empty());
   run.records.oldWeightsTimeout = 15s;
-  cr_expect(run.found().empty(), "15 s after is still in time");
+  cr_expect(run.found().empty(), "the limit itself is still in time");
   run.records.oldWeightsTimeout = 14999ms;
   cr_expect_eq(run.found().size(), 1u);
 }
