--- a/scripts/common.sh
+++ b/scripts/common.sh
@@ -1,29 +1,29 @@
 # Functions shared by the scripts that test a whole fleet. Sourced once the fleet is started; needs here, build, base, deployment and folder.
-# Sets the fleet's addresses and sizes; tenant and victim (the tenants of the deployment's first two keys; victim's key gets revoked); route (the
-# route of the deployment's third kind of request).
+# Sets the fleet's addresses and sizes; tenant and revokedTenant (the tenants of the deployment's first two keys, of which the scripts
+# revoke the second); route (the route of the deployment's third kind of request).
 eval "$(fleet where "$folder")"
 . "$here/deployments/$deployment/fleet.env"
 . "$folder/overrides"
 tenant=$(sed -n 's/.*"\([a-z-]*\)-key".*/\1/p' "$here/deployments/$deployment/blueprint.json" | head -1)
-victim=$(sed -n 's/.*"\([a-z-]*\)-key".*/\1/p' "$here/deployments/$deployment/blueprint.json" | sed -n 2p)
+revokedTenant=$(sed -n 's/.*"\([a-z-]*\)-key".*/\1/p' "$here/deployments/$deployment/blueprint.json" | sed -n 2p)
 route=$(sed -n 's/.*"route": "\([a-z-]*\)".*/\1/p' "$here/deployments/$deployment/kinds.json" | sed -n 3p)
 now() { date +%s%N; }
-ms() { echo $((($2 - $1) / 1000000)); }
+ms_between() { echo $((($2 - $1) / 1000000)); }
 ctl() { "$build/trouttally-ctl" "$@"; }
-load() { # sends the deployment's kinds of request and records the outcomes; some callers retry: after the delay, at once, or at another proxy
+run_load() { # sends the deployment's kinds of request and records the outcomes; some callers retry failed requests
   "$build/trouttally-loadgen" --proxies "$TROUTTALLY_PROXIES" --kinds "$here/deployments/$deployment/kinds.json" \
     --recordFile "$folder/records/callers.json" --obey 40 --ignore 10 --move 20 "$@"
 }
-event() { # records event $1 about $2 for the audit; further arguments are flags of trouttally-audit
+record_event() { # records event $1 about $2 for the audit; further arguments are flags of trouttally-audit
   "$build/trouttally-audit" --note "$1" --of "$2" "${@:3}" >>"$folder/records/events.json"
 }
-name_weights() { # announces weights $2 under change id $1, retries until acknowledged, and records both for the audit
+announce_weights() { # announces weights $2 under change id $1, retries until acknowledged, and records both for the audit
   local try answer revision naming=(--model "$MODEL" --change "$1")
-  event naming "$2" "${naming[@]}"
+  record_event naming "$2" "${naming[@]}"
   for try in $(seq 60); do
     answer=$(echo "{\"models\":{\"$MODEL\":{\"weights\":\"$2\"}},\"weights\":{\"$2\":{\"model\":\"$MODEL\"}}}" | ctl patch - --change-id "$1" 2>/dev/null) && {
       revision=$(echo "$answer" | sed -n 's/.*"revision":\([0-9]*\).*/\1/p')
-      event named "$2" "${naming[@]}" --revision "$revision"
+      record_event named "$2" "${naming[@]}" --revision "$revision"
       return
     }
     sleep 0.5
@@ -35,11 +35,11 @@
     --workers "$(ls "$folder"/records/worker-*.json "$folder"/records/app.json | paste -sd,)" \
     --blueprint "$here/deployments/$deployment/blueprint.json" ${AUDIT_VERSION_MS:+--versionMs "$AUDIT_VERSION_MS"}
 }
-status() { # prints the HTTP status of a request sent to proxy $1, with key $2 if given
+request_status() { # prints the HTTP status of a request sent to proxy $1, with key $2 if given
   curl -s -m 3 -o /dev/null -w '%{http_code}' -H "Authorization: Bearer ${2:-$tenant-secret-1}" "127.0.0.1:$((base + 400 + $1))/v1/orders" \
     -d "{\"route\":\"$route\",\"model\":\"$MODEL\",\"parts\":[\"x\"],\"maxTokens\":1}"
 }
 # Whether every proxy serves requests.
-served() { local number; for number in $(seq "$EDGES"); do [ "$(status "$number")" = 200 ] || return 1; done; }
+all_proxies_serve() { local number; for number in $(seq "$EDGES"); do [ "$(request_status "$number")" = 200 ] || return 1; done; }
 # Prints the core that holds duty $1, such as accord (the leadership of the replicated log) or cell/ZONE.
-holder() { ctl fleet | sed -n "s|^duty     $1 \(core-[0-9]\)-.*|\1|p"; }
+duty_holder() { ctl fleet | sed -n "s|^duty     $1 \(core-[0-9]\)-.*|\1|p"; }
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -14,22 +14,22 @@
 build=${BUILD:-$here/build}
 base=${BASE:-21000}
 operatorKey=${TROUTTALLY_OPERATOR_KEY:-operator-secret}
-verb=${1:-}
+command=${1:-}
 shift || true
 
-load() {
+load_deployment() {
   folder=${1:-$here/data/fleet}
   [ -f "$folder/deployment" ] && deployment=$(cat "$folder/deployment")
   . "$here/deployments/$deployment/fleet.env"
   [ -f "$folder/overrides" ] && . "$folder/overrides"
-  localities=($LOCALITIES)
+  zones=($LOCALITIES)
   versionFlag=${VERSION_MS:+--versionMs $VERSION_MS}
   keyHash=$(printf %s "$operatorKey" | sha256sum | cut -d' ' -f1)
   seeds="127.0.0.1:$((base + 1)),127.0.0.1:$((base + 2)),127.0.0.1:$((base + 3)),127.0.0.1:$((base + 4))"
 }
 # The zone of the process with number $1.
-place() { echo "${localities[$((($1 - 1) % ${#localities[@]}))]}"; }
-first() { # the addresses of the first three cores other than number $1
+zone_of() { echo "${zones[$((($1 - 1) % ${#zones[@]}))]}"; }
+first_seeds() { # the addresses of the first three cores other than number $1
   local list=() number
   for number in 1 2 3 4; do [ "$number" != "$1" ] && list+=("127.0.0.1:$((base + number))"); done
   (IFS=,; echo "${list[*]:0:3}")
@@ -40,21 +40,21 @@
   "$build/$program" --name "$name" "$@" >>"$folder/logs/$name.log" 2>&1 &
   echo $! >"$folder/pids/$name"
 }
-run() {
+start_process() {
   local name=$1 kind=${1%-*} number=${1##*-} listen=""
   [ "${LINKS:-0}" = 1 ] && case $kind in
     core) listen="--listen 127.0.0.1:$((base + 2000 + number))" ;;
     agent) listen="--listen 127.0.0.1:$((base + 2100 + number))" ;;
   esac
   case $kind in
-    link) launch link trouttally-link --webAddress "127.0.0.1:$((base + 30))" --pairs "$(pairs)" ;;
+    link) launch link trouttally-link --webAddress "127.0.0.1:$((base + 30))" --pairs "$(link_pairs)" ;;
     platform) launch platform trouttally-platform --address "127.0.0.1:$base" --list "$folder/machines.json" ;;
-    core) launch "$name" trouttally-core $listen $versionFlag --diskFaults "$folder/$name.fault" --address "127.0.0.1:$((base + number))" --locality "$(place "$number")" \
-      --seeds "$(first "$number")" --localities "$(IFS=,; echo "${localities[*]}")" --platform "127.0.0.1:$base" \
+    core) launch "$name" trouttally-core $listen $versionFlag --diskFaults "$folder/$name.fault" --address "127.0.0.1:$((base + number))" --locality "$(zone_of "$number")" \
+      --seeds "$(first_seeds "$number")" --localities "$(IFS=,; echo "${zones[*]}")" --platform "127.0.0.1:$base" \
       --operatorAddress "127.0.0.1:$((base + 10 + number))" --operatorKeyHash "$keyHash" --dataFolder "$folder/$name" ;;
-    agent) launch "$name" trouttally-agent $listen $versionFlag --address "127.0.0.1:$((base + 100 + number))" --locality "$(place "$number")" \
-      --seeds "$(first $((number % 4 + 1)))" --webAddress "127.0.0.1:$((base + 200 + number))" ;;
-    proxy) launch "$name" trouttally-proxy $versionFlag --address "127.0.0.1:$((base + 300 + number))" --locality "$(place "$number")" \
+    agent) launch "$name" trouttally-agent $listen $versionFlag --address "127.0.0.1:$((base + 100 + number))" --locality "$(zone_of "$number")" \
+      --seeds "$(first_seeds $((number % 4 + 1)))" --webAddress "127.0.0.1:$((base + 200 + number))" ;;
+    proxy) launch "$name" trouttally-proxy $versionFlag --address "127.0.0.1:$((base + 300 + number))" --locality "$(zone_of "$number")" \
       --agentAddress "127.0.0.1:$((base + 100 + number))" --callerAddress "127.0.0.1:$((base + 400 + number))" \
       --operatorKeyHash "$keyHash" --fetching "${FETCHING:-true}" ;;
     worker) launch "$name" trouttally-worker --address "127.0.0.1:$((base + 500 + number))" --model "$MODEL" --weights "$WEIGHTS" \
@@ -65,22 +65,22 @@
     *) echo "no such process: $name" >&2; exit 2 ;;
   esac
 }
-pairs() { # the address pairs of trouttally-link: published address=address listened on
+link_pairs() { # the address pairs of trouttally-link: published address=address listened on
   local number rows=""
   for number in 1 2 3 4; do rows+="127.0.0.1:$((base + number))=127.0.0.1:$((base + 2000 + number)),"; done
   for number in $(seq "$EDGES"); do rows+="127.0.0.1:$((base + 100 + number))=127.0.0.1:$((base + 2100 + number)),"; done
   echo "${rows%,}"
 }
-machines() { # the initial machine list of the platform, as JSON
+machine_list() { # the initial machine list of the platform, as JSON
   local number rows=""
   for number in $(seq "$WORKERS"); do
-    rows+="{\"name\":\"worker-$number\",\"address\":\"127.0.0.1:$((base + 500 + number))\",\"locality\":\"$(place "$number")\",\"kind\":\"language\"},"
+    rows+="{\"name\":\"worker-$number\",\"address\":\"127.0.0.1:$((base + 500 + number))\",\"locality\":\"$(zone_of "$number")\",\"kind\":\"language\"},"
   done
-  rows+="{\"name\":\"store\",\"address\":\"127.0.0.1:$((base + 490))\",\"locality\":\"${localities[0]}\",\"kind\":\"store\"},"
-  rows+="{\"name\":\"app\",\"address\":\"127.0.0.1:$((base + 491))\",\"locality\":\"${localities[0]}\",\"kind\":\"app\"}"
+  rows+="{\"name\":\"store\",\"address\":\"127.0.0.1:$((base + 490))\",\"locality\":\"${zones[0]}\",\"kind\":\"store\"},"
+  rows+="{\"name\":\"app\",\"address\":\"127.0.0.1:$((base + 491))\",\"locality\":\"${zones[0]}\",\"kind\":\"app\"}"
   echo "{\"machines\":[$rows]}"
 }
-where() {
+print_addresses() {
   local number proxies=""
   for number in $(seq "$EDGES"); do proxies+="127.0.0.1:$((base + 400 + number)),"; done
   echo "export TROUTTALLY_CORES=127.0.0.1:$((base + 11)),127.0.0.1:$((base + 12)),127.0.0.1:$((base + 13)),127.0.0.1:$((base + 14))"
@@ -88,7 +88,7 @@
   echo "export TROUTTALLY_PROXIES=${proxies%,}"
 }
 
-case $verb in
+case $command in
   start)
     deployment=${1:?which deployment? (a folder under deployments/)}
     folder=${2:-$here/data/fleet}
@@ -101,14 +101,14 @@
     [ -n "${LINKS:-}" ] && echo "LINKS=$LINKS" >>"$folder/overrides"
     [ -n "${VERSION_MS:-}" ] && echo "VERSION_MS=$VERSION_MS" >>"$folder/overrides"
     rm -f "$folder"/*.fault
-    load "$folder"
-    machines >"$folder/machines.json"
-    [ "${LINKS:-0}" = 1 ] && run link
-    run platform; run store; run app
-    for number in 1 2 3 4; do run "core-$number"; done
-    for number in $(seq "$WORKERS"); do run "worker-$number"; done
-    for number in $(seq "$EDGES"); do run "agent-$number"; run "proxy-$number"; done
-    eval "$(where)"
+    load_deployment "$folder"
+    machine_list >"$folder/machines.json"
+    [ "${LINKS:-0}" = 1 ] && start_process link
+    start_process platform; start_process store; start_process app
+    for number in 1 2 3 4; do start_process "core-$number"; done
+    for number in $(seq "$WORKERS"); do start_process "worker-$number"; done
+    for number in $(seq "$EDGES"); do start_process "agent-$number"; start_process "proxy-$number"; done
+    eval "$(print_addresses)"
     for try in $(seq 30); do
       "$build/trouttally-ctl" --cores "$TROUTTALLY_CORES" --key "$operatorKey" put "$here/deployments/$deployment/blueprint.json" \
         --change-id first >"$folder/put.log" 2>&1 && break
@@ -117,7 +117,7 @@
     cat "$folder/put.log"
     ;;
   stop)
-    load "${1:-}"
+    load_deployment "${1:-}"
     for file in "$folder"/pids/*; do [ -f "$file" ] && kill "$(cat "$file")" 2>/dev/null; done
     for try in $(seq 60); do
       left=0
@@ -127,8 +127,8 @@
     done
     for file in "$folder"/pids/*; do [ -f "$file" ] && kill -KILL "$(cat "$file")" 2>/dev/null; rm -f "$file"; done
     ;;
-  run) load "${2:-}"; run "$1" ;;
-  signal) load "${3:-}"; kill "-$2" "$(cat "$folder/pids/$1")" ;;
-  where) load "${1:-}"; where ;;
+  run) load_deployment "${2:-}"; start_process "$1" ;;
+  signal) load_deployment "${3:-}"; kill "-$2" "$(cat "$folder/pids/$1")" ;;
+  where) load_deployment "${1:-}"; print_addresses ;;
   *) sed -n '2,9p' "$0"; exit 2 ;;
 esac
--- a/scripts/measure.sh
+++ b/scripts/measure.sh
@@ -10,16 +10,16 @@
 deployment=${1:?which deployment?}
 folder=${2:-$here/data/measure}
 base=${BASE:-21000}
-each=${SECONDS_EACH:-15}
+loadSeconds=${SECONDS_EACH:-15}
 fleet() { "$here/scripts/fleet.sh" "$@"; }
 rm -rf "$folder"
 fleet start "$deployment" "$folder" || exit 1
 . "$here/scripts/common.sh"
-missed=0
-within() { # within MS MAX_MS WHAT: reports a failure if a time exceeds its limit
-  [ "$1" -le "$2" ] || { echo "NOT MET: $3 took $1 ms, limit $2 ms"; missed=1; }
+failed=0
+check_limit() { # check_limit MS MAX_MS WHAT: reports a failure if a time exceeds its limit
+  [ "$1" -le "$2" ] || { echo "NOT MET: $3 took $1 ms, limit $2 ms"; failed=1; }
 }
-revisions() { # the lowest revision in force at any proxy; 0 if a proxy does not respond or its view is stale
+lowest_revision() { # the lowest revision in force at any proxy; 0 if a proxy does not respond or its view is stale
   local number lowest=999999999 got
   for number in $(seq "$EDGES"); do
     got=$(curl -s -m 1 -H "Authorization: Bearer $TROUTTALLY_OPERATOR_KEY" "127.0.0.1:$((base + 400 + number))/v1/blueprint" | sed -n 's/^{"revision":\([0-9]*\),.*"fresh":true.*/\1/p')
@@ -29,36 +29,36 @@
 }
 
 sleep 2
-echo "== $deployment: warm-up"; load --hangUps 1 --seconds "$each" --seed 1
-echo "== $deployment: steady"; load --hangUps 1 --seconds "$each" --seed 2
+echo "== $deployment: warm-up"; run_load --hangUps 1 --seconds "$loadSeconds" --seed 1
+echo "== $deployment: steady"; run_load --hangUps 1 --seconds "$loadSeconds" --seed 2
 
-load --hangUps 1 --seconds "${SECONDS_FAULTS:-110}" --seed 3 --everySecond 1 >"$folder/under-faults.txt" &
+run_load --hangUps 1 --seconds "${SECONDS_FAULTS:-110}" --seed 3 --everySecond 1 >"$folder/under-faults.txt" &
 loadPid=$!
 began=$(now)
 sleep 3
-worst=0
+maxDelay=0
 for round in 1 2 3 4 5; do
-  before=$(now)
+  sentAt=$(now)
   revision=$(echo "{\"routes\":{\"measured-$round\":{\"model\":\"$MODEL\"}}}" | ctl patch - | sed -n 's/.*"revision":\([0-9]*\).*/\1/p')
-  acked=$(now)
-  while [ "$(revisions)" -lt "${revision:-0}" ]; do sleep 0.02; done
-  all=$(now)
-  took=$(ms "$acked" "$all")
-  [ "$took" -gt "$worst" ] && worst=$took
-  echo "change $round: acknowledged after $(ms "$before" "$acked") ms, seen in force at every proxy $took ms later at most"
+  acknowledgedAt=$(now)
+  while [ "$(lowest_revision)" -lt "${revision:-0}" ]; do sleep 0.02; done
+  inForceAt=$(now)
+  delay=$(ms_between "$acknowledgedAt" "$inForceAt")
+  [ "$delay" -gt "$maxDelay" ] && maxDelay=$delay
+  echo "change $round: acknowledged after $(ms_between "$sentAt" "$acknowledgedAt") ms, seen in force at every proxy $delay ms later at most"
 done
-echo "{\"keys\":{\"spare\":{\"tenant\":\"$victim\",\"secret\":\"spare-secret-1\"}}}" | ctl patch - >/dev/null
+echo "{\"keys\":{\"spare\":{\"tenant\":\"$revokedTenant\",\"secret\":\"spare-secret-1\"}}}" | ctl patch - >/dev/null
 sleep 0.5
 echo '{"keys":{"spare":null}}' | ctl patch - >/dev/null
-acked=$(now); last=$acked
+acknowledgedAt=$(now); last=$acknowledgedAt
 for round in $(seq 12); do
-  for number in $(seq "$EDGES"); do [ "$(status "$number" spare-secret-1)" = 200 ] && last=$(now); done
+  for number in $(seq "$EDGES"); do [ "$(request_status "$number" spare-secret-1)" = 200 ] && last=$(now); done
 done
-echo "revoked key: last accepted $(ms "$acked" "$last") ms after the acknowledgement"
-within "$(ms "$acked" "$last")" 5000 "a revocation"
-within "$worst" 2000 "a change"
+echo "revoked key: last accepted $(ms_between "$acknowledgedAt" "$last") ms after the acknowledgement"
+check_limit "$(ms_between "$acknowledgedAt" "$last")" 5000 "a revocation"
+check_limit "$maxDelay" 2000 "a change"
 curl -s -X PATCH "127.0.0.1:$base/v1/machines" -d '{"name":"worker-7","leaving":true}' >/dev/null
-event leaving worker-7
+record_event leaving worker-7
 marked=$(now); runsBefore=-1; lastRun=$marked
 for round in $(seq 40); do
   runs=$(curl -s "127.0.0.1:$((base + 507))/v1/runs" | grep -o orderId | wc -l)
@@ -66,47 +66,47 @@
   runsBefore=$runs
   sleep 0.1
 done
-echo "leaving worker: last new request $(ms "$marked" "$lastRun") ms after it was marked"
-within "$(ms "$marked" "$lastRun")" 3100 "draining a worker"
-event staying worker-7
+echo "leaving worker: last new request $(ms_between "$marked" "$lastRun") ms after it was marked"
+check_limit "$(ms_between "$marked" "$lastRun")" 3100 "draining a worker"
+record_event staying worker-7
 curl -s -X PATCH "127.0.0.1:$base/v1/machines" -d '{"name":"worker-7","leaving":false}' >/dev/null
 sleep 1
-echo "at $(ms "$began" "$(now)") ms: new weights are announced"
-name_weights measured-weights "$MODEL-w2" || { echo "NOT MET: the announcement of weights was never acknowledged"; missed=1; }
+echo "at $(ms_between "$began" "$(now)") ms: new weights are announced"
+announce_weights measured-weights "$MODEL-w2" || { echo "NOT MET: the announcement of weights was never acknowledged"; failed=1; }
 named=$(now)
-while [ "$(ctl fleet | grep -c "weights $MODEL-w2 .*serving")" -lt "$WORKERS" ] && [ "$(ms "$named" "$(now)")" -lt 40000 ]; do sleep 0.2; done
-echo "new weights: in use at all $WORKERS workers $(ms "$named" "$(now)") ms after the announcement"
-within "$(ms "$named" "$(now)")" 25000 "a rollout of weights"
-leader=$(holder accord)
-echo "at $(ms "$began" "$(now)") ms: $leader, the leader of the replicated log, is killed"
+while [ "$(ctl fleet | grep -c "weights $MODEL-w2 .*serving")" -lt "$WORKERS" ] && [ "$(ms_between "$named" "$(now)")" -lt 40000 ]; do sleep 0.2; done
+echo "new weights: in use at all $WORKERS workers $(ms_between "$named" "$(now)") ms after the announcement"
+check_limit "$(ms_between "$named" "$(now)")" 25000 "a rollout of weights"
+leader=$(duty_holder accord)
+echo "at $(ms_between "$began" "$(now)") ms: $leader, the leader of the replicated log, is killed"
 killed=$(now)
 fleet signal "$leader" KILL "$folder"
 until echo "{\"routes\":{\"after-kill\":{\"model\":\"$MODEL\"}}}" | ctl patch - --change-id after-kill >/dev/null 2>&1; do sleep 0.1; done
-echo "a change is committed again $(ms "$killed" "$(now)") ms after the kill"
+echo "a change is committed again $(ms_between "$killed" "$(now)") ms after the kill"
 sleep 3
 fleet run "$leader" "$folder"
 sleep 4
-echo "at $(ms "$began" "$(now)") ms: two agents, two proxies, three workers and the store are killed"
+echo "at $(ms_between "$began" "$(now)") ms: two agents, two proxies, three workers and the store are killed"
 for name in agent-1 proxy-1 agent-2 proxy-2 worker-1 worker-2 worker-3 store; do fleet signal $name KILL "$folder"; done
 sleep 3
 for name in agent-1 proxy-1 agent-2 proxy-2 worker-1 worker-2 worker-3 store; do fleet run $name "$folder"; done
-back=$(now)
-until served; do sleep 0.1; done
-echo "every proxy serves again $(ms "$back" "$(now)") ms after their restart"
-within "$(ms "$back" "$(now)")" 12000 "service after the restart of agents, proxies, workers and the store"
+restartedAt=$(now)
+until all_proxies_serve; do sleep 0.1; done
+echo "every proxy serves again $(ms_between "$restartedAt" "$(now)") ms after their restart"
+check_limit "$(ms_between "$restartedAt" "$(now)")" 12000 "service after the restart of agents, proxies, workers and the store"
 # One process of each kind is suspended for longer than any lease lasts, and then resumed.
-for name in "$(holder accord)" "$(holder "cell/${LOCALITIES%% *}")" agent-3 proxy-4 worker-5 store; do
-  echo "at $(ms "$began" "$(now)") ms: $name is suspended for 4 s"
+for name in "$(duty_holder accord)" "$(duty_holder "cell/${LOCALITIES%% *}")" agent-3 proxy-4 worker-5 store; do
+  echo "at $(ms_between "$began" "$(now)") ms: $name is suspended for 4 s"
   fleet signal "$name" STOP "$folder"
-  [ "$name" = agent-3 ] && echo "{\"keys\":{\"$victim-key\":null}}" | ctl patch - >/dev/null && event revoked "$victim-secret-1"
+  [ "$name" = agent-3 ] && echo "{\"keys\":{\"$revokedTenant-key\":null}}" | ctl patch - >/dev/null && record_event revoked "$revokedTenant-secret-1"
   sleep 4
   fleet signal "$name" CONT "$folder"
   sleep 1
 done
-back=$(now)
-until served; do sleep 0.1; done
-echo "every proxy serves $(ms "$back" "$(now)") ms after the last was resumed"
-within "$(ms "$back" "$(now)")" 12000 "service after suspended processes were resumed"
+restartedAt=$(now)
+until all_proxies_serve; do sleep 0.1; done
+echo "every proxy serves $(ms_between "$restartedAt" "$(now)") ms after the last was resumed"
+check_limit "$(ms_between "$restartedAt" "$(now)")" 12000 "service after suspended processes were resumed"
 wait "$loadPid"
 cat "$folder/under-faults.txt"
 echo "{\"routes\":{\"just-before\":{\"model\":\"$MODEL\"}}}" | ctl patch - >/dev/null && acknowledged=1
@@ -114,12 +114,12 @@
 for file in "$folder"/pids/*; do name=$(basename "$file"); [ "$name" != platform ] && kill -KILL "$(cat "$file")"; done
 sleep 0.5
 for file in "$folder"/pids/*; do name=$(basename "$file"); [ "$name" != platform ] && fleet run "$name" "$folder"; done
-back=$(now)
-until served; do sleep 0.1; [ "$(ms "$back" "$(now)")" -gt 60000 ] && break; done
-echo "every proxy serves again $(ms "$back" "$(now)") ms after the restart"
-within "$(ms "$back" "$(now)")" 12000 "service after the closing fault"
+restartedAt=$(now)
+until all_proxies_serve; do sleep 0.1; [ "$(ms_between "$restartedAt" "$(now)")" -gt 60000 ] && break; done
+echo "every proxy serves again $(ms_between "$restartedAt" "$(now)") ms after the restart"
+check_limit "$(ms_between "$restartedAt" "$(now)")" 12000 "service after the closing fault"
 ctl get | grep -o -e after-kill -e just-before | sort -u | sed 's/^/acknowledged change still there: /'
-[ "${acknowledged:-0}" = 1 ] && [ "$(ctl get | grep -c just-before)" = 0 ] && { echo "NOT MET: an acknowledged change is lost"; missed=1; }
+[ "${acknowledged:-0}" = 1 ] && [ "$(ctl get | grep -c just-before)" = 0 ] && { echo "NOT MET: an acknowledged change is lost"; failed=1; }
 fleet stop "$folder"
-audit || missed=1
-exit "$missed"
+audit || failed=1
+exit "$failed"
