--- a/src/fuzz/fuzz.hpp
+++ b/src/fuzz/fuzz.hpp
@@ -15,7 +15,7 @@
   bool chance(std::uint64_t inSo) { return randomBelow(inSo) == 0; }
   const std::string& pick(const Strings& rows) { return rows[randomBelow(rows.size())]; }
   /// Picks one of the valid texts and mutates it a few times; one in sixteen is returned unchanged.
-  std::string bentText(const Strings& good);
+  std::string mutatedText(const Strings& good);
   /// Mutates bytes without regard to tokens, for binary formats. Some mutations insert bytes of `other`, which is also
   /// returned if all bytes have been removed.
   std::string bentBytes(std::string bytes, const std::string& other);
--- a/src/tools/audit.hpp
+++ b/src/tools/audit.hpp
@@ -17,7 +17,7 @@
 };
 /// What an audit found: the violations of each invariant, and how much was examined.
 struct AuditResult {
-  std::map<std::string, std::vector<std::string>> breaches;
+  std::map<std::string, std::vector<std::string>> violations;
   std::int64_t orders{0}, runs{0}, retries{0}, unreadable{0};
   /// The requests that workers started, and the announcements of weights that were acknowledged.
   std::int64_t begins{0}, namings{0};
@@ -25,13 +25,13 @@
   std::optional<Duration> latestOldBegin;
   /// The highest ratio of retries to first attempts in any window.
   double worstRetryShare{0};
-  std::int64_t breachCount() const;
+  std::int64_t violationCount() const;
 };
 /// Checks the records against all invariants. Times in the records are nanoseconds of the steady clock of the one
 /// machine that all processes ran on.
 AuditResult auditRecords(const AuditRecords& records);
 /// The names of the invariants, in the order in which they are reported.
-const std::vector<std::string>& auditedLines();
+const std::vector<std::string>& auditedInvariants();
 /// Whether a text is the complete output of one run of a stand-in worker: the tokens 1 to `tokens`, all from one
 /// worker.
 bool isWholeAnswer(const std::string& text, std::int64_t tokens);
--- a/src/tools/main_audit.cpp
+++ b/src/tools/main_audit.cpp
@@ -77,16 +77,16 @@
   auto history = readHistory(lines.value());
   if (!history) return makeError(history.error().code, file + ": " + history.error().subject, history.error().text);
   if (history.value().operations.empty()) return makeError(Code::badProps, file, "contains no operation");
-  history.value().readsInOrder = false;
+  history.value().linearizableReads = false;
   auto verdict = checkHistory(history.value());
   std::cout << "audit: operators: " << verdict.operations << " operations, " << verdict.unclear
-            << " with an unknown outcome, " << verdict.readsBehind << " reads older than an earlier read, "
+            << " with an unknown outcome, " << verdict.nonMonotonicReads << " reads older than an earlier read, "
             << verdict.steps << " steps: "
             << (verdict.undecided      ? "UNDECIDED"
                 : verdict.linearizable ? "linearizable"
                                        : "NOT LINEARIZABLE")
             << "\n";
-  if (!verdict.trouble.empty()) std::cout << verdict.trouble << "\n";
+  if (!verdict.explanation.empty()) std::cout << verdict.explanation << "\n";
   return verdict.linearizable && !verdict.undecided;
 }
 }  // namespace
@@ -155,10 +155,10 @@
             << " retries (worst window " << static_cast<int>(1000 * result.worstRetryShare) / 10.0 << " %), "
             << result.unreadable << " unreadable lines\n";
   printBegins(result, records);
-  for (const auto& line : auditedLines()) {
-    const auto& rows = result.breaches[line];
+  for (const auto& line : auditedInvariants()) {
+    const auto& rows = result.violations[line];
     std::cout << "audit: " << rows.size() << " " << line << "\n";
     for (std::size_t at = 0; at < rows.size() && at < 5; ++at) std::cout << "       " << rows[at] << "\n";
   }
-  return result.breachCount() == 0 && sound ? 0 : 1;
+  return result.violationCount() == 0 && sound ? 0 : 1;
 }
--- a/src/tools/naming_records.hpp
+++ b/src/tools/naming_records.hpp
@@ -16,8 +16,8 @@
   /// Records that a change that announces these weights was sent.
   void sent(const std::string& changeId, const std::string& model, const std::string& weights, TimePoint at);
   /// Records that a change that announces these weights was acknowledged with this revision.
-  void acknowledged(const std::string& changeId, const std::string& model, const std::string& weights,
-                    std::uint64_t revision, TimePoint at);
+  void recordAcknowledgement(const std::string& changeId, const std::string& model, const std::string& weights,
+                             std::uint64_t revision, TimePoint at);
   /// How long before `now` the first announcement newer than these weights was acknowledged; nothing if none was. Also
   /// nothing if a change that announces these weights was sent and never acknowledged, as it may have taken effect. A
   /// change that was first sent after `now` is ignored; one whose sending was not recorded counts as sent before.
