--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -17,7 +17,7 @@
   src/routing/urgency.cpp
   src/sim/sim_drain.cpp
   src/sim/version_check.cpp
-  src/tools/naming_records.cpp
+  src/tools/announcement_records.cpp
 )
 # Only configures, to get the compile commands. GCC's precompiled headers are disabled, as clang can't read them.
 cmake -G Ninja -B "$build" -S . -DCMAKE_DISABLE_PRECOMPILE_HEADERS=ON >/dev/null
--- a/src/fuzz/allocation.cpp
+++ b/src/fuzz/allocation.cpp
@@ -13,11 +13,11 @@
 /// malloc.
 void* operator new(std::size_t size) {
   allocated += size;
-  if (void* made = std::malloc(size ? size : 1)) return made;
+  if (void* block = std::malloc(size ? size : 1)) return block;
   throw std::bad_alloc();
 }
 #if defined(__GNUC__) && !defined(__clang__)
 #pragma GCC diagnostic ignored "-Wmismatched-new-delete"
 #endif
-void operator delete(void* made) noexcept { std::free(made); }
-void operator delete(void* made, std::size_t) noexcept { std::free(made); }
+void operator delete(void* block) noexcept { std::free(block); }
+void operator delete(void* block, std::size_t) noexcept { std::free(block); }
--- a/src/fuzz/configurations.cpp
+++ b/src/fuzz/configurations.cpp
@@ -9,7 +9,7 @@
 namespace tt {
 namespace {
 
-const Strings goodPatches{
+const Strings validPatches{
     R"({"services":{"mill":{"healthPath":"/well","connections":200},"weir":{}}})",
     R"({"services":{"barn":{"storeAddress":"10.0.0.9:80","locality":"north-b","tokens":3999,"linkMbps":98000}}})",
     R"({"routes":{"all":{"host":"one.example","prefix":"/","service":"mill","repeat":"safe","timeoutMs":4000,"tries":3}}})",
@@ -28,7 +28,8 @@
     R"({"routes":null,"services":null})",
     R"({"keys":null,"tenants":{"olm":null}})"};
 
-std::string listed(const Configuration& view) {
+/// All that a configuration answers to its callers, as text, so that two configurations can be compared.
+std::string describe(const Configuration& view) {
   std::string text = view.text() + "|" + std::to_string(view.bytes()) + "|" + std::to_string(view.revision());
   for (const auto& [name, item] : view.section("routes")) {
     auto route = view.findRoute(name);
@@ -58,109 +59,113 @@
   return text;
 }
 
-/// A configuration to which each accepted change is applied, so that later inputs meet its content. It is cleared at
-/// regular intervals.
-struct GrownConfiguration {
+/// A configuration to which each accepted change is applied, so that later changes are applied to varied content. It is
+/// cleared at regular intervals.
+struct AccumulatedConfiguration {
   Configuration view;
+  static constexpr std::uint64_t roundsPerConfiguration = 64;
   std::uint64_t rounds{0};
 
-  FuzzOutcome once(Mutator& mutator) {
-    if (++rounds % 64 == 0) view = Configuration();
-    constexpr ChangeFormat manners[] = {ChangeFormat::patch, ChangeFormat::patch, ChangeFormat::complete,
+  FuzzOutcome runRound(Mutator& mutator) {
+    if (++rounds % roundsPerConfiguration == 0) view = Configuration();
+    constexpr ChangeFormat formats[] = {ChangeFormat::patch, ChangeFormat::patch, ChangeFormat::complete,
                                         ChangeFormat::sections, ChangeFormat::items};
-    auto changeFormat = manners[mutator.randomBelow(std::size(manners))];
-    std::string input = mutator.mutatedText(goodPatches), before = listed(view);
+    auto changeFormat = formats[mutator.randomBelow(std::size(formats))];
+    std::string input = mutator.mutatedText(validPatches), before = describe(view);
     auto patch = view.preparePatch(input, changeFormat);
-    if (listed(view) != before) return broken("a change is visible before it is applied", input);
+    if (describe(view) != before) return broken("a change is visible before it is applied", input);
     if (!patch) return rejectedWith(patch.error(), input);
     LogEntry entry{view.index() + 1, 1, static_cast<int>(EntryKind::change), patch.value(), "id", view.revision() + 1};
-    Configuration twin = view;
+    Configuration replica = view;
     view.apply(entry);
-    twin.apply(entry);
-    if (listed(twin) != listed(view)) return broken("two replicas differ after they applied the same change", input);
-    Configuration complete;
-    if (!complete.installSnapshot(view.snapshot()))
+    replica.apply(entry);
+    if (describe(replica) != describe(view))
+      return broken("two replicas differ after they applied the same change", input);
+    Configuration restored;
+    if (!restored.installSnapshot(view.snapshot()))
       return broken("the configuration's snapshot cannot be installed", input);
-    if (listed(complete) != listed(view))
-      return broken("the configuration installed from the snapshot differs:\n" + listed(complete) + "\n" + listed(view),
-                    input);
-    auto again = view.preparePatch(view.text(), ChangeFormat::complete);
-    if (!again)
-      return broken("the configuration in force would be rejected as a new one: " + again.error().subject, input);
-    LogEntry repeated{view.index() + 1, 1, static_cast<int>(EntryKind::change), again.value(), {}, view.revision() + 1};
-    Configuration over = view;
-    over.apply(repeated);
-    if (over.text() != view.text()) return broken("replacing the configuration by itself changes it", input);
+    if (describe(restored) != describe(view))
+      return broken(
+          "the configuration installed from the snapshot differs:\n" + describe(restored) + "\n" + describe(view),
+          input);
+    auto reread = view.preparePatch(view.text(), ChangeFormat::complete);
+    if (!reread)
+      return broken("the configuration in force would be rejected as a new one: " + reread.error().subject, input);
+    LogEntry repeated{view.index() + 1, 1,  static_cast<int>(EntryKind::change),
+                      reread.value(),   {}, view.revision() + 1};
+    Configuration replaced = view;
+    replaced.apply(repeated);
+    if (replaced.text() != view.text()) return broken("replacing the configuration by itself changes it", input);
     return accepted();
   }
 };
 
 FuzzOutcome tryPolicy(Mutator& mutator) {
-  static const Strings good{"fetch peer when hits >= 4 and speed > 10.5\nfetch store when busyness < 0.5\nrecompute",
-                            "# comment\n\nfetch store\n", "recompute when hits <= 2 and hits > 0\nfetch peer"};
-  std::string input = mutator.mutatedText(good);
+  static const Strings valid{"fetch peer when hits >= 4 and speed > 10.5\nfetch store when busyness < 0.5\nrecompute",
+                             "# comment\n\nfetch store\n", "recompute when hits <= 2 and hits > 0\nfetch peer"};
+  std::string input = mutator.mutatedText(valid);
   auto read = Policy::read(input);
   if (!read) return rejectedWith(read.error(), input);
-  auto spaced = Policy::read(input + "\n# no more\n\n");
-  if (!spaced) return broken("a policy is invalid after a comment was added", input);
+  auto commented = Policy::read(input + "\n# no more\n\n");
+  if (!commented) return broken("a policy is invalid after a comment was added", input);
   for (bool store : {false, true}) {
-    FetchCandidate facts{store, static_cast<double>(mutator.randomBelow(9)),
-                         static_cast<double>(mutator.randomBelow(20)),
-                         static_cast<double>(mutator.randomBelow(10)) / 10};
-    if (read.value().fetches(facts) != spaced.value().fetches(facts))
+    FetchCandidate candidate{store, static_cast<double>(mutator.randomBelow(9)),
+                             static_cast<double>(mutator.randomBelow(20)),
+                             static_cast<double>(mutator.randomBelow(10)) / 10};
+    if (read.value().fetches(candidate) != commented.value().fetches(candidate))
       return broken("a policy decides differently after a comment was added", input);
   }
   return accepted();
 }
 
 FuzzOutcome tryManifests(Mutator& mutator) {
-  static const Strings good{
+  static const Strings valid{
       R"({"apiVersion":"gateway.networking.k8s.io/v1","kind":"HTTPRoute","metadata":{"name":"chat","annotations":{"trouttally/policy":"p","trouttally/kind":"app"}},"spec":{"rules":[{"backendRefs":[{"name":"moss"}]}]}})",
       R"({"apiVersion":"v1","kind":"List","items":[{"apiVersion":"gateway.networking.k8s.io/v1","kind":"HTTPRoute","metadata":{"name":"a"},"spec":{"rules":[{"backendRefs":[{"name":"moss"}]}]}}]})"};
-  std::string input = mutator.mutatedText(good);
-  auto made = patchFromManifests(input);
-  if (!made) return rejectedWith(made.error(), input);
-  auto patch = parseJson(made.value());
+  std::string input = mutator.mutatedText(valid);
+  auto patchText = patchFromManifests(input);
+  if (!patchText) return rejectedWith(patchText.error(), input);
+  auto patch = parseJson(patchText.value());
   if (!patch || !patch.value().is<JsonObject>()) return broken("the patch is not a JSON object", input);
   for (const auto& [section, items] : patch.value().get<JsonObject>())
     if (section != "routes" || !items.is<JsonObject>())
       return broken("the patch contains something other than routes", input);
-  if (auto prepared = Configuration().preparePatch(made.value(), false); !prepared)
+  if (auto prepared = Configuration().preparePatch(patchText.value(), false); !prepared)
     if (prepared.error().subject.empty()) return broken("an error has no subject", input);
   return accepted();
 }
 
 FuzzOutcome tryChart(Mutator& mutator) {
-  static const Strings good = [] {
-    Strings rows;
-    for (const auto& [name, text] : chartTexts()) rows.push_back(text);
-    return rows;
+  static const Strings valid = [] {
+    Strings texts;
+    for (const auto& [name, text] : chartTexts()) texts.push_back(text);
+    return texts;
   }();
-  std::string input = mutator.mutatedText(good);
+  std::string input = mutator.mutatedText(valid);
   auto read = StateChart::read(input);
   if (!read) return rejectedWith(read.error(), input);
-  auto again = StateChart::read("\n# more\n" + input);
-  if (!again || again.value().actions() != read.value().actions())
+  auto reread = StateChart::read("\n# more\n" + input);
+  if (!reread || reread.value().actions() != read.value().actions())
     return broken("a state chart differs after a comment was added", input);
   return accepted();
 }
 
 FuzzOutcome tryScenario(Mutator& mutator) {
-  Strings good{randomScenario(1 + mutator.randomBelow(64)),
-               "title a title\nfleet edges 3 workers 5 tenants 4 spares 1 localities 2\nseed 4\nat 3 kill core-1\n"
-               "at 4.5 cut core-1 core-2\nat 9 heal\nuntil 20\nexpect answered > 10\nwithout ackWaits\n"};
-  std::string input = mutator.mutatedText(good);
-  auto troubles = checkScenario(input);
-  for (const auto& trouble : troubles)
-    if (trouble.rfind("line ", 0) != 0) return broken("an error does not name its line: " + trouble, input);
-  return troubles.empty() ? accepted() : rejected();
+  Strings valid{randomScenario(1 + mutator.randomBelow(64)),
+                "title a title\nfleet edges 3 workers 5 tenants 4 spares 1 localities 2\nseed 4\nat 3 kill core-1\n"
+                "at 4.5 cut core-1 core-2\nat 9 heal\nuntil 20\nexpect answered > 10\nwithout ackWaits\n"};
+  std::string input = mutator.mutatedText(valid);
+  auto errors = checkScenario(input);
+  for (const auto& error : errors)
+    if (error.rfind("line ", 0) != 0) return broken("an error does not name its line: " + error, input);
+  return errors.empty() ? accepted() : rejected();
 }
 
 }  // namespace
 
 void addConfigurationTargets(FuzzTargets& targets) {
-  auto grown = std::make_shared<GrownConfiguration>();
-  targets.push_back({"configuration", 3000, [grown](Mutator& mutator) { return grown->once(mutator); }});
+  auto target = std::make_shared<AccumulatedConfiguration>();
+  targets.push_back({"configuration", 3000, [target](Mutator& mutator) { return target->runRound(mutator); }});
   targets.push_back({"policies", 10000, tryPolicy});
   targets.push_back({"manifests", 10000, tryManifests});
   targets.push_back({"charts", 4000, tryChart});
--- a/src/fuzz/fuzz.hpp
+++ b/src/fuzz/fuzz.hpp
@@ -11,14 +11,16 @@
 class Mutator {
  public:
   explicit Mutator(std::uint64_t seed) : randomSource(seed) {}
+  /// A random number from 0 to below - 1, or 0 if `below` is 0.
   std::uint64_t randomBelow(std::uint64_t below) { return below ? randomSource() % below : 0; }
-  bool chance(std::uint64_t inSo) { return randomBelow(inSo) == 0; }
-  const std::string& pick(const Strings& rows) { return rows[randomBelow(rows.size())]; }
+  /// True with a probability of 1 in `oneIn`.
+  bool chance(std::uint64_t oneIn) { return randomBelow(oneIn) == 0; }
+  const std::string& pick(const Strings& texts) { return texts[randomBelow(texts.size())]; }
   /// Picks one of the valid texts and mutates it a few times; one in sixteen is returned unchanged.
-  std::string mutatedText(const Strings& good);
+  std::string mutatedText(const Strings& valid);
   /// Mutates bytes without regard to tokens, for binary formats. Some mutations insert bytes of `other`, which is also
   /// returned if all bytes have been removed.
-  std::string bentBytes(std::string bytes, const std::string& other);
+  std::string mutatedBytes(std::string bytes, const std::string& other);
   /// A number, as text, at or beyond a limit of a numeric type or with unusual syntax.
   std::string boundaryNumber();
   /// A short string of a kind that occurs in valid inputs.
@@ -27,30 +29,30 @@
 
  private:
   std::mt19937_64 randomSource;
-  std::string bendTextOnce(std::string text, const std::string& other);
-  std::string bendTree(const std::string& text, const std::string& other);
+  std::string mutateTextOnce(std::string text, const std::string& other);
+  std::string mutateJson(const std::string& text, const std::string& other);
 };
 
 /// Fills a message or a struct within one with random values, through the serialize() method that also defines its wire
 /// format.
-class Filler {
+class RandomFiller {
  public:
-  explicit Filler(Mutator& drawn) : mutator(drawn) {}
+  explicit RandomFiller(Mutator& randomMutator) : mutator(randomMutator) {}
   Mutator& mutator;
 };
-void serializeField(Filler& filler, std::string& value);
-void serializeField(Filler& filler, bool& value);
-void serializeField(Filler& filler, int& value);
-void serializeField(Filler& filler, double& value);
-void serializeField(Filler& filler, std::int64_t& value);
-void serializeField(Filler& filler, Uint64& value);
-void serializeField(Filler& filler, BlockHash& value);
+void serializeField(RandomFiller& filler, std::string& value);
+void serializeField(RandomFiller& filler, bool& value);
+void serializeField(RandomFiller& filler, int& value);
+void serializeField(RandomFiller& filler, double& value);
+void serializeField(RandomFiller& filler, std::int64_t& value);
+void serializeField(RandomFiller& filler, Uint64& value);
+void serializeField(RandomFiller& filler, BlockHash& value);
 template <class T>
-void serializeField(Filler& filler, T& value) {
+void serializeField(RandomFiller& filler, T& value) {
   value.serialize(filler, 0);
 }
 template <class T>
-void serializeField(Filler& filler, std::vector<T>& rows) {
+void serializeField(RandomFiller& filler, std::vector<T>& rows) {
   rows.resize(filler.mutator.randomBelow(4));
   for (auto& row : rows) serializeField(filler, row);
 }
@@ -64,20 +66,20 @@
 FuzzOutcome rejected();
 FuzzOutcome broken(std::string property, std::string input);
 /// The outcome for an input that was rejected with an error. Checks that the error has a known code and a subject.
-FuzzOutcome rejectedWith(const Error& trouble, const std::string& input);
+FuzzOutcome rejectedWith(const Error& error, const std::string& input);
 
 /// A parser under test and the properties that it must hold. A target may keep state between its rounds.
 struct FuzzTarget {
   std::string name;
   /// Rounds in the fixed run that the tests use.
   std::size_t rounds{0};
-  std::function<FuzzOutcome(Mutator&)> once;
+  std::function<FuzzOutcome(Mutator&)> runRound;
 };
 using FuzzTargets = std::vector<FuzzTarget>;
 
 /// Each of these registers the targets for one group of formats.
 void addConfigurationTargets(FuzzTargets& targets);
-void addContractTargets(FuzzTargets& targets);
+void addJsonBodyTargets(FuzzTargets& targets);
 void addFrameTargets(FuzzTargets& targets);
 void addRingTargets(FuzzTargets& targets);
 void addClientTargets(FuzzTargets& targets);
--- a/src/fuzz/mutation.cpp
+++ b/src/fuzz/mutation.cpp
@@ -37,16 +37,17 @@
                               "1e999",
                               "0x10",
                               "ffffffffffffffff"};
-const Strings oddWords{
+const Strings unusualTokens{
     "",     "null", "true",    "false", "{}",        "[]",      "\"\"",         "[[]]",  "{\"\":{}}", ",",
     ":",    ";",    "\"",      "\\",    "\\u0000",   "\\ud800", "\"a\\u00e9\"", "\r\n",  "\n",        "\t",
     " ",    "#",    "->",      "-",     "=",         ".",       "..",           "/",     "//",        "@",
     "\xff", "\xc3", "chunked", "gzip",  "0\r\n\r\n", "at",      "extra",        "null,", "}",         "]"};
-constexpr std::size_t mostBytes = 64 * 1024;
+/// Longer texts are cut to this length after a mutation.
+constexpr std::size_t maxTextBytes = 64 * 1024;
 
-bool isWordByte(char letter) {
-  return (letter >= '0' && letter <= '9') || (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z') ||
-         letter == '_' || letter == '-' || letter == '.';
+bool isWordByte(char character) {
+  return (character >= '0' && character <= '9') || (character >= 'a' && character <= 'z') ||
+         (character >= 'A' && character <= 'Z') || character == '_' || character == '-' || character == '.';
 }
 /// Splits a text into words, quoted strings and single other characters. Returns the offset and length of each.
 std::vector<std::pair<std::size_t, std::size_t>> tokensOf(const std::string& text) {
@@ -65,6 +66,7 @@
   return tokens;
 }
 
+/// Lists a value and all values within it.
 void listNodes(Json& value, std::vector<Json*>& nodes) {
   nodes.push_back(&value);
   if (value.is<JsonObject>())
@@ -72,8 +74,8 @@
   if (value.is<JsonArray>())
     for (auto& item : value.get<JsonArray>()) listNodes(item, nodes);
 }
-constexpr double treeNumbers[] = {0,    1,    -1,   0.5,  2147483648.0, 4294967296.0, 9007199254740992.0,
-                                  1e13, 9e15, 1e18, 1e300};
+constexpr double boundaryJsonNumbers[] = {0,    1,    -1,   0.5,  2147483648.0, 4294967296.0, 9007199254740992.0,
+                                          1e13, 9e15, 1e18, 1e300};
 
 }  // namespace
 
@@ -84,11 +86,11 @@
   return pick(words);
 }
 
-std::string Mutator::bendTextOnce(std::string text, const std::string& other) {
+std::string Mutator::mutateTextOnce(std::string text, const std::string& other) {
   auto tokens = tokensOf(text);
-  if (tokens.empty()) return pick(oddWords);
+  if (tokens.empty()) return pick(unusualTokens);
   auto [start, size] = tokens[randomBelow(tokens.size())];
-  auto [laterStart, laterSize] = tokens[randomBelow(tokens.size())];
+  auto [secondStart, secondSize] = tokens[randomBelow(tokens.size())];
   auto otherTokens = tokensOf(other);
   switch (randomBelow(13)) {
     case 0:
@@ -99,11 +101,11 @@
     case 2:
       return text.erase(start, size);
     case 3:
-      return text.erase(std::min(start, laterStart), std::max(start, laterStart) - std::min(start, laterStart));
+      return text.erase(std::min(start, secondStart), std::max(start, secondStart) - std::min(start, secondStart));
     case 4:
-      return text.insert(start, text.substr(laterStart, laterSize));
+      return text.insert(start, text.substr(secondStart, secondSize));
     case 5: {
-      std::size_t first = std::min(start, laterStart), last = std::max(start, laterStart);
+      std::size_t first = std::min(start, secondStart), last = std::max(start, secondStart);
       return text.insert(last, text.substr(first, last - first));
     }
     case 6:
@@ -119,14 +121,14 @@
     case 9:
       return text.replace(start, size, boundaryNumber());
     case 10:
-      return text.replace(start, size, pick(oddWords));
+      return text.replace(start, size, pick(unusualTokens));
     case 11: {
       std::size_t depth = std::size_t(1) << randomBelow(9);
-      bool lists = chance(2);
+      bool useArrays = chance(2);
       std::string open, close;
       for (std::size_t level = 0; level < depth; ++level) {
-        open += lists ? "[" : "{\"a\":";
-        close += lists ? "]" : "}";
+        open += useArrays ? "[" : "{\"a\":";
+        close += useArrays ? "]" : "}";
       }
       return text.substr(0, start) + open + text.substr(start, size) + close + text.substr(start + size);
     }
@@ -136,66 +138,67 @@
 }
 
 /// Mutates one value of a JSON text; the result is valid JSON. Returns an empty string if the text is not valid JSON.
-std::string Mutator::bendTree(const std::string& text, const std::string& other) {
+std::string Mutator::mutateJson(const std::string& text, const std::string& other) {
   auto read = parseJson(text);
-  auto donor = parseJson(other);
+  auto otherValue = parseJson(other);
   if (!read) return {};
-  std::vector<Json*> nodes, donated;
+  std::vector<Json*> nodes, otherNodes;
   listNodes(read.value(), nodes);
-  if (donor) listNodes(donor.value(), donated);
+  if (otherValue) listNodes(otherValue.value(), otherNodes);
   Json& node = *nodes[randomBelow(nodes.size())];
   if (node.is<double>() && chance(2)) {
-    node = Json(treeNumbers[randomBelow(std::size(treeNumbers))]);
+    node = Json(boundaryJsonNumbers[randomBelow(std::size(boundaryJsonNumbers))]);
   } else if (node.is<JsonObject>() && !node.get<JsonObject>().empty()) {
-    auto& rows = node.get<JsonObject>();
-    auto row = std::next(rows.begin(), static_cast<std::ptrdiff_t>(randomBelow(rows.size())));
-    auto twin = std::next(rows.begin(), static_cast<std::ptrdiff_t>(randomBelow(rows.size())));
+    auto& fields = node.get<JsonObject>();
+    auto field = std::next(fields.begin(), static_cast<std::ptrdiff_t>(randomBelow(fields.size())));
+    auto otherField = std::next(fields.begin(), static_cast<std::ptrdiff_t>(randomBelow(fields.size())));
     if (chance(3))
-      rows.erase(row);
+      fields.erase(field);
     else if (chance(2))
-      std::swap(row->second, twin->second);
+      std::swap(field->second, otherField->second);
     else
-      rows[word()] = row->second;
+      fields[word()] = field->second;
   } else if (node.is<JsonArray>() && !node.get<JsonArray>().empty()) {
-    auto& rows = node.get<JsonArray>();
-    std::size_t at = randomBelow(rows.size());
+    auto& items = node.get<JsonArray>();
+    std::size_t at = randomBelow(items.size());
     if (chance(2))
-      rows.erase(rows.begin() + static_cast<std::ptrdiff_t>(at));
+      items.erase(items.begin() + static_cast<std::ptrdiff_t>(at));
     else
-      rows.push_back(Json(rows[at]));
+      items.push_back(Json(items[at]));
   } else if (node.is<std::string>() && chance(2)) {
     node = Json(word());
-  } else if (!donated.empty() && chance(2)) {
-    node = Json(*donated[randomBelow(donated.size())]);
+  } else if (!otherNodes.empty() && chance(2)) {
+    node = Json(*otherNodes[randomBelow(otherNodes.size())]);
   } else {
     node = Json();
   }
   return read.value().serialize();
 }
 
-std::string Mutator::mutatedText(const Strings& good) {
-  std::string text = pick(good);
+std::string Mutator::mutatedText(const Strings& valid) {
+  std::string text = pick(valid);
   if (chance(16)) return text;
-  std::uint64_t times = 1 + (chance(2) ? randomBelow(5) : 0);
+  std::uint64_t mutationCount = 1 + (chance(2) ? randomBelow(5) : 0);
   if (chance(2)) {
-    for (; times > 0; --times)
-      if (auto bent = bendTree(text, pick(good)); !bent.empty()) text = std::move(bent);
+    for (; mutationCount > 0; --mutationCount)
+      if (auto mutated = mutateJson(text, pick(valid)); !mutated.empty()) text = std::move(mutated);
     return text;
   }
-  for (std::uint64_t time = 0; time < times; ++time) {
-    text = bendTextOnce(std::move(text), pick(good));
-    if (text.size() > mostBytes) text.resize(mostBytes);
+  for (std::uint64_t number = 0; number < mutationCount; ++number) {
+    text = mutateTextOnce(std::move(text), pick(valid));
+    if (text.size() > maxTextBytes) text.resize(maxTextBytes);
   }
   return text;
 }
 
-std::string Mutator::bentBytes(std::string bytes, const std::string& other) {
+std::string Mutator::mutatedBytes(std::string bytes, const std::string& other) {
+  /// Sizes that are written over four bytes, as a length field may be there.
   static const std::uint32_t sizes[] = {0, 1, 2, 255, 4096, 65535, 0x7fffffff, 0x80000000, 0xffffffff};
   if (chance(16)) return bytes;
-  std::uint64_t times = 1 + (chance(2) ? randomBelow(4) : 0);
-  for (std::uint64_t time = 0; time < times; ++time) {
+  std::uint64_t mutationCount = 1 + (chance(2) ? randomBelow(4) : 0);
+  for (std::uint64_t number = 0; number < mutationCount; ++number) {
     if (bytes.empty()) return other;
-    std::size_t at = randomBelow(bytes.size()), span = randomBelow(std::min<std::size_t>(bytes.size() - at, 64) + 1);
+    std::size_t at = randomBelow(bytes.size()), length = randomBelow(std::min<std::size_t>(bytes.size() - at, 64) + 1);
     switch (randomBelow(7)) {
       case 0:
         bytes[at] ^= static_cast<char>(1u << randomBelow(8));
@@ -207,7 +210,7 @@
         bytes.insert(at, std::string(1 + randomBelow(8), static_cast<char>(randomBelow(256))));
         break;
       case 3:
-        bytes.erase(at, span);
+        bytes.erase(at, length);
         break;
       case 4:
         bytes.resize(at);
@@ -215,35 +218,35 @@
       case 5:
         if (bytes.size() >= at + 4) {
           auto size = sizes[randomBelow(std::size(sizes))];
-          for (int place = 0; place < 4; ++place) bytes[at + place] = static_cast<char>(size >> (8 * place));
+          for (int byte = 0; byte < 4; ++byte) bytes[at + byte] = static_cast<char>(size >> (8 * byte));
         }
         break;
       default:
         if (!other.empty()) {
           std::size_t from = randomBelow(other.size());
-          bytes.replace(at, span, other, from, randomBelow(std::min<std::size_t>(other.size() - from, 64) + 1));
+          bytes.replace(at, length, other, from, randomBelow(std::min<std::size_t>(other.size() - from, 64) + 1));
         }
     }
   }
   return bytes;
 }
 
-void serializeField(Filler& filler, std::string& value) {
+void serializeField(RandomFiller& filler, std::string& value) {
   value = filler.mutator.word();
   if (filler.mutator.chance(8)) value += std::string(filler.mutator.randomBelow(600), 'x');
 }
-void serializeField(Filler& filler, bool& value) { value = filler.mutator.chance(2); }
-void serializeField(Filler& filler, int& value) { value = static_cast<int>(filler.mutator.randomBelow(4)); }
-void serializeField(Filler& filler, double& value) {
+void serializeField(RandomFiller& filler, bool& value) { value = filler.mutator.chance(2); }
+void serializeField(RandomFiller& filler, int& value) { value = static_cast<int>(filler.mutator.randomBelow(4)); }
+void serializeField(RandomFiller& filler, double& value) {
   value = static_cast<double>(filler.mutator.randomBelow(1000)) / 8;
 }
-void serializeField(Filler& filler, std::int64_t& value) {
+void serializeField(RandomFiller& filler, std::int64_t& value) {
   value = static_cast<std::int64_t>(filler.mutator.randomBelow(1u << 30));
 }
-void serializeField(Filler& filler, Uint64& value) {
+void serializeField(RandomFiller& filler, Uint64& value) {
   value = filler.mutator.chance(4) ? filler.mutator.source()() : filler.mutator.randomBelow(100);
 }
-void serializeField(Filler& filler, BlockHash& value) {
+void serializeField(RandomFiller& filler, BlockHash& value) {
   value.high = filler.mutator.source()();
   value.low = filler.mutator.source()();
 }
@@ -253,10 +256,10 @@
 FuzzOutcome broken(std::string property, std::string input) {
   return FuzzOutcome{false, std::move(property), std::move(input)};
 }
-FuzzOutcome rejectedWith(const Error& trouble, const std::string& input) {
-  if (trouble.code == Code::done) return broken("an error has the code for success", input);
-  if (trouble.subject.empty()) return broken("an error has no subject", input);
-  if (std::string(codeName(trouble.code)).empty()) return broken("an error has an unknown code", input);
+FuzzOutcome rejectedWith(const Error& error, const std::string& input) {
+  if (error.code == Code::done) return broken("an error has the code for success", input);
+  if (error.subject.empty()) return broken("an error has no subject", input);
+  if (std::string(codeName(error.code)).empty()) return broken("an error has an unknown code", input);
   return rejected();
 }
 
--- a/src/tools/naming_records.hpp
+++ b/src/tools/announcement_records.hpp
@@ -11,10 +11,10 @@
 ///
 /// An announcement is identified by its change id, so that a resend neither counts twice nor moves the first
 /// acknowledgement. Announcements are ordered by the revisions in their acknowledgements.
-class NamingRecords {
+class AnnouncementRecords {
  public:
   /// Records that a change that announces these weights was sent.
-  void sent(const std::string& changeId, const std::string& model, const std::string& weights, TimePoint at);
+  void recordSent(const std::string& changeId, const std::string& model, const std::string& weights, TimePoint at);
   /// Records that a change that announces these weights was acknowledged with this revision.
   void recordAcknowledgement(const std::string& changeId, const std::string& model, const std::string& weights,
                              std::uint64_t revision, TimePoint at);
@@ -26,14 +26,14 @@
   std::size_t acknowledgedCount() const;
 
  private:
-  struct Naming {
+  struct Announcement {
     std::string model, weights;
     std::uint64_t revision{0};
     std::optional<TimePoint> firstSent, firstAcknowledged;
   };
-  std::map<std::string, Naming> namingsByChange;
+  std::map<std::string, Announcement> announcementsByChange;
 
-  Naming& namingOf(const std::string& changeId, const std::string& model, const std::string& weights);
+  Announcement& announcementOf(const std::string& changeId, const std::string& model, const std::string& weights);
 };
 
 }  // namespace tt
--- a/src/tools/audit.hpp
+++ b/src/tools/audit.hpp
@@ -20,11 +20,11 @@
   std::map<std::string, std::vector<std::string>> violations;
   std::int64_t orders{0}, runs{0}, retries{0}, unreadable{0};
   /// The requests that workers started, and the announcements of weights that were acknowledged.
-  std::int64_t begins{0}, namings{0};
+  std::int64_t startedRequests{0}, announcements{0};
   /// The longest time after the acknowledgement of newer weights at which a request started on older ones.
-  std::optional<Duration> latestOldBegin;
+  std::optional<Duration> latestStartOnOldWeights;
   /// The highest ratio of retries to first attempts in any window.
-  double worstRetryShare{0};
+  double worstRetryRatio{0};
   std::int64_t violationCount() const;
 };
 /// Checks the records against all invariants. Times in the records are nanoseconds of the steady clock of the one
@@ -34,6 +34,6 @@
 const std::vector<std::string>& auditedInvariants();
 /// Whether a text is the complete output of one run of a stand-in worker: the tokens 1 to `tokens`, all from one
 /// worker.
-bool isWholeAnswer(const std::string& text, std::int64_t tokens);
+bool isCompleteResponse(const std::string& text, std::int64_t tokens);
 
 }  // namespace tt
--- a/src/tools/main_audit.cpp
+++ b/src/tools/main_audit.cpp
@@ -5,54 +5,57 @@
 
 #include "audit.hpp"
 #include "history_lines.hpp"
+#include "old_weights_timeout.hpp"
 #include "process.hpp"
-#include "version_span.hpp"
 
 using namespace tt;
 
 namespace {
+/// Violations of one invariant that are printed; all are counted.
+constexpr std::size_t maxPrintedViolations = 5;
+
 /// An event that a script records for the audit.
-struct EventNote {
+struct AuditEvent {
   std::string event, name, model, changeId;
   double revision{0};
-  bool isNaming() const { return event == "naming" || event == "named"; }
+  bool isAnnouncement() const { return event == "naming" || event == "named"; }
 };
 
-Result<void> checkNote(const EventNote& note) {
+Result<void> checkEvent(const AuditEvent& newEvent) {
   static const std::set<std::string> events{"revoked", "leaving", "staying", "naming", "named"};
-  if (!events.count(note.event))
+  if (!events.count(newEvent.event))
     return makeError(Code::badProps, "note", "must be revoked, leaving, staying, naming or named");
-  if (note.isNaming() && note.name.empty())
+  if (newEvent.isAnnouncement() && newEvent.name.empty())
     return makeError(Code::badProps, "of", "must be given for naming and named");
-  if (note.isNaming() && note.model.empty())
+  if (newEvent.isAnnouncement() && newEvent.model.empty())
     return makeError(Code::badProps, "model", "must be given for naming and named");
-  if (note.isNaming() && note.changeId.empty())
+  if (newEvent.isAnnouncement() && newEvent.changeId.empty())
     return makeError(Code::badProps, "change", "must be given for naming and named");
-  if (note.event == "named" && note.revision < 1)
+  if (newEvent.event == "named" && newEvent.revision < 1)
     return makeError(Code::badProps, "revision", "must be given for named");
   return boost::outcome_v2::success();
 }
 
 /// The event as a line for the events file, with the current time.
-std::string writeNote(const EventNote& note) {
+std::string serializeEvent(const AuditEvent& newEvent) {
   JsonObject row;
   row["at"] = Json(std::to_string(toNanoseconds(Clock::now())));
-  row["event"] = Json(note.event);
-  row["name"] = Json(note.name);
-  if (note.isNaming()) {
-    row["model"] = Json(note.model);
-    row["change"] = Json(note.changeId);
+  row["event"] = Json(newEvent.event);
+  row["name"] = Json(newEvent.name);
+  if (newEvent.isAnnouncement()) {
+    row["model"] = Json(newEvent.model);
+    row["change"] = Json(newEvent.changeId);
   }
-  if (note.event == "named") row["revision"] = jsonNumber(note.revision);
+  if (newEvent.event == "named") row["revision"] = jsonNumber(newEvent.revision);
   return Json(row).serialize();
 }
 
 /// Prints how late requests started on superseded weights.
-void printBegins(const AuditResult& result, const AuditRecords& records) {
-  std::cout << "audit: " << result.begins << " requests started, " << result.namings
+void printStarts(const AuditResult& result, const AuditRecords& records) {
+  std::cout << "audit: " << result.startedRequests << " requests started, " << result.announcements
             << " namings; latest start on old weights: ";
-  if (result.latestOldBegin)
-    std::cout << toMilliseconds(*result.latestOldBegin) << " ms after newer ones were acknowledged";
+  if (result.latestStartOnOldWeights)
+    std::cout << toMilliseconds(*result.latestStartOnOldWeights) << " ms after newer ones were acknowledged";
   else
     std::cout << "none";
   std::cout << " (" << toMilliseconds(records.oldWeightsTimeout) << " ms allowed)\n";
@@ -71,31 +74,31 @@
 
 /// Checks the history of one fleet's configuration for linearizability and prints the result. Returns whether it is
 /// linearizable.
-Result<bool> auditOperators(const std::string& file) {
+Result<bool> auditOperatorHistory(const std::string& file) {
   auto lines = readLines({file});
   if (!lines) return lines.error();
   auto history = readHistory(lines.value());
   if (!history) return makeError(history.error().code, file + ": " + history.error().subject, history.error().text);
   if (history.value().operations.empty()) return makeError(Code::badProps, file, "contains no operation");
   history.value().linearizableReads = false;
-  auto verdict = checkHistory(history.value());
-  std::cout << "audit: operators: " << verdict.operations << " operations, " << verdict.unclear
-            << " with an unknown outcome, " << verdict.nonMonotonicReads << " reads older than an earlier read, "
-            << verdict.steps << " steps: "
-            << (verdict.undecided      ? "UNDECIDED"
-                : verdict.linearizable ? "linearizable"
-                                       : "NOT LINEARIZABLE")
+  auto historyResult = checkHistory(history.value());
+  std::cout << "audit: operators: " << historyResult.operations << " operations, " << historyResult.unclear
+            << " with an unknown outcome, " << historyResult.nonMonotonicReads << " reads older than an earlier read, "
+            << historyResult.steps << " steps: "
+            << (historyResult.undecided      ? "UNDECIDED"
+                : historyResult.linearizable ? "linearizable"
+                                             : "NOT LINEARIZABLE")
             << "\n";
-  if (!verdict.explanation.empty()) std::cout << verdict.explanation << "\n";
-  return verdict.linearizable && !verdict.undecided;
+  if (!historyResult.explanation.empty()) std::cout << historyResult.explanation << "\n";
+  return historyResult.linearizable && !historyResult.undecided;
 }
 }  // namespace
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
   std::vector<std::string> callers, workers, events, operators;
   std::string configuration;
-  EventNote note;
-  double versionMs = versionMsUsual;
+  AuditEvent newEvent;
+  double versionMs = defaultVersionMs;
   Settings reader("trouttally-audit",
                   "Checks the records of a run against the invariants; exits with 1 if one was violated");
   reader.texts("callers", &callers, "record files of the load generators")
@@ -104,20 +107,20 @@
       .texts("operators", &operators,
              "histories written by trouttally-operators, each of one fleet; may be given alone")
       .text("blueprint", &configuration, "the deployment's configuration file, which names the isolated tenants")
-      .number("versionMs", &versionMs, versionMsLeast, versionMsMost,
+      .number("versionMs", &versionMs, minVersionMs, maxVersionMs,
               "milliseconds after the acknowledgement of newer weights during which requests may start on older ones")
-      .text("note", &note.event,
+      .text("note", &newEvent.event,
             "instead of an audit, print a line for the events file: revoked, leaving, staying, naming (weights "
             "announced) or "
             "named (announcement acknowledged)")
-      .text("of", &note.name, "subject of that event: the secret of a key, a worker or weights")
-      .text("model", &note.model, "model whose weights are announced")
-      .text("change", &note.changeId, "change id of the announcement")
-      .number("revision", &note.revision, 0, 1e15, "revision in the acknowledgement of the announcement");
-  if (auto code = reader.read(count, words)) return *code;
-  if (!note.event.empty()) {
-    if (auto done = checkNote(note); !done) return reportStartFailure(done.error());
-    std::cout << writeNote(note) << "\n";
+      .text("of", &newEvent.name, "subject of that event: the secret of a key, a worker or weights")
+      .text("model", &newEvent.model, "model whose weights are announced")
+      .text("change", &newEvent.changeId, "change id of the announcement")
+      .number("revision", &newEvent.revision, 0, 1e15, "revision in the acknowledgement of the announcement");
+  if (auto code = reader.read(count, arguments)) return *code;
+  if (!newEvent.event.empty()) {
+    if (auto done = checkEvent(newEvent); !done) return reportStartFailure(done.error());
+    std::cout << serializeEvent(newEvent) << "\n";
     return 0;
   }
   AuditRecords records;
@@ -128,13 +131,13 @@
     if (!read) return reportStartFailure(read.error());
     *lines = read.value();
   }
-  bool sound = true;
+  bool passed = true;
   for (const auto& file : operators) {
-    auto checked = auditOperators(file);
+    auto checked = auditOperatorHistory(file);
     if (!checked) return reportStartFailure(checked.error());
-    sound = sound && checked.value();
+    passed = passed && checked.value();
   }
-  if (!operators.empty() && records.callers.empty() && records.workers.empty()) return sound ? 0 : 1;
+  if (!operators.empty() && records.callers.empty() && records.workers.empty()) return passed ? 0 : 1;
   if (records.callers.empty() || records.workers.empty())
     return reportStartFailure(
         makeError(Code::badProps, "callers", "the records of callers and of workers must both be given"));
@@ -152,13 +155,14 @@
   }
   auto result = auditRecords(records);
   std::cout << "audit: " << result.orders << " requests, " << result.runs << " runs, " << result.retries
-            << " retries (worst window " << static_cast<int>(1000 * result.worstRetryShare) / 10.0 << " %), "
+            << " retries (worst window " << static_cast<int>(1000 * result.worstRetryRatio) / 10.0 << " %), "
             << result.unreadable << " unreadable lines\n";
-  printBegins(result, records);
-  for (const auto& line : auditedInvariants()) {
-    const auto& rows = result.violations[line];
-    std::cout << "audit: " << rows.size() << " " << line << "\n";
-    for (std::size_t at = 0; at < rows.size() && at < 5; ++at) std::cout << "       " << rows[at] << "\n";
+  printStarts(result, records);
+  for (const auto& invariant : auditedInvariants()) {
+    const auto& violations = result.violations[invariant];
+    std::cout << "audit: " << violations.size() << " " << invariant << "\n";
+    for (std::size_t at = 0; at < violations.size() && at < maxPrintedViolations; ++at)
+      std::cout << "       " << violations[at] << "\n";
   }
-  return result.violationCount() == 0 && sound ? 0 : 1;
+  return result.violationCount() == 0 && passed ? 0 : 1;
 }
--- a/src/tools/main_ctl.cpp
+++ b/src/tools/main_ctl.cpp
@@ -9,6 +9,7 @@
 using namespace tt;
 
 namespace {
+/// Reads a file, or standard input if its name is "-".
 Result<std::string> readFileOrInput(const std::string& file) {
   std::stringstream bytes;
   if (file == "-") {
@@ -21,17 +22,20 @@
   return bytes.str();
 }
 
-std::vector<std::string> differences(const JsonObject& inForce, const JsonObject& wanted) {
+/// One line for each item that is removed (-), added (+) or changed (~). The secrets of keys are compared by their
+/// hash, since the fleet stores only that.
+std::vector<std::string> differences(const JsonObject& current, const JsonObject& desired) {
   std::vector<std::string> lines;
   std::set<std::string> sections;
-  for (const auto& [section, items] : inForce) sections.insert(section);
-  for (const auto& [section, items] : wanted) sections.insert(section);
-  auto itemsOf = [](const JsonObject& whole, const std::string& section) {
-    auto found = whole.find(section);
-    return found != whole.end() && found->second.is<JsonObject>() ? found->second.get<JsonObject>() : JsonObject{};
+  for (const auto& [section, items] : current) sections.insert(section);
+  for (const auto& [section, items] : desired) sections.insert(section);
+  auto itemsOf = [](const JsonObject& configuration, const std::string& section) {
+    auto found = configuration.find(section);
+    return found != configuration.end() && found->second.is<JsonObject>() ? found->second.get<JsonObject>()
+                                                                          : JsonObject{};
   };
   for (const auto& section : sections) {
-    auto before = itemsOf(inForce, section), after = itemsOf(wanted, section);
+    auto before = itemsOf(current, section), after = itemsOf(desired, section);
     if (section == "keys")
       for (auto& [name, item] : after)
         if (item.is<JsonObject>() && item.get<JsonObject>().count("secret")) {
@@ -57,7 +61,7 @@
     "some cores answered";
 }  // namespace
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
   CLI::App app("Reads and changes the configuration and shows the state of a trouttally fleet", "trouttally-ctl");
   app.set_version_flag("--version", std::string("trouttally-ctl ") + TROUTTALLY_VERSION);
   app.require_subcommand(1);
@@ -70,15 +74,15 @@
   auto* put = app.add_subcommand("put", "Replace the whole configuration (blueprint) by a file");
   auto* patch = app.add_subcommand("patch", "Change a part of the configuration (JSON merge patch)");
   auto* manifest = app.add_subcommand("manifest", "Change routes by Gateway API HTTPRoute manifests (JSON)");
-  for (auto* verb : {put, patch, manifest}) {
-    verb->add_option("file", file, "the file, or - for standard input")->required();
-    verb->add_option("--change-id", changeId,
-                     "unique id of the change, under which it can be resent without being applied twice");
-    verb->add_option(
+  for (auto* command : {put, patch, manifest}) {
+    command->add_option("file", file, "the file, or - for standard input")->required();
+    command->add_option("--change-id", changeId,
+                        "unique id of the change, under which it can be resent without being applied twice");
+    command->add_option(
         "--since-revision", sinceRevision,
         "the revision in force when this change id was first sent; a resend is denied if that is so long ago that the "
         "id may have been forgotten");
-    verb->add_option("--if-revision", revision, "apply the change only if this revision is in force");
+    command->add_option("--if-revision", revision, "apply the change only if this revision is in force");
   }
   auto* get = app.add_subcommand("get", "Show the configuration in force");
   auto* condition =
@@ -94,9 +98,9 @@
       ->check(CLI::Range(0.0, 3600.0));
   auto* counters = app.add_subcommand("counters", "Show a core's counters");
   try {
-    app.parse(count, words);
-  } catch (const CLI::ParseError& thrown) {
-    int code = app.exit(thrown);
+    app.parse(count, arguments);
+  } catch (const CLI::ParseError& parseError) {
+    int code = app.exit(parseError);
     return code == 0 ? 0 : 2;
   }
   std::vector<std::string> addresses;
@@ -157,8 +161,8 @@
         commits.emplace_back(stringOr(read.value(), "core"), commit);
         if (!boolOr(read.value(), "confirmed", false))
           lines.push_back("core     " + stringOr(read.value(), "core") + " does not know whether it is up to date");
-        const auto& whole = read.value().get<JsonObject>();
-        if (auto rows = whole.find("agents"); rows != whole.end() && rows->second.is<JsonObject>())
+        const auto& state = read.value().get<JsonObject>();
+        if (auto rows = state.find("agents"); rows != state.end() && rows->second.is<JsonObject>())
           for (const auto& [name, row] : rows->second.get<JsonObject>()) {
             auto& agent = agents[name];
             agent.first = std::max(agent.first, integerOr(row, "applied", 0));
@@ -196,15 +200,15 @@
       if (!read) continue;
       any = true;
       ++answeredCount;
-      const auto& whole = read.value();
-      std::cout << "core     " << stringOr(whole, "core") << " " << stringOr(whole, "locality") << " revision "
-                << integerOr(whole, "revision", 0) << " commit " << integerOr(whole, "commit", 0) << " pending "
-                << integerOr(whole, "pendingChanges", 0) << (boolOr(whole, "diskStalled", false) ? " DISK STALLED" : "")
+      const auto& state = read.value();
+      std::cout << "core     " << stringOr(state, "core") << " " << stringOr(state, "locality") << " revision "
+                << integerOr(state, "revision", 0) << " commit " << integerOr(state, "commit", 0) << " pending "
+                << integerOr(state, "pendingChanges", 0) << (boolOr(state, "diskStalled", false) ? " DISK STALLED" : "")
                 << "\n";
-      const auto& rows = whole.get<JsonObject>();
+      const auto& rows = state.get<JsonObject>();
       for (const auto& [duty, row] : rows.at("duties").get<JsonObject>())
         if (boolOr(row, "here", false))
-          duties[duty] = stringOr(whole, "core") + " term " + std::to_string(integerOr(row, "term", 0));
+          duties[duty] = stringOr(state, "core") + " term " + std::to_string(integerOr(row, "term", 0));
       for (const auto& [name, row] : rows.at("workers").get<JsonObject>())
         std::cout << "worker   " << name << " " << stringOr(row, "kind") << " " << stringOr(row, "locality")
                   << " weights " << stringOr(row, "weights") << " running " << integerOr(row, "running", 0) << " kept "
@@ -234,9 +238,9 @@
     return 1;
   }
   if (diff->parsed() && result.status == 200) {
-    auto wanted = readFileOrInput(file);
-    if (!wanted) return reportStartFailure(wanted.error());
-    auto after = parseJson(wanted.value());
+    auto desired = readFileOrInput(file);
+    if (!desired) return reportStartFailure(desired.error());
+    auto after = parseJson(desired.value());
     auto before = parseJson(result.body);
     if (!after || !after.value().is<JsonObject>())
       return reportStartFailure(makeError(Code::badJson, file, after ? "must be an object" : after.error().text));
--- a/src/tools/main_fuzz.cpp
+++ b/src/tools/main_fuzz.cpp
@@ -7,12 +7,13 @@
 using namespace tt;
 
 namespace {
-std::string readable(const std::string& bytes) {
-  constexpr std::size_t mostTold = 4000;
+/// The bytes as printable text, with escapes and limited in length.
+std::string escaped(const std::string& bytes) {
+  constexpr std::size_t maxPrintedBytes = 4000;
   std::string text;
-  for (char letter : bytes) {
-    if (text.size() > mostTold) return text + " [truncated]";
-    auto byte = static_cast<unsigned char>(letter);
+  for (char character : bytes) {
+    if (text.size() > maxPrintedBytes) return text + " [truncated]";
+    auto byte = static_cast<unsigned char>(character);
     char written[8];
     std::snprintf(written, sizeof written, byte < 0x20 || byte > 0x7e || byte == '\\' ? "\\x%02x" : "%c", byte);
     text += written;
@@ -21,35 +22,37 @@
 }
 
 /// The seed of one round. Each round has its own, so that any round can be run alone.
-std::uint64_t seedOf(std::uint64_t seed, const std::string& name, std::uint64_t round) {
+std::uint64_t roundSeed(std::uint64_t seed, const std::string& name, std::uint64_t round) {
   return rendezvousHash(name, std::to_string(seed) + "/" + std::to_string(round));
 }
 
 /// Runs rounds of one target up to the first violation. Returns whether all properties held.
-bool play(const FuzzTarget& target, std::uint64_t seed, std::uint64_t first, std::uint64_t rounds, bool tells) {
-  std::uint64_t taken = 0, refused = 0;
+bool runTarget(const FuzzTarget& target, std::uint64_t seed, std::uint64_t first, std::uint64_t rounds,
+               bool printRounds) {
+  std::uint64_t acceptedRounds = 0, rejectedRounds = 0;
   for (std::uint64_t round = first; round < first + rounds; ++round) {
-    if (tells) std::cout << "round " << round << std::endl;
-    Mutator mutator(seedOf(seed, target.name, round));
-    auto outcome = target.once(mutator);
+    if (printRounds) std::cout << "round " << round << std::endl;
+    Mutator mutator(roundSeed(seed, target.name, round));
+    auto outcome = target.runRound(mutator);
     if (!outcome.broken.empty()) {
       std::cout << "fuzz: " << target.name << " BROKEN seed=" << seed << " round=" << round << ": " << outcome.broken
-                << "\ninput: " << readable(outcome.input) << std::endl;
+                << "\ninput: " << escaped(outcome.input) << std::endl;
       return false;
     }
-    ++(outcome.accepted ? taken : refused);
+    ++(outcome.accepted ? acceptedRounds : rejectedRounds);
   }
-  std::cout << "fuzz: " << target.name << " rounds=" << rounds << " accepted=" << taken << " rejected=" << refused
-            << std::endl;
+  std::cout << "fuzz: " << target.name << " rounds=" << rounds << " accepted=" << acceptedRounds
+            << " rejected=" << rejectedRounds << std::endl;
   return true;
 }
+
 /// The command-line options.
 struct FuzzOptions {
   std::string target{"all"};
   std::uint64_t seed{1}, rounds{0}, first{0};
-  bool tells{false}, lists{false};
+  bool printRounds{false}, listOnly{false};
 
-  bool wants(const FuzzTarget& row) const { return target == "all" || target == row.name; }
+  bool selects(const FuzzTarget& candidate) const { return target == "all" || target == candidate.name; }
 };
 
 void addOptions(CLI::App& app, FuzzOptions& options) {
@@ -57,15 +60,15 @@
   app.add_option("--seed", options.seed, "the same seed makes the same inputs");
   app.add_option("--rounds", options.rounds, "rounds of each target, instead of its default number");
   app.add_option("--first", options.first, "number of the first round");
-  app.add_flag("--tell", options.tells, "print the number of each round before it runs");
-  app.add_flag("--list", options.lists, "print the targets with their numbers of rounds, and exit");
+  app.add_flag("--tell", options.printRounds, "print the number of each round before it runs");
+  app.add_flag("--list", options.listOnly, "print the targets with their numbers of rounds, and exit");
 }
 
 FuzzTargets allTargets() {
   FuzzTargets targets;
   addClientTargets(targets);
   addConfigurationTargets(targets);
-  addContractTargets(targets);
+  addJsonBodyTargets(targets);
   addFrameTargets(targets);
   addRingTargets(targets);
 #ifdef TT_PLATFORM
@@ -76,28 +79,28 @@
 
 /// Lists or runs the selected targets. Returns the exit code.
 int run(const FuzzOptions& options) {
-  bool sound = true, found = false;
+  bool passed = true, found = false;
   for (const auto& target : allTargets()) {
-    if (options.lists) std::cout << target.name << " " << target.rounds << "\n";
-    if (!options.wants(target)) continue;
+    if (options.listOnly) std::cout << target.name << " " << target.rounds << "\n";
+    if (!options.selects(target)) continue;
     found = true;
-    if (options.lists) continue;
+    if (options.listOnly) continue;
     std::uint64_t rounds = options.rounds ? options.rounds : target.rounds;
-    sound = play(target, options.seed, options.first, rounds, options.tells) && sound;
+    passed = runTarget(target, options.seed, options.first, rounds, options.printRounds) && passed;
   }
   if (!found) {
     std::cerr << "no such target: " << options.target << "\n";
     return 2;
   }
-  return sound ? 0 : 1;
+  return passed ? 0 : 1;
 }
 }  // namespace
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
   CLI::App app("Feeds every parser mutated inputs and checks its properties", "trouttally-fuzz");
   app.set_version_flag("--version", std::string("trouttally-fuzz ") + TROUTTALLY_VERSION);
   FuzzOptions options;
   addOptions(app, options);
-  CLI11_PARSE(app, count, words);
+  CLI11_PARSE(app, count, arguments);
   return run(options);
 }
--- a/src/tools/main_model.cpp
+++ b/src/tools/main_model.cpp
@@ -12,23 +12,25 @@
 
 namespace {
 
-int printFound(const std::string& name, const SearchReport& report, const std::string& keepFolder) {
+/// Shrinks, prints and saves the counterexamples of a search. Returns 1 if there are any, else 0.
+int printCounterexamples(const std::string& name, const SearchReport& report, const std::string& saveDirectory) {
   int number = 0;
   for (const auto& found : report.found) {
-    Run shorter = shrink(found.run, found.violation.rule);
+    Run shrunk = shrink(found.run, found.violation.rule);
     std::cout << "VIOLATION " << name << " " << found.violation.rule << " (" << found.run.choices.size()
-              << " events, shortened to " << shorter.choices.size() << ")\n";
-    auto violation = replay(shorter, [](const std::string& line) { std::cout << "  " << line << "\n"; });
+              << " events, shortened to " << shrunk.choices.size() << ")\n";
+    auto violation = replay(shrunk, [](const std::string& line) { std::cout << "  " << line << "\n"; });
     std::cout << "  => " << (violation ? violation->rule + ": " + violation->text : "not broken in a replay") << "\n";
-    std::cout << "  " << shorter.setup.text() << "\n";
-    if (keepFolder.empty()) continue;
-    std::string file = keepFolder + "/" + name + "-" + std::to_string(++number) + ".run";
-    std::ofstream(file) << "# " << found.violation.rule << ": " << found.violation.text << "\n" << shorter.text();
+    std::cout << "  " << shrunk.setup.text() << "\n";
+    if (saveDirectory.empty()) continue;
+    std::string file = saveDirectory + "/" + name + "-" + std::to_string(++number) + ".run";
+    std::ofstream(file) << "# " << found.violation.rule << ": " << found.violation.text << "\n" << shrunk.text();
     std::cout << "  kept as " << file << "\n";
   }
   return report.found.empty() ? 0 : 1;
 }
 
+/// Prints the counts to standard output, where they are the same in each run, and the times to standard error.
 void printReport(const std::string& name, const SearchReport& report, std::chrono::duration<double> took) {
   std::cout << "model: " << name << " states=" << report.states << " depth=" << report.depth
             << " events=" << report.events << " walks=" << report.walks << " violations=" << report.found.size()
@@ -59,30 +61,30 @@
   return violation ? 1 : 0;
 }
 
-/// Runs the sets whose names begin with `only`. No rule may be broken in them or, with mustBreak, each must find a
-/// broken rule. Returns the exit code.
-int runSets(const std::vector<FixedSearch>& sets, bool mustBreak, const std::string& only, std::size_t threads,
-            const std::vector<std::string>& ignoredRules, const std::string& keepFolder) {
-  int wrong = 0;
-  std::size_t ran = 0;
+/// Runs the sets whose names begin with `namePrefix`. No rule may be broken in them or, with expectViolation, each must
+/// find a broken rule. Returns the exit code.
+int runSets(const std::vector<FixedSearch>& sets, bool expectViolation, const std::string& namePrefix,
+            std::size_t threads, const std::vector<std::string>& ignoredRules, const std::string& saveDirectory) {
+  int failures = 0;
+  std::size_t setCount = 0;
   for (auto set : sets) {
-    if (!only.empty() && set.name.rfind(only, 0) != 0) continue;
-    ++ran;
-    if (mustBreak) set.setup.ignoredRules = {"no-majority", "refused-by-lost", "refused-in-force"};
+    if (!namePrefix.empty() && set.name.rfind(namePrefix, 0) != 0) continue;
+    ++setCount;
+    if (expectViolation) set.setup.ignoredRules = {"no-majority", "refused-by-lost", "refused-in-force"};
     set.setup.ignoredRules.insert(ignoredRules.begin(), ignoredRules.end());
     auto began = Clock::now();
     SearchReport report = runFixedSearch(set, threads);
-    if (!mustBreak) wrong += printFound(set.name, report, keepFolder);
-    if (mustBreak) {
-      wrong += report.found.empty();
+    if (!expectViolation) failures += printCounterexamples(set.name, report, saveDirectory);
+    if (expectViolation) {
+      failures += report.found.empty();
       std::cout << (report.found.empty() ? "NOT FOUND " : "found ") << set.name;
       for (const auto& found : report.found) std::cout << " " << found.violation.rule << ": " << found.violation.text;
       std::cout << "\n";
     }
     printReport(set.name, report, Clock::now() - began);
   }
-  if (ran == 0) std::cerr << "no set has a name that begins with " << only << "\n";
-  return ran == 0 ? 2 : wrong > 0 ? 1 : 0;
+  if (setCount == 0) std::cerr << "no set has a name that begins with " << namePrefix << "\n";
+  return setCount == 0 ? 2 : failures > 0 ? 1 : 0;
 }
 
 /// The command-line options.
@@ -91,7 +93,7 @@
   WalkLimits walks;
   BreadthFirstLimits breadth;
   bool fixed{false}, controls{false};
-  std::string replayFile, keepFolder, only, openingFile;
+  std::string replayFile, saveDirectory, namePrefix, openingFile;
   std::vector<std::string> disabledDefences, ignoredRules;
   double seconds{0};
   int catchUpMs{4000}, memberGoneMs{6000};
@@ -112,10 +114,10 @@
 
 void addModeFlags(CLI::App& app, ModelOptions& options) {
   app.add_option("--replay", options.replayFile, "replay a saved run and print each event");
-  app.add_option("--keep", options.keepFolder, "save the shortened run of each violation in this directory");
+  app.add_option("--keep", options.saveDirectory, "save the shortened run of each violation in this directory");
   app.add_flag("--fixed", options.fixed, "run the fixed sets: no rule may be broken");
   app.add_flag("--controls", options.controls, "run the negative control sets: each must find a broken rule");
-  app.add_option("--set", options.only, "run only the sets whose names begin with this");
+  app.add_option("--set", options.namePrefix, "run only the sets whose names begin with this");
 }
 
 void addSetupFlags(CLI::App& app, ModelOptions& options) {
@@ -181,12 +183,12 @@
 /// Searches by random walks or breadth-first, as the options say. Returns the exit code.
 int runSearch(ModelOptions& options) {
   if (!completeOptions(options)) return 2;
-  bool isBreadth = options.breadth.states > 0;
-  std::string name = isBreadth ? "breadth" : "walks";
+  bool breadthFirst = options.breadth.states > 0;
+  std::string name = breadthFirst ? "breadth" : "walks";
   auto began = Clock::now();
   SearchReport report =
-      isBreadth ? searchBreadthFirst(options.setup, options.breadth) : runRandomWalks(options.setup, options.walks);
-  int code = printFound(name, report, options.keepFolder);
+      breadthFirst ? searchBreadthFirst(options.setup, options.breadth) : runRandomWalks(options.setup, options.walks);
+  int code = printCounterexamples(name, report, options.saveDirectory);
   printReport(name, report, Clock::now() - began);
   return code;
 }
@@ -195,12 +197,13 @@
   if (!options.replayFile.empty()) return replayFile(options.replayFile);
   if (!options.fixed && !options.controls) return runSearch(options);
   auto sets = options.fixed ? invariantSearches() : negativeControls();
-  return runSets(sets, !options.fixed, options.only, options.walks.threads, options.ignoredRules, options.keepFolder);
+  return runSets(sets, !options.fixed, options.namePrefix, options.walks.threads, options.ignoredRules,
+                 options.saveDirectory);
 }
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
   CLI::App app("Model checker of the replicated log: searches event orders, with faults, for one that breaks a rule",
                "trouttally-model");
   app.set_version_flag("--version", std::string("trouttally-model ") + TROUTTALLY_VERSION);
@@ -209,6 +212,6 @@
   addSetupFlags(app, options);
   addWalkFlags(app, options);
   addBreadthFlags(app, options);
-  CLI11_PARSE(app, count, words);
+  CLI11_PARSE(app, count, arguments);
   return run(options);
 }
--- a/src/tools/main_platform.cpp
+++ b/src/tools/main_platform.cpp
@@ -7,7 +7,7 @@
 
 using namespace tt;
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
   std::string name = "platform", address, listFile;
   double threads = 1;
   Settings reader("trouttally-platform",
@@ -16,7 +16,7 @@
       .address("address", &address, "address of the HTTP server")
       .text("list", &listFile, "JSON file with the initial list of machines")
       .number("threads", &threads, 1, 64, "threads of the I/O pool");
-  if (auto code = reader.read(count, words)) return *code;
+  if (auto code = reader.read(count, arguments)) return *code;
   startLog("platform", name, false);
   StandInPlatform platform;
   if (!listFile.empty()) {
@@ -31,31 +31,31 @@
   asio::io_context context;
   NodeHost host(platform, context, 1s);
   host.sendMessage = [](const std::string&, Message&&) {};
-  WebServer server(context, address, [&](WebRequest ask, std::shared_ptr<WebResponse> answer) {
-    auto deny = [&](const Error& trouble) { answer->finish(codeStatus(trouble.code), errorJson(trouble)); };
-    if (ask.path != "/v1/machines") return deny(makeError(Code::unknownPath, ask.path));
-    if (ask.method == "GET") {
+  WebServer server(context, address, [&](WebRequest request, std::shared_ptr<WebResponse> response) {
+    auto deny = [&](const Error& error) { response->finish(codeStatus(error.code), errorJson(error)); };
+    if (request.path != "/v1/machines") return deny(makeError(Code::unknownPath, request.path));
+    if (request.method == "GET") {
       MachinesReply reply;
       host.with([&](Effects&) {
         for (const auto& [machineName, machine] : platform.machines()) reply.machines.push_back(machine);
       });
-      return answer->finish(200, writeMachines(reply));
+      return response->finish(200, writeMachines(reply));
     }
-    auto read = parseJson(ask.body);
+    auto read = parseJson(request.body);
     if (!read) return deny(read.error());
-    if (ask.method == "POST") {
+    if (request.method == "POST") {
       auto machine = readMachine(read.value());
       if (!machine) return deny(machine.error());
       host.with([&](Effects&) { platform.set(machine.value()); });
-    } else if (ask.method == "PATCH") {
+    } else if (request.method == "PATCH") {
       host.with(
           [&](Effects&) { platform.mark(stringOr(read.value(), "name"), boolOr(read.value(), "leaving", true)); });
-    } else if (ask.method == "DELETE") {
+    } else if (request.method == "DELETE") {
       host.with([&](Effects&) { platform.remove(stringOr(read.value(), "name")); });
     } else {
-      return deny(makeError(Code::unknownPath, ask.method));
+      return deny(makeError(Code::unknownPath, request.method));
     }
-    answer->finish(200, "{}");
+    response->finish(200, "{}");
   });
   if (auto done = server.open(); !done) return reportStartFailure(done.error());
   host.start();
--- a/src/tools/main_scale.cpp
+++ b/src/tools/main_scale.cpp
@@ -8,26 +8,26 @@
 
 /// Adds an option that takes a list of values; each value is measured.
 template <class Value>
-void addSwept(CLI::App& app, const std::string& name, std::vector<Value>& values, const std::string& text, Value least,
-              Value most) {
-  app.add_option(name, values, text)->delimiter(',')->check(CLI::Range(least, most));
+void addListOption(CLI::App& app, const std::string& name, std::vector<Value>& values, const std::string& text,
+                   Value minValue, Value maxValue) {
+  app.add_option(name, values, text)->delimiter(',')->check(CLI::Range(minValue, maxValue));
 }
 
-void addSizes(CLI::App& app, SweepOptions& options) {
-  addSwept(app, "--daemons", options.daemons, "proxies, each with its agent", 1, 4000);
-  addSwept(app, "--cores", options.cores, "cores, all of them voters", 1, 64);
-  addSwept(app, "--workers", options.workers, "workers in the platform's machine list", 1, 50000);
-  addSwept(app, "--tenants", options.tenants, "tenants in the configuration, each with a route", 1, 20000);
-  addSwept(app, "--blocks", options.blocks, "cached blocks in the whole index", 0.0, 1e9);
-  addSwept(app, "--eventsPerSecond", options.events, "cache events in the whole fleet", 0.0, 1e7);
-  addSwept(app, "--changesPerHour", options.changes, "changes of the configuration", 0.0, 1e6);
-  addSwept(app, "--requestsPerSecond", options.requests, "requests to all proxies", 0.0, 1e5);
-  addSwept(app, "--markChangesPerHour", options.marks, "changes of the platform's machine list", 0.0, 1e6);
+void addSizeOptions(CLI::App& app, SweepOptions& options) {
+  addListOption(app, "--daemons", options.daemons, "proxies, each with its agent", 1, 4000);
+  addListOption(app, "--cores", options.cores, "cores, all of them voters", 1, 64);
+  addListOption(app, "--workers", options.workers, "workers in the platform's machine list", 1, 50000);
+  addListOption(app, "--tenants", options.tenants, "tenants in the configuration, each with a route", 1, 20000);
+  addListOption(app, "--blocks", options.blocks, "cached blocks in the whole index", 0.0, 1e9);
+  addListOption(app, "--eventsPerSecond", options.events, "cache events in the whole fleet", 0.0, 1e7);
+  addListOption(app, "--changesPerHour", options.changes, "changes of the configuration", 0.0, 1e6);
+  addListOption(app, "--requestsPerSecond", options.requests, "requests to all proxies", 0.0, 1e5);
+  addListOption(app, "--markChangesPerHour", options.marks, "changes of the platform's machine list", 0.0, 1e6);
   app.add_option("--zones", options.zones, "zones, each with a cell")->check(CLI::Range(1, 250));
   app.add_option("--regions", options.regions, "regions")->check(CLI::Range(1, 50));
 }
 
-void addRuns(CLI::App& app, SweepOptions& options) {
+void addRunOptions(CLI::App& app, SweepOptions& options) {
   app.add_option("--seconds", options.seconds, "duration of the measurement in simulated time")
       ->check(CLI::Range(0.1, 600.0));
   app.add_option("--linkMs", options.linkMs, "one-way network latency between daemons")
@@ -43,19 +43,19 @@
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
   CLI::App app("Measures the cost of each role against the size of the fleet: the real logic, with simulated workers",
                "trouttally-scale");
   app.set_version_flag("--version", std::string("trouttally-scale ") + TROUTTALLY_VERSION);
   SweepOptions options;
   app.add_option("--trial", options.trial, "fleet, index, draw, blueprint or links")
       ->check(CLI::IsMember({"fleet", "index", "draw", "blueprint", "links"}));
-  addSizes(app, options);
-  addRuns(app, options);
+  addSizeOptions(app, options);
+  addRunOptions(app, options);
   try {
-    app.parse(count, words);
-  } catch (const CLI::ParseError& thrown) {
-    return app.exit(thrown) == 0 ? 0 : 2;
+    app.parse(count, arguments);
+  } catch (const CLI::ParseError& parseError) {
+    return app.exit(parseError) == 0 ? 0 : 2;
   }
   return Sweep(options).run();
 }
--- a/src/tools/main_sim.cpp
+++ b/src/tools/main_sim.cpp
@@ -13,15 +13,17 @@
 
 namespace {
 
-constexpr std::size_t mostTroublesShown = 6;
-constexpr std::uint64_t repeatSeeds = 1000;
+/// Failures that are printed for each run.
+constexpr std::size_t maxErrorsShown = 6;
+/// Repeats run with the seeds after this one.
+constexpr std::uint64_t repeatSeedBase = 1000;
 
 /// The command-line options.
 struct SimOptions {
   std::vector<std::string> files;
   std::uint64_t seed{0}, firstSeed{1}, randomScenarios{0}, repeats{1};
   std::size_t threads{std::max(1u, std::thread::hardware_concurrency())};
-  std::string keepFolder, trace;
+  std::string saveDirectory, trace;
   bool codes{false}, figures{false}, printRandom{false};
 };
 
@@ -38,7 +40,7 @@
   app.add_option("--random", options.randomScenarios, "also run this many scenarios of random faults");
   app.add_option("--first-seed", options.firstSeed, "seed of the first random scenario");
   app.add_option("--repeats", options.repeats, "run each file with its own seed and with others, this many in all");
-  app.add_option("--keep", options.keepFolder, "reduce each failing random scenario and save it in this directory");
+  app.add_option("--keep", options.saveDirectory, "reduce each failing random scenario and save it in this directory");
   app.add_option("--threads", options.threads, "scenarios run concurrently");
   app.add_option("--trace", options.trace, "print journal events whose kind contains this text (* for all)");
   app.add_flag("--figures", options.figures, "print each scenario's figures");
@@ -59,7 +61,7 @@
   Job job{file, bytes.str(), std::nullopt, false};
   if (options.seed) job.seed = options.seed;
   for (std::uint64_t round = 0; round < options.repeats; ++round) {
-    if (round > 0) job.seed = repeatSeeds + round;
+    if (round > 0) job.seed = repeatSeedBase + round;
     job.controls = round == 0;
     jobs.push_back(job);
   }
@@ -76,13 +78,13 @@
 /// Runs scenarios on several threads, prints the results and counts them.
 class ScenarioRunner {
  public:
-  ScenarioRunner(const SimOptions& given, std::vector<Job> list) : options(given), jobs(std::move(list)) {}
+  ScenarioRunner(const SimOptions& simOptions, std::vector<Job> list) : options(simOptions), jobs(std::move(list)) {}
 
   /// Runs all. Returns whether all passed and there was at least one.
   bool run() {
     std::vector<std::thread> pool;
     for (std::size_t number = 0; number < std::min(options.threads, jobs.size()); ++number)
-      pool.emplace_back([this] { work(); });
+      pool.emplace_back([this] { runJobs(); });
     for (auto& thread : pool) thread.join();
     std::cout << "operators: " << operations << " operations checked, " << unclear
               << " of them with an unknown outcome\n";
@@ -98,22 +100,22 @@
   std::mutex lock;
   std::size_t passed{0}, failed{0}, operations{0}, unclear{0};
 
-  void work() {
+  void runJobs() {
     for (std::size_t at = next++; at < jobs.size(); at = next++) runJob(jobs[at]);
   }
 
   void runJob(const Job& job) {
     auto result = runScenario(job.text, job.seed, options.trace, job.controls);
     std::string reduced;
-    if (!result.passed && job.random && !options.keepFolder.empty()) reduced = reduceScenario(job.text, result.seed);
+    if (!result.passed && job.random && !options.saveDirectory.empty()) reduced = reduceScenario(job.text, result.seed);
     std::lock_guard<std::mutex> guard(lock);
     (result.passed ? passed : failed) += 1;
     operations += result.operations;
     unclear += result.unclear;
     print(job, result);
     if (reduced.empty()) return;
-    std::ofstream(options.keepFolder + "/" + job.name + ".scenario") << "# Found by a random run, reduced.\n"
-                                                                     << reduced;
+    std::ofstream(options.saveDirectory + "/" + job.name + ".scenario") << "# Found by a random run, reduced.\n"
+                                                                        << reduced;
   }
 
   void print(const Job& job, const ScenarioResult& result) const {
@@ -121,8 +123,8 @@
       std::cout << (result.passed ? "pass " : "FAIL ") << job.name << " seed " << result.seed << "\n";
     if (options.figures) std::cout << "     " << result.figures << "\n";
     std::size_t shown = 0;
-    for (const auto& trouble : result.failures)
-      if (++shown <= mostTroublesShown) std::cout << "     " << trouble << "\n";
+    for (const auto& failure : result.failures)
+      if (++shown <= maxErrorsShown) std::cout << "     " << failure << "\n";
   }
 };
 
@@ -144,15 +146,15 @@
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
   CLI::App app("Runs scenarios of a whole fleet in simulated time and checks the fleet's invariants", "trouttally-sim");
   app.set_version_flag("--version", std::string("trouttally-sim ") + TROUTTALLY_VERSION);
   SimOptions options;
   addOptions(app, options);
   try {
-    app.parse(count, words);
-  } catch (const CLI::ParseError& thrown) {
-    return app.exit(thrown) == 0 ? 0 : 2;
+    app.parse(count, arguments);
+  } catch (const CLI::ParseError& parseError) {
+    return app.exit(parseError) == 0 ? 0 : 2;
   }
   return run(options);
 }
--- a/src/tools/main_keeper.cpp
+++ b/src/tools/main_worker.cpp
@@ -7,17 +7,23 @@
 
 using namespace tt;
 
+namespace {
+constexpr Duration blockTransferTimeout = 2s;
+/// Exit code of a crash that a test injects.
+constexpr int crashExitCode = 9;
+}  // namespace
+
 #ifdef TT_STORE
 constexpr const char* programName = "trouttally-store";
 #else
 constexpr const char* programName = "trouttally-worker";
 #endif
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
   StandInSettings settings;
   std::string recordFile;
   double slots = 8, maxCachedBlocks = 4000, loadMs = 1500, threads = 2;
-  bool chatty = false;
+  bool verbose = false;
   Settings reader(programName, "A stand-in worker or store, for tests and trials of a fleet");
   reader.text("name", &settings.name, "name of this process", true)
       .address("address", &settings.address, "address of the HTTP server")
@@ -35,8 +41,8 @@
       .text("recordFile", &recordFile, "file to append events to, for trouttally-audit")
       .number("keepMost", &maxCachedBlocks, 1, 10000000, "capacity of the cache in blocks")
       .number("threads", &threads, 1, 64, "threads of the I/O pool")
-      .flag("chatty", &chatty, "log more detail");
-  if (auto code = reader.read(count, words)) return *code;
+      .flag("chatty", &verbose, "log more detail");
+  if (auto code = reader.read(count, arguments)) return *code;
 #ifdef TT_STORE
   settings.kind = "store";
 #else
@@ -48,17 +54,19 @@
   settings.slots = static_cast<int>(slots);
   settings.maxCachedBlocks = static_cast<std::size_t>(maxCachedBlocks);
   settings.loadMs = static_cast<int>(loadMs);
-  startLog(settings.kind == "store" ? "store" : "worker", settings.name, chatty);
+  startLog(settings.kind == "store" ? "store" : "worker", settings.name, verbose);
 
   asio::io_context context;
   std::random_device device;
-  StandInBackend keeper(settings, std::to_string(device()) + std::to_string(device()));
+  StandInBackend node(settings, std::to_string(device()) + std::to_string(device()));
   std::ofstream record;
   if (!recordFile.empty()) {
     record.open(recordFile, std::ios::app);
     if (!record) return reportStartFailure(makeError(Code::badProps, "recordFile", "cannot be written"));
+    /// Starts a new line, as a process that was killed may have left an incomplete one.
     record << "\n" << std::flush;
-    keeper.journal.appended.connect([&](const Event& event) {
+    node.journal.appended.connect([&](const Event& event) {
+      /// The kinds that trouttally-audit evaluates.
       static const std::set<std::string> kinds{"ran for",      "order began",   "move ran",
                                                "pulled",       "worker denied", "cross weights",
                                                "cross tenant", "command taken", "weights loaded"};
@@ -74,36 +82,37 @@
     });
   }
   WebClient calls;
-  PendingResponses answers;
-  NodeHost host(keeper, context, 5ms);
+  PendingResponses pendingResponses;
+  NodeHost host(node, context, 5ms);
   host.sendMessage = [&](const std::string& to, Message&& message) {
     if (auto* chunk = std::get_if<WorkerChunk>(&message)) {
-      auto answer = answers.find(to);
-      if (answer && !answer->line(writeWorkerChunk(*chunk)))
+      auto response = pendingResponses.find(to);
+      if (response && !response->line(writeWorkerChunk(*chunk)))
         asio::post(context, [&, to, requestId = chunk->requestId] {
-          answers.remove(to);
+          pendingResponses.remove(to);
           host.handle(to, WorkerDrop{requestId});
         });
     } else if (auto* end = std::get_if<WorkerEnd>(&message)) {
-      auto answer = answers.remove(to);
-      if (!answer) return;
+      auto response = pendingResponses.remove(to);
+      if (!response) return;
       if (end->outcome == static_cast<int>(AttemptOutcome::denied))
-        answer->finish(codeStatus(static_cast<Code>(end->code)), writeWorkerEnd(*end));
+        response->finish(codeStatus(static_cast<Code>(end->code)), writeWorkerEnd(*end));
       else
-        answer->endStream(writeWorkerEnd(*end));
+        response->endStream(writeWorkerEnd(*end));
     } else if (auto* report = std::get_if<Report>(&message)) {
-      if (auto answer = answers.remove(to)) answer->finish(200, writeReport(*report));
+      if (auto response = pendingResponses.remove(to)) response->finish(200, writeReport(*report));
     } else if (auto* control = std::get_if<ControlReply>(&message)) {
-      if (auto answer = answers.remove(to))
-        answer->finish(codeStatus(static_cast<Code>(control->code)), writeControlReply(*control));
+      if (auto response = pendingResponses.remove(to))
+        response->finish(codeStatus(static_cast<Code>(control->code)), writeControlReply(*control));
     } else if (auto* pulled = std::get_if<PullReply>(&message)) {
-      if (auto answer = answers.remove(to)) answer->finish(200, writeBlocks(pulled->hashes, pulled->origins));
+      if (auto response = pendingResponses.remove(to))
+        response->finish(200, writeBlocks(pulled->hashes, pulled->origins));
     } else if (auto* pull = std::get_if<PullAsk>(&message)) {
       WebCall call;
       call.method = "POST";
       call.url = "http://" + to + "/v1/blocks/pull";
       call.body = writeBlocks(pull->hashes, {});
-      call.totalTimeout = 2s;
+      call.totalTimeout = blockTransferTimeout;
       calls.start(std::move(call), [&, pullId = pull->pullId](const WebResult& result) {
         if (!result.reached || result.status != 200) return;
         if (auto blocks = readBlocks(result.body))
@@ -114,51 +123,51 @@
       call.method = "POST";
       call.url = "http://" + to + "/v1/blocks";
       call.body = writeBlocks(stored->hashes, stored->origins);
-      call.totalTimeout = 2s;
+      call.totalTimeout = blockTransferTimeout;
       calls.start(std::move(call), {});
     }
   };
 
-  WebServer server(context, settings.address, [&](WebRequest ask, std::shared_ptr<WebResponse> answer) {
-    auto deny = [&](const Error& trouble) { answer->finish(codeStatus(trouble.code), errorJson(trouble)); };
-    auto pass = [&](const Message& message) {
-      std::string name = answers.add(answer);
-      host.handle(name, message);
+  WebServer server(context, settings.address, [&](WebRequest request, std::shared_ptr<WebResponse> response) {
+    auto deny = [&](const Error& error) { response->finish(codeStatus(error.code), errorJson(error)); };
+    auto forward = [&](const Message& message) {
+      std::string requestId = pendingResponses.add(response);
+      host.handle(requestId, message);
     };
-    std::string way = ask.method + " " + ask.path;
-    if (way == "POST /v1/orders") {
-      auto order = readWorkerOrder(ask.body);
+    std::string endpoint = request.method + " " + request.path;
+    if (endpoint == "POST /v1/orders") {
+      auto order = readWorkerOrder(request.body);
       if (!order) return deny(order.error());
-      return pass(order.value());
+      return forward(order.value());
     }
-    if (way == "GET /v1/reports") {
+    if (endpoint == "GET /v1/reports") {
       ReportAsk report;
-      report.after = std::strtoull(ask.query["after"].c_str(), nullptr, 10);
-      report.incarnation = ask.query["incarnation"];
-      report.complete = ask.query.count("whole") > 0;
-      return pass(report);
+      report.after = std::strtoull(request.query["after"].c_str(), nullptr, 10);
+      report.incarnation = request.query["incarnation"];
+      report.complete = request.query.count("whole") > 0;
+      return forward(report);
     }
-    if (way == "POST /v1/control") {
-      auto control = readControl(ask.body);
+    if (endpoint == "POST /v1/control") {
+      auto control = readControl(request.body);
       if (!control) return deny(control.error());
-      return pass(control.value());
+      return forward(control.value());
     }
-    if (way == "POST /v1/blocks/pull") {
-      auto blocks = readBlocks(ask.body);
+    if (endpoint == "POST /v1/blocks/pull") {
+      auto blocks = readBlocks(request.body);
       if (!blocks) return deny(blocks.error());
-      return pass(PullAsk{"pull", blocks.value().hashes});
+      return forward(PullAsk{"pull", blocks.value().hashes});
     }
-    if (way == "POST /v1/blocks") {
-      auto blocks = readBlocks(ask.body);
+    if (endpoint == "POST /v1/blocks") {
+      auto blocks = readBlocks(request.body);
       if (!blocks) return deny(blocks.error());
       host.handle("peer", blocks.value());
-      return answer->finish(200, "{}");
+      return response->finish(200, "{}");
     }
-    if (way == "GET /v1/runs") {
+    if (endpoint == "GET /v1/runs") {
       JsonObject body;
       host.with([&](Effects&) {
         JsonArray rows;
-        for (const auto& run : keeper.runs()) {
+        for (const auto& run : node.runs()) {
           JsonObject row;
           row["orderId"] = Json(run.requestId);
           row["weights"] = Json(run.weights);
@@ -172,33 +181,33 @@
           rows.push_back(Json(row));
         }
         body["runs"] = Json(rows);
-        body["crossWeights"] = jsonNumber(static_cast<double>(keeper.crossWeights));
+        body["crossWeights"] = jsonNumber(static_cast<double>(node.crossWeights));
         JsonObject tenants;
-        for (const auto& [pair, number] : keeper.crossTenants) tenants[pair] = jsonNumber(static_cast<double>(number));
+        for (const auto& [pair, number] : node.crossTenants) tenants[pair] = jsonNumber(static_cast<double>(number));
         body["crossTenants"] = Json(tenants);
       });
-      return answer->finish(200, Json(body).serialize());
+      return response->finish(200, Json(body).serialize());
     }
-    if (way == "POST /v1/faults") {
-      auto read = parseObject(ask.body, {"lagMs", "loseEvents", "forgetEvents", "stalled", "loadFails", "silentReports",
-                                         "linkMs", "forget", "crash"});
+    if (endpoint == "POST /v1/faults") {
+      auto read = parseObject(request.body, {"lagMs", "loseEvents", "forgetEvents", "stalled", "loadFails",
+                                             "silentReports", "linkMs", "forget", "crash"});
       if (!read) return deny(read.error());
       Json body(read.value());
-      if (boolOr(body, "crash", false)) std::_Exit(9);
+      if (boolOr(body, "crash", false)) std::_Exit(crashExitCode);
       host.with([&](Effects& effects) {
-        keeper.faults.lagMs = static_cast<int>(integerOr(body, "lagMs", keeper.faults.lagMs));
-        keeper.faults.loseEvents = static_cast<int>(integerOr(body, "loseEvents", keeper.faults.loseEvents));
-        keeper.faults.forgetEvents = static_cast<int>(integerOr(body, "forgetEvents", keeper.faults.forgetEvents));
-        keeper.faults.stalled = boolOr(body, "stalled", keeper.faults.stalled);
-        keeper.faults.loadFails = boolOr(body, "loadFails", keeper.faults.loadFails);
-        keeper.faults.silentReports = boolOr(body, "silentReports", keeper.faults.silentReports);
-        keeper.faults.linkMs =
-            static_cast<double>(integerOr(body, "linkMs", static_cast<std::int64_t>(keeper.faults.linkMs)));
-        if (boolOr(body, "forget", false)) keeper.clearCache(effects, true);
+        node.faults.lagMs = static_cast<int>(integerOr(body, "lagMs", node.faults.lagMs));
+        node.faults.loseEvents = static_cast<int>(integerOr(body, "loseEvents", node.faults.loseEvents));
+        node.faults.forgetEvents = static_cast<int>(integerOr(body, "forgetEvents", node.faults.forgetEvents));
+        node.faults.stalled = boolOr(body, "stalled", node.faults.stalled);
+        node.faults.loadFails = boolOr(body, "loadFails", node.faults.loadFails);
+        node.faults.silentReports = boolOr(body, "silentReports", node.faults.silentReports);
+        node.faults.linkMs =
+            static_cast<double>(integerOr(body, "linkMs", static_cast<std::int64_t>(node.faults.linkMs)));
+        if (boolOr(body, "forget", false)) node.clearCache(effects, true);
       });
-      return answer->finish(200, "{}");
+      return response->finish(200, "{}");
     }
-    deny(makeError(Code::unknownPath, ask.path));
+    deny(makeError(Code::unknownPath, request.path));
   });
   if (auto done = server.open(); !done) return reportStartFailure(done.error());
   host.start();
--- a/tests/version_span.cpp
+++ b/tests/version_span.cpp
@@ -1,4 +1,4 @@
-#include "version_span.hpp"
+#include "old_weights_timeout.hpp"
 
 #include <criterion/criterion.h>
 
@@ -6,30 +6,30 @@
 
 using namespace tt;
 
-Test(version_span, the_usual_span_is_what_the_programs_have_anyway) {
-  TimingGuard kept;
+Test(version_span, the_default_setting_gives_the_default_timeouts) {
+  TimingGuard restoreTiming;
   timing = Timing{};
-  cr_assert(bool(setVersionSpan(versionMsUsual)));
+  cr_assert(bool(setOldWeightsTimeout(defaultVersionMs)));
   cr_assert(timing.oldWeightsTimeout == Timing{}.oldWeightsTimeout);
   cr_assert(timing.oldWeightsSendTimeout == Timing{}.oldWeightsSendTimeout);
   cr_assert(timing.unstartedRequestTimeout == Timing{}.unstartedRequestTimeout);
 }
 
-Test(version_span, every_span_that_a_program_takes_keeps_the_inequalities) {
-  TimingGuard kept;
-  for (double versionMs = versionMsLeast; versionMs <= versionMsMost; versionMs += 37) {
+Test(version_span, every_allowed_setting_keeps_the_timeouts_in_order) {
+  TimingGuard restoreTiming;
+  for (double versionMs = minVersionMs; versionMs <= maxVersionMs; versionMs += 37) {
     timing = Timing{};
-    cr_assert(bool(setVersionSpan(versionMs)), "%f ms", versionMs);
+    cr_assert(bool(setOldWeightsTimeout(versionMs)), "%f ms", versionMs);
     cr_assert(timing.rolloutStartTimeout() < timing.oldWeightsSendTimeout &&
               timing.oldWeightsSendTimeout < timing.unstartedRequestTimeout &&
               timing.unstartedRequestTimeout < timing.oldWeightsTimeout);
   }
 }
 
-Test(version_span, one_that_leaves_no_room_is_refused_by_its_inequality) {
-  TimingGuard kept;
+Test(version_span, the_error_for_a_too_short_setting_names_the_inequality) {
+  TimingGuard restoreTiming;
   timing = Timing{};
-  auto done = setVersionSpan(0);
+  auto done = setOldWeightsTimeout(0);
   cr_assert(!done);
   cr_assert_neq(done.error().text.find("last use of old weights"), std::string::npos);
 }
