--- a/src/fuzz/configurations.cpp
+++ b/src/fuzz/configurations.cpp
@@ -28,7 +28,7 @@
     R"({"routes":null,"services":null})",
     R"({"keys":null,"tenants":{"olm":null}})"};
 
-/// All that a configuration answers to its callers, as text, so that two configurations can be compared.
+/// The results of all queries of a configuration, as text, to compare two configurations.
 std::string describe(const Configuration& view) {
   std::string text = view.text() + "|" + std::to_string(view.bytes()) + "|" + std::to_string(view.revision());
   for (const auto& [name, item] : view.section("routes")) {
--- a/src/fuzz/fuzz.hpp
+++ b/src/fuzz/fuzz.hpp
@@ -18,8 +18,8 @@
   const std::string& pick(const Strings& texts) { return texts[randomBelow(texts.size())]; }
   /// Picks one of the valid texts and mutates it a few times; one in sixteen is returned unchanged.
   std::string mutatedText(const Strings& valid);
-  /// Mutates bytes without regard to tokens, for binary formats. Some mutations insert bytes of `other`, which is also
-  /// returned if all bytes have been removed.
+  /// Mutates bytes without regard to tokens, for binary formats; one in sixteen is returned unchanged. `other` is a
+  /// second valid input, of which parts are copied in.
   std::string mutatedBytes(std::string bytes, const std::string& other);
   /// A number, as text, at or beyond a limit of a numeric type or with unusual syntax.
   std::string boundaryNumber();
--- a/src/fuzz/mutation.cpp
+++ b/src/fuzz/mutation.cpp
@@ -192,7 +192,7 @@
 }
 
 std::string Mutator::mutatedBytes(std::string bytes, const std::string& other) {
-  /// Sizes that are written over four bytes, as a length field may be there.
+  /// Written over four bytes, in case these are a length field.
   static const std::uint32_t sizes[] = {0, 1, 2, 255, 4096, 65535, 0x7fffffff, 0x80000000, 0xffffffff};
   if (chance(16)) return bytes;
   std::uint64_t mutationCount = 1 + (chance(2) ? randomBelow(4) : 0);
--- a/src/tools/audit.cpp
+++ b/src/tools/audit.cpp
@@ -7,7 +7,7 @@
 
 namespace tt {
 namespace {
-/// In nanoseconds, as are all times here that are no Duration.
+/// Times and durations here are in nanoseconds, unless they have a type of their own.
 constexpr std::int64_t second = 1'000'000'000;
 /// How long after the acknowledgement of its revocation a key may still be accepted.
 constexpr std::int64_t revocationTimeout = 5 * second;
@@ -163,7 +163,7 @@
                                               " ms after newer weights were acknowledged");
     }
     if ((row.event == "ran for" || row.event == "worker denied") && !words.empty()) {
-      /// The subject begins with the id of the attempt, which ends with the number of the proxy's attempt.
+      /// The subject begins with the request's id at the worker, which ends with the number of the proxy's attempt.
       auto dot = words[0].rfind('.');
       bool isRetry = dot != std::string::npos && std::atoi(words[0].c_str() + dot + 1) > 1;
       (isRetry ? retryAttempts : firstAttempts).push_back(row.at);
--- a/src/tools/main_audit.cpp
+++ b/src/tools/main_audit.cpp
@@ -111,8 +111,7 @@
               "milliseconds after the acknowledgement of newer weights during which requests may start on older ones")
       .text("note", &newEvent.event,
             "instead of an audit, print a line for the events file: revoked, leaving, staying, naming (weights "
-            "announced) or "
-            "named (announcement acknowledged)")
+            "announced) or named (announcement acknowledged)")
       .text("of", &newEvent.name, "subject of that event: the secret of a key, a worker or weights")
       .text("model", &newEvent.model, "model whose weights are announced")
       .text("change", &newEvent.changeId, "change id of the announcement")
