--- a/src/tools/counting_allocator.cpp
+++ b/src/tools/counting_allocator.cpp
@@ -10,20 +10,22 @@
 
 namespace {
 /// Bytes that glibc's malloc stores in front of each block.
-constexpr std::int64_t chunkHeadBytes = 8;
+constexpr std::int64_t blockHeaderBytes = 8;
 
-std::int64_t chunkBytes(void* block) { return static_cast<std::int64_t>(::malloc_usable_size(block)) + chunkHeadBytes; }
+std::int64_t allocatedSize(void* block) {
+  return static_cast<std::int64_t>(::malloc_usable_size(block)) + blockHeaderBytes;
+}
 
 void* allocate(std::size_t bytes) {
   void* block = std::malloc(bytes ? bytes : 1);
   if (!block) std::abort();
-  if (tt::heapAccount) *tt::heapAccount += chunkBytes(block);
+  if (tt::heapAccount) *tt::heapAccount += allocatedSize(block);
   return block;
 }
 
 void release(void* block) {
   if (!block) return;
-  if (tt::heapAccount) *tt::heapAccount -= chunkBytes(block);
+  if (tt::heapAccount) *tt::heapAccount -= allocatedSize(block);
   std::free(block);
 }
 }  // namespace
--- a/src/tools/main_agent.cpp
+++ b/src/tools/main_agent.cpp
@@ -20,8 +20,7 @@
       .address("webAddress", &webAddress, "address of the HTTP server for /v1/condition and /v1/counters", false)
       .number("versionMs", &versionMs, minVersionMs, maxVersionMs,
               "milliseconds after newer weights are announced during which requests may still start on older ones; "
-              "must be the "
-              "same for all processes")
+              "must be the same for all processes")
       .number("threads", &threads, 1, 64, "threads of the I/O pool")
       .flag("chatty", &verbose, "log more detail");
   if (auto code = reader.read(count, arguments)) return *code;
--- a/src/tools/main_core.cpp
+++ b/src/tools/main_core.cpp
@@ -67,8 +67,7 @@
       .number("ringFileKiB", &options.ringFileKiB, 3072, 262144, "size of each of these files in KiB")
       .number("versionMs", &options.versionMs, minVersionMs, maxVersionMs,
               "milliseconds after newer weights are announced during which requests may still start on older ones; "
-              "must be the "
-              "same for all processes")
+              "must be the same for all processes")
       .number("threads", &options.threads, 1, 64, "threads of the I/O pool")
       .flag("chatty", &verbose, "log more detail");
   if (auto code = reader.read(count, arguments)) return *code;
--- a/src/tools/main_operators.cpp
+++ b/src/tools/main_operators.cpp
@@ -14,9 +14,11 @@
 
 namespace {
 constexpr Duration callTimeout = 8s;
-/// Attempts to read from some core, and to get a change a known outcome.
+/// How often a read that failed, or a change whose outcome is unknown, is tried.
 constexpr int maxTries = 60;
-/// The largest number of changes.
+/// Keeps apart the seeds of the clients in runs with different seeds.
+constexpr std::uint64_t seedStride = 7919;
+/// The largest number of changes, and the largest seed.
 constexpr double maxCount = 100000;
 
 /// State that all clients share: the settings, and the history file.
@@ -70,7 +72,7 @@
   Client(SharedState& sharedState, int number)
       : shared(sharedState),
         name("operator-" + std::to_string(number)),
-        random(sharedState.seed * 7919 + static_cast<std::uint64_t>(number)) {}
+        random(sharedState.seed * seedStride + static_cast<std::uint64_t>(number)) {}
 
   void run() {
     while (shared.startedChanges++ < shared.changes) {
--- a/src/tools/main_proxy.cpp
+++ b/src/tools/main_proxy.cpp
@@ -9,6 +9,9 @@
 /// At shutdown: how long open requests may take, and how long the last responses may take to be sent.
 constexpr Duration openRequestTimeout = 10s, responseFlushTime = 100ms;
 
+/// Length of the prefix "http/" of the ids that PendingResponses makes.
+constexpr std::size_t pendingIdPrefixBytes = 5;
+
 /// The longest time that a call to a worker, which streams the whole response, may take.
 constexpr Duration workerCallTimeout = 120s;
 
@@ -55,8 +58,7 @@
       .number("blockMs", &blockMs, 0.01, 10000, "milliseconds that a worker needs to compute one block")
       .number("versionMs", &versionMs, minVersionMs, maxVersionMs,
               "milliseconds after newer weights are announced during which requests may still start on older ones; "
-              "must be the "
-              "same for all processes")
+              "must be the same for all processes")
       .number("threads", &threads, 1, 64, "threads of the I/O pool")
       .flag("chatty", &verbose, "log more detail");
   if (auto code = reader.read(count, arguments)) return *code;
@@ -159,7 +161,7 @@
       if (!order) return deny(order.error());
       order.value().key = request.bearer;
       order.value().requestId = settings.name + "/" + std::to_string(toNanoseconds(Clock::now())) + "/" +
-                                pendingResponses.newRequestId().substr(5);
+                                pendingResponses.newRequestId().substr(pendingIdPrefixBytes);
       pendingResponses.addWithId(order.value().requestId, response);
       return host.handle("caller", order.value());
     }
--- a/src/tools/main_sim.cpp
+++ b/src/tools/main_sim.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 /// Failures that are printed for each run.
-constexpr std::size_t maxErrorsShown = 6;
+constexpr std::size_t maxFailuresShown = 6;
 /// Repeats run with the seeds after this one.
 constexpr std::uint64_t repeatSeedBase = 1000;
 
@@ -124,7 +124,7 @@
     if (options.figures) std::cout << "     " << result.figures << "\n";
     std::size_t shown = 0;
     for (const auto& failure : result.failures)
-      if (++shown <= maxErrorsShown) std::cout << "     " << failure << "\n";
+      if (++shown <= maxFailuresShown) std::cout << "     " << failure << "\n";
   }
 };
 
