--- a/src/fuzz/fuzz.hpp
+++ b/src/fuzz/fuzz.hpp
@@ -6,52 +6,58 @@
 
 namespace tt {
 
-/// Makes bent inputs out of good ones: it knows words, numbers, brackets and quoted texts, and puts others in their
-/// place. The same seed makes the same inputs.
+/// Generates fuzz inputs by mutating valid ones: their tokens (words, numbers, quoted strings, punctuation), the values
+/// of a JSON document, or single bytes. The same seed gives the same inputs.
 class Mutator {
  public:
   explicit Mutator(std::uint64_t seed) : randomSource(seed) {}
+  /// A random number from 0 to below - 1, or 0 if `below` is 0.
   std::uint64_t randomBelow(std::uint64_t below) { return below ? randomSource() % below : 0; }
-  bool chance(std::uint64_t inSo) { return randomBelow(inSo) == 0; }
-  const std::string& pick(const Strings& rows) { return rows[randomBelow(rows.size())]; }
-  /// One of the good texts, bent a few times; one in sixteen is left as it is.
-  std::string mutatedText(const Strings& good);
-  /// Bytes bent without regard to words: for frames and records.
-  std::string bentBytes(std::string bytes, const std::string& other);
+  /// True with a probability of 1 in `oneIn`.
+  bool chance(std::uint64_t oneIn) { return randomBelow(oneIn) == 0; }
+  const std::string& pick(const Strings& texts) { return texts[randomBelow(texts.size())]; }
+  /// Picks one of the valid texts and mutates it a few times; one in sixteen is returned unchanged.
+  std::string mutatedText(const Strings& valid);
+  /// Mutates bytes without regard to tokens, for binary formats; one in sixteen is returned unchanged. `other` is a
+  /// second valid input, of which parts are copied in.
+  std::string mutatedBytes(std::string bytes, const std::string& other);
+  /// A number, as text, at or beyond a limit of a numeric type or with unusual syntax.
   std::string boundaryNumber();
+  /// A short string of a kind that occurs in valid inputs.
   std::string word();
   std::mt19937_64& source() { return randomSource; }
 
  private:
   std::mt19937_64 randomSource;
-  std::string bendTextOnce(std::string text, const std::string& other);
-  std::string bendTree(const std::string& text, const std::string& other);
+  std::string mutateTextOnce(std::string text, const std::string& other);
+  std::string mutateJson(const std::string& text, const std::string& other);
 };
 
-/// Fills any message or carried struct with drawn values, by way of the table that makes its wire form.
-class Filler {
+/// Fills a message or a struct within one with random values, through the serialize() method that also defines its wire
+/// format.
+class RandomFiller {
  public:
-  explicit Filler(Mutator& drawn) : mutator(drawn) {}
+  explicit RandomFiller(Mutator& randomMutator) : mutator(randomMutator) {}
   Mutator& mutator;
 };
-void serializeField(Filler& filler, std::string& value);
-void serializeField(Filler& filler, bool& value);
-void serializeField(Filler& filler, int& value);
-void serializeField(Filler& filler, double& value);
-void serializeField(Filler& filler, std::int64_t& value);
-void serializeField(Filler& filler, Uint64& value);
-void serializeField(Filler& filler, BlockHash& value);
+void serializeField(RandomFiller& filler, std::string& value);
+void serializeField(RandomFiller& filler, bool& value);
+void serializeField(RandomFiller& filler, int& value);
+void serializeField(RandomFiller& filler, double& value);
+void serializeField(RandomFiller& filler, std::int64_t& value);
+void serializeField(RandomFiller& filler, Uint64& value);
+void serializeField(RandomFiller& filler, BlockHash& value);
 template <class T>
-void serializeField(Filler& filler, T& value) {
+void serializeField(RandomFiller& filler, T& value) {
   value.serialize(filler, 0);
 }
 template <class T>
-void serializeField(Filler& filler, std::vector<T>& rows) {
+void serializeField(RandomFiller& filler, std::vector<T>& rows) {
   rows.resize(filler.mutator.randomBelow(4));
   for (auto& row : rows) serializeField(filler, row);
 }
 
-/// What one round came to. A broken property is told with the input that broke it.
+/// The outcome of one round. If a property was violated, `broken` describes it and `input` is the input that did it.
 struct FuzzOutcome {
   bool accepted{false};
   std::string broken, input;
@@ -59,27 +65,28 @@
 FuzzOutcome accepted();
 FuzzOutcome rejected();
 FuzzOutcome broken(std::string property, std::string input);
-/// What a refusal must look like: a code that is known and a subject.
-FuzzOutcome rejectedWith(const Error& trouble, const std::string& input);
+/// The outcome for an input that was rejected with an error. Checks that the error has a known code and a subject.
+FuzzOutcome rejectedWith(const Error& error, const std::string& input);
 
-/// A parser and the properties that it must keep. A target may keep state from round to round.
+/// A parser under test and the properties that it must hold. A target may keep state between its rounds.
 struct FuzzTarget {
   std::string name;
-  /// Its rounds in the fixed set.
+  /// Rounds in the fixed run that the tests use.
   std::size_t rounds{0};
-  std::function<FuzzOutcome(Mutator&)> once;
+  std::function<FuzzOutcome(Mutator&)> runRound;
 };
 using FuzzTargets = std::vector<FuzzTarget>;
 
+/// Each of these registers the targets for one group of formats.
 void addConfigurationTargets(FuzzTargets& targets);
-void addContractTargets(FuzzTargets& targets);
+void addJsonBodyTargets(FuzzTargets& targets);
 void addFrameTargets(FuzzTargets& targets);
 void addRingTargets(FuzzTargets& targets);
 void addClientTargets(FuzzTargets& targets);
-/// The platform's bodies and settings, where the platform is built.
+/// The platform's request and response bodies and its settings. Defined only in builds that include the platform.
 void addWireTargets(FuzzTargets& targets);
 
-/// Bytes that this thread has allocated so far, freed or not.
+/// Total bytes that this thread has allocated so far, including those freed since.
 std::size_t allocatedBytes();
 
 }  // namespace tt
--- a/src/tools/main_ctl.cpp
+++ b/src/tools/main_ctl.cpp
@@ -9,6 +9,7 @@
 using namespace tt;
 
 namespace {
+/// Reads a file, or standard input if its name is "-".
 Result<std::string> readFileOrInput(const std::string& file) {
   std::stringstream bytes;
   if (file == "-") {
@@ -21,17 +22,20 @@
   return bytes.str();
 }
 
-std::vector<std::string> differences(const JsonObject& inForce, const JsonObject& wanted) {
+/// One line for each item that is removed (-), added (+) or changed (~). The secrets of keys are compared by their
+/// hash, since the fleet stores only that.
+std::vector<std::string> differences(const JsonObject& current, const JsonObject& desired) {
   std::vector<std::string> lines;
   std::set<std::string> sections;
-  for (const auto& [section, items] : inForce) sections.insert(section);
-  for (const auto& [section, items] : wanted) sections.insert(section);
-  auto itemsOf = [](const JsonObject& whole, const std::string& section) {
-    auto found = whole.find(section);
-    return found != whole.end() && found->second.is<JsonObject>() ? found->second.get<JsonObject>() : JsonObject{};
+  for (const auto& [section, items] : current) sections.insert(section);
+  for (const auto& [section, items] : desired) sections.insert(section);
+  auto itemsOf = [](const JsonObject& configuration, const std::string& section) {
+    auto found = configuration.find(section);
+    return found != configuration.end() && found->second.is<JsonObject>() ? found->second.get<JsonObject>()
+                                                                          : JsonObject{};
   };
   for (const auto& section : sections) {
-    auto before = itemsOf(inForce, section), after = itemsOf(wanted, section);
+    auto before = itemsOf(current, section), after = itemsOf(desired, section);
     if (section == "keys")
       for (auto& [name, item] : after)
         if (item.is<JsonObject>() && item.get<JsonObject>().count("secret")) {
@@ -53,47 +57,50 @@
   return lines;
 }
 constexpr const char* exitCodes =
-    "Exit codes: 0 done; 1 denied, no core answered, or (diff, lag) there is something to tell; 2 wrong use; 3 only "
+    "Exit codes: 0 success; 1 denied, no core answered, or (diff, lag) a difference was found; 2 wrong usage; 3 only "
     "some cores answered";
 }  // namespace
 
-int main(int count, char** words) {
-  CLI::App app("Reads and changes what a trouttally fleet has in force", "trouttally-ctl");
+int main(int count, char** arguments) {
+  CLI::App app("Reads and changes the configuration and shows the state of a trouttally fleet", "trouttally-ctl");
   app.set_version_flag("--version", std::string("trouttally-ctl ") + TROUTTALLY_VERSION);
   app.require_subcommand(1);
   app.footer(exitCodes);
   std::string coreList, key, file, changeId, sinceRevision, revision, member;
-  auto* cores = app.add_option("--cores", coreList, "operator addresses of cores, tried in turn, commas between")
+  auto* cores = app.add_option("--cores", coreList, "operator addresses of cores, separated by commas, tried in turn")
                     ->envname("TROUTTALLY_CORES");
   cores->required();
   app.add_option("--key", key, "the operator key")->envname("TROUTTALLY_OPERATOR_KEY")->required();
-  auto* put = app.add_subcommand("put", "Make the blueprint be what a file says");
-  auto* patch = app.add_subcommand("patch", "Change a part of the blueprint (JSON merge patch)");
-  auto* manifest = app.add_subcommand(
-      "manifest", "Patch the routes with HTTPRoute manifests in the manner of the Gateway API (JSON)");
-  for (auto* verb : {put, patch, manifest}) {
-    verb->add_option("file", file, "the file, or - for standard input")->required();
-    verb->add_option("--change-id", changeId,
-                     "a name under which the change may be sent again without being taken twice");
-    verb->add_option(
+  auto* put = app.add_subcommand("put", "Replace the whole configuration (blueprint) by a file");
+  auto* patch = app.add_subcommand("patch", "Change a part of the configuration (JSON merge patch)");
+  auto* manifest = app.add_subcommand("manifest", "Change routes by Gateway API HTTPRoute manifests (JSON)");
+  for (auto* command : {put, patch, manifest}) {
+    command->add_option("file", file, "the file, or - for standard input")->required();
+    command->add_option("--change-id", changeId,
+                        "unique id of the change, under which it can be resent without being applied twice");
+    command->add_option(
         "--since-revision", sinceRevision,
-        "the revision in force when this change id was first sent: a resend that would no longer be known is denied");
-    verb->add_option("--if-revision", revision, "take it only if this revision is in force");
+        "the revision in force when this change id was first sent; a resend is denied if that is so long ago that the "
+        "id may have been forgotten");
+    command->add_option("--if-revision", revision, "apply the change only if this revision is in force");
   }
-  auto* get = app.add_subcommand("get", "Show the blueprint in force");
-  auto* condition = app.add_subcommand("condition", "Show duties, terms, members, agents, workers of one core");
-  auto* fleet = app.add_subcommand("fleet", "Show who holds which duty, and every agent and worker, in a few lines");
-  auto* diff = app.add_subcommand("diff", "Show what put would change, item by item, and send nothing");
+  auto* get = app.add_subcommand("get", "Show the configuration in force");
+  auto* condition =
+      app.add_subcommand("condition", "Show the duties, terms, members, agents and workers as one core knows them");
+  auto* fleet =
+      app.add_subcommand("fleet", "Show the holder of each duty, and each core, agent and worker in one line");
+  auto* diff = app.add_subcommand("diff", "Show what put would change, item by item, without changing it");
   diff->add_option("file", file, "the file, or - for standard input")->required();
-  auto* lag = app.add_subcommand("lag", "Show which daemons have not got the newest agreed change, or cannot tell");
+  auto* lag = app.add_subcommand(
+      "lag", "Show which cores and agents lack the newest committed change or do not know whether they do");
   double waitSeconds = 0;
-  lag->add_option("--wait", waitSeconds, "ask again for this many seconds until nobody lags")
+  lag->add_option("--wait", waitSeconds, "poll for up to this many seconds until all are up to date")
       ->check(CLI::Range(0.0, 3600.0));
   auto* counters = app.add_subcommand("counters", "Show a core's counters");
   try {
-    app.parse(count, words);
-  } catch (const CLI::ParseError& thrown) {
-    int code = app.exit(thrown);
+    app.parse(count, arguments);
+  } catch (const CLI::ParseError& parseError) {
+    int code = app.exit(parseError);
     return code == 0 ? 0 : 2;
   }
   std::vector<std::string> addresses;
@@ -153,9 +160,9 @@
         newest = std::max(newest, commit);
         commits.emplace_back(stringOr(read.value(), "core"), commit);
         if (!boolOr(read.value(), "confirmed", false))
-          lines.push_back("core     " + stringOr(read.value(), "core") + " cannot tell whether it is up to date");
-        const auto& whole = read.value().get<JsonObject>();
-        if (auto rows = whole.find("agents"); rows != whole.end() && rows->second.is<JsonObject>())
+          lines.push_back("core     " + stringOr(read.value(), "core") + " does not know whether it is up to date");
+        const auto& state = read.value().get<JsonObject>();
+        if (auto rows = state.find("agents"); rows != state.end() && rows->second.is<JsonObject>())
           for (const auto& [name, row] : rows->second.get<JsonObject>()) {
             auto& agent = agents[name];
             agent.first = std::max(agent.first, integerOr(row, "applied", 0));
@@ -193,15 +200,15 @@
       if (!read) continue;
       any = true;
       ++answeredCount;
-      const auto& whole = read.value();
-      std::cout << "core     " << stringOr(whole, "core") << " " << stringOr(whole, "locality") << " revision "
-                << integerOr(whole, "revision", 0) << " commit " << integerOr(whole, "commit", 0) << " pending "
-                << integerOr(whole, "pendingChanges", 0) << (boolOr(whole, "diskStalled", false) ? " DISK STALLED" : "")
+      const auto& state = read.value();
+      std::cout << "core     " << stringOr(state, "core") << " " << stringOr(state, "locality") << " revision "
+                << integerOr(state, "revision", 0) << " commit " << integerOr(state, "commit", 0) << " pending "
+                << integerOr(state, "pendingChanges", 0) << (boolOr(state, "diskStalled", false) ? " DISK STALLED" : "")
                 << "\n";
-      const auto& rows = whole.get<JsonObject>();
+      const auto& rows = state.get<JsonObject>();
       for (const auto& [duty, row] : rows.at("duties").get<JsonObject>())
         if (boolOr(row, "here", false))
-          duties[duty] = stringOr(whole, "core") + " term " + std::to_string(integerOr(row, "term", 0));
+          duties[duty] = stringOr(state, "core") + " term " + std::to_string(integerOr(row, "term", 0));
       for (const auto& [name, row] : rows.at("workers").get<JsonObject>())
         std::cout << "worker   " << name << " " << stringOr(row, "kind") << " " << stringOr(row, "locality")
                   << " weights " << stringOr(row, "weights") << " running " << integerOr(row, "running", 0) << " kept "
@@ -231,14 +238,14 @@
     return 1;
   }
   if (diff->parsed() && result.status == 200) {
-    auto wanted = readFileOrInput(file);
-    if (!wanted) return reportStartFailure(wanted.error());
-    auto after = parseJson(wanted.value());
+    auto desired = readFileOrInput(file);
+    if (!desired) return reportStartFailure(desired.error());
+    auto after = parseJson(desired.value());
     auto before = parseJson(result.body);
     if (!after || !after.value().is<JsonObject>())
       return reportStartFailure(makeError(Code::badJson, file, after ? "must be an object" : after.error().text));
     if (!before || !before.value().is<JsonObject>() || !before.value().get<JsonObject>().count("blueprint"))
-      return reportStartFailure(makeError(Code::badJson, "answer"));
+      return reportStartFailure(makeError(Code::badJson, "answer", "the core's response has no blueprint"));
     auto lines = differences(before.value().get<JsonObject>().at("blueprint").get<JsonObject>(),
                              after.value().get<JsonObject>());
     for (const auto& line : lines) std::cout << line << "\n";
--- a/src/tools/main_model.cpp
+++ b/src/tools/main_model.cpp
@@ -12,24 +12,25 @@
 
 namespace {
 
-int printFound(const std::string& name, const SearchReport& report, const std::string& keepFolder) {
+/// Shrinks, prints and saves the counterexamples of a search. Returns 1 if there are any, else 0.
+int printCounterexamples(const std::string& name, const SearchReport& report, const std::string& saveDirectory) {
   int number = 0;
   for (const auto& found : report.found) {
-    Run shorter = shrink(found.run, found.violation.rule);
+    Run shrunk = shrink(found.run, found.violation.rule);
     std::cout << "VIOLATION " << name << " " << found.violation.rule << " (" << found.run.choices.size()
-              << " events, shortened to " << shorter.choices.size() << ")\n";
-    auto violation = replay(shorter, [](const std::string& line) { std::cout << "  " << line << "\n"; });
-    std::cout << "  => " << (violation ? violation->rule + ": " + violation->text : "not broken when played again")
-              << "\n";
-    std::cout << "  " << shorter.setup.text() << "\n";
-    if (keepFolder.empty()) continue;
-    std::string file = keepFolder + "/" + name + "-" + std::to_string(++number) + ".run";
-    std::ofstream(file) << "# " << found.violation.rule << ": " << found.violation.text << "\n" << shorter.text();
+              << " events, shortened to " << shrunk.choices.size() << ")\n";
+    auto violation = replay(shrunk, [](const std::string& line) { std::cout << "  " << line << "\n"; });
+    std::cout << "  => " << (violation ? violation->rule + ": " + violation->text : "not broken in a replay") << "\n";
+    std::cout << "  " << shrunk.setup.text() << "\n";
+    if (saveDirectory.empty()) continue;
+    std::string file = saveDirectory + "/" + name + "-" + std::to_string(++number) + ".run";
+    std::ofstream(file) << "# " << found.violation.rule << ": " << found.violation.text << "\n" << shrunk.text();
     std::cout << "  kept as " << file << "\n";
   }
   return report.found.empty() ? 0 : 1;
 }
 
+/// Prints the counts to standard output, where they are the same in each run, and the times to standard error.
 void printReport(const std::string& name, const SearchReport& report, std::chrono::duration<double> took) {
   std::cout << "model: " << name << " states=" << report.states << " depth=" << report.depth
             << " events=" << report.events << " walks=" << report.walks << " violations=" << report.found.size()
@@ -60,38 +61,39 @@
   return violation ? 1 : 0;
 }
 
-/// Runs sets in which no rule may be broken, or such in which each must find a broken one.
-int runSets(const std::vector<FixedSearch>& sets, bool mustBreak, const std::string& only, std::size_t threads,
-            const std::vector<std::string>& ignoredRules, const std::string& keepFolder) {
-  int wrong = 0;
-  std::size_t ran = 0;
+/// Runs the sets whose names begin with `namePrefix`. No rule may be broken in them or, with expectViolation, each must
+/// find a broken rule. Returns the exit code.
+int runSets(const std::vector<FixedSearch>& sets, bool expectViolation, const std::string& namePrefix,
+            std::size_t threads, const std::vector<std::string>& ignoredRules, const std::string& saveDirectory) {
+  int failures = 0;
+  std::size_t setCount = 0;
   for (auto set : sets) {
-    if (!only.empty() && set.name.rfind(only, 0) != 0) continue;
-    ++ran;
-    if (mustBreak) set.setup.ignoredRules = {"no-majority", "refused-by-lost", "refused-in-force"};
+    if (!namePrefix.empty() && set.name.rfind(namePrefix, 0) != 0) continue;
+    ++setCount;
+    if (expectViolation) set.setup.ignoredRules = {"no-majority", "refused-by-lost", "refused-in-force"};
     set.setup.ignoredRules.insert(ignoredRules.begin(), ignoredRules.end());
     auto began = Clock::now();
     SearchReport report = runFixedSearch(set, threads);
-    if (!mustBreak) wrong += printFound(set.name, report, keepFolder);
-    if (mustBreak) {
-      wrong += report.found.empty();
+    if (!expectViolation) failures += printCounterexamples(set.name, report, saveDirectory);
+    if (expectViolation) {
+      failures += report.found.empty();
       std::cout << (report.found.empty() ? "NOT FOUND " : "found ") << set.name;
       for (const auto& found : report.found) std::cout << " " << found.violation.rule << ": " << found.violation.text;
       std::cout << "\n";
     }
     printReport(set.name, report, Clock::now() - began);
   }
-  if (ran == 0) std::cerr << "no set is named " << only << "\n";
-  return ran == 0 ? 2 : wrong > 0 ? 1 : 0;
+  if (setCount == 0) std::cerr << "no set has a name that begins with " << namePrefix << "\n";
+  return setCount == 0 ? 2 : failures > 0 ? 1 : 0;
 }
 
-/// What the program is asked to do, as its flags say.
+/// The command-line options.
 struct ModelOptions {
   Setup setup;
   WalkLimits walks;
   BreadthFirstLimits breadth;
   bool fixed{false}, controls{false};
-  std::string replayFile, keepFolder, only, openingFile;
+  std::string replayFile, saveDirectory, namePrefix, openingFile;
   std::vector<std::string> disabledDefences, ignoredRules;
   double seconds{0};
   int catchUpMs{4000}, memberGoneMs{6000};
@@ -99,7 +101,7 @@
   ModelOptions() { breadth.states = 0; }
 };
 
-/// A flag that takes a whole number.
+/// An option that takes an integer.
 struct CountFlag {
   const char* name;
   int& value;
@@ -111,53 +113,54 @@
 }
 
 void addModeFlags(CLI::App& app, ModelOptions& options) {
-  app.add_option("--replay", options.replayFile, "play a kept run and say each event");
-  app.add_option("--keep", options.keepFolder, "keep the shortened run of each violation in this folder");
+  app.add_option("--replay", options.replayFile, "replay a saved run and print each event");
+  app.add_option("--keep", options.saveDirectory, "save the shortened run of each violation in this directory");
   app.add_flag("--fixed", options.fixed, "run the fixed sets: no rule may be broken");
-  app.add_flag("--controls", options.controls, "run the control sets: each must find a broken rule");
-  app.add_option("--set", options.only, "of these run only those whose names begin so");
+  app.add_flag("--controls", options.controls, "run the negative control sets: each must find a broken rule");
+  app.add_option("--set", options.namePrefix, "run only the sets whose names begin with this");
 }
 
 void addSetupFlags(CLI::App& app, ModelOptions& options) {
   auto& setup = options.setup;
-  app.add_option("--without", options.disabledDefences, "take this defence out");
-  app.add_option("--known", options.ignoredRules, "by hand: pass over the breaking of this rule");
-  app.add_option("--room", setup.maxRecordBytes, "bytes of records that a replica may hold");
-  app.add_option("--open-syncs", setup.syncsOnStart, "whether a start syncs what it finds written");
-  app.add_option("--network-room", setup.maxPacketsInFlight, "messages under way at most");
-  addCountFlags(app, {{"--voters", setup.voters, "replicas that form the fleet"},
-                      {"--spares", setup.spares, "empty replicas that may join"},
-                      {"--changes", setup.changes, "changes that clients send"},
-                      {"--fault-budget", setup.faultBudget, "disks that may be lost at once"},
-                      {"--catch-up-ms", options.catchUpMs, "how long a new disk counts as lost"},
-                      {"--member-gone-ms", options.memberGoneMs, "silence after which a voter is taken out"}});
+  app.add_option("--without", options.disabledDefences, "disable this defence");
+  app.add_option("--known", options.ignoredRules, "ignore violations of this rule");
+  app.add_option("--room", setup.maxRecordBytes, "bytes of records that a replica can store");
+  app.add_option("--open-syncs", setup.syncsOnStart, "whether a starting replica syncs the records that it finds");
+  app.add_option("--network-room", setup.maxPacketsInFlight, "maximum number of messages in transit");
+  addCountFlags(app,
+                {{"--voters", setup.voters, "initial voters"},
+                 {"--spares", setup.spares, "empty replicas that can join"},
+                 {"--changes", setup.changes, "changes that clients send"},
+                 {"--fault-budget", setup.faultBudget, "disks that can be lost at the same time"},
+                 {"--catch-up-ms", options.catchUpMs, "milliseconds during which a replaced disk still counts as lost"},
+                 {"--member-gone-ms", options.memberGoneMs, "milliseconds of silence after which a voter is removed"}});
 }
 
 void addWalkFlags(CLI::App& app, ModelOptions& options) {
   auto& walks = options.walks;
-  app.add_option("--walks", walks.walks, "seeded walks");
+  app.add_option("--walks", walks.walks, "number of random walks");
   app.add_option("--first-seed", walks.firstSeed, "seed of the first walk");
-  app.add_option("--events", walks.events, "events of a walk");
-  app.add_option("--threads", walks.threads, "walks at a time");
-  app.add_option("--most-found", walks.maxCounterexamples, "end after so many violations");
-  app.add_option("--seconds", options.seconds, "by hand: end after so long");
+  app.add_option("--events", walks.events, "events in each walk");
+  app.add_option("--threads", walks.threads, "walks run concurrently");
+  app.add_option("--most-found", walks.maxCounterexamples, "stop after this many violations");
+  app.add_option("--seconds", options.seconds, "stop after this many seconds; 0 means no limit");
 }
 
 void addBreadthFlags(CLI::App& app, ModelOptions& options) {
   auto& breadth = options.breadth;
-  app.add_option("--states", breadth.states, "search breadth-first for so many states");
+  app.add_option("--states", breadth.states, "search breadth-first, up to this many states");
   app.add_option("--opening", options.openingFile,
-                 "a file of events that lead to where the breadth-first search starts");
-  addCountFlags(app, {{"--depth", breadth.depth, "events that a breadth-first run may hold"},
-                      {"--crashes", breadth.crashes, "crashes that a breadth-first run may hold"},
-                      {"--drops", breadth.drops, "lost messages that a breadth-first run may hold"},
-                      {"--duplicates", breadth.duplicates, "doubled messages that a breadth-first run may hold"},
-                      {"--wipes", breadth.wipes, "lost disks that a breadth-first run may hold"},
-                      {"--waits", breadth.waits, "waits that a breadth-first run may hold"},
-                      {"--sends", breadth.changes, "changes that a breadth-first run sends, resends included"}});
+                 "file with the events that lead to the initial state of the breadth-first search");
+  addCountFlags(app, {{"--depth", breadth.depth, "maximum number of events in a breadth-first run"},
+                      {"--crashes", breadth.crashes, "maximum number of crashes in it"},
+                      {"--drops", breadth.drops, "maximum number of lost messages in it"},
+                      {"--duplicates", breadth.duplicates, "maximum number of duplicated messages in it"},
+                      {"--wipes", breadth.wipes, "maximum number of lost disks in it"},
+                      {"--waits", breadth.waits, "maximum number of waits in it"},
+                      {"--sends", breadth.changes, "maximum number of changes sent in it, resends included"}});
 }
 
-/// Brings the flags into the setup and the limits; whether they hold together.
+/// Completes the setup and the limits from the options. Returns false after an error, which it prints.
 bool completeOptions(ModelOptions& options) {
   auto& setup = options.setup;
   setup.catchUp = std::chrono::milliseconds(options.catchUpMs);
@@ -177,15 +180,15 @@
   return initialEvents.has_value();
 }
 
-/// Searches as the flags say, by walks or breadth-first.
+/// Searches by random walks or breadth-first, as the options say. Returns the exit code.
 int runSearch(ModelOptions& options) {
   if (!completeOptions(options)) return 2;
-  bool isBreadth = options.breadth.states > 0;
-  std::string name = isBreadth ? "breadth" : "walks";
+  bool breadthFirst = options.breadth.states > 0;
+  std::string name = breadthFirst ? "breadth" : "walks";
   auto began = Clock::now();
   SearchReport report =
-      isBreadth ? searchBreadthFirst(options.setup, options.breadth) : runRandomWalks(options.setup, options.walks);
-  int code = printFound(name, report, options.keepFolder);
+      breadthFirst ? searchBreadthFirst(options.setup, options.breadth) : runRandomWalks(options.setup, options.walks);
+  int code = printCounterexamples(name, report, options.saveDirectory);
   printReport(name, report, Clock::now() - began);
   return code;
 }
@@ -194,19 +197,21 @@
   if (!options.replayFile.empty()) return replayFile(options.replayFile);
   if (!options.fixed && !options.controls) return runSearch(options);
   auto sets = options.fixed ? invariantSearches() : negativeControls();
-  return runSets(sets, !options.fixed, options.only, options.walks.threads, options.ignoredRules, options.keepFolder);
+  return runSets(sets, !options.fixed, options.namePrefix, options.walks.threads, options.ignoredRules,
+                 options.saveDirectory);
 }
 
 }  // namespace
 
-int main(int count, char** words) {
-  CLI::App app("Searches the orders of events of the real agreement for one that breaks a rule", "trouttally-model");
+int main(int count, char** arguments) {
+  CLI::App app("Model checker of the replicated log: searches event orders, with faults, for one that breaks a rule",
+               "trouttally-model");
   app.set_version_flag("--version", std::string("trouttally-model ") + TROUTTALLY_VERSION);
   ModelOptions options;
   addModeFlags(app, options);
   addSetupFlags(app, options);
   addWalkFlags(app, options);
   addBreadthFlags(app, options);
-  CLI11_PARSE(app, count, words);
+  CLI11_PARSE(app, count, arguments);
   return run(options);
 }
