--- a/src/sim/random_scenario.cpp
+++ b/src/sim/random_scenario.cpp
@@ -7,18 +7,21 @@
 
 namespace tt {
 namespace {
+/// How often a scenario announces weights at most.
 constexpr int namingsADay = 8;
+/// Announced weights are w1 to w8.
 constexpr std::uint64_t versionsKnown = 8;
 
-/// Every fourth fleet takes its workers to other weights slowly, one after the other.
+/// A quarter of the fleets has two zones, a load time of its own, and roll-outs that start workers one after the other
+/// over 13 s.
 std::string randomPace(std::uint64_t seed) {
   std::mt19937_64 randomSource(seed * 32452843 + 3);
   if (randomSource() % 4 != 0) return {};
   return " localities 2 rolloutSpan 13 loadMs " + std::to_string(1000 + randomSource() % 1500);
 }
 
-/// Namings of weights at any hour from six seconds on, often in quick succession, and workers that are slow to load or
-/// to begin meanwhile.
+/// Announcements of weights from 6 s on, in half of the cases in quick succession, and workers that for a while load
+/// weights slowly or let requests wait.
 std::string randomNamings(std::uint64_t seed, std::uint64_t workers, double until, int namingsMost) {
   std::mt19937_64 randomSource(seed * 15485863 + 29);
   auto randomBelow = [&](std::uint64_t below) { return randomSource() % below; };
@@ -44,7 +47,7 @@
   return out.str();
 }
 
-/// Now and then proxies that are told to stop, one or all of them, with more or less time to end in.
+/// In a third of the scenarios, proxies that are told to stop, one or all of them, with grace periods from 2 to 8 s.
 std::string randomDepartures(std::uint64_t seed, std::uint64_t edges, double until) {
   std::mt19937_64 randomSource(seed * 49979687 + 11);
   auto randomBelow = [&](std::uint64_t below) { return randomSource() % below; };
@@ -60,7 +63,7 @@
   return out.str();
 }
 
-/// Operators' clients for a scenario of random faults; now and then they make hundreds of changes.
+/// Operators' clients that make changes, in every sixth scenario hundreds of them.
 std::string randomOperators(std::uint64_t seed) {
   std::mt19937_64 randomSource(seed * 104729 + 7);
   auto randomBelow = [&](std::uint64_t below) { return randomSource() % below; };
@@ -104,6 +107,7 @@
       out << "at " << when << " ";
       return out;
     };
+    /// Cases that advance `clock` beyond `end` leave the fleet time to recover before the next fault.
     switch (randomBelow(43)) {
       case 20: {
         std::string name = core();
@@ -329,6 +333,7 @@
         break;
     }
   }
+  /// From here on all faults are over; the expectations below check that the fleet recovers.
   double calm = std::max(24.0, clock + 7);
   out << randomNamings(seed, workers, calm + 5, namingsADay - namings);
   out << randomDepartures(seed, edges, calm - 10);
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -6,18 +6,25 @@
 
 namespace tt {
 namespace {
-/// The seconds that a process has to end in order, where a scenario does not say.
+/// The seconds between the stop signal and the kill of a process where a scenario names none.
 constexpr double graceUsual = 8;
 
+/// A line of a scenario.
 struct Line {
   int number{0};
+  /// Of an 'at' line: when it is carried out, in seconds from the start.
   double at{-1};
+  /// The line's words; of an 'at' line from its verb on.
   std::vector<std::string> words;
+  /// Of an 'at' line: the text behind the verb as it stands.
   std::string rest;
 };
 
+/// How many seeds a negative control tries until one violates its invariant.
 constexpr std::uint64_t controlSeeds = 12;
+/// The highest value of a fleet's setting.
 constexpr double mostOfAFleet = 100000;
+/// Verbs that end a fault. Reducing a scenario keeps their lines, as a fault that never ends fails for other reasons.
 constexpr const char* healing[] = {" start ", " heal", " unstall ", " unfill ", " unmark "};
 
 double quantile(std::vector<double> values, double share) {
@@ -29,6 +36,7 @@
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds));
 }
 
+/// Parses one scenario and runs it.
 class Runner {
  public:
   Runner(const std::string& text, std::optional<std::uint64_t> seed, std::string traced)
@@ -44,7 +52,7 @@
       if (line.words.empty()) continue;
       if (line.words[0] == "at") {
         if (line.words.size() < 3) {
-          wrong(line, "'at SECONDS VERB'");
+          wrong(line, "expected 'at SECONDS VERB ...'");
           continue;
         }
         line.at = std::atof(line.words[1].c_str());
@@ -55,7 +63,7 @@
       } else if (line.words[0] == "fleet") {
         setFleet(line);
       } else if ((line.words[0] == "seed" || line.words[0] == "until") && line.words.size() < 2) {
-        wrong(line, "'" + line.words[0] + " NUMBER'");
+        wrong(line, "expected '" + line.words[0] + " NUMBER'");
       } else if (line.words[0] == "seed") {
         ownSeed = std::strtoull(line.words.at(1).c_str(), nullptr, 10);
       } else if (line.words[0] == "until") {
@@ -67,32 +75,34 @@
         auto defence = Defences::named(line.words.size() > 1 ? line.words[1] : "");
         const auto& lines = invariantNames();
         if (!defence)
-          wrong(line, "no such defence");
+          wrong(line, "missing or unknown defence after '" + line.words[0] + "'");
         else if (control &&
                  (line.words.size() < 3 || std::find(lines.begin(), lines.end(), line.words[2]) == lines.end()))
-          wrong(line, "no such line of what must never happen");
+          wrong(line, "missing or unknown invariant after '" + line.words[1] + "'");
         else if (control)
           controls.push_back({*defence, line.words[1], line.words[2]});
         else
           without.push_back(*defence);
       } else if (line.words[0] != "title") {
-        wrong(line, "unknown word " + line.words[0]);
+        wrong(line, "unknown keyword " + line.words[0]);
       }
     }
     if (seed) ownSeed = *seed;
     std::stable_sort(steps.begin(), steps.end(), [](const Line& one, const Line& other) { return one.at < other.at; });
   }
 
+  /// A negative control: with the defence disabled, a run must violate the invariant.
   struct Control {
     Defence defence;
     std::string name, line;
   };
+  /// The errors found so far.
   const std::vector<std::string>& found() const { return troubles; }
   const std::vector<Control>& controlRuns() const { return controls; }
   void disable(Defence defence) { without.push_back(defence); }
   std::uint64_t seedInUse() const { return ownSeed; }
 
-  /// Which lines broke, whatever else the run came to.
+  /// Runs the scenario and returns the violated invariants.
   std::set<std::string> brokenLines() {
     run();
     std::set<std::string> lines;
@@ -121,7 +131,7 @@
     for (const auto& violation : world->violations) {
       char stamp[32];
       std::snprintf(stamp, sizeof stamp, "%.3f", std::chrono::duration<double>(violation.at - start).count());
-      troubles.push_back("must never happen: " + violation.invariant + " at " + stamp + "s: " + violation.text);
+      troubles.push_back("invariant violated: " + violation.invariant + " at " + stamp + " s: " + violation.text);
     }
     for (const auto& line : expects) check(line);
     result.figures = figures();
@@ -153,7 +163,7 @@
       const std::string& key = line.words[at];
       double value = std::atof(line.words[at + 1].c_str());
       if (!(value >= 0 && value <= mostOfAFleet)) {
-        wrong(line, key + " is from 0 to " + std::to_string(static_cast<int>(mostOfAFleet)));
+        wrong(line, key + " must be a number from 0 to " + std::to_string(static_cast<int>(mostOfAFleet)));
         continue;
       }
       if (key == "spares")
@@ -197,6 +207,8 @@
     }
   }
 
+  /// The processes that a word of a scenario stands for: names separated by commas, @DUTY for its holder,
+  /// locality:ZONE, edge-N for the agent and the proxy of a machine, or a group such as cores.
   std::vector<std::string> named(const std::string& word) {
     if (word.find(',') != std::string::npos) {
       std::vector<std::string> rows;
@@ -223,16 +235,18 @@
       }
     if (word.rfind("edge-", 0) == 0) return {"agent-" + word.substr(5), "proxy-" + word.substr(5)};
     if (world->names().count(word)) return {word};
-    troubles.push_back("no such machine: " + word);
+    troubles.push_back("unknown process " + word);
     return rows;
   }
 
+  /// Whether these are the agent and the proxy of one machine, whose link cut-off and lose leave alone.
   static bool beside(const std::string& one, const std::string& other) {
     return one.substr(one.rfind('-') + 1) == other.substr(other.rfind('-') + 1) &&
            ((one.rfind("agent-", 0) == 0 && other.rfind("proxy-", 0) == 0) ||
             (one.rfind("proxy-", 0) == 0 && other.rfind("agent-", 0) == 0));
   }
 
+  /// Carries out an 'at' line.
   void step(const Line& line) {
     const auto& words = line.words;
     const std::string& verb = words[0];
@@ -412,7 +426,7 @@
   /// operators CLIENTS CHANGES [lose PERCENT] [pause MS] [same-number] [weights]
   void runOperators(const Line& line) {
     const auto& words = line.words;
-    if (words.size() < 3) return wrong(line, "operators CLIENTS CHANGES");
+    if (words.size() < 3) return wrong(line, "expected 'operators CLIENTS CHANGES ...'");
     OperatorPlan plan;
     plan.clients = std::atoi(words[1].c_str());
     plan.changes = std::atoi(words[2].c_str());
@@ -427,21 +441,23 @@
       else if (words[at] == "weights")
         plan.namesWeights = true;
       else
-        wrong(line, "unknown word " + words[at]);
+        wrong(line, "unknown or incomplete option " + words[at]);
     }
     world->runOperators(plan);
   }
 
+  /// Records that an expectation was not met.
   void failed(const Line& line, const std::string& got) {
     std::string text;
     for (const auto& word : line.words) text += word + " ";
     troubles.push_back("line " + std::to_string(line.number) + ": " + text + "- got " + got);
   }
 
+  /// Compares a value with the sign and bound that stand at `at` in the line, and records a failure.
   bool compare(const Line& line, double value, std::size_t at) {
     const auto& words = line.words;
     if (words.size() < at + 2) {
-      failed(line, "no sign and number to compare with");
+      failed(line, "no comparison: expected >=, <= or = and a number");
       return false;
     }
     double bound = std::atof(words[at + 1].c_str());
@@ -452,6 +468,7 @@
     return good;
   }
 
+  /// Carries out an 'at TIME check' line.
   void checkNow(const Line& line) {
     const auto& words = line.words;
     std::string what = words.size() > 1 ? words[1] : "";
@@ -492,6 +509,8 @@
     }
   }
 
+  /// Counts the differences between the confirmed index entries of the cells' lease holders and the blocks that the
+  /// workers and the store really have.
   std::int64_t indexWrong() {
     std::int64_t wrongRows = 0;
     for (const auto& name : named("cores"))
@@ -510,11 +529,13 @@
     return wrongRows;
   }
 
+  /// Scenario words have underscores where names have spaces.
   static std::string spaced(std::string text) {
     std::replace(text.begin(), text.end(), '_', ' ');
     return text;
   }
 
+  /// Checks an 'expect' line after the run.
   void check(const Line& line) {
     const auto& words = line.words;
     std::string what = words.size() > 1 ? words[1] : "";
@@ -531,7 +552,7 @@
         ++asked;
         done += order.verdict == "done";
       }
-      if (asked < 1) return failed(line, "no orders");
+      if (asked < 1) return failed(line, "no requests in this time");
       compare(line, done / asked, 2);
     } else if (what == "verdicts" && words.size() >= 5) {
       double number = 0;
@@ -550,7 +571,7 @@
     } else if (what == "ack-code" && words.size() >= 5) {
       for (const auto& ack : world->acks())
         if (ack.changeId == words[2]) return void(compare(line, ack.code, 3));
-      failed(line, "no such change");
+      failed(line, "no change with this id");
     } else if (what == "same-revision" && words.size() >= 3) {
       std::set<std::uint64_t> revisions;
       for (const auto& ack : world->acks())
@@ -575,6 +596,7 @@
     }
   }
 
+  /// The statistics of the run, as text.
   std::string figures() {
     std::ostringstream out;
     std::map<std::string, int> verdicts;
@@ -647,8 +669,8 @@
       caught = bare.brokenLines().count(control.line) > 0;
     }
     if (!caught)
-      result.troubles.push_back("without " + control.name + " the line " + control.line +
-                                " was not broken: the run proves nothing");
+      result.troubles.push_back("negative control: with " + control.name + " disabled, no run violated " +
+                                control.line + " with " + std::to_string(controlSeeds) + " seeds");
   }
   result.passed = result.troubles.empty();
   return result;
@@ -657,6 +679,7 @@
 std::vector<std::string> checkScenario(const std::string& text) { return Runner(text, std::nullopt, {}).found(); }
 
 std::string reduceScenario(const std::string& text, std::uint64_t seed) {
+  /// The first failure up to its time, so that the same failure at another time counts as the same.
   auto sign = [&](const std::string& tried) -> std::string {
     auto result = runScenario(tried, seed, {}, false);
     if (result.passed || result.troubles.empty()) return {};
--- a/src/sim/scenario.hpp
+++ b/src/sim/scenario.hpp
@@ -3,24 +3,28 @@
 
 namespace tt {
 
-/// What a scenario came to.
+/// The result of a scenario.
 struct ScenarioResult {
   bool passed{false};
+  /// Violated invariants, expectations that were not met, and errors in the scenario's text.
   std::vector<std::string> troubles;
+  /// Statistics of the run, as text.
   std::string figures;
   std::uint64_t seed{0};
-  /// How many operations of operators' clients were checked, and how many of them had no clear answer.
+  /// How many operations of operators' clients were checked, and how many of them had no definite response.
   std::size_t operations{0}, unclear{0};
 };
-/// Reads and runs a scenario's text. A seed given here goes before the text's own. Each 'control DEFENCE LINE' in it is
-/// a further run with that defence taken out, which must break that line of "what must never happen".
+/// Parses and runs a scenario. `seed` replaces the seed that the text names. For each line 'control DEFENCE INVARIANT'
+/// the scenario also runs as a negative control: with this defence disabled it must violate this invariant, which shows
+/// that the scenario exercises the defence.
 ScenarioResult runScenario(const std::string& text, std::optional<std::uint64_t> seed = std::nullopt,
                            const std::string& trace = {}, bool withControls = true);
-/// Reads a scenario without running it; what is wrong with its lines.
+/// Parses a scenario without running it and returns the errors, each with its line number. The arguments of 'at' lines
+/// are checked only when the scenario runs.
 std::vector<std::string> checkScenario(const std::string& text);
-/// Writes a scenario of random faults, the same one for the same seed.
+/// Generates a scenario with random faults; the same seed always gives the same scenario.
 std::string randomScenario(std::uint64_t seed);
-/// Takes lines away from a failing scenario for as long as it keeps failing in the same way.
+/// Removes lines from a failing scenario as long as its first failure stays the same. Lines that end a fault stay.
 std::string reduceScenario(const std::string& text, std::uint64_t seed);
 
 }  // namespace tt
--- a/src/sim/sim.cpp
+++ b/src/sim/sim.cpp
@@ -4,6 +4,21 @@
 
 namespace tt {
 namespace {
+/// How long after an event its effect may be missing before an invariant counts as violated.
+constexpr Duration revokeLimit = 5s;
+constexpr Duration leavingLimit = 3s;
+constexpr Duration changeVisibleLimit = 2s;
+/// Once any reader has shown an acknowledged change, all must show it after this time from the acknowledgement on.
+constexpr Duration changeStableLimit = 250ms;
+/// The longest that a proxy may wait for a lookup, and the time after it was suspended for which this does not apply.
+constexpr std::int64_t lookupLimitMs = 230;
+constexpr Duration resumeTolerance = 300ms;
+/// Client requests are sent from this time after the start of a run on.
+constexpr Duration loadDelay = 4s;
+/// How often a client may send one request in all.
+constexpr int maxClientAttempts = 6;
+
+/// Text of a given length that is random but always the same for one seed.
 std::string longText(const std::string& seed, std::size_t bytes) {
   std::string text;
   for (std::uint64_t at = 0; text.size() < bytes; ++at)
@@ -22,7 +37,7 @@
 }
 
 Result<void> SimDisk::write(int file, std::size_t offset, std::string_view bytes) {
-  if (full) return makeError(Code::diskFault, "write", "no space");
+  if (full) return makeError(Code::diskFault, "write", "no space left on the simulated disk");
   lastFile = static_cast<std::size_t>(file);
   lastOffset = offset;
   lastSize = bytes.size();
@@ -182,6 +197,8 @@
     settings.defences = defences;
     actor.node = std::make_unique<ProxyRouter>(settings);
   } else if (name == "platform") {
+    /// The platform keeps its machine list across restarts. Those that wait for it may take the full time again to
+    /// learn which machines are leaving.
     auto fresh = std::make_unique<PlatformNode>();
     if (actor.node)
       for (const auto& [machineName, machine] : platform().machines()) fresh->set(machine);
@@ -238,6 +255,7 @@
   actor.held.clear();
   actor.heldSends.clear();
   if (actor.ring && !actor.syncing.empty() && !actor.disk->stalled) {
+    /// The batch whose sync is under way is lost (0), complete (1), or torn, with zeros at its end (2).
     std::uint64_t fate = random() % 3;
     if (fate > 0) {
       std::vector<Record> records;
@@ -274,6 +292,7 @@
       ++row;
     }
   }
+  /// The clients of a killed proxy see their connections break.
   if (starts(name, "proxy-"))
     for (auto& [orderId, order] : orderRows)
       if (!order.ended && starts(orderId, (name + "/").c_str())) {
@@ -488,6 +507,7 @@
   if (auto* order = std::get_if<WorkerOrder>(&message)) {
     std::string proxy = from.name, sendId = order->orderId;
     std::uint64_t life = from.life;
+    /// A connection to a stopped process is refused at once; over a cut link it times out.
     if (!up || !target.alive) {
       later(up ? 2ms : 1000ms, [this, proxy, sendId, life] {
         auto& actor = *actors.at(proxy);
@@ -517,6 +537,7 @@
       loss != losses.end() && static_cast<int>(random() % 100) < loss->second)
     return;
   if (auto* gone = std::get_if<WorkerDrop>(&message)) streams.erase(gone->orderId);
+  /// 0.1 ms on one machine, 0.3 to 0.7 ms within a zone, 1 to 3.5 ms between zones.
   Duration delay =
       beside ? Duration(100us)
              : std::chrono::microseconds(from.zone == target.zone ? 300 + random() % 400 : 1000 + random() % 2500);
@@ -572,7 +593,7 @@
   if (rate <= 0) return;
   std::exponential_distribution<double> gap(rate * std::max(loadScale, 0.001));
   later(std::chrono::duration_cast<Duration>(std::chrono::duration<double>(gap(random))), [this, kind, rate] {
-    if (clock > dayStart + 4s && loadScale > 0.001) sendOrder(kind);
+    if (clock > dayStart + loadDelay && loadScale > 0.001) sendOrder(kind);
     sendLoad(kind, rate);
   });
 }
@@ -643,7 +664,7 @@
 void World::comeBack(const CallerOrder& order, const std::string& orderId, int retryAfterMs) {
   const auto& row = orderRows[orderId];
   int share = static_cast<int>(random() % 100);
-  if (share >= obeyShare + ignoreShare + moveShare || row.attempt >= 6) return;
+  if (share >= obeyShare + ignoreShare + moveShare || row.attempt >= maxClientAttempts) return;
   bool obeys = share < obeyShare, moves = share >= obeyShare + ignoreShare;
   std::string proxy = orderId.substr(0, orderId.find('/'));
   if (moves) proxy = "proxy-" + std::to_string(numberOf(proxy) % shape.edges + 1);
@@ -657,7 +678,7 @@
   if (auto* chunk = std::get_if<CallerChunk>(&message)) {
     auto& order = orderRows[chunk->orderId];
     if (order.gone) return;
-    if (order.ended) return violate("stitched", chunk->orderId + " spoke after its verdict");
+    if (order.ended) return violate("stitched", chunk->orderId + " sent a chunk after its final response");
     if (!order.firstSeen) {
       order.firstSeen = true;
       order.firstMs = std::chrono::duration<double, std::milli>(clock - order.askedAt).count();
@@ -665,14 +686,14 @@
     }
     ++order.said;
     if (chunk->text != order.worker + ":" + std::to_string(order.said) + " ")
-      violate("stitched", chunk->orderId + " got " + chunk->text + "as piece " + std::to_string(order.said));
+      violate("stitched", chunk->orderId + " sent '" + chunk->text + "' as chunk " + std::to_string(order.said));
     auto revoked = revokedAt.find(order.key);
-    if (revoked != revokedAt.end() && clock > revoked->second + 5s)
-      violate("revoked-works", chunk->orderId + " still streams");
+    if (revoked != revokedAt.end() && clock > revoked->second + revokeLimit)
+      violate("revoked-works", chunk->orderId + " still streams after its key was revoked");
   } else if (auto* verdict = std::get_if<CallerVerdict>(&message)) {
     auto& order = orderRows[verdict->orderId];
     if (order.gone) return;
-    if (order.ended) return violate("stitched", verdict->orderId + " got two verdicts");
+    if (order.ended) return violate("stitched", verdict->orderId + " got two final responses");
     order.ended = true;
     order.endedAt = clock;
     order.verdict = verdict->verdict;
@@ -681,9 +702,10 @@
     order.fetched = verdict->fetched;
     order.computed = verdict->computed;
     if (verdict->verdict == "done" && order.said != order.maxTokens)
-      violate("stitched", verdict->orderId + " looks complete with " + std::to_string(order.said) + " of " +
-                              std::to_string(order.maxTokens));
-    if (verdict->verdict == "not run" && order.runs > 0) violate("not-run-but-ran", verdict->orderId + " had run");
+      violate("stitched", verdict->orderId + " was reported as complete with " + std::to_string(order.said) + " of " +
+                              std::to_string(order.maxTokens) + " chunks");
+    if (verdict->verdict == "not run" && order.runs > 0)
+      violate("not-run-but-ran", verdict->orderId + " was reported as not run, but a worker had started it");
     checkGivenUp(*verdict, order);
     auto asked = asksOpen.find(verdict->orderId);
     if (asked == asksOpen.end()) return;
@@ -707,10 +729,11 @@
     if (found != orderRows.end()) {
       auto& order = found->second;
       ++order.runs;
-      if (order.runs > 1 && !order.repeatable) violate("runs-twice", orderId + " at " + name);
+      if (order.runs > 1 && !order.repeatable) violate("runs-twice", orderId + " was started again, at " + name);
       if (++runsByIntent[order.intent] > 1 && !order.repeatable)
-        violate("runs-twice", order.intent + " ran again as " + orderId + " at " + name);
-      if (order.ended && order.verdict == "not run") violate("not-run-but-ran", orderId + " ran later at " + name);
+        violate("runs-twice", order.intent + " was started again as " + orderId + ", at " + name);
+      if (order.ended && order.verdict == "not run")
+        violate("not-run-but-ran", orderId + " was started at " + name + " after it was reported as not run");
     }
     watchRun(name, orderId);
   } else if (event.kind == "order began" || event.kind == "first piece") {
@@ -718,8 +741,8 @@
   } else if (event.kind == "order sent") {
     auto space = event.subject.find(' ');
     auto leaving = leavingAt.find(event.subject.substr(space + 1));
-    if (leaving != leavingAt.end() && clock > leaving->second + 3s && actors.at("platform")->alive)
-      violate("leaving-used", event.subject);
+    if (leaving != leavingAt.end() && clock > leaving->second + leavingLimit && actors.at("platform")->alive)
+      violate("leaving-used", "request " + event.subject);
   } else if (event.kind == "cross weights") {
     violate("other-weights", name + " " + event.subject);
   } else if (event.kind == "cross tenant") {
@@ -730,18 +753,19 @@
     auto first = event.subject.find(' ');
     moveSizes[event.subject.substr(0, first)] = event.number;
     auto leaving = leavingAt.find(event.subject.substr(event.subject.rfind(' ') + 1));
-    if (leaving != leavingAt.end() && clock > leaving->second + 3s && actors.at("platform")->alive)
-      violate("leaving-used", "move " + event.subject);
+    if (leaving != leavingAt.end() && clock > leaving->second + leavingLimit && actors.at("platform")->alive)
+      violate("leaving-used", "transfer " + event.subject);
   } else if (event.kind == "pulled") {
     auto size = moveSizes.find(event.subject);
     if (size == moveSizes.end() || event.number > size->second)
-      violate("fetch-beyond", name + " pulled " + std::to_string(event.number) + " for " + event.subject);
+      violate("fetch-beyond", name + " fetched " + std::to_string(event.number) + " blocks for " + event.subject +
+                                  ", more than the transfer names");
   } else if (event.kind == "lookup asked") {
     lookupsOpen[event.subject] = clock;
   } else if (event.kind == "lookup settled") {
     lookupsOpen.erase(event.subject);
-    if (event.number > 230 && clock >= actors.at(name)->frozenUntil + 300ms)
-      violate("lookup-late", event.subject + " waited " + std::to_string(event.number) + "ms");
+    if (event.number > lookupLimitMs && clock >= actors.at(name)->frozenUntil + resumeTolerance)
+      violate("lookup-late", event.subject + " waited " + std::to_string(event.number) + " ms for a lookup");
   } else if (event.kind == "admitted") {
     ++admitted;
     auto* at = edge(name);
@@ -750,8 +774,8 @@
     admittedLately.emplace_back(clock, name);
     auto& order = orderRows[event.subject];
     auto revoked = revokedAt.find(order.key);
-    if (revoked != revokedAt.end() && clock > revoked->second + 5s)
-      violate("revoked-works", event.subject + " was admitted at " + name);
+    if (revoked != revokedAt.end() && clock > revoked->second + revokeLimit)
+      violate("revoked-works", event.subject + " was admitted at " + name + " with a revoked key");
   } else if (event.kind == "retry") {
     ++retries;
     watchRetries(name);
@@ -763,8 +787,8 @@
     auto& last = commandBy[name];
     auto term = static_cast<std::uint64_t>(event.number);
     if (term < last.first || (term == last.first && holder != last.second && !last.second.empty()))
-      violate("two-holders", name + " took term " + std::to_string(term) + " of " + holder + " after " +
-                                 std::to_string(last.first) + " of " + last.second);
+      violate("two-holders", name + " accepted a command of term " + std::to_string(term) + " from " + holder +
+                                 " after term " + std::to_string(last.first) + " from " + last.second);
     last = {term, holder};
   }
   if (!trace.empty() && (trace == "*" || event.kind.find(trace) != std::string::npos))
@@ -775,11 +799,12 @@
 void World::readShown(const std::string& who, std::uint64_t index) {
   for (const auto& ack : ackRows) {
     if (!ack.acked || ack.code != static_cast<int>(Code::changeTaken) || index >= ack.index) continue;
-    if (clock > ack.at + 2s)
-      violate("change-ignored", who + " shows " + std::to_string(index) + ", acked " + std::to_string(ack.index));
-    if (clock > ack.at + 250ms && shownMost >= ack.index)
-      violate("change-back",
-              who + " shows " + std::to_string(index) + " after " + std::to_string(ack.index) + " was shown");
+    if (clock > ack.at + changeVisibleLimit)
+      violate("change-ignored", who + " serves index " + std::to_string(index) + "; index " +
+                                    std::to_string(ack.index) + " was acknowledged");
+    if (clock > ack.at + changeStableLimit && shownMost >= ack.index)
+      violate("change-back", who + " serves index " + std::to_string(index) + " after index " +
+                                 std::to_string(ack.index) + " was served");
   }
   shownMost = std::max(shownMost, index);
 }
@@ -795,8 +820,11 @@
   for (auto row = lookupsOpen.begin(); row != lookupsOpen.end();) {
     const auto& actor = *actors.at(row->first.substr(0, row->first.find('/')));
     bool over = orderRows[row->first].ended || !actor.alive;
-    bool late = !over && clock - row->second > 230ms && clock >= actor.frozenUntil + 300ms;
-    if (late) violate("lookup-late", row->first + " still waits");
+    bool late = !over && clock - row->second > std::chrono::milliseconds(lookupLimitMs) &&
+                clock >= actor.frozenUntil + resumeTolerance;
+    if (late)
+      violate("lookup-late",
+              row->first + " has waited more than " + std::to_string(lookupLimitMs) + " ms for a lookup");
     row = over || late ? lookupsOpen.erase(row) : std::next(row);
   }
   later(40ms, [this] { watchReads(); });
@@ -811,13 +839,13 @@
     const auto& known = row->second.entry;
     if (!fresh && (known.term != entry.term || known.body != entry.body || known.changeId != entry.changeId))
       violate("acked-lost",
-              "entry " + std::to_string(index) + " is another at " + name + " than it was at " + row->second.who);
+              "entry " + std::to_string(index) + " at " + name + " differs from the one at " + row->second.who);
     if (fresh) watchNaming(entry);
     if (fresh && !entry.changeId.empty()) {
       auto [first, alone] = canonByChange.try_emplace(entry.changeId, index);
       if (!alone)
-        violate("acked-lost", entry.changeId + " was taken twice, as " + std::to_string(first->second) + " and " +
-                                  std::to_string(index));
+        violate("acked-lost", entry.changeId + " was applied twice, at index " + std::to_string(first->second) +
+                                  " and index " + std::to_string(index));
     }
     return;
   }
@@ -838,9 +866,9 @@
              again = number(retriedLately, clock);
       if (orders >= (alone ? 20 : 40) && again > 0.2 * orders + 1)
         violate("too-many-retries", std::to_string(static_cast<int>(again)) + " retries of " +
-                                        std::to_string(static_cast<int>(orders)) + " orders within " +
-                                        std::to_string(toMilliseconds(span)) + "ms at " +
-                                        (alone ? proxy : "the fleet"));
+                                        std::to_string(static_cast<int>(orders)) + " requests within " +
+                                        std::to_string(toMilliseconds(span)) + " ms at " +
+                                        (alone ? proxy : "all proxies"));
     }
 }
 
@@ -856,16 +884,18 @@
   std::uint64_t expected = 0;
   for (const auto& [index, row] : canon) {
     if (index != ++expected)
-      return violate("acked-lost", "entry " + std::to_string(expected) + " was applied by no core");
+      return violate("acked-lost", "entry " + std::to_string(expected) + " was not applied by any core");
     model.apply(row.entry);
     for (const auto& [name, view] : views[index])
       if (view->text() != model.text() || view->revision() != model.revision())
-        violate("acked-lost", name + " has another blueprint than its " + std::to_string(index) + " entries make");
+        violate("acked-lost",
+                name + " has a configuration that differs from what entries 1 to " + std::to_string(index) + " give");
   }
   for (const auto& ack : ackRows) {
     if (!ack.acked || ack.code != static_cast<int>(Code::changeTaken)) continue;
     auto taken = canonByChange.find(ack.changeId);
-    if (taken == canonByChange.end()) violate("acked-lost", ack.changeId + " was acknowledged and applied nowhere");
+    if (taken == canonByChange.end())
+      violate("acked-lost", ack.changeId + " was acknowledged but not applied by any core");
   }
 }
 
@@ -874,7 +904,7 @@
   for (const auto& zone : shape.zones) duties.insert("cell/" + zone);
   for (const auto& duty : duties)
     if (int holders = holdersOf(duty); holders > 1)
-      violate("two-holders", duty + " is held by " + std::to_string(holders));
+      violate("two-holders", duty + " is held by " + std::to_string(holders) + " cores");
   later(20ms, [this] { watchHolders(); });
 }
 
@@ -964,19 +994,19 @@
     for (const auto& [name, actor] : actors)
       if (auto* node = core(name))
         held = held || node->consensusLog().configuration().revisionOfChange(ack.changeId).has_value();
-    if (!held) violate("acked-lost", ack.changeId + " is in no core's blueprint");
+    if (!held) violate("acked-lost", ack.changeId + " was acknowledged but is in no core's configuration");
     for (const auto& [name, actor] : actors) {
       auto* node = core(name);
       if (!node || !node->consensusLog().formed() || clock < actor->frozenUntil + 5s) continue;
       if (node->consensusLog().leads(actor->local(clock)) &&
           !node->consensusLog().configuration().revisionOfChange(ack.changeId))
-        violate("acked-lost", ack.changeId + " is unknown to the leader " + name);
+        violate("acked-lost", ack.changeId + " was acknowledged but is unknown to the leader " + name);
     }
   }
   checkConfigurations();
   checkOperators();
   if (admitted >= 50 && retries * 5 > admitted)
-    violate("too-many-retries", std::to_string(retries) + " retries of " + std::to_string(admitted) + " orders");
+    violate("too-many-retries", std::to_string(retries) + " retries of " + std::to_string(admitted) + " requests");
 }
 
 }  // namespace tt
--- a/src/sim/sim_drain.cpp
+++ b/src/sim/sim_drain.cpp
@@ -1,8 +1,9 @@
-/// How the simulator stops proxies in order, and what it checks of those that leave.
+/// Graceful shutdown of proxies, and the checks of the requests that they leave unfinished.
 #include "actor.hpp"
 
 namespace tt {
 namespace {
+/// How often it is checked whether a draining proxy may exit.
 constexpr Duration stepEvery = 50ms;
 }  // namespace
 
@@ -22,7 +23,7 @@
   });
 }
 
-/// Ends the process once it has nothing left to answer, or when its plan's time is over.
+/// Ends the process once it has no open requests, at the latest when its drain plan says.
 void World::leaveFurther(const std::string& name, std::uint64_t life) {
   auto& actor = *actors.at(name);
   if (actor.life != life || !actor.alive) return;
@@ -34,19 +35,20 @@
   kill(name);
 }
 
-/// No order may be left without a verdict by a proxy that ends in order.
+/// Checks that a proxy that was drained has sent a final response to each of its requests.
 void World::checkGivenUp(const std::string& proxy) {
   for (const auto& [orderId, order] : orderRows)
     if (!order.ended && starts(orderId, (proxy + "/").c_str()))
-      violate("given-up", orderId + " has no verdict at its proxy's end");
+      violate("given-up", orderId + " got no final response before its proxy stopped");
 }
 
-/// An order that was taken so late that it could be refused is never given up for the proxy's sake.
+/// Checks that a request that arrived after the proxy had begun to reject requests is not ended because the proxy
+/// stops: it should have been rejected.
 void World::checkGivenUp(const CallerVerdict& verdict, const OrderRow& order) {
   auto plan = drains.find(verdict.orderId.substr(0, verdict.orderId.find('/')));
   if (plan == drains.end() || verdict.verdict == "not run") return;
   if (static_cast<Code>(verdict.code) == Code::stopping && order.askedAt > plan->second.refusesFrom + stepEvery)
-    violate("given-up", verdict.orderId + " was taken by a proxy that could not finish it");
+    violate("given-up", verdict.orderId + " was accepted by a draining proxy that could not finish it");
 }
 
 }  // namespace tt
--- a/src/sim/sim_operators.cpp
+++ b/src/sim/sim_operators.cpp
@@ -2,38 +2,50 @@
 
 namespace tt {
 namespace {
+/// How long an operator's client waits for a response before it sends its request again.
 constexpr Duration answerWait = 1s;
+/// After this time a client stops sending its request again.
 constexpr Duration giveUpAfter = 40s;
+/// The time between two reads of the configuration through random cores.
 constexpr Duration readEvery = 100ms;
+/// Of configurations with more bytes than this, only every 24th is digested, as that is slow.
 constexpr std::size_t bigConfiguration = 48 * 1024;
 constexpr std::uint64_t digestEvery = 24;
+/// The model whose weights operators' clients announce. No worker runs it.
 constexpr const char* namedModel = "names-llm";
 
+/// Nanoseconds since the start of the simulation.
 std::int64_t sinceStart(TimePoint at) {
   return std::chrono::duration_cast<std::chrono::nanoseconds>(at - dayStart).count();
 }
+/// The request's id without the number of the attempt that sendAttempt adds.
 std::string withoutAttempt(const std::string& requestId) { return requestId.substr(0, requestId.find('#')); }
+/// A route of a merge patch; without fields it removes the route.
 std::string routeItem(const std::string& name, const std::string& fields) {
   return "\"" + name + "\":" + (fields.empty() ? std::string("null") : "{" + fields + "}");
 }
 }  // namespace
 
-/// Clients that make changes by one plan, until as many are made as it says.
+/// Clients that follow one plan until they have begun as many changes as it says.
 struct World::OperatorCrew {
   OperatorPlan plan;
   int begun{0};
+  /// The number of the last announced weights.
   std::uint64_t namedMost{0};
   std::vector<std::unique_ptr<OperatorClient>> clients;
 };
 
-/// One operator's client, with one change or one naming of weights under way.
+/// One operator's client. It has one request at a time: a change, or an announcement of weights.
 struct World::OperatorClient {
   OperatorCrew* crew{nullptr};
   std::string name, lastCore;
+  /// The newest revision that the client knows; 0 makes it read the configuration first.
   std::uint64_t known{0};
   int made{0}, tries{0};
+  /// Whether the request has no definite response yet.
   bool open{false};
   OperatorRequest request;
+  /// The route that the present change adds, and those that earlier ones have added.
   std::string ownRoute;
   std::vector<std::string> routes;
   TimePoint begunAt{};
--- a/src/sim/sim_weights.cpp
+++ b/src/sim/sim_weights.cpp
@@ -1,13 +1,13 @@
-/// What the simulator does and checks about versions of weights: see VersionCheck.
+/// Announcements of weights, and the checks of which weights are in use afterwards (see VersionCheck).
 #include "actor.hpp"
 
 namespace tt {
 namespace {
-/// The longest that an order may still begin on older weights once the first newer naming was acknowledged.
+/// How long a request may still begin on older weights after the first newer announcement was acknowledged.
 constexpr Duration oldWeightsTimeout = 20s;
-/// When new weights must be in use at the latest.
+/// How long after the acknowledgement new weights must be in use.
 constexpr Duration weightsInUseMost = 25s;
-/// How long a worker that stood still or started anew has to come to the weights named.
+/// How long a worker that was suspended or restarted may take to load the announced weights.
 constexpr Duration workerSettles = 10s;
 constexpr const char* namingPrefix = "weights ";
 
@@ -21,7 +21,7 @@
          1 + static_cast<int>(random() % static_cast<std::uint64_t>(shape.cores)));
 }
 
-/// Learns which weights a log entry names, the first time any core applies it.
+/// Records which weights a log entry announces, when it is first applied by any core.
 void World::watchNaming(const LogEntry& entry) {
   if (static_cast<EntryKind>(entry.kind) != EntryKind::change) return;
   auto patch = parseJson(entry.body);
@@ -43,8 +43,9 @@
   later(weightsInUseMost, [this, weights, index = ack.index] { checkWorkersWeights(index, weights); });
 }
 
-/// Checks, when these weights must be in use, that some worker is ready to run them or newer ones, and, if they are
-/// still the newest, that every worker holds them.
+/// Checks, when these weights must be in use, that some worker has them or newer ones and, if they are still the
+/// newest, that every worker has them. Workers that are leaving, were suspended or restarted a short time ago, cannot
+/// load weights or do not report do not count.
 void World::checkWorkersWeights(std::uint64_t index, const std::string& named) {
   bool newest = versions.isNewest(modelName, index);
   bool anyAble = false, anyReady = false;
@@ -59,27 +60,28 @@
     anyAble = true;
     anyReady = anyReady || !late;
     if (newest && late)
-      violate("weights-late", name + " holds " + worker->weights() + " " + secondsText(*superseded) +
+      violate("weights-late", name + " still has " + worker->weights() + " " + secondsText(*superseded) +
                                   " after newer ones were acknowledged");
   }
-  if (anyAble && !anyReady) violate("weights-late", "no worker holds " + named + " or newer weights");
+  if (anyAble && !anyReady) violate("weights-late", "no worker has " + named + " or newer weights");
 }
 
 void World::watchRun(const std::string& worker, const std::string& orderId) {
   if (!starts(worker, "worker-")) return;
   const std::string& weights = keeper(worker)->weights();
   auto late = versions.supersededFor(modelName, weights, clock);
-  if (late && *late > weightsInUseMost) violate("weights-late", orderId + " ran under " + weights + " at " + worker);
+  if (late && *late > weightsInUseMost)
+    violate("weights-late", orderId + " was started on outdated weights " + weights + " at " + worker);
 }
 
-/// Checks an order as its computing begins at a worker, and again as its first piece comes.
+/// Checks the weights of a request when a worker begins to compute it and when it sends the first chunk.
 void World::watchBegin(const std::string& worker, const Event& event) {
   if (!starts(worker, "worker-")) return;
   auto space = event.subject.rfind(' ');
   std::string weights = event.subject.substr(space + 1);
   auto late = versions.supersededFor(modelName, weights, clock);
   if (!late || *late <= oldWeightsTimeout) return;
-  violate("old-weights-began", baseOrder(event.subject.substr(0, space)) + " " + event.kind + " on " + weights +
+  violate("old-weights-began", baseOrder(event.subject.substr(0, space)) + ": " + event.kind + " on " + weights +
                                    " at " + worker + " " + secondsText(*late) + " after newer ones were acknowledged");
 }
 
