--- a/src/sim/actor.hpp
+++ b/src/sim/actor.hpp
@@ -35,7 +35,7 @@
   std::vector<std::function<void()>> held;
   std::vector<std::pair<std::string, Message>> heldSends;
   /// The faults that a worker has at each start.
-  KeeperFaults faults;
+  StandInFaults faults;
   /// The time on the machine's clock at a time of the world's clock.
   TimePoint local(TimePoint world) const {
     auto since = std::chrono::duration<double, std::nano>(world - dayStart) * drift;
--- a/src/sim/scenario.hpp
+++ b/src/sim/scenario.hpp
@@ -7,7 +7,7 @@
 struct ScenarioResult {
   bool passed{false};
   /// Violated invariants, expectations that were not met, and errors in the scenario's text.
-  std::vector<std::string> troubles;
+  std::vector<std::string> failures;
   /// Statistics of the run, as text.
   std::string figures;
   std::uint64_t seed{0};
--- a/src/sim/sim.hpp
+++ b/src/sim/sim.hpp
@@ -3,8 +3,8 @@
 
 #include "agent.hpp"
 #include "core.hpp"
-#include "edge.hpp"
 #include "operators.hpp"
+#include "proxy_router.hpp"
 #include "ring.hpp"
 #include "standin.hpp"
 #include "version_check.hpp"
@@ -43,14 +43,14 @@
   /// How long a worker takes to load weights.
   int loadMs{1500};
   /// How many blocks a worker caches.
-  std::size_t keepMost{600};
+  std::size_t maxCachedBlocks{600};
   /// Whether proxies may have cached prefixes fetched from other workers and the store.
   bool fetching{true};
   /// Requests that a worker runs at once, and the time that it takes for each output token.
   int slots{8};
   double tokenMs{20};
   /// See CellSettings.
-  Duration rolloutSpan{0};
+  Duration rolloutSpread{0};
   int rolloutParts{3};
 };
 
@@ -89,8 +89,8 @@
   void moveAddress(const std::string& name);
   SimDisk* disk(const std::string& name);
   /// The stand-in for a worker, the store or the application worker; nullptr for other processes.
-  KeeperNode* keeper(const std::string& name);
-  PlatformNode& platform();
+  StandInBackend* keeper(const std::string& name);
+  StandInPlatform& platform();
   /// Cuts the link between two processes, or only its direction from the first to the second.
   void cut(const std::string& one, const std::string& other, bool bothWays = true);
   /// Drops a share of the messages from the first process to the second.
@@ -106,7 +106,7 @@
   /// Starts operators' clients that change the configuration concurrently, as their plan says.
   void runOperators(const OperatorPlan& plan);
   const History& operatorHistory() const { return operations.recorded(); }
-  const HistoryVerdict& historyVerdict() const { return verdict; }
+  const HistoryCheckResult& historyCheckResult() const { return verdict; }
   /// Runs an action once, when the next change is acknowledged.
   void onNextAck(std::function<void()> action) { nextAckAction = std::move(action); }
   /// Runs an action once, when any process next appends an event of this kind to its journal.
@@ -339,7 +339,7 @@
   void placeOrder(CallerOrder order, const std::string& kind, const std::string& proxy, const std::string& intent,
                   int attempt);
   /// Schedules a client's retry of a request that did not run, according to the clients' habits.
-  void comeBack(const CallerOrder& order, const std::string& orderId, int retryAfterMs);
+  void comeBack(const CallerOrder& order, const std::string& requestId, int retryAfterMs);
   /// Checks periodically what fresh readers show, and lookups that stay open.
   void watchReads();
   /// Checks that a reader that counts itself as fresh has applied what it must have applied.
@@ -357,7 +357,7 @@
   void weightsAcknowledged(const AckRow& ack);
   void checkWorkersWeights(std::uint64_t index, const std::string& named);
   void watchBegin(const std::string& worker, const Event& event);
-  void watchRun(const std::string& worker, const std::string& orderId);
+  void watchRun(const std::string& worker, const std::string& requestId);
   void violate(const std::string& invariant, const std::string& text);
   void leaveFurther(const std::string& name, std::uint64_t life);
   void checkGivenUp(const std::string& proxy);
@@ -372,7 +372,7 @@
   void watchReach(std::size_t ack);
   std::mt19937_64 operatorRandom;
   OperatorHistory operations;
-  HistoryVerdict verdict;
+  HistoryCheckResult verdict;
   std::map<std::string, std::size_t> operationByAttempt;
   std::uint64_t attemptCount{0}, readCount{0};
   /// Counts configurations that were too large to digest each time.
--- a/src/sim/sim_drain.cpp
+++ b/src/sim/sim_drain.cpp
@@ -37,18 +37,18 @@
 
 /// Checks that a proxy that was drained has sent a final response to each of its requests.
 void World::checkGivenUp(const std::string& proxy) {
-  for (const auto& [orderId, order] : orderRows)
-    if (!order.ended && starts(orderId, (proxy + "/").c_str()))
-      violate("given-up", orderId + " got no final response before its proxy stopped");
+  for (const auto& [requestId, order] : orderRows)
+    if (!order.ended && starts(requestId, (proxy + "/").c_str()))
+      violate("given-up", requestId + " got no final response before its proxy stopped");
 }
 
 /// Checks that a request that arrived after the proxy had begun to reject requests is not ended because the proxy
 /// stops: it should have been rejected.
 void World::checkGivenUp(const CallerVerdict& verdict, const OrderRow& order) {
-  auto plan = drains.find(verdict.orderId.substr(0, verdict.orderId.find('/')));
+  auto plan = drains.find(verdict.requestId.substr(0, verdict.requestId.find('/')));
   if (plan == drains.end() || verdict.verdict == "not run") return;
   if (static_cast<Code>(verdict.code) == Code::stopping && order.askedAt > plan->second.refusesFrom + stepEvery)
-    violate("given-up", verdict.orderId + " was accepted by a draining proxy that could not finish it");
+    violate("given-up", verdict.requestId + " was accepted by a draining proxy that could not finish it");
 }
 
 }  // namespace tt
--- a/src/sim/sim_weights.cpp
+++ b/src/sim/sim_weights.cpp
@@ -30,13 +30,13 @@
   if (!models.is<JsonObject>()) return;
   for (const auto& [model, item] : models.get<JsonObject>()) {
     std::string weights = stringOr(item, "weights");
-    if (!weights.empty()) versions.agreed(model, entry.index, weights);
+    if (!weights.empty()) versions.recordAnnouncement(model, entry.index, weights);
   }
 }
 
 void World::weightsAcknowledged(const AckRow& ack) {
   if (ack.index == 0) return;
-  versions.acknowledged(ack.index, clock);
+  versions.recordAcknowledgement(ack.index, clock);
   if (!starts(ack.changeId, namingPrefix)) return;
   std::string named = ack.changeId.substr(std::string(namingPrefix).size());
   std::string weights = named.substr(0, named.rfind('/'));
@@ -66,12 +66,12 @@
   if (anyAble && !anyReady) violate("weights-late", "no worker has " + named + " or newer weights");
 }
 
-void World::watchRun(const std::string& worker, const std::string& orderId) {
+void World::watchRun(const std::string& worker, const std::string& requestId) {
   if (!starts(worker, "worker-")) return;
   const std::string& weights = keeper(worker)->weights();
   auto late = versions.supersededFor(modelName, weights, clock);
   if (late && *late > weightsInUseMost)
-    violate("weights-late", orderId + " was started on outdated weights " + weights + " at " + worker);
+    violate("weights-late", requestId + " was started on outdated weights " + weights + " at " + worker);
 }
 
 /// Checks the weights of a request when a worker begins to compute it and when it sends the first chunk.
