--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -7,7 +7,13 @@
 namespace tt {
 namespace {
 /// The seconds between the stop signal and the kill of a process where a scenario names none.
-constexpr double graceUsual = 8;
+constexpr double defaultGraceSeconds = 8;
+/// Requests that are older than this at the end and have no final response count as unended.
+constexpr Duration unendedAge = 15s;
+/// Longer relay chains of agents are not followed; they would be a cycle.
+constexpr int maxRelayDepth = 20;
+/// The time that `reach-ms` shows for a change that has not reached all proxies.
+constexpr double neverReachedMs = 1e9;
 
 /// A line of a scenario.
 struct Line {
@@ -21,11 +27,11 @@
 };
 
 /// How many seeds a negative control tries until one violates its invariant.
-constexpr std::uint64_t controlSeeds = 12;
+constexpr std::uint64_t maxControlSeeds = 12;
 /// The highest value of a fleet's setting.
-constexpr double mostOfAFleet = 100000;
+constexpr double maxFleetSetting = 100000;
 /// Verbs that end a fault. Reducing a scenario keeps their lines, as a fault that never ends fails for other reasons.
-constexpr const char* healing[] = {" start ", " heal", " unstall ", " unfill ", " unmark "};
+constexpr const char* faultEndingVerbs[] = {" start ", " heal", " unstall ", " unfill ", " unmark "};
 
 double quantile(std::vector<double> values, double share) {
   if (values.empty()) return 0;
@@ -40,7 +46,7 @@
 class Runner {
  public:
   Runner(const std::string& text, std::optional<std::uint64_t> seed, std::string traced)
-      : traceKind(std::move(traced)) {
+      : traceFilter(std::move(traced)) {
     std::istringstream source(text);
     std::string row;
     for (int number = 1; std::getline(source, row); ++number) {
@@ -52,7 +58,7 @@
       if (line.words.empty()) continue;
       if (line.words[0] == "at") {
         if (line.words.size() < 3) {
-          wrong(line, "expected 'at SECONDS VERB ...'");
+          addError(line, "expected 'at SECONDS VERB ...'");
           continue;
         }
         line.at = std::atof(line.words[1].c_str());
@@ -63,7 +69,7 @@
       } else if (line.words[0] == "fleet") {
         setFleet(line);
       } else if ((line.words[0] == "seed" || line.words[0] == "until") && line.words.size() < 2) {
-        wrong(line, "expected '" + line.words[0] + " NUMBER'");
+        addError(line, "expected '" + line.words[0] + " NUMBER'");
       } else if (line.words[0] == "seed") {
         ownSeed = std::strtoull(line.words.at(1).c_str(), nullptr, 10);
       } else if (line.words[0] == "until") {
@@ -73,18 +79,18 @@
       } else if (line.words[0] == "without" || line.words[0] == "control") {
         bool control = line.words[0] == "control";
         auto defence = Defences::named(line.words.size() > 1 ? line.words[1] : "");
-        const auto& lines = invariantNames();
+        const auto& invariants = invariantNames();
         if (!defence)
-          wrong(line, "missing or unknown defence after '" + line.words[0] + "'");
-        else if (control &&
-                 (line.words.size() < 3 || std::find(lines.begin(), lines.end(), line.words[2]) == lines.end()))
-          wrong(line, "missing or unknown invariant after '" + line.words[1] + "'");
+          addError(line, "missing or unknown defence after '" + line.words[0] + "'");
+        else if (control && (line.words.size() < 3 ||
+                             std::find(invariants.begin(), invariants.end(), line.words[2]) == invariants.end()))
+          addError(line, "missing or unknown invariant after '" + line.words[1] + "'");
         else if (control)
           controls.push_back({*defence, line.words[1], line.words[2]});
         else
-          without.push_back(*defence);
+          disabledDefences.push_back(*defence);
       } else if (line.words[0] != "title") {
-        wrong(line, "unknown keyword " + line.words[0]);
+        addError(line, "unknown keyword " + line.words[0]);
       }
     }
     if (seed) ownSeed = *seed;
@@ -94,21 +100,21 @@
   /// A negative control: with the defence disabled, a run must violate the invariant.
   struct Control {
     Defence defence;
-    std::string name, line;
+    std::string name, invariant;
   };
   /// The errors found so far.
-  const std::vector<std::string>& found() const { return failures; }
-  const std::vector<Control>& controlRuns() const { return controls; }
-  void disable(Defence defence) { without.push_back(defence); }
+  const std::vector<std::string>& errors() const { return failures; }
+  const std::vector<Control>& negativeControls() const { return controls; }
+  void disable(Defence defence) { disabledDefences.push_back(defence); }
   std::uint64_t seedInUse() const { return ownSeed; }
 
   /// Runs the scenario and returns the violated invariants.
-  std::set<std::string> brokenLines() {
+  std::set<std::string> violatedInvariants() {
     run();
-    std::set<std::string> lines;
+    std::set<std::string> invariants;
     if (world)
-      for (const auto& violation : world->violations) lines.insert(violation.invariant);
-    return lines;
+      for (const auto& violation : world->violations) invariants.insert(violation.invariant);
+    return invariants;
   }
 
   ScenarioResult run() {
@@ -119,21 +125,21 @@
       return result;
     }
     world = std::make_unique<World>(shape, ownSeed);
-    world->trace = traceKind;
+    world->trace = traceFilter;
     start = world->now();
-    for (auto defence : without) world->disable(defence);
+    for (auto defence : disabledDefences) world->disable(defence);
     for (const auto& line : steps) {
       world->runUntil(start + secondsOf(line.at));
-      step(line);
+      runStep(line);
     }
     world->runUntil(start + secondsOf(until));
-    world->checkEnd();
+    world->checkFinalState();
     for (const auto& violation : world->violations) {
       char stamp[32];
       std::snprintf(stamp, sizeof stamp, "%.3f", std::chrono::duration<double>(violation.at - start).count());
       failures.push_back("invariant violated: " + violation.invariant + " at " + stamp + " s: " + violation.text);
     }
-    for (const auto& line : expects) check(line);
+    for (const auto& line : expects) checkExpectation(line);
     result.figures = figures();
     result.operations = world->historyCheckResult().operations;
     result.unclear = world->historyCheckResult().unclear;
@@ -148,13 +154,13 @@
   double until{20};
   std::vector<Line> steps, expects;
   std::vector<std::string> failures;
-  std::vector<Defence> without;
+  std::vector<Defence> disabledDefences;
   std::vector<Control> controls;
   std::unique_ptr<World> world;
-  std::string traceKind;
+  std::string traceFilter;
   TimePoint start;
 
-  void wrong(const Line& line, const std::string& reason) {
+  void addError(const Line& line, const std::string& reason) {
     failures.push_back("line " + std::to_string(line.number) + ": " + reason);
   }
 
@@ -162,12 +168,12 @@
     for (std::size_t at = 1; at + 1 < line.words.size(); at += 2) {
       const std::string& key = line.words[at];
       double value = std::atof(line.words[at + 1].c_str());
-      if (!(value >= 0 && value <= mostOfAFleet)) {
-        wrong(line, key + " must be a number from 0 to " + std::to_string(static_cast<int>(mostOfAFleet)));
+      if (!(value >= 0 && value <= maxFleetSetting)) {
+        addError(line, key + " must be a number from 0 to " + std::to_string(static_cast<int>(maxFleetSetting)));
         continue;
       }
       if (key == "spares")
-        shape.spares = static_cast<int>(value);
+        shape.spareCores = static_cast<int>(value);
       else if (key == "cores")
         shape.cores = static_cast<int>(value);
       else if (key == "edges")
@@ -203,18 +209,18 @@
         for (int number = 1; number <= static_cast<int>(value); ++number)
           shape.zones.push_back("ghent-" + std::to_string(number));
       } else
-        wrong(line, "unknown fleet key " + key);
+        addError(line, "unknown fleet key " + key);
     }
   }
 
   /// The processes that a word of a scenario stands for: names separated by commas, @DUTY for its holder,
   /// locality:ZONE, edge-N for the agent and the proxy of a machine, or a group such as cores.
-  std::vector<std::string> named(const std::string& word) {
+  std::vector<std::string> processesNamed(const std::string& word) {
     if (word.find(',') != std::string::npos) {
       std::vector<std::string> rows;
       std::stringstream list(word);
       for (std::string item; std::getline(list, item, ',');)
-        for (const auto& name : named(item)) rows.push_back(name);
+        for (const auto& name : processesNamed(item)) rows.push_back(name);
       return rows;
     }
     if (word[0] == '@') {
@@ -240,150 +246,154 @@
   }
 
   /// Whether these are the agent and the proxy of one machine, whose link cut-off and lose leave alone.
-  static bool beside(const std::string& one, const std::string& other) {
+  static bool onSameMachine(const std::string& one, const std::string& other) {
     return one.substr(one.rfind('-') + 1) == other.substr(other.rfind('-') + 1) &&
            ((one.rfind("agent-", 0) == 0 && other.rfind("proxy-", 0) == 0) ||
             (one.rfind("proxy-", 0) == 0 && other.rfind("agent-", 0) == 0));
   }
 
   /// Carries out an 'at' line.
-  void step(const Line& line) {
+  void runStep(const Line& line) {
     const auto& words = line.words;
     const std::string& verb = words[0];
     auto word = [&](std::size_t at) { return at < words.size() ? words[at] : std::string(); };
     auto number = [&](std::size_t at) { return std::atof(word(at).c_str()); };
     auto each = [&](const std::function<void(const std::string&)>& action) {
       for (std::size_t at = 1; at < words.size(); ++at)
-        for (const auto& name : named(words[at])) action(name);
+        for (const auto& name : processesNamed(words[at])) action(name);
     };
     if (verb == "kill") {
       each([&](const std::string& name) { world->kill(name); });
     } else if (verb == "leave") {
-      for (const auto& name : named(word(1)))
-        if (name.rfind("proxy-", 0) == 0) world->leave(name, secondsOf(words.size() > 2 ? number(2) : graceUsual));
+      for (const auto& name : processesNamed(word(1)))
+        if (name.rfind("proxy-", 0) == 0)
+          world->drainProxy(name, secondsOf(words.size() > 2 ? number(2) : defaultGraceSeconds));
     } else if (verb == "start") {
       each([&](const std::string& name) { world->start(name); });
     } else if (verb == "freeze") {
-      for (const auto& name : named(word(1))) world->freeze(name, secondsOf(number(2)));
+      for (const auto& name : processesNamed(word(1))) world->freeze(name, secondsOf(number(2)));
     } else if (verb == "freeze-at-sending") {
-      for (const auto& name : named(word(1))) world->freeze(name, secondsOf(number(2)), true);
+      for (const auto& name : processesNamed(word(1))) world->freeze(name, secondsOf(number(2)), true);
     } else if (verb == "wipe") {
       each([&](const std::string& name) { world->wipeDisk(name); });
     } else if (verb == "move") {
-      each([&](const std::string& name) { world->moveAddress(name); });
+      each([&](const std::string& name) { world->changeAddress(name); });
     } else if (verb == "stall" || verb == "unstall") {
       each([&](const std::string& name) { world->disk(name)->stalled = verb == "stall"; });
     } else if (verb == "fill" || verb == "unfill") {
       each([&](const std::string& name) { world->disk(name)->full = verb == "fill"; });
     } else if (verb == "on-ack") {
+      /// on-ack CHANGE-ID kill PROCESS...
       std::string id = word(1);
       std::vector<std::string> rest(words.begin() + 3, words.end());
       world->onAck(id, [this, rest] {
         for (const auto& part : rest)
-          for (const auto& name : named(part)) world->kill(name);
+          for (const auto& name : processesNamed(part)) world->kill(name);
       });
     } else if (verb == "on-next-ack") {
       Line inner = line;
       inner.words.erase(inner.words.begin());
-      world->onNextAck(inner.words.empty() ? std::function<void()>() : [this, inner] { step(inner); });
+      world->onNextAck(inner.words.empty() ? std::function<void()>() : [this, inner] { runStep(inner); });
     } else if (verb == "operators") {
       runOperators(line);
     } else if (verb == "on-note") {
       Line inner = line;
       inner.words.erase(inner.words.begin(), inner.words.begin() + 2);
-      world->onNote(spaced(word(1)), [this, inner] { step(inner); });
+      world->onNextEvent(withSpaces(word(1)), [this, inner] { runStep(inner); });
     } else if (verb == "lie") {
-      each([&](const std::string& name) { world->disk(name)->lying = true; });
+      each([&](const std::string& name) { world->disk(name)->discardsWrites = true; });
     } else if (verb == "slow-disk") {
-      for (const auto& name : named(word(1))) world->disk(name)->syncSpan = secondsOf(number(2) / 1000);
+      for (const auto& name : processesNamed(word(1))) world->disk(name)->minSyncTime = secondsOf(number(2) / 1000);
     } else if (verb == "corrupt") {
       each([&](const std::string& name) {
         world->kill(name);
         auto* disk = world->disk(name);
-        auto& row = disk->rows[disk->lastFile];
+        auto& row = disk->fileBytes[disk->lastFile];
+        /// Flips a bit in the middle of what was written to the current file.
         row[std::min<std::size_t>(row.size() - 1, disk->lastOffset / 2)] ^= 0x10;
       });
     } else if (verb == "cut" || verb == "cut-one") {
-      for (const auto& one : named(word(1)))
-        for (const auto& other : named(word(2)))
-          if (one != other) world->cut(one, other, verb == "cut");
+      for (const auto& one : processesNamed(word(1)))
+        for (const auto& other : processesNamed(word(2)))
+          if (one != other) world->cutLink(one, other, verb == "cut");
     } else if (verb == "cut-off") {
       std::set<std::string> inside;
       each([&](const std::string& name) { inside.insert(name); });
       for (const auto& one : inside)
         for (const auto& other : world->names())
-          if (!inside.count(other) && !beside(one, other)) world->cut(one, other);
+          if (!inside.count(other) && !onSameMachine(one, other)) world->cutLink(one, other);
     } else if (verb == "cut-out" || verb == "cut-in") {
       each([&](const std::string& name) {
         for (const auto& other : world->names()) {
           if (other == name) continue;
           if (verb == "cut-out")
-            world->cut(name, other, false);
+            world->cutLink(name, other, false);
           else
-            world->cut(other, name, false);
+            world->cutLink(other, name, false);
         }
       });
     } else if (verb == "lose") {
-      for (const auto& one : named(word(1)))
-        for (const auto& other : named(word(2)))
-          if (one != other && !beside(one, other)) world->lose(one, other, static_cast<int>(number(3)));
+      for (const auto& one : processesNamed(word(1)))
+        for (const auto& other : processesNamed(word(2)))
+          if (one != other && !onSameMachine(one, other)) world->setLossRate(one, other, static_cast<int>(number(3)));
     } else if (verb == "heal") {
-      world->heal();
+      world->healLinks();
     } else if (verb == "change") {
-      world->change(line.rest, false, {}, -1, 1 + static_cast<int>(world->randomSource()() % 4));
+      world->submitChange(line.rest, false, {}, -1, 1 + static_cast<int>(world->randomSource()() % 4));
     } else if (verb == "change-id" || verb == "lost-answer") {
       std::istringstream rest(line.rest);
       std::string id, body;
       rest >> id;
       std::getline(rest, body);
-      world->change(body, false, id, -1, 1 + static_cast<int>(world->randomSource()() % 4), verb == "lost-answer");
+      world->submitChange(body, false, id, -1, 1 + static_cast<int>(world->randomSource()() % 4),
+                          verb == "lost-answer");
     } else if (verb == "change-if") {
       std::istringstream rest(line.rest);
       std::string id, body;
       std::int64_t revision = 0;
       rest >> id >> revision;
       std::getline(rest, body);
-      world->change(body, false, id, revision, 1 + static_cast<int>(world->randomSource()() % 4));
+      world->submitChange(body, false, id, revision, 1 + static_cast<int>(world->randomSource()() % 4));
     } else if (verb == "storm") {
       for (int at = 0; at < static_cast<int>(number(1)); ++at)
-        world->change("{\"routes\":{\"" + (words.size() > 2 ? word(2) : std::string("r")) + std::to_string(at) +
-                          "\":{\"model\":\"rooster-llm\",\"policy\":\"p\"}}}",
-                      false, {}, -1, 1 + at % 4);
+        world->submitChange("{\"routes\":{\"" + (words.size() > 2 ? word(2) : std::string("r")) + std::to_string(at) +
+                                "\":{\"model\":\"rooster-llm\",\"policy\":\"p\"}}}",
+                            false, {}, -1, 1 + at % 4);
     } else if (verb == "revoke") {
-      world->revoke(word(1));
+      world->revokeKey(word(1));
     } else if (verb == "name") {
-      world->nameWeights(word(1));
+      world->announceWeights(word(1));
     } else if (verb == "mark" || verb == "unmark") {
-      each([&](const std::string& name) { world->mark(name, verb == "mark"); });
+      each([&](const std::string& name) { world->markLeaving(name, verb == "mark"); });
     } else if (verb == "remove") {
       each([&](const std::string& name) { world->platform().remove(name); });
     } else if (verb == "list") {
-      each([&](const std::string& name) { world->list(name); });
+      each([&](const std::string& name) { world->listMachine(name); });
     } else if (verb == "restore") {
-      world->restore(word(1));
+      world->restoreKey(word(1));
     } else if (verb == "crash-at") {
-      world->crashAt(word(1), static_cast<int>(number(2)));
+      world->crashWorkersAt(word(1), static_cast<int>(number(2)));
     } else if (verb == "relocate") {
-      for (const auto& name : named(word(1))) {
+      for (const auto& name : processesNamed(word(1))) {
         auto machine = world->platform().machines().at(name);
         machine.zone = word(2);
         world->platform().set(machine);
       }
     } else if (verb == "load") {
-      world->setLoad(number(1));
+      world->setLoadScale(number(1));
     } else if (verb == "habits") {
-      world->callerHabits(static_cast<int>(number(1)), static_cast<int>(number(2)), static_cast<int>(number(3)));
+      world->setRetryHabits(static_cast<int>(number(1)), static_cast<int>(number(2)), static_cast<int>(number(3)));
     } else if (verb == "burst") {
-      world->burst(word(1), number(2));
+      world->setBurstRate(word(1), number(2));
     } else if (verb == "leap") {
-      for (const auto& name : named(word(1))) world->leap(name, secondsOf(number(2)));
+      for (const auto& name : processesNamed(word(1))) world->advanceClock(name, secondsOf(number(2)));
     } else if (verb == "hangups") {
-      world->callerHangUps(static_cast<int>(number(1)));
+      world->setHangUpPercent(static_cast<int>(number(1)));
     } else if (verb == "fault") {
-      for (const auto& name : named(word(1))) {
-        auto* keeper = world->keeper(name);
-        if (!keeper) continue;
-        auto& faults = keeper->faults;
+      for (const auto& name : processesNamed(word(1))) {
+        auto* backend = world->backend(name);
+        if (!backend) continue;
+        auto& faults = backend->faults;
         if (word(2) == "lagMs")
           faults.lagMs = static_cast<int>(number(3));
         else if (word(2) == "loseEvents")
@@ -405,28 +415,29 @@
         else if (word(2) == "linkMs")
           faults.linkMs = number(3);
         else
-          wrong(line, "unknown fault " + word(2));
+          addError(line, "unknown fault " + word(2));
       }
     } else if (verb == "forget") {
-      for (const auto& name : named(word(1)))
-        if (auto* keeper = world->keeper(name)) {
+      for (const auto& name : processesNamed(word(1)))
+        if (auto* backend = world->backend(name)) {
+          /// The blocks are dropped without events, so that the index does not learn of it.
           std::mt19937_64 randomSource(1);
-          Effects effects{world->now(), randomSource, keeper->journal, {}, {}};
-          keeper->clearCache(effects, false);
+          Effects effects{world->now(), randomSource, backend->journal, {}, {}};
+          backend->clearCache(effects, false);
         }
     } else if (verb == "count-bytes") {
       world->countBytes = true;
     } else if (verb == "check") {
-      checkNow(line);
+      runCheck(line);
     } else {
-      wrong(line, "unknown verb " + verb);
+      addError(line, "unknown verb " + verb);
     }
   }
 
   /// operators CLIENTS CHANGES [lose PERCENT] [pause MS] [same-number] [weights]
   void runOperators(const Line& line) {
     const auto& words = line.words;
-    if (words.size() < 3) return wrong(line, "expected 'operators CLIENTS CHANGES ...'");
+    if (words.size() < 3) return addError(line, "expected 'operators CLIENTS CHANGES ...'");
     OperatorPlan plan;
     plan.clients = std::atoi(words[1].c_str());
     plan.changes = std::atoi(words[2].c_str());
@@ -441,177 +452,181 @@
       else if (words[at] == "weights")
         plan.announcesWeights = true;
       else
-        wrong(line, "unknown or incomplete option " + words[at]);
+        addError(line, "unknown or incomplete option " + words[at]);
     }
     world->runOperators(plan);
   }
 
   /// Records that an expectation was not met.
-  void failed(const Line& line, const std::string& got) {
+  void addFailure(const Line& line, const std::string& got) {
     std::string text;
     for (const auto& word : line.words) text += word + " ";
     failures.push_back("line " + std::to_string(line.number) + ": " + text + "- got " + got);
   }
 
   /// Compares a value with the sign and bound that stand at `at` in the line, and records a failure.
-  bool compare(const Line& line, double value, std::size_t at) {
+  bool checkBound(const Line& line, double value, std::size_t at) {
     const auto& words = line.words;
     if (words.size() < at + 2) {
-      failed(line, "no comparison: expected >=, <= or = and a number");
+      addFailure(line, "no comparison: expected >=, <= or = and a number");
       return false;
     }
     double bound = std::atof(words[at + 1].c_str());
-    bool good = words[at] == ">="   ? value >= bound
-                : words[at] == "<=" ? value <= bound
-                                    : words[at] == "=" && value == bound;
-    if (!good) failed(line, std::to_string(value));
-    return good;
+    bool holds = words[at] == ">="   ? value >= bound
+                 : words[at] == "<=" ? value <= bound
+                                     : words[at] == "=" && value == bound;
+    if (!holds) addFailure(line, std::to_string(value));
+    return holds;
   }
 
   /// Carries out an 'at TIME check' line.
-  void checkNow(const Line& line) {
+  void runCheck(const Line& line) {
     const auto& words = line.words;
     std::string what = words.size() > 1 ? words[1] : "";
     if (what == "holders" && words.size() > 4) {
-      compare(line, world->holdersOf(words[2]), 3);
+      checkBound(line, world->holdersOf(words[2]), 3);
     } else if (what == "not-holder" && words.size() > 3) {
-      if (world->holderOf(words[2]) == words[3]) failed(line, words[3]);
+      if (world->holderOf(words[2]) == words[3]) addFailure(line, words[3]);
     } else if (what == "fresh" && words.size() > 2) {
       double fresh = 0;
-      for (const auto& name : named(words[2]))
+      for (const auto& name : processesNamed(words[2]))
         if (auto* node = world->agent(name)) fresh += node->fresh(world->localNow(name));
-      compare(line, fresh, 3);
+      checkBound(line, fresh, 3);
     } else if (what == "unconfirmed") {
       double unconfirmed = 0;
-      for (const auto& name : named("cores"))
+      for (const auto& name : processesNamed("cores"))
         if (auto* node = world->core(name))
           for (const auto& [zone, cell] : node->cellsByZone())
             if (world->holderOf("cell/" + zone) == name) unconfirmed += static_cast<double>(cell->unconfirmedCount());
-      compare(line, unconfirmed, 2);
+      checkBound(line, unconfirmed, 2);
     } else if (what == "voters" || what == "members") {
       double voters = 0;
       std::string leader = world->holderOf("accord");
       if (!leader.empty())
         for (const auto& member : world->core(leader)->consensusLog().members())
           voters += what == "members" || member.votes;
-      compare(line, voters, 2);
+      checkBound(line, voters, 2);
     } else if (what == "index-wrong") {
-      compare(line, static_cast<double>(indexWrong()), 2);
+      checkBound(line, static_cast<double>(countIndexErrors()), 2);
     } else if (what == "weights" && words.size() > 4) {
-      double on = 0;
-      for (const auto& name : named("workers"))
-        if (auto* keeper = world->keeper(name)) on += keeper->weights() == words[2] && !keeper->draining();
-      compare(line, on, 3);
+      double workers = 0;
+      for (const auto& name : processesNamed("workers"))
+        if (auto* backend = world->backend(name)) workers += backend->weights() == words[2] && !backend->draining();
+      checkBound(line, workers, 3);
     } else if (what == "count" && words.size() > 4) {
-      compare(line, static_cast<double>(world->count(spaced(words[2]))), 3);
+      checkBound(line, static_cast<double>(world->count(withSpaces(words[2]))), 3);
     } else {
-      wrong(line, "unknown check " + what);
+      addError(line, "unknown check " + what);
     }
   }
 
   /// Counts the differences between the confirmed index entries of the cells' lease holders and the blocks that the
   /// workers and the store really have.
-  std::int64_t indexWrong() {
-    std::int64_t wrongRows = 0;
-    for (const auto& name : named("cores"))
+  std::int64_t countIndexErrors() {
+    std::int64_t differences = 0;
+    for (const auto& name : processesNamed("cores"))
       if (auto* node = world->core(name))
         for (const auto& [zone, cell] : node->cellsByZone()) {
           if (world->holderOf("cell/" + zone) != name) continue;
-          for (const auto& [keeperName, keeper] : cell->cacheNodes()) {
-            auto* truth = world->keeper(keeperName);
-            if (!truth || !keeper.confirmed) continue;
-            std::int64_t known = 0;
-            for (const auto& hash : keeper.cachedBlocks) known += truth->hasBlock(hash);
-            wrongRows += static_cast<std::int64_t>(keeper.cachedBlocks.size()) - known +
-                         static_cast<std::int64_t>(truth->cachedBlockCount()) - known;
+          for (const auto& [cacheNodeName, cacheNode] : cell->cacheNodes()) {
+            auto* actual = world->backend(cacheNodeName);
+            if (!actual || !cacheNode.confirmed) continue;
+            std::int64_t matching = 0;
+            for (const auto& hash : cacheNode.cachedBlocks) matching += actual->hasBlock(hash);
+            differences += static_cast<std::int64_t>(cacheNode.cachedBlocks.size()) - matching +
+                           static_cast<std::int64_t>(actual->cachedBlockCount()) - matching;
           }
         }
-    return wrongRows;
+    return differences;
   }
 
   /// Scenario words have underscores where names have spaces.
-  static std::string spaced(std::string text) {
+  static std::string withSpaces(std::string text) {
     std::replace(text.begin(), text.end(), '_', ' ');
     return text;
   }
 
   /// Checks an 'expect' line after the run.
-  void check(const Line& line) {
+  void checkExpectation(const Line& line) {
     const auto& words = line.words;
     std::string what = words.size() > 1 ? words[1] : "";
+    /// expect served SIGN SHARE from SECONDS to SECONDS [kind KIND | but TENANT]
     if (what == "served" && words.size() >= 8) {
       TimePoint from = start + secondsOf(std::atof(words[5].c_str())),
                 to = start + secondsOf(std::atof(words[7].c_str()));
-      double asked = 0, done = 0;
-      for (const auto& [requestId, order] : world->orders()) {
-        if (order.askedAt < from || order.askedAt >= to || order.gone ||
-            order.code == static_cast<int>(Code::keyDenied))
+      double sent = 0, done = 0;
+      for (const auto& [requestId, request] : world->requests()) {
+        if (request.sentAt < from || request.sentAt >= to || request.clientGone ||
+            request.code == static_cast<int>(Code::keyDenied))
           continue;
-        if (words.size() > 9 && words[8] == "kind" && order.kind != words[9]) continue;
-        if (words.size() > 9 && words[8] == "but" && order.key == words[9]) continue;
-        ++asked;
-        done += order.verdict == "done";
+        if (words.size() > 9 && words[8] == "kind" && request.kind != words[9]) continue;
+        if (words.size() > 9 && words[8] == "but" && request.tenant == words[9]) continue;
+        ++sent;
+        done += request.status == "done";
       }
-      if (asked < 1) return failed(line, "no requests in this time");
-      compare(line, done / asked, 2);
+      if (sent < 1) return addFailure(line, "no requests in this time");
+      checkBound(line, done / sent, 2);
     } else if (what == "verdicts" && words.size() >= 5) {
       double number = 0;
-      for (const auto& [requestId, order] : world->orders()) number += order.verdict == spaced(words[2]);
-      compare(line, number, 3);
+      for (const auto& [requestId, request] : world->requests()) number += request.status == withSpaces(words[2]);
+      checkBound(line, number, 3);
     } else if (what == "unended") {
       double number = 0;
-      for (const auto& [requestId, order] : world->orders())
-        number += !order.ended && order.askedAt < world->now() - 15s;
-      compare(line, number, 2);
+      for (const auto& [requestId, request] : world->requests())
+        number += !request.ended && request.sentAt < world->now() - unendedAge;
+      checkBound(line, number, 2);
     } else if (what == "count" && words.size() >= 5) {
-      compare(line, static_cast<double>(world->count(spaced(words[2]))), 3);
+      checkBound(line, static_cast<double>(world->count(withSpaces(words[2]))), 3);
     } else if (what == "acked") {
       double number = 0;
-      for (const auto& ack : world->acks()) number += ack.acked && ack.code == static_cast<int>(Code::changeTaken);
-      compare(line, number, 2);
+      for (const auto& record : world->changes())
+        number += record.acked && record.code == static_cast<int>(Code::changeTaken);
+      checkBound(line, number, 2);
     } else if (what == "ack-code" && words.size() >= 5) {
-      for (const auto& ack : world->acks())
-        if (ack.changeId == words[2]) return void(compare(line, ack.code, 3));
-      failed(line, "no change with this id");
+      for (const auto& record : world->changes())
+        if (record.changeId == words[2]) return void(checkBound(line, record.code, 3));
+      addFailure(line, "no change with this id");
     } else if (what == "same-revision" && words.size() >= 3) {
       std::set<std::uint64_t> revisions;
-      for (const auto& ack : world->acks())
-        if (ack.changeId == words[2] && ack.acked) revisions.insert(ack.revision);
-      if (revisions.size() != 1) failed(line, std::to_string(revisions.size()) + " revisions");
+      for (const auto& record : world->changes())
+        if (record.changeId == words[2] && record.acked) revisions.insert(record.revision);
+      if (revisions.size() != 1) addFailure(line, std::to_string(revisions.size()) + " revisions");
     } else if (what == "reach-ms") {
       double slowest = 0;
-      for (const auto& ack : world->acks())
-        if (ack.acked && ack.code == static_cast<int>(Code::changeTaken))
+      for (const auto& record : world->changes())
+        if (record.acked && record.code == static_cast<int>(Code::changeTaken))
           slowest = std::max(
-              slowest, ack.reached ? std::chrono::duration<double, std::milli>(ack.reachedAll - ack.at).count() : 1e9);
-      compare(line, slowest, 2);
+              slowest, record.reachedAll
+                           ? std::chrono::duration<double, std::milli>(record.reachedAllAt - record.ackedAt).count()
+                           : neverReachedMs);
+      checkBound(line, slowest, 2);
     } else if (what == "fetched-share") {
       double fetched = 0, all = 0;
-      for (const auto& [requestId, order] : world->orders()) {
-        fetched += order.fetched;
-        all += order.fetched + order.local + order.computed;
+      for (const auto& [requestId, request] : world->requests()) {
+        fetched += request.fetched;
+        all += request.fetched + request.local + request.computed;
       }
-      compare(line, all > 0 ? fetched / all : 0, 2);
+      checkBound(line, all > 0 ? fetched / all : 0, 2);
     } else {
-      wrong(line, "unknown expectation " + what);
+      addError(line, "unknown expectation " + what);
     }
   }
 
   /// The statistics of the run, as text.
   std::string figures() {
     std::ostringstream out;
-    std::map<std::string, int> verdicts;
+    std::map<std::string, int> requestsByStatus;
     std::vector<double> first;
     double fetched = 0, local = 0, computed = 0;
-    for (const auto& [requestId, order] : world->orders()) {
-      ++verdicts[order.ended ? order.verdict : "open"];
-      if (order.firstSeen) first.push_back(order.firstMs);
-      fetched += order.fetched;
-      local += order.local;
-      computed += order.computed;
+    for (const auto& [requestId, request] : world->requests()) {
+      ++requestsByStatus[request.ended ? request.status : "open"];
+      if (request.firstChunkSeen) first.push_back(request.firstChunkMs);
+      fetched += request.fetched;
+      local += request.local;
+      computed += request.computed;
     }
-    out << world->orders().size() << " orders:";
-    for (const auto& [word, number] : verdicts) out << " " << word << " " << number << ",";
+    out << world->requests().size() << " orders:";
+    for (const auto& [word, number] : requestsByStatus) out << " " << word << " " << number << ",";
     double all = std::max(1.0, fetched + local + computed);
     char text[160];
     std::snprintf(text, sizeof text,
@@ -620,34 +635,35 @@
                   100 * computed / all, static_cast<long long>(world->count("retry")));
     out << text;
     double slowest = 0;
-    for (const auto& ack : world->acks())
-      if (ack.reached)
-        slowest = std::max(slowest, std::chrono::duration<double, std::milli>(ack.reachedAll - ack.at).count());
+    for (const auto& record : world->changes())
+      if (record.reachedAll)
+        slowest =
+            std::max(slowest, std::chrono::duration<double, std::milli>(record.reachedAllAt - record.ackedAt).count());
     out << ", slowest reach " << slowest << " ms";
-    const auto& verdict = world->historyCheckResult();
-    out << ", operators' operations " << verdict.operations << " (unclear " << verdict.unclear << ", steps "
-        << verdict.steps << ", reads behind another " << verdict.nonMonotonicReads << ")";
+    const auto& history = world->historyCheckResult();
+    out << ", operators' operations " << history.operations << " (unclear " << history.unclear << ", steps "
+        << history.steps << ", reads behind another " << history.nonMonotonicReads << ")";
     if (world->countBytes) {
-      std::uint64_t most = 0;
-      std::string who;
-      for (const auto& [name, bytes] : world->bytesByNode)
-        if (bytes > most) {
-          most = bytes;
-          who = name;
+      std::uint64_t maxBytes = 0;
+      std::string sender;
+      for (const auto& [name, sentBytes] : world->bytesByNode)
+        if (sentBytes > maxBytes) {
+          maxBytes = sentBytes;
+          sender = name;
         }
-      int deepest = 0;
-      for (const auto& name : named("agents")) {
+      int maxDepth = 0;
+      for (const auto& name : processesNamed("agents")) {
         std::string at = name;
         int depth = 1;
-        for (; depth < 20; ++depth) {
+        for (; depth < maxRelayDepth; ++depth) {
           std::string next = world->nameAt(world->agent(at)->upstreamAddress());
           if (next.rfind("agent-", 0) != 0) break;
           at = next;
         }
-        deepest = std::max(deepest, depth);
+        maxDepth = std::max(maxDepth, depth);
       }
-      out << "; relay depth " << deepest << "; control bytes " << world->bytesSent << ", most by " << who << " "
-          << most;
+      out << "; relay depth " << maxDepth << "; control bytes " << world->bytesSent << ", most by " << sender << " "
+          << maxBytes;
       for (const auto& [kind, row] : world->trafficByKind)
         out << "\n      " << kind << " " << row.first << " messages " << row.second << " bytes";
     }
@@ -662,51 +678,51 @@
   Runner runner(text, seed, trace);
   auto result = runner.run();
   if (!withControls) return result;
-  for (const auto& control : runner.controlRuns()) {
-    bool caught = false;
-    for (std::uint64_t more = 0; more < controlSeeds && !caught; ++more) {
-      Runner bare(text, runner.seedInUse() + more, {});
-      bare.disable(control.defence);
-      caught = bare.brokenLines().count(control.line) > 0;
+  for (const auto& control : runner.negativeControls()) {
+    bool violated = false;
+    for (std::uint64_t offset = 0; offset < maxControlSeeds && !violated; ++offset) {
+      Runner controlRun(text, runner.seedInUse() + offset, {});
+      controlRun.disable(control.defence);
+      violated = controlRun.violatedInvariants().count(control.invariant) > 0;
     }
-    if (!caught)
+    if (!violated)
       result.failures.push_back("negative control: with " + control.name + " disabled, no run violated " +
-                                control.line + " with " + std::to_string(controlSeeds) + " seeds");
+                                control.invariant + " with " + std::to_string(maxControlSeeds) + " seeds");
   }
   result.passed = result.failures.empty();
   return result;
 }
 
-std::vector<std::string> checkScenario(const std::string& text) { return Runner(text, std::nullopt, {}).found(); }
+std::vector<std::string> checkScenario(const std::string& text) { return Runner(text, std::nullopt, {}).errors(); }
 
 std::string reduceScenario(const std::string& text, std::uint64_t seed) {
   /// The first failure up to its time, so that the same failure at another time counts as the same.
-  auto sign = [&](const std::string& tried) -> std::string {
+  auto firstFailure = [&](const std::string& tried) -> std::string {
     auto result = runScenario(tried, seed, {}, false);
     if (result.passed || result.failures.empty()) return {};
     std::string first = result.failures.front();
     return first.substr(0, first.find(" at "));
   };
-  std::string wanted = sign(text);
-  if (wanted.empty()) return text;
+  std::string original = firstFailure(text);
+  if (original.empty()) return text;
   std::vector<std::string> lines;
   std::istringstream source(text);
   for (std::string line; std::getline(source, line);) lines.push_back(line);
   auto joined = [](const std::vector<std::string>& rows) {
-    std::string made;
-    for (const auto& row : rows) made += row + "\n";
-    return made;
+    std::string text;
+    for (const auto& row : rows) text += row + "\n";
+    return text;
   };
   for (bool shorter = true; shorter;) {
     shorter = false;
     for (std::size_t at = 0; at < lines.size(); ++at) {
       if (lines[at].rfind("at ", 0) != 0) continue;
-      if (std::any_of(std::begin(healing), std::end(healing),
+      if (std::any_of(std::begin(faultEndingVerbs), std::end(faultEndingVerbs),
                       [&](const char* verb) { return lines[at].find(verb) != std::string::npos; }))
         continue;
       auto tried = lines;
       tried.erase(tried.begin() + static_cast<std::ptrdiff_t>(at));
-      if (sign(joined(tried)) != wanted) continue;
+      if (firstFailure(joined(tried)) != original) continue;
       lines = tried;
       shorter = true;
       --at;
--- a/src/sim/scenario.hpp
+++ b/src/sim/scenario.hpp
@@ -14,6 +14,10 @@
   /// How many operations of operators' clients were checked, and how many of them had no definite response.
   std::size_t operations{0}, unclear{0};
 };
+/// Scenarios are texts of lines. 'fleet KEY VALUE ...', 'seed N' and 'until SECONDS' set up the run, 'at SECONDS VERB
+/// ...' injects a fault or makes a check during it, and 'expect ...' makes a check after it. 'without DEFENCE' disables
+/// a defence, 'title ...' says what the scenario shows, and # begins a comment.
+
 /// Parses and runs a scenario. `seed` replaces the seed that the text names. For each line 'control DEFENCE INVARIANT'
 /// the scenario also runs as a negative control: with this defence disabled it must violate this invariant, which shows
 /// that the scenario exercises the defence.
--- a/src/sim/sim.cpp
+++ b/src/sim/sim.cpp
@@ -4,19 +4,22 @@
 
 namespace tt {
 namespace {
-/// How long after an event its effect may be missing before an invariant counts as violated.
+/// How long a revoked key may still work, a leaving worker still be used, and an acknowledged change not be visible.
 constexpr Duration revokeLimit = 5s;
 constexpr Duration leavingLimit = 3s;
 constexpr Duration changeVisibleLimit = 2s;
-/// Once any reader has shown an acknowledged change, all must show it after this time from the acknowledgement on.
+/// From this time after the acknowledgement on, a change that any reader has shown must be shown by all.
 constexpr Duration changeStableLimit = 250ms;
-/// The longest that a proxy may wait for a lookup, and the time after it was suspended for which this does not apply.
+/// The longest that a proxy may wait for a lookup. It does not apply until some time after the proxy was suspended.
 constexpr std::int64_t lookupLimitMs = 230;
 constexpr Duration resumeTolerance = 300ms;
 /// Client requests are sent from this time after the start of a run on.
 constexpr Duration loadDelay = 4s;
 /// How often a client may send one request in all.
 constexpr int maxClientAttempts = 6;
+/// The share of retries that is allowed beyond the first, and the admitted requests from which on it is checked.
+constexpr double maxRetryRatio = 0.2;
+constexpr int minProxyAdmissions = 20, minFleetAdmissions = 40;
 
 /// Text of a given length that is random but always the same for one seed.
 std::string longText(const std::string& seed, std::size_t bytes) {
@@ -41,18 +44,18 @@
   lastFile = static_cast<std::size_t>(file);
   lastOffset = offset;
   lastSize = bytes.size();
-  if (!lying) rows[lastFile].replace(offset, bytes.size(), bytes);
+  if (!discardsWrites) fileBytes[lastFile].replace(offset, bytes.size(), bytes);
   return boost::outcome_v2::success();
 }
 
 World::World(FleetShape fleetShape, std::uint64_t seed)
-    : shape(std::move(fleetShape)), random(seed), clock(dayStart), operatorRandom(seed * 2654435761u + 17) {
-  auto add = [&](const std::string& name, Duration tickEvery) {
+    : shape(std::move(fleetShape)), random(seed), clock(simulationStart), operatorRandom(seed * 2654435761u + 17) {
+  auto add = [&](const std::string& name, Duration tickInterval) {
     auto actor = std::make_unique<Actor>();
     actor->name = name;
     actor->offset = std::chrono::seconds(random() % 100000);
     actor->drift = 1 + (static_cast<double>(random() % 2001) - 1000) / 1e6;
-    actor->tickEvery = tickEvery;
+    actor->tickInterval = tickInterval;
     actor->zone = zoneOf(name);
     actor->address = addressOf(name);
     nameByAddress[actor->address] = name;
@@ -62,7 +65,7 @@
   add("store", 5ms);
   add("app", 5ms);
   for (int number = 1; number <= shape.workers; ++number) add("worker-" + std::to_string(number), 5ms);
-  for (int number = 1; number <= shape.cores + shape.spares; ++number) {
+  for (int number = 1; number <= shape.cores + shape.spareCores; ++number) {
     add("core-" + std::to_string(number), 20ms);
     actors["core-" + std::to_string(number)]->disk = std::make_unique<SimDisk>();
   }
@@ -73,32 +76,32 @@
   std::vector<std::string> all;
   for (const auto& [name, actor] : actors) all.push_back(name);
   start("platform");
-  auto& list = platform();
+  auto& platformNode = platform();
   for (int number = 1; number <= shape.workers; ++number) {
     std::string name = "worker-" + std::to_string(number);
-    list.set(Machine{name, addressOf(name), zoneOf(name), "language", false});
+    platformNode.set(Machine{name, addressOf(name), zoneOf(name), "language", false});
   }
-  list.set(Machine{"store", addressOf("store"), zoneOf("store"), "store", false});
-  list.set(Machine{"app", addressOf("app"), zoneOf("app"), "app", false});
+  platformNode.set(Machine{"store", addressOf("store"), zoneOf("store"), "store", false});
+  platformNode.set(Machine{"app", addressOf("app"), zoneOf("app"), "app", false});
   for (const auto& name : all)
-    if (name != "platform" && !(starts(name, "core-") && numberOf(name) > shape.cores))
-      later(std::chrono::milliseconds(random() % 200), [this, name] { start(name); });
+    if (name != "platform" && !(startsWith(name, "core-") && numberOf(name) > shape.cores))
+      schedule(std::chrono::milliseconds(random() % 200), [this, name] { start(name); });
   for (int number = 1; number <= shape.tenants; ++number)
-    isolated["tenant-" + std::to_string(number)] = number % 2 == 0;
-  later(500ms, [this] { change(firstConfiguration(), true, "first", -1, 1); });
-  watchHolders();
-  watchReads();
-  readNowAndThen();
+    isolatedTenants["tenant-" + std::to_string(number)] = number % 2 == 0;
+  schedule(500ms, [this] { submitChange(firstConfiguration(), true, "first", -1, 1); });
+  checkHolders();
+  checkReaders();
+  readPeriodically();
   sendBursts();
-  sendLoad("plan", shape.planRate);
-  sendLoad("swap", shape.swapRate);
-  sendLoad("reminder", shape.reminderRate);
-  sendLoad("app", shape.appRate);
+  scheduleLoad("plan", shape.planRate);
+  scheduleLoad("swap", shape.swapRate);
+  scheduleLoad("reminder", shape.reminderRate);
+  scheduleLoad("app", shape.appRate);
 }
 
 World::~World() = default;
 
-TimePoint World::localNow(const std::string& name) const { return actors.at(name)->local(clock); }
+TimePoint World::localNow(const std::string& name) const { return actors.at(name)->localTime(clock); }
 
 std::string World::firstConfiguration() const {
   std::string text =
@@ -108,25 +111,26 @@
   std::string keys;
   for (int number = 1; number <= shape.tenants; ++number) {
     std::string tenant = "tenant-" + std::to_string(number);
-    bool apart = number % 2 == 0;
-    text += (number > 1 ? ",\"" : "\"") + tenant + "\":{\"isolated\":" + (apart ? "true" : "false") + "}";
+    bool isIsolated = number % 2 == 0;
+    text += (number > 1 ? ",\"" : "\"") + tenant + "\":{\"isolated\":" + (isIsolated ? "true" : "false") + "}";
     keys += (number > 1 ? ",\"" : "\"") + tenant + "-key\":{\"tenant\":\"" + tenant + "\",\"secret\":\"" + tenant +
             "-secret\"}";
   }
   return text + "},\"keys\":{" + keys + "}}";
 }
 
-void World::later(Duration span, std::function<void()> action) {
-  dues.push(Due{clock + span, ++dueCount, std::move(action)});
+void World::schedule(Duration span, std::function<void()> action) {
+  scheduledActions.push(ScheduledAction{clock + span, ++scheduledCount, std::move(action)});
 }
 
 std::string World::addressOf(const std::string& name) const {
   auto moved = addressMoves.find(name);
-  int shift = moved == addressMoves.end() ? 0 : moved->second;
-  if (starts(name, "core-")) return "10.0." + std::to_string(shift) + "." + std::to_string(numberOf(name)) + ":7000";
-  if (starts(name, "agent-")) return "10.1.0." + std::to_string(numberOf(name)) + ":7000";
-  if (starts(name, "proxy-")) return "10.1.0." + std::to_string(numberOf(name)) + ":7001";
-  if (starts(name, "worker-")) return "10.2.0." + std::to_string(numberOf(name)) + ":8000";
+  int moves = moved == addressMoves.end() ? 0 : moved->second;
+  if (startsWith(name, "core-"))
+    return "10.0." + std::to_string(moves) + "." + std::to_string(numberOf(name)) + ":7000";
+  if (startsWith(name, "agent-")) return "10.1.0." + std::to_string(numberOf(name)) + ":7000";
+  if (startsWith(name, "proxy-")) return "10.1.0." + std::to_string(numberOf(name)) + ":7001";
+  if (startsWith(name, "worker-")) return "10.2.0." + std::to_string(numberOf(name)) + ":8000";
   return name == "platform" ? "10.3.0.1:9000" : name == "store" ? "10.3.0.2:9000" : "10.3.0.3:9000";
 }
 
@@ -153,17 +157,17 @@
   return rows;
 }
 
-void World::make(const std::string& name) {
+void World::createNode(const std::string& name) {
   auto& actor = *actors.at(name);
-  TimePoint now = actor.local(clock);
-  if (starts(name, "core-")) {
+  TimePoint now = actor.localTime(clock);
+  if (startsWith(name, "core-")) {
     auto opened = Ring::openOrReset(*actor.disk);
     if (!opened) {
-      ++counts["disk failed"];
+      ++eventCounts["disk failed"];
       actor.alive = false;
       return;
     }
-    if (opened.value().damage) ++counts["ring damaged"];
+    if (opened.value().damage) ++eventCounts["ring damaged"];
     actor.ring = std::move(opened.value().ring);
     CoreSettings settings;
     settings.name = "core-" + std::to_string(std::min(numberOf(name), shape.cores));
@@ -180,14 +184,14 @@
       if (other != name) settings.seeds.push_back(actors.at(other)->address);
     }
     actor.node = std::make_unique<Core>(settings, actor.ring->held(), random, now);
-  } else if (starts(name, "agent-")) {
+  } else if (startsWith(name, "agent-")) {
     AgentSettings settings{name, actor.address, actor.zone, {}, defences};
     for (int at = 0; at < std::min(3, shape.cores); ++at)
       settings.seeds.push_back(actors.at("core-" + std::to_string((numberOf(name) + at) % shape.cores + 1))->address);
     actor.node = std::make_unique<Agent>(settings);
-  } else if (starts(name, "proxy-")) {
+  } else if (startsWith(name, "proxy-")) {
     ProxyRouterSettings settings;
-    settings.name = name + "." + std::to_string(actor.life);
+    settings.name = name + "." + std::to_string(actor.incarnation);
     settings.address = actor.address;
     settings.zone = actor.zone;
     settings.agentAddress = addressOf("agent-" + std::to_string(numberOf(name)));
@@ -199,11 +203,11 @@
   } else if (name == "platform") {
     /// The platform keeps its machine list across restarts. Those that wait for it may take the full time again to
     /// learn which machines are leaving.
-    auto fresh = std::make_unique<StandInPlatform>();
+    auto restarted = std::make_unique<StandInPlatform>();
     if (actor.node)
-      for (const auto& [machineName, machine] : platform().machines()) fresh->set(machine);
-    for (auto& [worker, since] : leavingAt) since = clock;
-    actor.node = std::move(fresh);
+      for (const auto& [machineName, machine] : platform().machines()) restarted->set(machine);
+    for (auto& [worker, since] : leavingSince) since = clock;
+    actor.node = std::move(restarted);
   } else {
     StandInSettings settings;
     settings.name = name;
@@ -213,7 +217,7 @@
     settings.tokenMs = shape.tokenMs;
     settings.maxCachedBlocks = shape.maxCachedBlocks;
     settings.defences = defences;
-    if (starts(name, "worker-")) {
+    if (startsWith(name, "worker-")) {
       settings.model = modelName;
       settings.weights = "w1";
       settings.storeAddress = addressOf("store");
@@ -224,36 +228,36 @@
       settings.kind = "app";
       settings.slots = 32;
     }
-    auto keeperNode = std::make_unique<StandInBackend>(settings, "life" + std::to_string(actor.life));
-    keeperNode->faults = actor.faults;
-    actor.node = std::move(keeperNode);
+    auto backend = std::make_unique<StandInBackend>(settings, "life" + std::to_string(actor.incarnation));
+    backend->faults = actor.faults;
+    actor.node = std::move(backend);
   }
-  actor.node->journal.appended.connect([this, name](const Event& event) { watch(name, event); });
+  actor.node->journal.appended.connect([this, name](const Event& event) { onEvent(name, event); });
 }
 
 void World::start(const std::string& name) {
   auto& actor = *actors.at(name);
   if (actor.alive) return;
-  ++actor.life;
+  ++actor.incarnation;
   actor.alive = true;
   actor.frozenUntil = TimePoint{};
   actor.startedAt = clock;
   actor.saves.clear();
   actor.syncing.clear();
-  actor.syncBusy = false;
+  actor.syncRunning = false;
   actor.oldestSave = TimePoint{};
-  make(name);
-  if (actor.alive) scheduleTick(name, actor.life);
+  createNode(name);
+  if (actor.alive) scheduleTick(name, actor.incarnation);
 }
 
 void World::kill(const std::string& name) {
   auto& actor = *actors.at(name);
   if (!actor.alive) return;
-  drains.erase(name);
+  drainPlans.erase(name);
   actor.alive = false;
-  ++actor.life;
-  actor.held.clear();
-  actor.heldSends.clear();
+  ++actor.incarnation;
+  actor.deferred.clear();
+  actor.deferredSends.clear();
   if (actor.ring && !actor.syncing.empty() && !actor.disk->stalled) {
     /// The batch whose sync is under way is lost (0), complete (1), or torn, with zeros at its end (2).
     std::uint64_t fate = random() % 3;
@@ -263,7 +267,7 @@
       (void)actor.ring->append(records);
       if (fate == 2 && actor.disk->lastSize > 8) {
         std::size_t kept = random() % actor.disk->lastSize;
-        auto& row = actor.disk->rows[actor.disk->lastFile];
+        auto& row = actor.disk->fileBytes[actor.disk->lastFile];
         for (std::size_t at = actor.disk->lastOffset + kept; at < actor.disk->lastOffset + actor.disk->lastSize; ++at)
           row[at] = '\0';
       }
@@ -273,19 +277,19 @@
   for (auto row = streams.begin(); row != streams.end();) {
     if (row->second.worker == name) {
       std::string requestId = row->first, proxy = row->second.proxy;
-      later(2ms, [this, requestId, proxy] {
-        auto& end = *actors.at(proxy);
-        if (end.alive)
-          give(end, "worker",
-               WorkerEnd{requestId, static_cast<int>(AttemptOutcome::broken), static_cast<int>(Code::workerBroke), 0, 0,
-                         0});
+      schedule(2ms, [this, requestId, proxy] {
+        auto& peer = *actors.at(proxy);
+        if (peer.alive)
+          dispatch(peer, "worker",
+                   WorkerEnd{requestId, static_cast<int>(AttemptOutcome::broken), static_cast<int>(Code::workerBroke),
+                             0, 0, 0});
       });
       row = streams.erase(row);
     } else if (row->second.proxy == name) {
       std::string requestId = row->first, worker = row->second.worker;
-      later(2ms, [this, requestId, worker] {
-        auto& end = *actors.at(worker);
-        if (end.alive) give(end, "gone", WorkerDrop{requestId});
+      schedule(2ms, [this, requestId, worker] {
+        auto& peer = *actors.at(worker);
+        if (peer.alive) dispatch(peer, "gone", WorkerDrop{requestId});
       });
       row = streams.erase(row);
     } else {
@@ -293,34 +297,34 @@
     }
   }
   /// The clients of a killed proxy see their connections break.
-  if (starts(name, "proxy-"))
-    for (auto& [requestId, order] : orderRows)
-      if (!order.ended && starts(requestId, (name + "/").c_str())) {
-        order.ended = true;
-        order.endedAt = clock;
-        order.verdict = "connection lost";
+  if (startsWith(name, "proxy-"))
+    for (auto& [requestId, request] : requestRecords)
+      if (!request.ended && startsWith(requestId, (name + "/").c_str())) {
+        request.ended = true;
+        request.endedAt = clock;
+        request.status = "connection lost";
       }
 }
 
-void World::freeze(const std::string& name, Duration span, bool atSending) {
+void World::freeze(const std::string& name, Duration span, bool atNextSend) {
   auto& actor = *actors.at(name);
   if (!actor.alive) return;
-  if (atSending) {
-    actor.freezeAtSending = true;
-    actor.freezeSpan = span;
+  if (atNextSend) {
+    actor.freezeAtNextSend = true;
+    actor.freezeTime = span;
     return;
   }
   actor.frozenUntil = clock + span;
-  std::uint64_t life = actor.life;
-  later(span, [this, name, life] {
-    auto& woken = *actors.at(name);
-    if (woken.life != life || !woken.alive) return;
-    auto sends = std::move(woken.heldSends);
-    woken.heldSends.clear();
-    release(woken, std::move(sends));
-    auto held = std::move(woken.held);
-    woken.held.clear();
-    for (auto& action : held) action();
+  std::uint64_t incarnation = actor.incarnation;
+  schedule(span, [this, name, incarnation] {
+    auto& process = *actors.at(name);
+    if (process.incarnation != incarnation || !process.alive) return;
+    auto sends = std::move(process.deferredSends);
+    process.deferredSends.clear();
+    sendAll(process, std::move(sends));
+    auto deferred = std::move(process.deferred);
+    process.deferred.clear();
+    for (auto& action : deferred) action();
   });
 }
 
@@ -329,17 +333,17 @@
   actors.at(name)->disk = std::make_unique<SimDisk>();
 }
 
-void World::moveAddress(const std::string& name) {
+void World::changeAddress(const std::string& name) {
   ++addressMoves[name];
   auto& actor = *actors.at(name);
   actor.address = addressOf(name);
   nameByAddress[actor.address] = name;
 }
 
-void World::leap(const std::string& name, Duration span) { actors.at(name)->offset += span; }
+void World::advanceClock(const std::string& name, Duration span) { actors.at(name)->offset += span; }
 
 SimDisk* World::disk(const std::string& name) { return actors.at(name)->disk.get(); }
-StandInBackend* World::keeper(const std::string& name) {
+StandInBackend* World::backend(const std::string& name) {
   return dynamic_cast<StandInBackend*>(actors.at(name)->node.get());
 }
 StandInPlatform& World::platform() { return *static_cast<StandInPlatform*>(actors.at("platform")->node.get()); }
@@ -347,162 +351,168 @@
   auto& actor = *actors.at(name);
   return actor.alive ? dynamic_cast<Core*>(actor.node.get()) : nullptr;
 }
-ProxyRouter* World::edge(const std::string& name) { return dynamic_cast<ProxyRouter*>(actors.at(name)->node.get()); }
+ProxyRouter* World::proxyRouter(const std::string& name) {
+  return dynamic_cast<ProxyRouter*>(actors.at(name)->node.get());
+}
 Agent* World::agent(const std::string& name) { return dynamic_cast<Agent*>(actors.at(name)->node.get()); }
 
-void World::cut(const std::string& one, const std::string& other, bool bothWays) {
+void World::cutLink(const std::string& one, const std::string& other, bool bothWays) {
   cuts.insert({one, other});
   if (bothWays) cuts.insert({other, one});
 }
-void World::lose(const std::string& one, const std::string& other, int perCent) { losses[{one, other}] = perCent; }
-void World::heal() {
+void World::setLossRate(const std::string& one, const std::string& other, int percent) {
+  losses[{one, other}] = percent;
+}
+void World::healLinks() {
   cuts.clear();
   losses.clear();
 }
 
 bool World::linked(const std::string& one, const std::string& other) const { return !cuts.count({one, other}); }
 
-void World::scheduleTick(const std::string& name, std::uint64_t life) {
+void World::scheduleTick(const std::string& name, std::uint64_t incarnation) {
   auto& actor = *actors.at(name);
-  later(actor.tickEvery, [this, name, life] {
-    auto& due = *actors.at(name);
-    if (due.life != life || !due.alive) return;
-    if (clock < due.frozenUntil) {
-      due.held.push_back([this, name, life] { scheduleTick(name, life); });
+  schedule(actor.tickInterval, [this, name, incarnation] {
+    auto& process = *actors.at(name);
+    if (process.incarnation != incarnation || !process.alive) return;
+    if (clock < process.frozenUntil) {
+      process.deferred.push_back([this, name, incarnation] { scheduleTick(name, incarnation); });
       return;
     }
-    drive(due, [&](Effects& effects) {
-      if (auto* coreNode = dynamic_cast<Core*>(due.node.get()))
-        coreNode->reportSyncWait(due.oldestSave == TimePoint{} ? Duration(0) : clock - due.oldestSave);
-      due.node->tick(effects);
+    callNode(process, [&](Effects& effects) {
+      if (auto* coreNode = dynamic_cast<Core*>(process.node.get()))
+        coreNode->reportSyncWait(process.oldestSave == TimePoint{} ? Duration(0) : clock - process.oldestSave);
+      process.node->tick(effects);
     });
-    scheduleTick(name, life);
+    scheduleTick(name, incarnation);
   });
 }
 
-void World::drive(Actor& actor, const std::function<void(Effects&)>& action) {
-  Effects effects{actor.local(clock), random, actor.node->journal, {}, {}};
+void World::callNode(Actor& actor, const std::function<void(Effects&)>& action) {
+  Effects effects{actor.localTime(clock), random, actor.node->journal, {}, {}};
   action(effects);
   if (!effects.saves.empty()) {
     if (actor.oldestSave == TimePoint{}) actor.oldestSave = clock;
     for (auto& save : effects.saves) actor.saves.push_back(std::move(save));
     startSync(actor);
   }
-  if (actor.freezeAtSending) {
+  if (actor.freezeAtNextSend) {
     bool sending = false;
     for (const auto& [to, message] : effects.sends)
       sending = sending || std::holds_alternative<ControlAsk>(message) || std::holds_alternative<WorkerOrder>(message);
     if (sending) {
-      actor.freezeAtSending = false;
-      actor.heldSends = std::move(effects.sends);
-      freeze(actor.name, actor.freezeSpan);
+      actor.freezeAtNextSend = false;
+      actor.deferredSends = std::move(effects.sends);
+      freeze(actor.name, actor.freezeTime);
       return;
     }
   }
-  release(actor, std::move(effects.sends));
+  sendAll(actor, std::move(effects.sends));
 }
 
-void World::release(Actor& actor, std::vector<std::pair<std::string, Message>> sends) {
+void World::sendAll(Actor& actor, std::vector<std::pair<std::string, Message>> sends) {
   for (auto& [to, message] : sends) {
-    if (auto* order = std::get_if<WorkerOrder>(&message); order && leftTooLate(actor, *order))
-      endUnsent(actor, *order);
+    if (auto* request = std::get_if<WorkerOrder>(&message); request && sendDeadlinePassed(actor, *request))
+      failUnsent(actor, *request);
     else
-      post(actor, to, std::move(message));
+      sendMessage(actor, to, std::move(message));
   }
 }
 
-bool World::leftTooLate(const Actor& actor, const WorkerOrder& order) const {
-  return order.sendDeadline != 0 && defences.isEnabled(Defence::leaveByKept) &&
-         actor.local(clock) >= fromNanoseconds(order.sendDeadline);
+bool World::sendDeadlinePassed(const Actor& actor, const WorkerOrder& request) const {
+  return request.sendDeadline != 0 && defences.isEnabled(Defence::leaveByKept) &&
+         actor.localTime(clock) >= fromNanoseconds(request.sendDeadline);
 }
 
-void World::endUnsent(const Actor& actor, const WorkerOrder& order) {
-  WorkerEnd end{order.requestId,
+void World::failUnsent(const Actor& actor, const WorkerOrder& request) {
+  WorkerEnd end{request.requestId,
                 static_cast<int>(AttemptOutcome::brokenBeforeSend),
                 static_cast<int>(Code::workerBroke),
                 0,
                 0,
                 0};
-  later(Duration(0), [this, name = actor.name, life = actor.life, end] { arrive("worker", name, life, end); });
+  schedule(Duration(0), [this, name = actor.name, incarnation = actor.incarnation, end] {
+    deliver("worker", name, incarnation, end);
+  });
 }
 
 void World::startSync(Actor& actor) {
-  if (actor.syncBusy || actor.saves.empty() || !actor.ring) return;
-  actor.syncBusy = true;
+  if (actor.syncRunning || actor.saves.empty() || !actor.ring) return;
+  actor.syncRunning = true;
   actor.syncing = std::move(actor.saves);
   actor.saves.clear();
   actor.oldestSave = clock;
   std::string name = actor.name;
-  std::uint64_t life = actor.life;
-  later(actor.disk->syncSpan + std::chrono::microseconds(random() % 2000),
-        [this, name, life] { finishSync(name, life); });
+  std::uint64_t incarnation = actor.incarnation;
+  schedule(actor.disk->minSyncTime + std::chrono::microseconds(random() % 2000),
+           [this, name, incarnation] { finishSync(name, incarnation); });
 }
 
-void World::finishSync(const std::string& name, std::uint64_t life) {
-  auto& due = *actors.at(name);
-  if (due.life != life || !due.alive) return;
-  if (due.disk->stalled) return later(50ms, [this, name, life] { finishSync(name, life); });
-  if (clock < due.frozenUntil) {
-    due.held.push_back([this, name, life] { finishSync(name, life); });
+void World::finishSync(const std::string& name, std::uint64_t incarnation) {
+  auto& process = *actors.at(name);
+  if (process.incarnation != incarnation || !process.alive) return;
+  if (process.disk->stalled) return schedule(50ms, [this, name, incarnation] { finishSync(name, incarnation); });
+  if (clock < process.frozenUntil) {
+    process.deferred.push_back([this, name, incarnation] { finishSync(name, incarnation); });
     return;
   }
   std::vector<Record> records;
-  for (const auto& save : due.syncing) records.push_back(save.record);
-  if (!due.ring->append(records)) {
-    ++counts["disk failed"];
+  for (const auto& save : process.syncing) records.push_back(save.record);
+  if (!process.ring->append(records)) {
+    ++eventCounts["disk failed"];
     return kill(name);
   }
-  auto done = std::move(due.syncing);
-  due.syncing.clear();
-  due.syncBusy = false;
-  due.oldestSave = due.saves.empty() ? TimePoint{} : clock;
-  drive(due, [&](Effects& effects) {
+  auto done = std::move(process.syncing);
+  process.syncing.clear();
+  process.syncRunning = false;
+  process.oldestSave = process.saves.empty() ? TimePoint{} : clock;
+  callNode(process, [&](Effects& effects) {
     for (auto& save : done)
       if (save.onSynced) save.onSynced(effects);
   });
-  startSync(due);
+  startSync(process);
 }
 
-bool World::crashesHere(const Message& message) {
+bool World::takeCrash(const Message& message) {
   std::string phase;
   if (auto* chunk = std::get_if<WorkerChunk>(&message)) {
-    auto piece = chunk->text.substr(chunk->text.find(':') + 1);
-    phase = piece == "1 " ? "start" : piece == "3 " ? "middle" : "";
+    auto number = chunk->text.substr(chunk->text.find(':') + 1);
+    phase = number == "1 " ? "start" : number == "3 " ? "middle" : "";
   } else if (auto* end = std::get_if<WorkerEnd>(&message);
              end && end->outcome == static_cast<int>(AttemptOutcome::done)) {
-    if (orderRows.count(baseOrder(end->requestId))) phase = "end";
+    if (requestRecords.count(clientRequestId(end->requestId))) phase = "end";
   }
-  auto found = crashes.find(phase);
-  if (found == crashes.end() || found->second == 0) return false;
+  auto found = pendingCrashes.find(phase);
+  if (found == pendingCrashes.end() || found->second == 0) return false;
   --found->second;
   return true;
 }
 
-void World::post(Actor& from, const std::string& to, Message message) {
+void World::sendMessage(Actor& from, const std::string& to, Message message) {
   if (!from.alive) return;
-  if (!crashes.empty() && crashesHere(message)) {
+  if (!pendingCrashes.empty() && takeCrash(message)) {
     std::string name = from.name;
     kill(name);
-    later(500ms, [this, name] { start(name); });
+    schedule(500ms, [this, name] { start(name); });
     return;
   }
   if (to == "caller") {
-    toCaller(message);
+    onClientMessage(message);
     return;
   }
   if (to == "operator") {
-    if (auto* reply = std::get_if<OperatorResponse>(&message)) operatorAnswer(*reply);
-    if (auto* read = std::get_if<ReadResponse>(&message)) readAnswered(from, *read);
+    if (auto* reply = std::get_if<OperatorResponse>(&message)) onOperatorResponse(*reply);
+    if (auto* read = std::get_if<ReadResponse>(&message)) onReadResponse(from, *read);
     return;
   }
   auto found = nameByAddress.find(to);
   if (found == nameByAddress.end()) return;
   std::string toName = found->second;
   auto& target = *actors.at(toName);
-  bool beside = from.address.substr(0, from.address.find(':')) == to.substr(0, to.find(':'));
-  bool up = linked(from.name, toName) && target.address == to;
+  bool sameMachine = from.address.substr(0, from.address.find(':')) == to.substr(0, to.find(':'));
+  bool reachable = linked(from.name, toName) && target.address == to;
   ++messagesSent;
-  if (countBytes && !beside && (starts(from.name, "core-") || starts(from.name, "agent-"))) {
+  if (countBytes && !sameMachine && (startsWith(from.name, "core-") || startsWith(from.name, "agent-"))) {
     std::size_t size = encodeMessage(message).size();
     bytesSent += size;
     auto& row = trafficByKind[messageName(message)];
@@ -510,371 +520,376 @@
     row.second += size;
     bytesByNode[from.name] += size;
   }
-  if (auto* order = std::get_if<WorkerOrder>(&message)) {
-    std::string proxy = from.name, sendId = order->requestId;
-    std::uint64_t life = from.life;
+  if (auto* request = std::get_if<WorkerOrder>(&message)) {
+    std::string proxy = from.name, sendId = request->requestId;
+    std::uint64_t incarnation = from.incarnation;
     /// A connection to a stopped process is refused at once; over a cut link it times out.
-    if (!up || !target.alive) {
-      later(up ? 2ms : 1000ms, [this, proxy, sendId, life] {
+    if (!reachable || !target.alive) {
+      schedule(reachable ? 2ms : 1000ms, [this, proxy, sendId, incarnation] {
         auto& actor = *actors.at(proxy);
-        if (actor.alive && actor.life == life)
-          give(actor, "worker",
-               WorkerEnd{sendId, static_cast<int>(AttemptOutcome::brokenBeforeSend),
-                         static_cast<int>(Code::workerBroke), 0, 0, 0});
+        if (actor.alive && actor.incarnation == incarnation)
+          dispatch(actor, "worker",
+                   WorkerEnd{sendId, static_cast<int>(AttemptOutcome::brokenBeforeSend),
+                             static_cast<int>(Code::workerBroke), 0, 0, 0});
       });
       return;
     }
     streams[sendId] = Stream{from.name, toName};
   }
-  auto piece = std::visit(
+  auto streamId = std::visit(
       [](const auto& value) -> std::string {
         using T = std::decay_t<decltype(value)>;
         if constexpr (std::is_same_v<T, WorkerChunk> || std::is_same_v<T, WorkerEnd>) return value.requestId;
         return {};
       },
       message);
-  auto stream = piece.empty() ? streams.end() : streams.find(piece);
+  auto stream = streamId.empty() ? streams.end() : streams.find(streamId);
   if (stream != streams.end()) {
-    if (!up) stream->second.torn = true;
-    if (stream->second.torn) return;
+    if (!reachable) stream->second.broken = true;
+    if (stream->second.broken) return;
   }
-  if (!up) return;
+  if (!reachable) return;
   if (auto loss = losses.find({from.name, toName});
       loss != losses.end() && static_cast<int>(random() % 100) < loss->second)
     return;
   if (auto* gone = std::get_if<WorkerDrop>(&message)) streams.erase(gone->requestId);
   /// 0.1 ms on one machine, 0.3 to 0.7 ms within a zone, 1 to 3.5 ms between zones.
   Duration delay =
-      beside ? Duration(100us)
-             : std::chrono::microseconds(from.zone == target.zone ? 300 + random() % 400 : 1000 + random() % 2500);
+      sameMachine ? Duration(100us)
+                  : std::chrono::microseconds(from.zone == target.zone ? 300 + random() % 400 : 1000 + random() % 2500);
   auto& last = lastArrival[{from.name, toName}];
   TimePoint at = std::max(clock + delay, last + 1us);
   last = at;
   std::string fromAddress = from.address;
-  std::uint64_t life = target.life;
-  dues.push(Due{at, ++dueCount, [this, fromAddress, toName, life, message = std::move(message)]() mutable {
-                  arrive(fromAddress, toName, life, std::move(message));
-                }});
+  std::uint64_t incarnation = target.incarnation;
+  scheduledActions.push(ScheduledAction{
+      at, ++scheduledCount, [this, fromAddress, toName, incarnation, message = std::move(message)]() mutable {
+        deliver(fromAddress, toName, incarnation, std::move(message));
+      }});
 }
 
-void World::arrive(const std::string& from, const std::string& toName, std::uint64_t life, Message message) {
+void World::deliver(const std::string& from, const std::string& toName, std::uint64_t incarnation, Message message) {
   auto& target = *actors.at(toName);
-  if (!target.alive || target.life != life) return;
+  if (!target.alive || target.incarnation != incarnation) return;
   if (auto* end = std::get_if<WorkerEnd>(&message)) {
     streams.erase(end->requestId);
   }
-  give(target, from, message);
+  dispatch(target, from, message);
 }
 
-void World::give(Actor& actor, const std::string& from, const Message& message) {
+void World::dispatch(Actor& actor, const std::string& from, const Message& message) {
   if (clock < actor.frozenUntil) {
     std::string name = actor.name;
-    std::uint64_t life = actor.life;
-    actor.held.push_back([this, name, life, from, message] {
-      auto& woken = *actors.at(name);
-      if (woken.alive && woken.life == life) give(woken, from, message);
+    std::uint64_t incarnation = actor.incarnation;
+    actor.deferred.push_back([this, name, incarnation, from, message] {
+      auto& process = *actors.at(name);
+      if (process.alive && process.incarnation == incarnation) dispatch(process, from, message);
     });
     return;
   }
-  drive(actor, [&](Effects& effects) { actor.node->handle(effects, from, message); });
+  callNode(actor, [&](Effects& effects) { actor.node->handle(effects, from, message); });
 }
 
 void World::runUntil(TimePoint until) {
-  while (!dues.empty() && dues.top().at <= until) {
-    Due due = dues.top();
-    dues.pop();
-    clock = due.at;
-    due.action();
+  while (!scheduledActions.empty() && scheduledActions.top().at <= until) {
+    ScheduledAction next = scheduledActions.top();
+    scheduledActions.pop();
+    clock = next.at;
+    next.action();
   }
   clock = until;
 }
 
-void World::violate(const std::string& invariant, const std::string& text) {
-  std::size_t same = 0;
-  for (const auto& violation : violations) same += violation.invariant == invariant;
-  if (same < 10) violations.push_back({invariant, text, clock});
+void World::reportViolation(const std::string& invariant, const std::string& text) {
+  std::size_t earlier = 0;
+  for (const auto& violation : violations) earlier += violation.invariant == invariant;
+  if (earlier < 10) violations.push_back({invariant, text, clock});
 }
 
-void World::sendLoad(const std::string& kind, double rate) {
+void World::scheduleLoad(const std::string& kind, double rate) {
   if (rate <= 0) return;
   std::exponential_distribution<double> gap(rate * std::max(loadScale, 0.001));
-  later(std::chrono::duration_cast<Duration>(std::chrono::duration<double>(gap(random))), [this, kind, rate] {
-    if (clock > dayStart + loadDelay && loadScale > 0.001) sendOrder(kind);
-    sendLoad(kind, rate);
+  schedule(std::chrono::duration_cast<Duration>(std::chrono::duration<double>(gap(random))), [this, kind, rate] {
+    if (clock > simulationStart + loadDelay && loadScale > 0.001) sendRequest(kind);
+    scheduleLoad(kind, rate);
   });
 }
 
 void World::sendBursts() {
   for (const auto& [tenant, rate] : burstRates)
-    for (double left = rate / 20; left > 0 && (left >= 1 || static_cast<double>(random() % 1000) / 1000 < left);
-         left -= 1)
-      sendOrder("swap", tenant);
-  later(50ms, [this] { sendBursts(); });
+    for (double remaining = rate / 20;
+         remaining > 0 && (remaining >= 1 || static_cast<double>(random() % 1000) / 1000 < remaining); remaining -= 1)
+      sendRequest("swap", tenant);
+  schedule(50ms, [this] { sendBursts(); });
 }
 
-void World::sendOrder(const std::string& kind, std::string tenant) {
+void World::sendRequest(const std::string& kind, std::string tenant) {
   if (tenant.empty()) tenant = "tenant-" + std::to_string(1 + random() % static_cast<std::uint64_t>(shape.tenants));
-  CallerOrder order;
-  order.key = tenant + "-secret";
-  order.route = kind;
-  order.model = modelName;
-  std::string prefix = "prefix " + kind + std::to_string(random() % 4), own = std::to_string(orderCount + 1);
-  if (kind == "plan") order.parts = {longText(prefix, 40 * blockBytes), longText(own, 500)};
-  if (kind == "plan" && !lastPlan.empty() && random() % 4 == 0)
-    order.parts = {lastPlan[0], lastPlan[1], longText(own, 500)};
-  if (kind == "plan" && order.parts.size() == 2) lastPlan = order.parts;
-  if (kind == "swap") order.parts = {longText(prefix, 16 * blockBytes), longText(own, 150)};
-  if (kind == "reminder") order.parts = {longText(prefix, 3 * blockBytes), own};
-  if (kind == "app") order.parts = {own};
-  order.maxTokens = kind == "plan" ? 20 : kind == "swap" ? 10 : 4;
-  order.repeatable = kind == "plan" || kind == "app";
-  placeOrder(std::move(order), kind, "proxy-" + std::to_string(1 + random() % static_cast<std::uint64_t>(shape.edges)),
-             {}, 1);
-}
-
-void World::placeOrder(CallerOrder order, const std::string& kind, const std::string& proxy, const std::string& intent,
-                       int attempt) {
+  CallerOrder request;
+  request.key = tenant + "-secret";
+  request.route = kind;
+  request.model = modelName;
+  std::string prefix = "prefix " + kind + std::to_string(random() % 4), own = std::to_string(requestCount + 1);
+  if (kind == "plan") request.parts = {longText(prefix, 40 * blockBytes), longText(own, 500)};
+  if (kind == "plan" && !lastPlanParts.empty() && random() % 4 == 0)
+    request.parts = {lastPlanParts[0], lastPlanParts[1], longText(own, 500)};
+  if (kind == "plan" && request.parts.size() == 2) lastPlanParts = request.parts;
+  if (kind == "swap") request.parts = {longText(prefix, 16 * blockBytes), longText(own, 150)};
+  if (kind == "reminder") request.parts = {longText(prefix, 3 * blockBytes), own};
+  if (kind == "app") request.parts = {own};
+  request.maxTokens = kind == "plan" ? 20 : kind == "swap" ? 10 : 4;
+  request.repeatable = kind == "plan" || kind == "app";
+  submitRequest(std::move(request), kind,
+                "proxy-" + std::to_string(1 + random() % static_cast<std::uint64_t>(shape.edges)), {}, 1);
+}
+
+void World::submitRequest(CallerOrder request, const std::string& kind, const std::string& proxy,
+                          const std::string& firstAttemptId, int attempt) {
   auto& actor = *actors.at(proxy);
-  order.requestId = proxy + "/" + std::to_string(++orderCount);
-  auto& row = orderRows[order.requestId];
-  row.askedAt = clock;
-  row.kind = kind;
-  row.key = order.key.substr(0, order.key.rfind('-'));
-  row.repeatable = order.repeatable;
-  row.maxTokens = order.maxTokens;
-  row.intent = intent.empty() ? order.requestId : intent;
-  row.attempt = attempt;
-  std::string requestId = order.requestId;
+  request.requestId = proxy + "/" + std::to_string(++requestCount);
+  auto& record = requestRecords[request.requestId];
+  record.sentAt = clock;
+  record.kind = kind;
+  record.tenant = request.key.substr(0, request.key.rfind('-'));
+  record.repeatable = request.repeatable;
+  record.maxTokens = request.maxTokens;
+  record.firstAttemptId = firstAttemptId.empty() ? request.requestId : firstAttemptId;
+  record.attempt = attempt;
+  std::string requestId = request.requestId;
   if (!actor.alive) {
-    row.ended = true;
-    row.endedAt = clock;
-    row.verdict = "no connection";
-    comeBack(order, requestId, 500);
+    record.ended = true;
+    record.endedAt = clock;
+    record.status = "no connection";
+    scheduleRetry(request, requestId, 500);
     return;
   }
-  asksOpen[requestId] = order;
-  if (hangUpShare && static_cast<int>(random() % 100) < hangUpShare)
-    later(std::chrono::milliseconds(random() % 600), [this, proxy, requestId] {
-      auto& gone = orderRows[requestId];
-      auto& there = *actors.at(proxy);
-      if (gone.ended || !there.alive) return;
-      gone.gone = gone.ended = true;
-      gone.endedAt = clock;
-      gone.verdict = "hung up";
-      if (gone.repeatable) comeBack(asksOpen[requestId], requestId, 100);
-      give(there, "caller", CallerGone{requestId});
+  requestsInFlight[requestId] = request;
+  if (hangUpPercent && static_cast<int>(random() % 100) < hangUpPercent)
+    schedule(std::chrono::milliseconds(random() % 600), [this, proxy, requestId] {
+      auto& record = requestRecords[requestId];
+      auto& process = *actors.at(proxy);
+      if (record.ended || !process.alive) return;
+      record.clientGone = record.ended = true;
+      record.endedAt = clock;
+      record.status = "hung up";
+      if (record.repeatable) scheduleRetry(requestsInFlight[requestId], requestId, 100);
+      dispatch(process, "caller", CallerGone{requestId});
     });
-  give(actor, "caller", order);
+  dispatch(actor, "caller", request);
 }
 
-void World::comeBack(const CallerOrder& order, const std::string& requestId, int retryAfterMs) {
-  const auto& row = orderRows[requestId];
+void World::scheduleRetry(const CallerOrder& request, const std::string& requestId, int retryAfterMs) {
+  const auto& record = requestRecords[requestId];
   int share = static_cast<int>(random() % 100);
-  if (share >= obeyShare + ignoreShare + moveShare || row.attempt >= maxClientAttempts) return;
-  bool obeys = share < obeyShare, moves = share >= obeyShare + ignoreShare;
+  if (share >= obeyPercent + ignorePercent + movePercent || record.attempt >= maxClientAttempts) return;
+  bool obeys = share < obeyPercent, moves = share >= obeyPercent + ignorePercent;
   std::string proxy = requestId.substr(0, requestId.find('/'));
   if (moves) proxy = "proxy-" + std::to_string(numberOf(proxy) % shape.edges + 1);
-  later(obeys ? std::chrono::milliseconds(std::max(retryAfterMs, 1)) : 20ms,
-        [this, order, kind = row.kind, proxy, intent = row.intent, attempt = row.attempt] {
-          placeOrder(order, kind, proxy, intent, attempt + 1);
-        });
+  schedule(obeys ? std::chrono::milliseconds(std::max(retryAfterMs, 1)) : 20ms,
+           [this, request, kind = record.kind, proxy, firstAttemptId = record.firstAttemptId,
+            attempt = record.attempt] { submitRequest(request, kind, proxy, firstAttemptId, attempt + 1); });
 }
 
-void World::toCaller(const Message& message) {
+void World::onClientMessage(const Message& message) {
   if (auto* chunk = std::get_if<CallerChunk>(&message)) {
-    auto& order = orderRows[chunk->requestId];
-    if (order.gone) return;
-    if (order.ended) return violate("stitched", chunk->requestId + " sent a chunk after its final response");
-    if (!order.firstSeen) {
-      order.firstSeen = true;
-      order.firstMs = std::chrono::duration<double, std::milli>(clock - order.askedAt).count();
-      order.worker = chunk->text.substr(0, chunk->text.find(':'));
+    auto& request = requestRecords[chunk->requestId];
+    if (request.clientGone) return;
+    if (request.ended) return reportViolation("stitched", chunk->requestId + " sent a chunk after its final response");
+    if (!request.firstChunkSeen) {
+      request.firstChunkSeen = true;
+      request.firstChunkMs = std::chrono::duration<double, std::milli>(clock - request.sentAt).count();
+      request.worker = chunk->text.substr(0, chunk->text.find(':'));
     }
-    ++order.said;
-    if (chunk->text != order.worker + ":" + std::to_string(order.said) + " ")
-      violate("stitched", chunk->requestId + " sent '" + chunk->text + "' as chunk " + std::to_string(order.said));
-    auto revoked = revokedAt.find(order.key);
+    ++request.chunksReceived;
+    if (chunk->text != request.worker + ":" + std::to_string(request.chunksReceived) + " ")
+      reportViolation("stitched", chunk->requestId + " sent '" + chunk->text + "' as chunk " +
+                                      std::to_string(request.chunksReceived));
+    auto revoked = revokedAt.find(request.tenant);
     if (revoked != revokedAt.end() && clock > revoked->second + revokeLimit)
-      violate("revoked-works", chunk->requestId + " still streams after its key was revoked");
-  } else if (auto* verdict = std::get_if<CallerVerdict>(&message)) {
-    auto& order = orderRows[verdict->requestId];
-    if (order.gone) return;
-    if (order.ended) return violate("stitched", verdict->requestId + " got two final responses");
-    order.ended = true;
-    order.endedAt = clock;
-    order.verdict = verdict->verdict;
-    order.code = verdict->code;
-    order.local = verdict->local;
-    order.fetched = verdict->fetched;
-    order.computed = verdict->computed;
-    if (verdict->verdict == "done" && order.said != order.maxTokens)
-      violate("stitched", verdict->requestId + " was reported as complete with " + std::to_string(order.said) + " of " +
-                              std::to_string(order.maxTokens) + " chunks");
-    if (verdict->verdict == "not run" && order.runs > 0)
-      violate("not-run-but-ran", verdict->requestId + " was reported as not run, but a worker had started it");
-    checkGivenUp(*verdict, order);
-    auto asked = asksOpen.find(verdict->requestId);
-    if (asked == asksOpen.end()) return;
-    CallerOrder again = asked->second;
-    asksOpen.erase(asked);
-    if (verdict->verdict == "not run" && verdict->retryAfterMs > 0)
-      comeBack(again, verdict->requestId, verdict->retryAfterMs);
-  }
-}
-
-void World::watch(const std::string& name, const Event& event) {
-  ++counts[event.kind];
-  if (auto found = noteActions.find(event.kind); found != noteActions.end()) {
+      reportViolation("revoked-works", chunk->requestId + " still streams after its key was revoked");
+  } else if (auto* response = std::get_if<CallerVerdict>(&message)) {
+    auto& request = requestRecords[response->requestId];
+    if (request.clientGone) return;
+    if (request.ended) return reportViolation("stitched", response->requestId + " got two final responses");
+    request.ended = true;
+    request.endedAt = clock;
+    request.status = response->verdict;
+    request.code = response->code;
+    request.local = response->local;
+    request.fetched = response->fetched;
+    request.computed = response->computed;
+    if (response->verdict == "done" && request.chunksReceived != request.maxTokens)
+      reportViolation("stitched", response->requestId + " was reported as complete with " +
+                                      std::to_string(request.chunksReceived) + " of " +
+                                      std::to_string(request.maxTokens) + " chunks");
+    if (response->verdict == "not run" && request.runs > 0)
+      reportViolation("not-run-but-ran", response->requestId + " was reported as not run, but a worker had started it");
+    checkStopResponse(*response, request);
+    auto open = requestsInFlight.find(response->requestId);
+    if (open == requestsInFlight.end()) return;
+    CallerOrder retry = open->second;
+    requestsInFlight.erase(open);
+    if (response->verdict == "not run" && response->retryAfterMs > 0)
+      scheduleRetry(retry, response->requestId, response->retryAfterMs);
+  }
+}
+
+void World::onEvent(const std::string& name, const Event& event) {
+  ++eventCounts[event.kind];
+  if (auto found = eventActions.find(event.kind); found != eventActions.end()) {
     auto action = std::move(found->second);
-    noteActions.erase(found);
+    eventActions.erase(found);
     action();
   }
   if (event.kind == "ran") {
-    std::string requestId = baseOrder(event.subject);
-    auto found = orderRows.find(requestId);
-    if (found != orderRows.end()) {
-      auto& order = found->second;
-      ++order.runs;
-      if (order.runs > 1 && !order.repeatable) violate("runs-twice", requestId + " was started again, at " + name);
-      if (++runsByIntent[order.intent] > 1 && !order.repeatable)
-        violate("runs-twice", order.intent + " was started again as " + requestId + ", at " + name);
-      if (order.ended && order.verdict == "not run")
-        violate("not-run-but-ran", requestId + " was started at " + name + " after it was reported as not run");
+    std::string requestId = clientRequestId(event.subject);
+    auto found = requestRecords.find(requestId);
+    if (found != requestRecords.end()) {
+      auto& request = found->second;
+      ++request.runs;
+      if (request.runs > 1 && !request.repeatable)
+        reportViolation("runs-twice", requestId + " was started again, at " + name);
+      if (++runsByFirstAttempt[request.firstAttemptId] > 1 && !request.repeatable)
+        reportViolation("runs-twice", request.firstAttemptId + " was started again as " + requestId + ", at " + name);
+      if (request.ended && request.status == "not run")
+        reportViolation("not-run-but-ran", requestId + " was started at " + name + " after it was reported as not run");
     }
-    watchRun(name, requestId);
+    checkRunWeights(name, requestId);
   } else if (event.kind == "order began" || event.kind == "first piece") {
-    watchBegin(name, event);
+    checkStartedWeights(name, event);
   } else if (event.kind == "order sent") {
     auto space = event.subject.find(' ');
-    auto leaving = leavingAt.find(event.subject.substr(space + 1));
-    if (leaving != leavingAt.end() && clock > leaving->second + leavingLimit && actors.at("platform")->alive)
-      violate("leaving-used", "request " + event.subject);
+    auto leaving = leavingSince.find(event.subject.substr(space + 1));
+    if (leaving != leavingSince.end() && clock > leaving->second + leavingLimit && actors.at("platform")->alive)
+      reportViolation("leaving-used", "request " + event.subject);
   } else if (event.kind == "cross weights") {
-    violate("other-weights", name + " " + event.subject);
+    reportViolation("other-weights", name + " " + event.subject);
   } else if (event.kind == "cross tenant") {
-    auto sign = event.subject.find('>');
-    if (isolated[event.subject.substr(0, sign)] || isolated[event.subject.substr(sign + 1)])
-      violate("other-tenant", name + " " + event.subject);
+    auto separator = event.subject.find('>');
+    if (isolatedTenants[event.subject.substr(0, separator)] || isolatedTenants[event.subject.substr(separator + 1)])
+      reportViolation("other-tenant", name + " " + event.subject);
   } else if (event.kind == "move sent") {
     auto first = event.subject.find(' ');
-    moveSizes[event.subject.substr(0, first)] = event.number;
-    auto leaving = leavingAt.find(event.subject.substr(event.subject.rfind(' ') + 1));
-    if (leaving != leavingAt.end() && clock > leaving->second + leavingLimit && actors.at("platform")->alive)
-      violate("leaving-used", "transfer " + event.subject);
+    transferSizes[event.subject.substr(0, first)] = event.number;
+    auto leaving = leavingSince.find(event.subject.substr(event.subject.rfind(' ') + 1));
+    if (leaving != leavingSince.end() && clock > leaving->second + leavingLimit && actors.at("platform")->alive)
+      reportViolation("leaving-used", "transfer " + event.subject);
   } else if (event.kind == "pulled") {
-    auto size = moveSizes.find(event.subject);
-    if (size == moveSizes.end() || event.number > size->second)
-      violate("fetch-beyond", name + " fetched " + std::to_string(event.number) + " blocks for " + event.subject +
-                                  ", more than the transfer names");
+    auto size = transferSizes.find(event.subject);
+    if (size == transferSizes.end() || event.number > size->second)
+      reportViolation("fetch-beyond", name + " fetched " + std::to_string(event.number) + " blocks for " +
+                                          event.subject + ", more than the transfer names");
   } else if (event.kind == "lookup asked") {
-    lookupsOpen[event.subject] = clock;
+    openLookups[event.subject] = clock;
   } else if (event.kind == "lookup settled") {
-    lookupsOpen.erase(event.subject);
+    openLookups.erase(event.subject);
     if (event.number > lookupLimitMs && clock >= actors.at(name)->frozenUntil + resumeTolerance)
-      violate("lookup-late", event.subject + " waited " + std::to_string(event.number) + " ms for a lookup");
+      reportViolation("lookup-late", event.subject + " waited " + std::to_string(event.number) + " ms for a lookup");
   } else if (event.kind == "admitted") {
-    ++admitted;
-    auto* at = edge(name);
-    std::uint64_t index = at->configuration().index();
-    readShown(name, index);
-    admittedLately.emplace_back(clock, name);
-    auto& order = orderRows[event.subject];
-    auto revoked = revokedAt.find(order.key);
+    ++admittedCount;
+    auto* router = proxyRouter(name);
+    std::uint64_t index = router->configuration().index();
+    checkShownIndex(name, index);
+    recentAdmissions.emplace_back(clock, name);
+    auto& request = requestRecords[event.subject];
+    auto revoked = revokedAt.find(request.tenant);
     if (revoked != revokedAt.end() && clock > revoked->second + revokeLimit)
-      violate("revoked-works", event.subject + " was admitted at " + name + " with a revoked key");
+      reportViolation("revoked-works", event.subject + " was admitted at " + name + " with a revoked key");
   } else if (event.kind == "retry") {
-    ++retries;
-    watchRetries(name);
-  } else if (event.kind == "applied" && starts(name, "core-")) {
-    watchEntry(name, static_cast<std::uint64_t>(event.number));
+    ++retryCount;
+    checkRetryRate(name);
+  } else if (event.kind == "applied" && startsWith(name, "core-")) {
+    checkAppliedEntry(name, static_cast<std::uint64_t>(event.number));
   } else if (event.kind == "command taken") {
     auto space = event.subject.find(' ');
     std::string holder = event.subject.substr(space + 1, event.subject.rfind(' ') - space - 1);
-    auto& last = commandBy[name];
+    auto& last = lastCommandTo[name];
     auto term = static_cast<std::uint64_t>(event.number);
     if (term < last.first || (term == last.first && holder != last.second && !last.second.empty()))
-      violate("two-holders", name + " accepted a command of term " + std::to_string(term) + " from " + holder +
-                                 " after term " + std::to_string(last.first) + " from " + last.second);
+      reportViolation("two-holders", name + " accepted a command of term " + std::to_string(term) + " from " + holder +
+                                         " after term " + std::to_string(last.first) + " from " + last.second);
     last = {term, holder};
   }
   if (!trace.empty() && (trace == "*" || event.kind.find(trace) != std::string::npos))
-    std::fprintf(stderr, "%8.3f %s %s %s %lld\n", std::chrono::duration<double>(clock - dayStart).count(), name.c_str(),
-                 event.kind.c_str(), event.subject.c_str(), static_cast<long long>(event.number));
+    std::fprintf(stderr, "%8.3f %s %s %s %lld\n", std::chrono::duration<double>(clock - simulationStart).count(),
+                 name.c_str(), event.kind.c_str(), event.subject.c_str(), static_cast<long long>(event.number));
 }
 
-void World::readShown(const std::string& who, std::uint64_t index) {
-  for (const auto& ack : ackRows) {
-    if (!ack.acked || ack.code != static_cast<int>(Code::changeTaken) || index >= ack.index) continue;
-    if (clock > ack.at + changeVisibleLimit)
-      violate("change-ignored", who + " serves index " + std::to_string(index) + "; index " +
-                                    std::to_string(ack.index) + " was acknowledged");
-    if (clock > ack.at + changeStableLimit && shownMost >= ack.index)
-      violate("change-back", who + " serves index " + std::to_string(index) + " after index " +
-                                 std::to_string(ack.index) + " was served");
+void World::checkShownIndex(const std::string& reader, std::uint64_t index) {
+  for (const auto& record : changeRecords) {
+    if (!record.acked || record.code != static_cast<int>(Code::changeTaken) || index >= record.index) continue;
+    if (clock > record.ackedAt + changeVisibleLimit)
+      reportViolation("change-ignored", reader + " serves index " + std::to_string(index) + "; index " +
+                                            std::to_string(record.index) + " was acknowledged");
+    if (clock > record.ackedAt + changeStableLimit && newestShownIndex >= record.index)
+      reportViolation("change-back", reader + " serves index " + std::to_string(index) + " after index " +
+                                         std::to_string(record.index) + " was served");
   }
-  shownMost = std::max(shownMost, index);
+  newestShownIndex = std::max(newestShownIndex, index);
 }
 
-void World::watchReads() {
+void World::checkReaders() {
   for (const auto& [name, actor] : actors) {
     if (!actor->alive || clock < actor->frozenUntil) continue;
-    TimePoint now = actor->local(clock);
+    TimePoint now = actor->localTime(clock);
     if (auto* node = core(name); node && node->readsConfirmed(now))
-      readShown(name, node->consensusLog().configuration().index());
-    if (auto* node = edge(name); node && node->fresh(now)) readShown(name, node->configuration().index());
+      checkShownIndex(name, node->consensusLog().configuration().index());
+    if (auto* node = proxyRouter(name); node && node->fresh(now)) checkShownIndex(name, node->configuration().index());
   }
-  for (auto row = lookupsOpen.begin(); row != lookupsOpen.end();) {
+  for (auto row = openLookups.begin(); row != openLookups.end();) {
     const auto& actor = *actors.at(row->first.substr(0, row->first.find('/')));
-    bool over = orderRows[row->first].ended || !actor.alive;
-    bool late = !over && clock - row->second > std::chrono::milliseconds(lookupLimitMs) &&
+    bool settled = requestRecords[row->first].ended || !actor.alive;
+    bool late = !settled && clock - row->second > std::chrono::milliseconds(lookupLimitMs) &&
                 clock >= actor.frozenUntil + resumeTolerance;
     if (late)
-      violate("lookup-late",
-              row->first + " has waited more than " + std::to_string(lookupLimitMs) + " ms for a lookup");
-    row = over || late ? lookupsOpen.erase(row) : std::next(row);
+      reportViolation("lookup-late",
+                      row->first + " has waited more than " + std::to_string(lookupLimitMs) + " ms for a lookup");
+    row = settled || late ? openLookups.erase(row) : std::next(row);
   }
-  later(40ms, [this] { watchReads(); });
+  schedule(40ms, [this] { checkReaders(); });
 }
 
-void World::watchEntry(const std::string& name, std::uint64_t index) {
+void World::checkAppliedEntry(const std::string& name, std::uint64_t index) {
   auto* node = dynamic_cast<Core*>(actors.at(name)->node.get());
   if (!node) return;
   for (const auto& entry : node->consensusLog().entries()) {
     if (entry.index != index) continue;
-    auto [row, fresh] = canon.try_emplace(index, Canon{entry, name});
+    auto [row, inserted] = appliedEntries.try_emplace(index, AppliedEntry{entry, name});
     const auto& known = row->second.entry;
-    if (!fresh && (known.term != entry.term || known.body != entry.body || known.changeId != entry.changeId))
-      violate("acked-lost",
-              "entry " + std::to_string(index) + " at " + name + " differs from the one at " + row->second.who);
-    if (fresh) watchNaming(entry);
-    if (fresh && !entry.changeId.empty()) {
-      auto [first, alone] = canonByChange.try_emplace(entry.changeId, index);
-      if (!alone)
-        violate("acked-lost", entry.changeId + " was applied twice, at index " + std::to_string(first->second) +
-                                  " and index " + std::to_string(index));
+    if (!inserted && (known.term != entry.term || known.body != entry.body || known.changeId != entry.changeId))
+      reportViolation("acked-lost", "entry " + std::to_string(index) + " at " + name + " differs from the one at " +
+                                        row->second.appliedBy);
+    if (inserted) recordAnnouncement(entry);
+    if (inserted && !entry.changeId.empty()) {
+      auto [first, isFirst] = indexByChange.try_emplace(entry.changeId, index);
+      if (!isFirst)
+        reportViolation("acked-lost", entry.changeId + " was applied twice, at index " + std::to_string(first->second) +
+                                          " and index " + std::to_string(index));
     }
     return;
   }
 }
 
-void World::watchRetries(const std::string& proxy) {
-  retriedLately.emplace_back(clock, proxy);
-  while (!admittedLately.empty() && clock - admittedLately.front().first > 10s) admittedLately.pop_front();
-  while (!retriedLately.empty() && clock - retriedLately.front().first > 5s) retriedLately.pop_front();
+void World::checkRetryRate(const std::string& proxy) {
+  recentRetries.emplace_back(clock, proxy);
+  while (!recentAdmissions.empty() && clock - recentAdmissions.front().first > 10s) recentAdmissions.pop_front();
+  while (!recentRetries.empty() && clock - recentRetries.front().first > 5s) recentRetries.pop_front();
   for (Duration span : {Duration(1s), Duration(5s)})
-    for (bool alone : {false, true}) {
-      auto number = [&](const std::deque<std::pair<TimePoint, std::string>>& rows, TimePoint until) {
+    for (bool oneProxy : {false, true}) {
+      auto countWithin = [&](const std::deque<std::pair<TimePoint, std::string>>& rows, TimePoint until) {
         double sum = 0;
-        for (const auto& [at, who] : rows) sum += at <= until && until - at <= span && (!alone || who == proxy);
+        for (const auto& [at, sender] : rows)
+          sum += at <= until && until - at <= span && (!oneProxy || sender == proxy);
         return sum;
       };
-      double orders = std::max(number(admittedLately, clock), number(admittedLately, clock - span)),
-             again = number(retriedLately, clock);
-      if (orders >= (alone ? 20 : 40) && again > 0.2 * orders + 1)
-        violate("too-many-retries", std::to_string(static_cast<int>(again)) + " retries of " +
-                                        std::to_string(static_cast<int>(orders)) + " requests within " +
-                                        std::to_string(toMilliseconds(span)) + " ms at " +
-                                        (alone ? proxy : "all proxies"));
+      double admissions = std::max(countWithin(recentAdmissions, clock), countWithin(recentAdmissions, clock - span)),
+             retries = countWithin(recentRetries, clock);
+      if (admissions >= (oneProxy ? minProxyAdmissions : minFleetAdmissions) &&
+          retries > maxRetryRatio * admissions + 1)
+        reportViolation("too-many-retries", std::to_string(static_cast<int>(retries)) + " retries of " +
+                                                std::to_string(static_cast<int>(admissions)) + " requests within " +
+                                                std::to_string(toMilliseconds(span)) + " ms at " +
+                                                (oneProxy ? proxy : "all proxies"));
     }
 }
 
@@ -884,78 +899,79 @@
     if (!actor->alive) continue;
     if (auto* node = core(name))
       views[node->consensusLog().configuration().index()].emplace_back(name, &node->consensusLog().configuration());
-    if (auto* node = edge(name)) views[node->configuration().index()].emplace_back(name, &node->configuration());
+    if (auto* node = proxyRouter(name)) views[node->configuration().index()].emplace_back(name, &node->configuration());
   }
   Configuration model;
   std::uint64_t expected = 0;
-  for (const auto& [index, row] : canon) {
+  for (const auto& [index, row] : appliedEntries) {
     if (index != ++expected)
-      return violate("acked-lost", "entry " + std::to_string(expected) + " was not applied by any core");
+      return reportViolation("acked-lost", "entry " + std::to_string(expected) + " was not applied by any core");
     model.apply(row.entry);
     for (const auto& [name, view] : views[index])
       if (view->text() != model.text() || view->revision() != model.revision())
-        violate("acked-lost",
-                name + " has a configuration that differs from what entries 1 to " + std::to_string(index) + " give");
+        reportViolation("acked-lost", name + " has a configuration that differs from what entries 1 to " +
+                                          std::to_string(index) + " give");
   }
-  for (const auto& ack : ackRows) {
-    if (!ack.acked || ack.code != static_cast<int>(Code::changeTaken)) continue;
-    auto taken = canonByChange.find(ack.changeId);
-    if (taken == canonByChange.end())
-      violate("acked-lost", ack.changeId + " was acknowledged but not applied by any core");
+  for (const auto& record : changeRecords) {
+    if (!record.acked || record.code != static_cast<int>(Code::changeTaken)) continue;
+    auto applied = indexByChange.find(record.changeId);
+    if (applied == indexByChange.end())
+      reportViolation("acked-lost", record.changeId + " was acknowledged but not applied by any core");
   }
 }
 
-void World::watchHolders() {
+void World::checkHolders() {
   std::set<std::string> duties{"accord", "cell/brussels-1"};
   for (const auto& zone : shape.zones) duties.insert("cell/" + zone);
   for (const auto& duty : duties)
     if (int holders = holdersOf(duty); holders > 1)
-      violate("two-holders", duty + " is held by " + std::to_string(holders) + " cores");
-  later(20ms, [this] { watchHolders(); });
+      reportViolation("two-holders", duty + " is held by " + std::to_string(holders) + " cores");
+  schedule(20ms, [this] { checkHolders(); });
 }
 
-void World::watchReach(std::size_t at) {
-  auto& ack = ackRows[at];
+void World::trackReach(std::size_t recordIndex) {
+  auto& record = changeRecords[recordIndex];
   for (const auto& [name, actor] : actors)
-    if (starts(name, "proxy-") && actor->alive && clock >= actor->frozenUntil &&
-        edge(name)->configuration().index() < ack.index) {
-      if (clock < ack.at + 10s) later(5ms, [this, at] { watchReach(at); });
+    if (startsWith(name, "proxy-") && actor->alive && clock >= actor->frozenUntil &&
+        proxyRouter(name)->configuration().index() < record.index) {
+      if (clock < record.ackedAt + 10s) schedule(5ms, [this, recordIndex] { trackReach(recordIndex); });
       return;
     }
-  ack.reached = true;
-  ack.reachedAll = clock;
+  record.reachedAll = true;
+  record.reachedAllAt = clock;
 }
 
-void World::revoke(const std::string& tenant) {
-  change("{\"keys\":{\"" + tenant + "-key\":null}}", false, "revoke " + tenant, -1,
-         1 + static_cast<int>(random() % static_cast<std::uint64_t>(shape.cores)));
+void World::revokeKey(const std::string& tenant) {
+  submitChange("{\"keys\":{\"" + tenant + "-key\":null}}", false, "revoke " + tenant, -1,
+               1 + static_cast<int>(random() % static_cast<std::uint64_t>(shape.cores)));
 }
 
-void World::restore(const std::string& tenant) {
-  change("{\"keys\":{\"" + tenant + "-key\":{\"tenant\":\"" + tenant + "\",\"secret\":\"" + tenant + "-secret\"}}}",
-         false, "restore " + tenant, -1, 1 + static_cast<int>(random() % static_cast<std::uint64_t>(shape.cores)));
+void World::restoreKey(const std::string& tenant) {
+  submitChange(
+      "{\"keys\":{\"" + tenant + "-key\":{\"tenant\":\"" + tenant + "\",\"secret\":\"" + tenant + "-secret\"}}}", false,
+      "restore " + tenant, -1, 1 + static_cast<int>(random() % static_cast<std::uint64_t>(shape.cores)));
   revokedAt.erase(tenant);
-  restored.insert(tenant);
+  restoredTenants.insert(tenant);
 }
 
-void World::list(const std::string& name) {
+void World::listMachine(const std::string& name) {
   if (platform().machines().count(name)) return;
-  leavingAt.erase(name);
-  platform().set(Machine{name, addressOf(name), zoneOf(name), starts(name, "worker-") ? "language" : name, false});
+  leavingSince.erase(name);
+  platform().set(Machine{name, addressOf(name), zoneOf(name), startsWith(name, "worker-") ? "language" : name, false});
 }
 
-void World::mark(const std::string& worker, bool leaving) {
+void World::markLeaving(const std::string& worker, bool leaving) {
   platform().mark(worker, leaving);
   if (leaving && !platform().machines().count(worker)) return;
   if (leaving)
-    leavingAt.try_emplace(worker, clock);
+    leavingSince.try_emplace(worker, clock);
   else
-    leavingAt.erase(worker);
+    leavingSince.erase(worker);
 }
 
 std::int64_t World::count(const std::string& kind) const {
-  auto found = counts.find(kind);
-  return found == counts.end() ? 0 : found->second;
+  auto found = eventCounts.find(kind);
+  return found == eventCounts.end() ? 0 : found->second;
 }
 std::int64_t World::countAt(const std::string& name, const std::string& kind) const {
   const auto& rows = actors.at(name)->node->journal.counts();
@@ -969,7 +985,7 @@
     if (!actor->alive) continue;
     auto* node = dynamic_cast<Core*>(actor->node.get());
     if (!node) continue;
-    TimePoint now = actor->local(clock);
+    TimePoint now = actor->localTime(clock);
     if (duty == "accord") {
       holders += node->consensusLog().leads(now);
       continue;
@@ -985,7 +1001,7 @@
     if (!actor->alive) continue;
     auto* node = dynamic_cast<Core*>(actor->node.get());
     if (!node) continue;
-    TimePoint now = actor->local(clock);
+    TimePoint now = actor->localTime(clock);
     if (duty == "accord" && node->consensusLog().leads(now)) return name;
     for (const auto& [zone, cell] : node->cellsByZone())
       if ("cell/" + zone == duty && cell->election.holdsLease(now)) return name;
@@ -993,26 +1009,27 @@
   return {};
 }
 
-void World::checkEnd() {
-  for (const auto& ack : ackRows) {
-    if (!ack.acked || ack.code != static_cast<int>(Code::changeTaken)) continue;
-    bool held = false;
+void World::checkFinalState() {
+  for (const auto& record : changeRecords) {
+    if (!record.acked || record.code != static_cast<int>(Code::changeTaken)) continue;
+    bool found = false;
     for (const auto& [name, actor] : actors)
       if (auto* node = core(name))
-        held = held || node->consensusLog().configuration().revisionOfChange(ack.changeId).has_value();
-    if (!held) violate("acked-lost", ack.changeId + " was acknowledged but is in no core's configuration");
+        found = found || node->consensusLog().configuration().revisionOfChange(record.changeId).has_value();
+    if (!found) reportViolation("acked-lost", record.changeId + " was acknowledged but is in no core's configuration");
     for (const auto& [name, actor] : actors) {
       auto* node = core(name);
       if (!node || !node->consensusLog().formed() || clock < actor->frozenUntil + 5s) continue;
-      if (node->consensusLog().leads(actor->local(clock)) &&
-          !node->consensusLog().configuration().revisionOfChange(ack.changeId))
-        violate("acked-lost", ack.changeId + " was acknowledged but is unknown to the leader " + name);
+      if (node->consensusLog().leads(actor->localTime(clock)) &&
+          !node->consensusLog().configuration().revisionOfChange(record.changeId))
+        reportViolation("acked-lost", record.changeId + " was acknowledged but is unknown to the leader " + name);
     }
   }
   checkConfigurations();
-  checkOperators();
-  if (admitted >= 50 && retries * 5 > admitted)
-    violate("too-many-retries", std::to_string(retries) + " retries of " + std::to_string(admitted) + " requests");
+  checkOperatorHistory();
+  if (admittedCount >= 50 && retryCount * 5 > admittedCount)
+    reportViolation("too-many-retries",
+                    std::to_string(retryCount) + " retries of " + std::to_string(admittedCount) + " requests");
 }
 
 }  // namespace tt
--- a/src/sim/sim_drain.cpp
+++ b/src/sim/sim_drain.cpp
@@ -4,51 +4,52 @@
 namespace tt {
 namespace {
 /// How often it is checked whether a draining proxy may exit.
-constexpr Duration stepEvery = 50ms;
+constexpr Duration drainCheckInterval = 50ms;
 }  // namespace
 
-void World::leave(const std::string& name, Duration grace) {
+void World::drainProxy(const std::string& name, Duration grace) {
   auto& actor = *actors.at(name);
-  if (!actor.alive || drains.count(name)) return;
-  drains[name] = planDrain(clock, grace);
-  std::uint64_t life = actor.life;
-  auto told = [this, name, grace] { edge(name)->drain(planDrain(localNow(name), grace)); };
+  if (!actor.alive || drainPlans.count(name)) return;
+  drainPlans[name] = planDrain(clock, grace);
+  std::uint64_t incarnation = actor.incarnation;
+  auto startDrain = [this, name, grace] { proxyRouter(name)->drain(planDrain(localNow(name), grace)); };
   if (clock < actor.frozenUntil)
-    actor.held.push_back(told);
+    actor.deferred.push_back(startDrain);
   else
-    told();
-  later(stepEvery, [this, name, life] { leaveFurther(name, life); });
-  later(grace, [this, name, life] {
-    if (actors.at(name)->life == life) kill(name);
+    startDrain();
+  schedule(drainCheckInterval, [this, name, incarnation] { continueDrain(name, incarnation); });
+  schedule(grace, [this, name, incarnation] {
+    if (actors.at(name)->incarnation == incarnation) kill(name);
   });
 }
 
 /// Ends the process once it has no open requests, at the latest when its drain plan says.
-void World::leaveFurther(const std::string& name, std::uint64_t life) {
+void World::continueDrain(const std::string& name, std::uint64_t incarnation) {
   auto& actor = *actors.at(name);
-  if (actor.life != life || !actor.alive) return;
-  const auto& plan = drains.at(name);
-  bool isEmpty = clock >= plan.refusesFrom && edge(name)->openRequests() == 0;
-  bool safeToStop = clock >= actor.frozenUntil && (isEmpty || clock >= plan.exitsBy);
-  if (!safeToStop) return later(stepEvery, [this, name, life] { leaveFurther(name, life); });
-  checkGivenUp(name);
+  if (actor.incarnation != incarnation || !actor.alive) return;
+  const auto& plan = drainPlans.at(name);
+  bool idle = clock >= plan.refusesFrom && proxyRouter(name)->openRequests() == 0;
+  bool safeToStop = clock >= actor.frozenUntil && (idle || clock >= plan.exitsBy);
+  if (!safeToStop) return schedule(drainCheckInterval, [this, name, incarnation] { continueDrain(name, incarnation); });
+  checkAllAnswered(name);
   kill(name);
 }
 
 /// Checks that a proxy that was drained has sent a final response to each of its requests.
-void World::checkGivenUp(const std::string& proxy) {
-  for (const auto& [requestId, order] : orderRows)
-    if (!order.ended && starts(requestId, (proxy + "/").c_str()))
-      violate("given-up", requestId + " got no final response before its proxy stopped");
+void World::checkAllAnswered(const std::string& proxy) {
+  for (const auto& [requestId, request] : requestRecords)
+    if (!request.ended && startsWith(requestId, (proxy + "/").c_str()))
+      reportViolation("given-up", requestId + " got no final response before its proxy stopped");
 }
 
 /// Checks that a request that arrived after the proxy had begun to reject requests is not ended because the proxy
 /// stops: it should have been rejected.
-void World::checkGivenUp(const CallerVerdict& verdict, const OrderRow& order) {
-  auto plan = drains.find(verdict.requestId.substr(0, verdict.requestId.find('/')));
-  if (plan == drains.end() || verdict.verdict == "not run") return;
-  if (static_cast<Code>(verdict.code) == Code::stopping && order.askedAt > plan->second.refusesFrom + stepEvery)
-    violate("given-up", verdict.requestId + " was accepted by a draining proxy that could not finish it");
+void World::checkStopResponse(const CallerVerdict& response, const RequestRecord& request) {
+  auto plan = drainPlans.find(response.requestId.substr(0, response.requestId.find('/')));
+  if (plan == drainPlans.end() || response.verdict == "not run") return;
+  if (static_cast<Code>(response.code) == Code::stopping &&
+      request.sentAt > plan->second.refusesFrom + drainCheckInterval)
+    reportViolation("given-up", response.requestId + " was accepted by a draining proxy that could not finish it");
 }
 
 }  // namespace tt
