--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -687,7 +687,7 @@
     }
     if (!violated)
       result.failures.push_back("negative control: with " + control.name + " disabled, no run violated " +
-                                control.invariant + " with " + std::to_string(maxControlSeeds) + " seeds");
+                                control.invariant + " in runs with " + std::to_string(maxControlSeeds) + " seeds");
   }
   result.passed = result.failures.empty();
   return result;
--- a/src/sim/sim.cpp
+++ b/src/sim/sim.cpp
@@ -761,7 +761,7 @@
     auto space = event.subject.find(' ');
     auto leaving = leavingSince.find(event.subject.substr(space + 1));
     if (leaving != leavingSince.end() && clock > leaving->second + leavingLimit && actors.at("platform")->alive)
-      reportViolation("leaving-used", "request " + event.subject);
+      reportViolation("leaving-used", "sent to a leaving worker: request " + event.subject);
   } else if (event.kind == "cross weights") {
     reportViolation("other-weights", name + " " + event.subject);
   } else if (event.kind == "cross tenant") {
@@ -773,7 +773,7 @@
     transferSizes[event.subject.substr(0, first)] = event.number;
     auto leaving = leavingSince.find(event.subject.substr(event.subject.rfind(' ') + 1));
     if (leaving != leavingSince.end() && clock > leaving->second + leavingLimit && actors.at("platform")->alive)
-      reportViolation("leaving-used", "transfer " + event.subject);
+      reportViolation("leaving-used", "sent to a leaving worker: transfer " + event.subject);
   } else if (event.kind == "pulled") {
     auto size = transferSizes.find(event.subject);
     if (size == transferSizes.end() || event.number > size->second)
@@ -857,8 +857,8 @@
     auto [row, inserted] = appliedEntries.try_emplace(index, AppliedEntry{entry, name});
     const auto& known = row->second.entry;
     if (!inserted && (known.term != entry.term || known.body != entry.body || known.changeId != entry.changeId))
-      reportViolation("acked-lost", "entry " + std::to_string(index) + " at " + name + " differs from the one at " +
-                                        row->second.appliedBy);
+      reportViolation("acked-lost", "entry " + std::to_string(index) + " as applied by " + name +
+                                        " differs from the one first applied by " + row->second.appliedBy);
     if (inserted) recordAnnouncement(entry);
     if (inserted && !entry.changeId.empty()) {
       auto [first, isFirst] = indexByChange.try_emplace(entry.changeId, index);
