--- a/src/sim/sim.hpp
+++ b/src/sim/sim.hpp
@@ -22,7 +22,8 @@
   int count() const override { return static_cast<int>(fileBytes.size()); }
   std::size_t size() const override { return fileBytes[0].size(); }
   /// The bytes of each file.
-  std::vector<std::string> fileBytes;  /// Where the last write went.
+  std::vector<std::string> fileBytes;
+  /// Where the last write went.
   std::size_t lastFile{0}, lastOffset{0}, lastSize{0};
   /// The least time that a sync takes; up to 2 ms are added at random.
   Duration minSyncTime{2ms};
@@ -98,7 +99,9 @@
   /// Ends all cuts and losses of links.
   void healLinks();
   /// Sends a configuration change through a core, and again through the next core every 1.5 s until it is acknowledged
-  /// or 40 s have passed. With `loseResponse` the first definite response is lost on the way to the operator.
+  /// or 40 s have passed. `complete`: the body replaces the configuration; otherwise it is merged into it. A negative
+  /// `ifRevision` allows any present revision. With `loseResponse` the first definite response is lost on the way to
+  /// the operator.
   void submitChange(const std::string& body, bool complete, const std::string& changeId, std::int64_t ifRevision,
                     int coreNumber, bool loseResponse = false);
   /// Announces new weights for the fleet's model by a configuration change.
@@ -132,8 +135,9 @@
   void setHangUpPercent(int percent) { hangUpPercent = percent; }
   /// Disables a defence in every process that starts from now on.
   void disable(Defence defence) { defences.disable(defence); }
-  /// Sets the percentages of clients that retry a request after a response that it did not run: after the time that the
-  /// response names, after 20 ms, or after 20 ms at another proxy. The rest does not retry.
+  /// Sets the percentages of clients that retry a request that was rejected or met a stopped proxy, or a repeatable one
+  /// that they gave up: after the time that the response names, after 20 ms, or after 20 ms at another proxy. The
+  /// others do not retry. A request is sent six times at most.
   void setRetryHabits(int obeying, int ignoring, int moving) {
     obeyPercent = obeying;
     ignorePercent = ignoring;
