--- a/src/sim/sim_drain.cpp
+++ b/src/sim/sim_drain.cpp
@@ -1,52 +1,55 @@
-/// How the simulator stops proxies in order, and what it checks of those that leave.
+/// Graceful shutdown of proxies, and the checks of the requests that they leave unfinished.
 #include "actor.hpp"
 
 namespace tt {
 namespace {
-constexpr Duration stepEvery = 50ms;
+/// How often it is checked whether a draining proxy may exit.
+constexpr Duration drainCheckInterval = 50ms;
 }  // namespace
 
-void World::leave(const std::string& name, Duration grace) {
+void World::drainProxy(const std::string& name, Duration grace) {
   auto& actor = *actors.at(name);
-  if (!actor.alive || drains.count(name)) return;
-  drains[name] = planDrain(clock, grace);
-  std::uint64_t life = actor.life;
-  auto told = [this, name, grace] { edge(name)->drain(planDrain(localNow(name), grace)); };
+  if (!actor.alive || drainPlans.count(name)) return;
+  drainPlans[name] = planDrain(clock, grace);
+  std::uint64_t incarnation = actor.incarnation;
+  auto startDrain = [this, name, grace] { proxyRouter(name)->drain(planDrain(localNow(name), grace)); };
   if (clock < actor.frozenUntil)
-    actor.held.push_back(told);
+    actor.deferred.push_back(startDrain);
   else
-    told();
-  later(stepEvery, [this, name, life] { leaveFurther(name, life); });
-  later(grace, [this, name, life] {
-    if (actors.at(name)->life == life) kill(name);
+    startDrain();
+  schedule(drainCheckInterval, [this, name, incarnation] { continueDrain(name, incarnation); });
+  schedule(grace, [this, name, incarnation] {
+    if (actors.at(name)->incarnation == incarnation) kill(name);
   });
 }
 
-/// Ends the process once it has nothing left to answer, or when its plan's time is over.
-void World::leaveFurther(const std::string& name, std::uint64_t life) {
+/// Ends the process once it has no open requests, at the latest when its drain plan says.
+void World::continueDrain(const std::string& name, std::uint64_t incarnation) {
   auto& actor = *actors.at(name);
-  if (actor.life != life || !actor.alive) return;
-  const auto& plan = drains.at(name);
-  bool isEmpty = clock >= plan.refusesFrom && edge(name)->openRequests() == 0;
-  bool safeToStop = clock >= actor.frozenUntil && (isEmpty || clock >= plan.exitsBy);
-  if (!safeToStop) return later(stepEvery, [this, name, life] { leaveFurther(name, life); });
-  checkGivenUp(name);
+  if (actor.incarnation != incarnation || !actor.alive) return;
+  const auto& plan = drainPlans.at(name);
+  bool idle = clock >= plan.refusesFrom && proxyRouter(name)->openRequests() == 0;
+  bool safeToStop = clock >= actor.frozenUntil && (idle || clock >= plan.exitsBy);
+  if (!safeToStop) return schedule(drainCheckInterval, [this, name, incarnation] { continueDrain(name, incarnation); });
+  checkAllAnswered(name);
   kill(name);
 }
 
-/// No order may be left without a verdict by a proxy that ends in order.
-void World::checkGivenUp(const std::string& proxy) {
-  for (const auto& [requestId, order] : orderRows)
-    if (!order.ended && starts(requestId, (proxy + "/").c_str()))
-      violate("given-up", requestId + " has no verdict at its proxy's end");
+/// Checks that a proxy that was drained has sent a final response to each of its requests.
+void World::checkAllAnswered(const std::string& proxy) {
+  for (const auto& [requestId, request] : requestRecords)
+    if (!request.ended && startsWith(requestId, (proxy + "/").c_str()))
+      reportViolation("given-up", requestId + " got no final response before its proxy stopped");
 }
 
-/// An order that was taken so late that it could be refused is never given up for the proxy's sake.
-void World::checkGivenUp(const CallerVerdict& verdict, const OrderRow& order) {
-  auto plan = drains.find(verdict.requestId.substr(0, verdict.requestId.find('/')));
-  if (plan == drains.end() || verdict.verdict == "not run") return;
-  if (static_cast<Code>(verdict.code) == Code::stopping && order.askedAt > plan->second.refusesFrom + stepEvery)
-    violate("given-up", verdict.requestId + " was taken by a proxy that could not finish it");
+/// Checks that a request that arrived after the proxy had begun to reject requests is not ended because the proxy
+/// stops: it should have been rejected.
+void World::checkStopResponse(const CallerVerdict& response, const RequestRecord& request) {
+  auto plan = drainPlans.find(response.requestId.substr(0, response.requestId.find('/')));
+  if (plan == drainPlans.end() || response.verdict == "not run") return;
+  if (static_cast<Code>(response.code) == Code::stopping &&
+      request.sentAt > plan->second.refusesFrom + drainCheckInterval)
+    reportViolation("given-up", response.requestId + " was accepted by a draining proxy that could not finish it");
 }
 
 }  // namespace tt
