--- a/tests/proxy_fixture.hpp
+++ b/tests/proxy_fixture.hpp
@@ -13,21 +13,33 @@
 namespace tt::proxytest {
 using namespace tt::gatetest;
 
-/// Returns the first of count consecutive free ports. The range depends on the process id, as tests run in parallel.
+/// Ports that the fixture gives out. They end below 32768, where the range begins that Linux uses for outgoing
+/// connections by default (net.ipv4.ip_local_port_range): such a connection of another test could take a port after it
+/// was found free and before the process listens on it.
+constexpr int firstFixturePort = 12000, endOfFixturePorts = 32768;
+
+/// Returns the first of count consecutive free ports. The search starts at a port that depends on the process id, as
+/// tests run in parallel, and continues at the beginning of the range after its end.
 inline unsigned short freePorts(int count) {
-  for (int firstPort = 21000 + ::getpid() % 2000 * 10; firstPort < 60000; firstPort += count) {
+  constexpr int portsPerProcess = 10;
+  cr_assert_leq(count, portsPerProcess);
+  int blocks = (endOfFixturePorts - firstFixturePort) / portsPerProcess;
+  int firstBlock = ::getpid() % blocks;
+  for (int searched = 0; searched < blocks; ++searched) {
+    int firstPort = firstFixturePort + (firstBlock + searched) % blocks * portsPerProcess;
     asio::io_context io;
-    std::vector<asio::ip::tcp::acceptor> held;
+    std::vector<asio::ip::tcp::acceptor> acceptors;
     asio::error_code error;
-    for (int at = 0; at < count && !error; ++at) {
-      held.emplace_back(io);
-      held.back().open(asio::ip::tcp::v4(), error);
+    for (int offset = 0; offset < count && !error; ++offset) {
+      acceptors.emplace_back(io);
+      acceptors.back().open(asio::ip::tcp::v4(), error);
       if (!error)
-        held.back().bind({asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(firstPort + at)}, error);
+        acceptors.back().bind({asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(firstPort + offset)},
+                              error);
     }
     if (!error) return static_cast<unsigned short>(firstPort);
   }
-  cr_assert_fail("no free ports");
+  cr_assert_fail("no %d consecutive free ports below %d", count, endOfFixturePorts);
   return 0;
 }
 
