--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -4,29 +4,29 @@
 
 namespace tt {
 namespace {
-/// The cores are polled for the log's end this soon if this side's applied index has risen, and otherwise at
-/// timing.logEndPollInterval. Acknowledgements of changes wait for the new index.
+/// The agent polls the cores for the end of the log at timing.logEndPollInterval, and already after this interval if
+/// the applied index that it reports has risen, because acknowledgements of changes wait for that index.
 constexpr Duration minLogEndPollInterval = 60ms;
-/// The upstream forwards updates by itself; a request at this interval repairs losses and keeps the subscription alive.
+/// The upstream forwards updates by itself. A request at this interval recovers lost ones and renews the subscription.
 constexpr Duration updatePollInterval = 250ms;
-/// An upstream that was not heard for so long is replaced.
+/// An upstream that has sent nothing for this long is replaced.
 constexpr Duration upstreamTimeout = 800ms;
-/// How long a replaced upstream is not selected again.
+/// For this long a replaced upstream is not selected again.
 constexpr Duration suspicionDuration = 5s;
-/// A follower or proxy that has sent no request for so long gets no more updates.
+/// Followers and proxies that have sent no request for this long get no more updates.
 constexpr Duration followerTimeout = 1s;
-/// After lagging behind the known commit index for so long, missing entries are requested from a core directly; after
-/// three times as long, the upstream is replaced.
+/// If the applied index lags behind the known commit index for this long, the missing entries are requested from a core
+/// directly; after three times this long, the upstream is replaced.
 constexpr Duration maxLag = 150ms;
-/// A proxy that was not heard for so long is forgotten.
+/// The state of a proxy that has sent nothing for this long is deleted.
 constexpr Duration proxyTimeout = 5s;
-/// A proxy counts as connected for so long after its last request.
+/// A proxy counts as active for this long after its last request.
 constexpr Duration proxyActiveTimeout = 1s;
-/// Margin on timing.readerAckTimeout, the time for which a proxy may stay fresh on an earlier response of this agent.
+/// Margin on timing.readerAckTimeout, which is how long a response of this agent may keep a proxy fresh.
 constexpr Duration ackSlack = 70ms;
-/// Followers that lag by more entries than this get a snapshot.
+/// The number of applied entries kept in memory. Followers that lag further behind get a snapshot.
 constexpr std::size_t maxRecentEntries = 1024;
-/// The size of one update; the follower's next request brings the rest.
+/// Limit of one update. The follower gets the rest with its next request.
 constexpr std::size_t maxEntriesPerUpdate = 256;
 }  // namespace
 
@@ -41,8 +41,8 @@
   return versions;
 }
 
-/// Within the first readerAckTimeout after a start, proxies that this agent has not heard yet may still be fresh by the
-/// word of its earlier run, so it vouches for nothing.
+/// For readerAckTimeout after a start, proxies that have not contacted this agent yet may still be fresh because of a
+/// response of its previous run, so 0 is returned.
 std::uint64_t Agent::lowestApplied(TimePoint now) const {
   if (now - startedAt < timing.readerAckTimeout + ackSlack) return 0;
   std::uint64_t applied = view.index();
@@ -51,7 +51,7 @@
   return applied;
 }
 
-/// Also tells the cores the oldest cell versions that this agent and its active proxies have.
+/// Also reports the oldest version of each cell that this agent or one of its active proxies has.
 void Agent::pollLogEnds(Effects& effects) {
   logEndPolledAt = effects.now;
   auto lowest = cellVersions();
@@ -68,8 +68,8 @@
   clusterView.ask(effects, reportedApplied, lowest, view);
 }
 
-/// The cores' proposal comes first, then all cores in an order that differs from agent to agent, so that load spreads.
-/// If all candidates are suspected, a random one is selected.
+/// The candidates that the cores propose come first, then all cores, in an order that differs from agent to agent to
+/// spread the load. If all candidates were replaced recently, a random one is selected.
 void Agent::selectUpstream(Effects& effects) {
   for (auto suspect = suspectedUntil.begin(); suspect != suspectedUntil.end();)
     suspect = effects.now >= suspect->second ? suspectedUntil.erase(suspect) : std::next(suspect);
@@ -109,7 +109,7 @@
     if (effects.now - at < followerTimeout) effects.send(address, message);
 }
 
-/// Entries that do not follow the applied ones are skipped; a later request brings them again.
+/// Entries behind a gap are skipped; a later request returns them again.
 void Agent::applyUpdate(Effects& effects, const NewsMsg& update) {
   clusterView.observeCommit(update.commit);
   for (const auto& snapshot : update.snapshots) {
@@ -135,8 +135,8 @@
   clusterView.updateCompleteness(effects.now, view);
 }
 
-/// Sends a snapshot if the missing entries are no longer in memory. Cells of which the receiver is not known to have
-/// the present version are sent too.
+/// Sends a snapshot if the missing entries are no longer in memory. Also sends each cell for which the receiver has not
+/// reported the present version.
 void Agent::sendUpdates(Effects& effects, const std::string& to, std::uint64_t applied,
                         const std::vector<CellVersion>& known) {
   NewsMsg update{clusterView.knownCommit(), {}, {}};
--- a/src/base/base.cpp
+++ b/src/base/base.cpp
@@ -19,7 +19,7 @@
 #include "codes.def"
 #undef TT_CODE
 };
-/// The row of a code; row 0 for a number that is not in the table.
+/// Returns the row of a code, or row 0 if the number is not in the table.
 const CodeRow& rowOf(Code code) {
   for (const auto& row : codeRows)
     if (row.number == static_cast<int>(code)) return row;
@@ -31,7 +31,7 @@
   EVP_Digest(bytes.data(), bytes.size(), sum.data(), &length, EVP_sha256(), nullptr);
   return sum;
 }
-/// The value of a lower-case hexadecimal digit; -1 for any other character.
+/// Returns the value of a lower-case hexadecimal digit, or -1 for any other character.
 int hexDigitValue(char digit) {
   if (digit >= '0' && digit <= '9') return digit - '0';
   if (digit >= 'a' && digit <= 'f') return digit - 'a' + 10;
@@ -94,8 +94,8 @@
   return hash;
 }
 
-/// The steps of FNV-1a (from another start value) over both names, each closed by the byte 0xff, which no UTF-8 text
-/// holds; then the 64-bit finalizer of MurmurHash3.
+/// FNV-1a with another offset basis over both names, each followed by the byte 0xff, which does not occur in UTF-8
+/// text; then the 64-bit finalizer of MurmurHash3.
 std::uint64_t rendezvousHash(std::string_view one, std::string_view other) {
   std::uint64_t mixed = 1469598103934665603ULL;
   auto mixIn = [&](std::string_view text) {
@@ -111,7 +111,7 @@
   return mixed ^ (mixed >> 33);
 }
 
-/// 0x1e closes each part. Within a part 0x1e is written as 0x1f 0x01, and 0x1f as 0x1f 0x02.
+/// Each part ends with 0x1e. Within a part, 0x1e is encoded as 0x1f 0x01 and 0x1f as 0x1f 0x02.
 std::string encodePromptParts(const std::vector<std::string>& parts) {
   std::string encoded;
   for (const auto& part : parts) {
@@ -154,7 +154,8 @@
   return sha256Block(seed);
 }
 
-/// Counts bytes as encodePromptParts writes them: two for an escaped byte, one for the separator behind a part.
+/// Counts bytes of the encoded form (see encodePromptParts): two for an escaped byte, one for the separator after a
+/// part.
 std::vector<std::string> truncatePrompt(const std::vector<std::string>& parts, std::size_t blocks) {
   std::vector<std::string> truncated;
   std::size_t remainingBytes = blocks * blockBytes;
--- a/src/base/base.hpp
+++ b/src/base/base.hpp
@@ -21,8 +21,8 @@
 
 namespace tt {
 
-/// All durations and time points of the program are on the steady clock, which never jumps. A time point of one process
-/// has no meaning in another.
+/// All time points of the program are on the steady clock, which never jumps. A time point of one process has no
+/// meaning in another.
 using Clock = std::chrono::steady_clock;
 using TimePoint = Clock::time_point;
 using Duration = Clock::duration;
@@ -35,7 +35,7 @@
 #undef TT_CODE
 };
 
-/// Returns a code's identifier, such as "badJson"; the name of code 0 if the number is not known.
+/// Returns the identifier of a code, such as "badJson". An unknown number gives the identifier of code 0.
 const char* codeName(Code code);
 /// Returns a sentence for clients that says what a code means.
 const char* codeText(Code code);
@@ -52,11 +52,11 @@
   /// One short sentence for a person.
   std::string text;
 };
-/// A value or an error. Access to the one that is not there is undefined, so callers check first.
+/// A value or an error. Accessing the one that is absent is undefined behaviour, so callers check first.
 template <class T>
 using Result = boost::outcome_v2::unchecked<T, Error>;
-/// Makes an error. Without a text it gets the code's own. An unknown field whose name is empty gets the subject `""`,
-/// so that a client always sees a subject.
+/// Makes an error. The default text is the one of the code. If a field with an empty name is unknown, the subject is
+/// `""`, so that a client always sees a subject.
 Error makeError(Code code, std::string subject = {}, std::string text = {});
 
 /// The chained hash of a block of a prompt: the first 128 bits of a SHA-256 sum.
@@ -67,10 +67,10 @@
   bool operator<(const BlockHash& other) const { return high != other.high ? high < other.high : low < other.low; }
   /// Returns 32 lower-case hexadecimal digits.
   std::string hex() const;
-  /// Reads what hex() writes; any other text gives nothing.
+  /// Parses the result of hex(). Returns nothing for any other text.
   static std::optional<BlockHash> parse(std::string_view text);
 };
-/// Hashes block hashes for unordered containers. They are evenly distributed already, so 64 of their bits suffice.
+/// Hash function for unordered containers. Block hashes are evenly distributed, so 64 of their bits suffice.
 struct BlockHashHasher {
   std::size_t operator()(const BlockHash& hash) const { return hash.low; }
 };
@@ -85,26 +85,26 @@
 
 /// The size of one block of an encoded prompt.
 constexpr std::size_t blockBytes = 128;
-/// Joins a prompt's parts into one byte string. Each part ends with a separator byte, and the separator is escaped
-/// within parts, so that different lists of parts never give the same bytes.
+/// Joins the parts of a prompt into one byte string. Each part ends with a separator byte, which is escaped within
+/// parts, so that different lists of parts never give the same bytes.
 std::string encodePromptParts(const std::vector<std::string>& parts);
-/// Returns one hash for each full block of the encoded prompt. Each hash covers its block and all blocks before it, and
-/// the chain starts from the salt (see cacheSalt), so that equal hashes mean equal prefixes under the same salt.
+/// Returns one hash for each full block of the encoded prompt. Each hash covers the salt (see cacheSalt), the block and
+/// all blocks before it, so that equal hashes mean equal prefixes under the same salt.
 std::vector<BlockHash> hashPrompt(const std::vector<std::string>& parts, std::string_view salt);
 /// Returns the salt under which blocks may be shared. It differs for each combination of model, weights version and
 /// tenant domain, so that no cached block is used under other weights or by a tenant of another domain.
 std::string cacheSalt(std::string_view model, std::string_view weights, std::string_view domain);
-/// Returns the hash of a part of a prompt that is known by its id instead of by its text.
+/// Returns the hash of a prompt part that is given by its id instead of its text.
 BlockHash hashPromptPart(std::string_view salt, std::string_view partId);
-/// Returns the beginning of a prompt, up to the end of its first `blocks` blocks; the whole prompt if it is shorter.
+/// Returns the beginning of a prompt, up to the end of its first `blocks` blocks, or all of it if it is shorter.
 std::vector<std::string> truncatePrompt(const std::vector<std::string>& parts, std::size_t blocks);
 
-/// Returns the full milliseconds of a duration; fractions are dropped.
+/// Converts a duration to milliseconds, rounding towards 0.
 inline std::int64_t toMilliseconds(Duration duration) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(duration).count();
 }
-/// Returns the nanoseconds since the start of this machine's steady clock, as messages carry time points. Only the
-/// process that sent a time point can interpret it.
+/// Converts a time point to nanoseconds since the epoch of the steady clock, the form that messages use. Only the
+/// process that has sent a time point can interpret it.
 inline std::int64_t toNanoseconds(TimePoint time) {
   return std::chrono::duration_cast<std::chrono::nanoseconds>(time.time_since_epoch()).count();
 }
--- a/src/base/chart.hpp
+++ b/src/base/chart.hpp
@@ -3,8 +3,8 @@
 
 namespace tt {
 
-/// A table of state transitions, as a file in charts/ defines it. Each line has the form
-/// `state event -> next-state action...`, with `-` in place of no action; `#` begins a comment.
+/// A table of state transitions, as defined by a file in charts/. Each line has the form
+/// `state event -> next-state action...`, where `-` stands for no action. `#` begins a comment.
 class StateChart {
  public:
   struct Step {
@@ -14,10 +14,10 @@
   };
   /// Parses a chart; the error's subject is the number of the line.
   static Result<StateChart> read(std::string_view text);
-  /// Returns a chart that is built into the program, by its file's name without the extension. There must be one. A
-  /// built-in chart that cannot be parsed ends the program at the first call.
+  /// Returns a chart that is built into the program, by the name of its file without the extension. The chart must
+  /// exist. The first call parses all built-in charts and aborts the program if one is malformed.
   static const StateChart& named(const std::string& name);
-  /// Returns the transition for an event in a state; null if the chart has none.
+  /// Returns the transition for an event in a state, or null if the chart has none.
   const Step* step(const std::string& state, const std::string& event) const;
   /// The names of all actions of the chart.
   const std::set<std::string>& actions() const { return actionNames; }
@@ -27,7 +27,8 @@
   std::set<std::string> actionNames;
 };
 
-/// One running instance of a state chart. It holds the state; the owner supplies member functions for the actions.
+/// A running instance of a state chart. It holds the current state; the owner provides member functions for the
+/// actions.
 template <class Owner, class... Args>
 class StateMachine {
  public:
@@ -35,9 +36,9 @@
   using Actions = std::map<std::string, Action>;
   StateMachine(const std::string& chartName, const Actions& actions, std::string startState)
       : chart(&StateChart::named(chartName)), actionsByName(&actions), current(std::move(startState)) {}
-  /// Changes to the next state and then runs its actions; an action may dispatch further events. Returns false, without
-  /// any effect, if the chart has no transition for the event in this state. Actions that the owner does not supply are
-  /// skipped.
+  /// Changes to the next state and then runs the actions of the transition, which may dispatch further events. Returns
+  /// false, without any effect, if the chart has no transition for the event in this state. Actions that the owner does
+  /// not provide are skipped.
   bool dispatch(Owner& owner, const std::string& event, Args... args) {
     const auto* step = chart->step(current, event);
     if (!step) return false;
--- a/src/base/defences.hpp
+++ b/src/base/defences.hpp
@@ -5,8 +5,9 @@
 
 namespace tt {
 
-/// The mechanisms that uphold the safety invariants. A simulation can disable a single one, and must then find a
-/// violated invariant: this shows that the mechanism is needed and that the checks see its absence.
+/// The mechanisms that uphold the safety invariants. A negative control of the simulator or the model checker disables
+/// one of them and must then find a violated invariant, which shows that the mechanism is needed and that the checks
+/// work.
 #define TT_DEFENCES(X)                                                                                       \
   X(syncBeforeCount, "an entry counts towards a commit only after it is synced to disk")                     \
   X(syncBeforeVote, "a vote is sent only after it is synced to disk")                                        \
@@ -50,8 +51,8 @@
       count
 };
 
-/// The set of enabled defences. All are enabled except in negative controls of the simulator and the model checker;
-/// programs of a deployment have no option to disable one.
+/// The set of enabled defences. All are enabled except in negative controls; the deployed programs have no option to
+/// disable one.
 class Defences {
  public:
   bool isEnabled(Defence defence) const { return !disabled.test(static_cast<std::size_t>(defence)); }
--- a/src/base/effects.cpp
+++ b/src/base/effects.cpp
@@ -7,7 +7,7 @@
 constexpr std::size_t maxKeptEvents = 2048;
 }
 
-/// Listeners get a copy, since an event that a listener appends in turn may remove the row.
+/// Listeners get a copy, because the stored event may be evicted if a listener appends another one.
 void Journal::append(TimePoint at, std::string kind, std::string subject, std::int64_t number) {
   keptEvents.push_back(Event{at, std::move(kind), std::move(subject), number});
   ++countByKind[keptEvents.back().kind];
@@ -53,7 +53,7 @@
 }
 
 namespace {
-/// A vote is stored in the form of a log entry: term, duty as the change id, candidate as the body.
+/// A vote is stored in the form of a log entry: its term, the duty as the change id, and the candidate as the body.
 std::string encodeVote(const std::string& duty, const Vote& vote) {
   LogEntry entry;
   entry.term = vote.term;
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -13,9 +13,9 @@
 
 namespace tt {
 namespace {
-/// "[role name] ", as startLog set it.
+/// "[role name] ", set by startLog().
 std::string prefix;
-/// The only use of the wall clock: it may jump, so no decision rests on it.
+/// The only use of the wall clock, which may jump and is therefore used for no decision.
 std::string utcTimestamp() {
   return date::format("%FT%TZ",
                       std::chrono::time_point_cast<std::chrono::milliseconds>(std::chrono::system_clock::now()));
--- a/src/base/messages.hpp
+++ b/src/base/messages.hpp
@@ -6,9 +6,9 @@
 
 /// The messages that processes send each other, with their binary form.
 ///
-/// A field travels by its place: each struct is written field by field in the order of its table, and a message begins
-/// with its number, which is its place in TT_MESSAGES. So messages and fields may be renamed, and messages added at the
-/// end of the table; any other change of the tables makes another protocol and another format of stored records.
+/// Names are not transmitted: each struct is written field by field in the order of its table, and a message begins
+/// with its position in TT_MESSAGES. So fields may be renamed, and messages may be added at the end of the table. Any
+/// other change of the tables changes the protocol between processes and the format of stored records.
 
 namespace tt {
 
@@ -29,56 +29,57 @@
     }                                                        \
   };
 
-/// Reads or writes one field, as the archive's direction says. wire.cpp defines it for all types that fields have.
+/// Reads or writes one field, depending on the direction of the archive. Defined in wire.cpp for all types of fields.
 template <class Archive, class T>
 void serializeField(Archive& archive, T& value);
 
 /// Structs that messages carry. Ages and times are in nanoseconds unless their name ends in "Ms".
 
-/// An entry of the replicated log; `kind` is an EntryKind. `revision` is the configuration's revision after a change; 0
-/// stands for the one after the present revision.
+/// An entry of the replicated log; `kind` is an EntryKind. `revision` is the revision of the configuration after a change;
+/// 0 means the previous revision plus 1.
 TT_STRUCT(LogEntry, ((Uint64, index))((Uint64, term))((int, kind))((std::string, body))((std::string, changeId))
           ((Uint64, revision)))
-/// A member of the replicated log's group. One that does not vote is a learner.
+/// A member of the group that replicates the log. A member that does not vote is a learner.
 TT_STRUCT(Member, ((std::string, id))((std::string, name))((std::string, address))((std::string, zone))
           ((bool, votes)))
-/// A row of the platform's machine list. `leaving`: the platform will take the machine away soon.
+/// A row of the platform's machine list. `leaving`: the platform will remove the machine soon.
 TT_STRUCT(Machine, ((std::string, name))((std::string, address))((std::string, zone))((std::string, kind))
           ((bool, leaving))((std::string, service))((std::string, model))((std::string, weights))((int, slots)))
-/// The weights that a model should have, how long ago they were announced (`age`; -1 if that is not known), and an
-/// index of the log by which they had been announced.
+/// The weights that a model should have, how long ago they were announced (`age`; -1 if that is not known), and an index
+/// of the log up to which the announcement is contained.
 TT_STRUCT(WeightsAnnouncement, ((std::string, model))((std::string, weights))((std::int64_t, age))((Uint64, index)))
-/// How new a view of a cell is; compared by term, then by sequence.
+/// The version of a view of a cell; compared by term, then by sequence.
 TT_STRUCT(CellVersion, ((std::string, zone))((Uint64, term))((Uint64, sequence)))
 /// A worker or block store as the cell of its zone sees it.
-/// `running`, `waiting`, `slots`: requests that run, that wait, and that may run at once. `memory`: used part of the KV
-/// cache in percent. `held`: withheld from new requests during a roll-out. `alive`: it reports. `confirmed`: the cell
-/// knows exactly which blocks it has. `kept`: number of cached blocks. `summary`: a Bloom filter over their hashes.
-/// `savedPermille`: of a store, the share of prefixes in 1/1000 that are worth writing to it.
+/// `running`, `waiting`: numbers of requests in these states. `slots`: maximum number of running requests.
+/// `kvUsedPercent`: how much of the KV cache is in use. `withheld`: gets no new requests during a roll-out. `alive`: it
+/// sends reports. `confirmed`: the cell knows exactly which blocks it has. `kept`: number of cached blocks. `summary`: a
+/// Bloom filter over their hashes. `savedPermille`: of a store, the share of prefixes, in 1/1000, that are worth writing
+/// to it.
 TT_STRUCT(WorkerView, ((std::string, name))((std::string, address))((std::string, zone))((std::string, kind))
           ((std::string, weights))((std::string, model))((int, running))((int, slots))((bool, held))((bool, alive))
           ((bool, confirmed))((Uint64, kept))((Uint64, reportSequence))((std::string, summary))
           ((std::string, service))((int, waiting))((int, memory))((int, savedPermille)))
 /// The measured speed of transfers from one worker to another.
 TT_STRUCT(LinkSpeed, ((std::string, source))((std::string, target))((double, blocksPerSecond)))
-/// A change to a worker's cached blocks; `kind` is a CacheEventKind. Sequence numbers have no gaps within one run of a
-/// worker.
+/// A change to a worker's cached blocks; `kind` is a CacheEventKind. Within one run of a worker, sequence numbers are
+/// consecutive, unless its report has `gaps`.
 TT_STRUCT(CacheEvent, ((Uint64, sequence))((int, kind))((Hashes, hashes)))
-/// A reader of the log, the index that it had applied, and how long ago it said so.
+/// A reader of the log, the index that it has reported as applied, and how long ago that was.
 TT_STRUCT(Reader, ((std::string, address))((Uint64, applied))((std::int64_t, age)))
-/// A change that was rejected, the index of the entry that records this, the reason, and the revision of that time.
+/// A rejected change: the index of the entry that records the rejection, the reason, and the revision at that time.
 TT_STRUCT(Refusal, ((std::string, changeId))((Uint64, index))((int, code))((std::string, subject))
           ((std::string, text))((Uint64, revision)))
-/// The replicated state up to and with an index. The lists of changes and rejections let a member that starts from it
-/// recognize repeated requests; `changeRevisions` belongs to `changeIds` element by element.
+/// The replicated state up to and including an index. The lists of changes and rejections let a member that starts from
+/// it recognize repeated requests. `changeRevisions` holds the revision for each element of `changeIds`.
 TT_STRUCT(Snapshot, ((Uint64, index))((Uint64, term))((Uint64, revision))((std::string, configuration))
           ((std::vector<Member>, members))((Strings, changeIds))((std::vector<Uint64>, changeRevisions))
           ((std::vector<Refusal>, refusals))((Uint64, lastEvictedRefusal)))
 
-/// All messages with their fields. The table makes the structs, the variant Message and the binary form.
-/// Fields that recur: `duty` is what is elected (the log's leadership or the holding of a cell), `holder` is the
-/// process elected for it, and `term` its term. `requestId` and other ids return in the response. `sentAt` and
-/// `askedAt` are on the sender's clock and come back as they were sent, so that it can time its own request.
+/// All messages with their fields. The structs, the variant Message and the binary form are generated from this table.
+/// Fields that occur in several messages: `duty` is what is elected (the leader of the log or the holder of a cell),
+/// `holder` is the elected process, and `term` its term. `requestId` and other ids are repeated in the response. `sentAt`
+/// and `askedAt` are on the sender's clock and are returned unchanged, so that the sender can time its request.
 #define TT_MESSAGES(X)                                                                                                \
   /* elections: `probe` asks whether a vote would be granted, and grants none */                                      \
   X(VoteRequest, ((std::string, duty))((Uint64, term))((std::string, candidate))((bool, probe))((Uint64, lastTerm))   \
@@ -87,30 +88,29 @@
   X(Heartbeat, ((std::string, duty))((Uint64, term))((std::string, holder))((std::int64_t, sentAt)))                  \
   X(HeartbeatResponse, ((std::string, duty))((Uint64, term))((std::string, voter))((std::int64_t, sentAt))            \
       ((bool, granted)))                                                                                              \
-  /* the replicated log; `round` numbers the leader's rounds, and a response repeats it */                            \
+  /* the replicated log; `round` is the number of the leader's round of requests, repeated in the response */         \
   X(AppendRequest, ((Uint64, term))((std::string, leader))((Uint64, prevIndex))((Uint64, prevTerm))                   \
       ((Uint64, commit))((std::vector<LogEntry>, entries))((Uint64, round)))                                          \
   X(AppendResponse, ((Uint64, term))((std::string, voter))((bool, matched))((Uint64, index))((Uint64, received))      \
       ((Uint64, round)))                                                                                              \
   X(InstallSnapshot, ((Uint64, term))((std::string, leader))((Uint64, index))((Uint64, snapshotTerm))                 \
       ((std::string, digest))((Uint64, total))((Uint64, offset))((std::string, bytes))((Uint64, attempt)))            \
-  /* how a group is formed at the first start, and how a core joins it later */                                       \
+  /* formation of the group at the first start, and joining of cores later */                                         \
   X(HelloRequest, ((Member, self))((bool, formed)))                                                                   \
   X(HelloResponse, ((Member, self))((bool, formed))((std::vector<Member>, members)))                                  \
   X(FormRequest, ((std::vector<Member>, members)))                                                                    \
   X(JoinRequest, ((Member, self)))                                                                                    \
-  /* configuration changes, from core to leader: `ifRevision` -1: whatever the present revision; `toRevision`         \
-     above 0: the revision that the change makes, below 0: the present one stays; `seen`: index of the log that       \
-     the asking core had applied when the operator's request came */                                                  \
+  /* configuration changes, from core to leader. `ifRevision` -1: at any present revision. `toRevision` above 0:      \
+     the revision after the change; below 0: the revision does not change. `appliedAtRequest`: index of the log       \
+     that the core had applied when it received the operator's request */                                             \
   X(ChangeRequest, ((std::string, requestId))((std::string, body))((bool, whole))((std::int64_t, ifRevision))         \
       ((std::string, changeId))((std::int64_t, sinceRevision))((int, changeFormat))((std::int64_t, toRevision))       \
       ((Uint64, seen)))                                                                                               \
   X(ChangeResponse, ((std::string, requestId))((int, code))((std::string, subject))((std::string, text))              \
       ((Uint64, revision))((Uint64, index))((Uint64, term)))                                                          \
-  /* readers and cores: how far the log is, and which readers are how far; `watch`: addresses that an agent may       \
-     follow */                                                                                                        \
-  /* FeedAsk and FeedReply are the same between a proxy and its agent; `needed`: index that the proxy must have       \
-     applied */                                                                                                       \
+  /* readers and cores: the end of the log, and the indexes that readers have applied. `upstreamCandidates`:          \
+     addresses that an agent may follow. FeedAsk and FeedReply serve the same purpose between a proxy and its         \
+     agent; `requiredIndex`: the proxy is up to date only if it has applied this index */                             \
   X(LogEndRequest, ((Uint64, requestId))((std::string, agent))((std::string, zone))((Uint64, applied))                \
       ((std::vector<CellVersion>, cells))((bool, fresh))((bool, relays))((Uint64, machineListDigest)))                \
   X(LogEndResponse, ((Uint64, requestId))((std::string, core))((Uint64, term))((bool, leads))((Uint64, lastIndex))    \
@@ -119,8 +119,8 @@
       ((std::vector<WeightsAnnouncement>, namings)))                                                                  \
   X(ReadersRequest, ((Uint64, roundId))((Uint64, index))((Uint64, term)))                                             \
   X(ReadersResponse, ((Uint64, roundId))((std::string, core))((bool, has))((std::vector<Reader>, readers)))           \
-  /* updates: of the configuration, of cells (`base` above 0: only what changed since that sequence; `gone`:          \
-     removed workers) and of the machine list (MarksMsg) */                                                           \
+  /* updates of the configuration, of cells and of the machine list (MarksMsg). CellNews with `base` above 0 has      \
+     only the changes since that sequence, and names the workers that were removed */                                 \
   X(NewsAsk, ((std::string, agent))((Uint64, applied))((std::vector<CellVersion>, cells)))                            \
   X(NewsMsg, ((Uint64, commit))((std::vector<LogEntry>, entries))((std::vector<Snapshot>, snapshots)))                \
   X(CellNews, ((std::string, zone))((Uint64, term))((Uint64, sequence))((std::string, holder))                        \
@@ -131,8 +131,8 @@
       ((Uint64, machineListDigest)))                                                                                  \
   X(FeedReply, ((std::int64_t, sentAt))((std::int64_t, age))((Uint64, needed))((bool, known))                         \
       ((std::vector<WeightsAnnouncement>, namings)))                                                                  \
-  /* cached blocks: `keeper` is the worker or store that is asked; `hits` counts blocks from the prompt's start.      \
-     WatchMsg tells a cell to report by TransferDone that blocks have arrived at a worker */                          \
+  /* cached blocks. `cacheNode`: the worker or store that the lookup is about. `hits`: numbers of cached blocks,      \
+     from the start of the prompt. WatchMsg asks a cell to send TransferDone once a worker has the blocks */          \
   X(LookupMsg, ((std::string, lookupId))((std::string, zone))((std::string, keeper))((std::string, weights))          \
       ((Hashes, hashes))((std::string, replyTo)))                                                                     \
   X(LookupReply, ((std::string, lookupId))((std::string, keeper))((std::vector<int>, hits))((double, waitingTokens))  \
@@ -140,11 +140,13 @@
   X(WatchMsg, ((std::string, moveId))((std::string, zone))((std::string, source))((std::string, target))              \
       ((Hashes, hashes))((std::int64_t, deadlineMs))((std::string, replyTo)))                                         \
   X(TransferDone, ((std::string, moveId))((bool, success)))                                                           \
-  /* workers, in the simulator; real workers speak HTTP, and adapters translate these structs. WorkerOrder:           \
-     `moves`: it fetches blocks and computes nothing; `once`: it may run at most once; `sendDeadline`: no send        \
-     after this time on the sender's clock, 0: no limit. WorkerEnd: blocks that were cached, fetched and              \
-     computed. Report: `gaps`: sequence numbers may be missing from the events; `lost`: events are missing.           \
-     ControlAsk: `expected`: the number of commands that the worker must have had before, if `expects` */             \
+  /* workers; HTTP adapters translate these structs for real workers. WorkerOrder: `transferOnly`: the worker         \
+     fetches blocks and computes nothing; `once`: it must run at most once; `sendDeadline`: not to be sent after      \
+     this time of the sender's clock, 0: no limit. WorkerChunk: `eventId`: id of the last complete event.             \
+     WorkerEnd: `local`, `fetched`, `computed`: numbers of blocks that were cached at the worker, fetched and         \
+     computed. Report: `gaps`: the sequence numbers of events are not consecutive; `lost`: events are missing.        \
+     ControlAsk: with `checksCommandCount`, the worker executes the command only if it has received                   \
+     `expectedCommandCount` commands before */                                                                        \
   X(WorkerOrder, ((std::string, orderId))((std::string, model))((std::string, weights))((std::string, cacheSalt))     \
       ((Strings, parts))((Hashes, hashes))((int, maxTokens))((bool, moves))((std::string, transferId))                \
       ((std::string, sourceAddress))((std::string, tenant))((bool, app))((std::string, params))                       \
@@ -168,8 +170,8 @@
   X(StoreMsg, ((Hashes, hashes))((Strings, origins)))                                                                 \
   X(MachinesAsk, ((std::int64_t, askedAt)))                                                                           \
   X(MachinesReply, ((std::int64_t, askedAt))((std::vector<Machine>, machines)))                                       \
-  /* clients and operators; `key` is the client's secret, `partTokens` the length of each part if the client          \
-     knows it */                                                                                                      \
+  /* clients and operators. `key`: the client's secret; `partTokens`: the length of each part in tokens, if the       \
+     client has sent it */                                                                                            \
   X(CallerOrder, ((std::string, orderId))((std::string, key))((std::string, route))((std::string, model))             \
       ((Strings, parts))((bool, repeatable))((int, maxTokens))((std::string, tenant))((Strings, modes))               \
       ((std::string, params))((std::string, host))((std::string, path))((std::vector<int>, partTokens))               \
@@ -185,13 +187,13 @@
       ((Uint64, revision))((Uint64, reached)))                                                                        \
   X(ReadRequest, ((std::string, requestId)))                                                                          \
   X(ReadResponse, ((std::string, requestId))((bool, confirmed))((Uint64, revision))((Uint64, index)))                 \
-  /* says up to which offset a snapshot has arrived */                                                                \
+  /* reports up to which offset a snapshot has been received */                                                       \
   X(InstallSnapshotResponse, ((Uint64, term))((std::string, voter))((std::string, digest))((Uint64, offset))          \
       ((Uint64, attempt)))                                                                                            \
-  /* tells a core that restarted when weights were announced */                                                       \
+  /* tells a restarted core when weights were announced */                                                            \
   X(NamingsMsg, ((std::vector<WeightsAnnouncement>, namings)))                                                        \
-  /* proxies tell a worker's cell which prompts they sent it that are not prefilled yet; `read`: prefill was          \
-     completed */                                                                                                     \
+  /* proxies report to the cell of a worker which prompts they have sent to the worker, and when prefill of these     \
+     has ended; `read`: prefill was completed */                                                                      \
   X(PrefillStarted, ((std::string, sendId))((std::string, zone))((std::string, worker))((Hashes, hashes))             \
       ((int, tokens)))                                                                                                \
   X(PrefillEnded, ((std::string, sendId))((std::string, zone))((std::string, worker))((Hashes, hashes))               \
@@ -208,30 +210,31 @@
 
 /// Returns the name of a message's struct; "none" for an empty message.
 const char* messageName(const Message& message);
-/// Brings a view of a cell up to date; false if the update is not newer or builds on another state than this one, and
-/// then nothing changes. An update with omitsSummaries carries no Bloom filters: workers that are still confirmed and
-/// have the same weights keep theirs. An update with a base is applied only to a view of just that sequence.
+/// Applies an update to a view of a cell. Returns false and changes nothing if the update is not newer, or if it has a
+/// base that is not the sequence of the view. An update with omitsSummaries has no Bloom filters: workers that are
+/// still confirmed and have the same weights keep theirs.
 bool applyCellNews(CellNews& kept, const CellNews& update);
-/// Returns a digest of the fields that readers compare: name, address, zone, kind, leaving. Its order counts.
+/// Returns a digest of the fields that readers compare: name, address, zone, kind and leaving. It depends on the order
+/// of the list.
 Uint64 digestOfMachineList(const std::vector<Machine>& machines);
-/// The form of a rejection as the body of a log entry.
+/// Encodes and decodes a rejection as the body of a log entry.
 std::string encodeRefusal(const Refusal& refusal);
 Result<Refusal> decodeRefusal(std::string_view bytes);
-/// Returns the bytes of one frame; none for an empty message.
+/// Returns the bytes of one frame, or an empty string for an empty message.
 std::string encodeMessage(const Message& message);
-/// Reads a frame. A malformed one gives badFrame. Memory grows only with the bytes that are there, whatever lengths a
-/// frame claims.
+/// Decodes a frame. A malformed one gives badFrame. Memory use is bounded by the size of the frame, whatever lengths it
+/// contains.
 Result<Message> decodeMessage(std::string_view frame);
-/// The form of snapshots and entries in the ring log and in entries' bodies.
+/// Encode and decode snapshots and entries, as in the ring log and in the bodies of entries.
 std::string encodeSnapshot(const Snapshot& snapshot);
 Result<Snapshot> decodeSnapshot(std::string_view bytes);
 std::string encodeEntry(const LogEntry& entry);
 Result<LogEntry> decodeEntry(std::string_view bytes);
 
-/// How an attempt at a worker ended. Numbers travel in messages and reports.
+/// How an attempt on a worker ended. The numbers are part of messages and reports.
 enum class OrderOutcome : int {
   done = 0,
-  /// The worker rejected it, so it did not run.
+  /// The worker rejected the request, so it did not run.
   denied = 1,
   /// The connection failed before the request was sent completely, so it did not run.
   brokenBeforeSend = 2,
@@ -239,34 +242,34 @@
   broken = 3,
   /// The worker reported a failure.
   failed = 4,
-  /// The worker did not answer in time.
+  /// The worker did not respond in time.
   silent = 5,
-  /// A connection that was kept open from an earlier request ended without a byte of answer. The request may have run,
-  /// but the worker may be well: it may just have closed the idle connection.
+  /// A connection that was kept open from an earlier request ended without a byte of response. The request may have
+  /// run, but the worker is not necessarily faulty: it may just have closed the idle connection.
   forgotten = 6
 };
-/// What an entry of the log holds: nothing (a leader's first entry of a term), a configuration change, the group's
-/// members, or the rejection of a change. `whole` only takes the place of the entries that an installed snapshot
-/// covers.
+/// The content of a log entry. empty: nothing (the first entry of a leader's term). change: a configuration change.
+/// members: the members of the group. complete: stands for all entries that an installed snapshot covers. refusal: the
+/// rejection of a change.
 enum class EntryKind : int { empty = 0, change = 1, members = 2, whole = 3, refusal = 4 };
-/// What a worker's report covers: all, only its cached blocks, or only its condition (load and weights).
+/// What a worker's report covers: all, only its cached blocks, or only its load and weights.
 enum class ReportScope : int { all = 0, index = 1, condition = 2 };
-/// How the body of a configuration change is to be read.
+/// The format of the body of a configuration change.
 enum class ChangeFormat : int {
   /// A merge patch.
   patch = 0,
   /// The complete configuration.
   whole = 1,
-  /// Complete sections; sections that are not named stay.
+  /// Complete sections; sections that are absent do not change.
   sections = 2,
-  /// Complete items; items that are not named stay.
+  /// Complete items; items that are absent do not change.
   items = 3,
-  /// Items without what only the present configuration knows, such as their order (see resolveEdits).
+  /// Edits that do not depend on the present configuration, for instance on the order of its items (see resolveEdits).
   edits = 4,
-  /// Weights that have numbers. A change whose numbers are not above the present ones succeeds without effect.
+  /// Numbered weights. A change in which no number is above the present one succeeds without effect.
   weights = 5
 };
-/// What happened to cached blocks. `cleared`: all were removed.
+/// A change to cached blocks. cleared: all were removed.
 enum class CacheEventKind : int { stored = 0, removed = 1, cleared = 2 };
 
 }  // namespace tt
--- a/src/base/wire.cpp
+++ b/src/base/wire.cpp
@@ -1,6 +1,6 @@
-/// The binary form of messages, snapshots, entries and rejections: a 16-bit number of the kind (0 for what is no
-/// message), then the fields in order. Texts and lists begin with a 32-bit count. Numbers are in the machine's byte
-/// order, which must be little-endian.
+/// The binary form of messages, snapshots, entries and rejections: a 16-bit number of the type (0 for structs that are
+/// not messages), then the fields in order. Strings and lists begin with a 32-bit count. Numbers are in the byte order
+/// of the machine, which must be little-endian.
 
 #include <boost/archive/binary_iarchive.hpp>
 #include <boost/archive/binary_oarchive.hpp>
@@ -11,7 +11,7 @@
 namespace tt {
 namespace {
 
-/// Reads from bytes that outlive it, without a copy.
+/// Reads bytes without copying them; they must outlive it.
 class FrameSource : public std::streambuf {
  public:
   explicit FrameSource(std::string_view frame) {
@@ -20,7 +20,7 @@
   }
   std::size_t remaining() const { return static_cast<std::size_t>(egptr() - gptr()); }
 };
-/// Appends all that is written to a string.
+/// Collects what is written in a string.
 class FrameSink : public std::streambuf {
  public:
   std::string bytes;
@@ -47,8 +47,8 @@
 
 }  // namespace
 
-/// While loading, texts grow in steps of 4096 bytes and lists by one element at a time, so that a frame that claims
-/// more than it holds fails before much memory is allocated.
+/// While loading, strings grow by at most 4096 bytes at a time and lists by one element, so that a frame with a false
+/// length fails before much memory is allocated.
 template <class Archive, class T>
 void serializeField(Archive& archive, T& value) {
   constexpr bool loading = Archive::is_loading::value;
@@ -105,7 +105,7 @@
   }
   return std::move(sink.bytes);
 }
-/// Any bytes that are missing or left over are an error.
+/// Missing and surplus bytes are errors.
 template <class T>
 Result<T> decode(std::string_view bytes) {
   try {
@@ -121,7 +121,8 @@
     return makeError(Code::badFrame, "end");
   }
 }
-/// Finds the message type of a number among the alternatives of Message, from `at` on.
+/// Decodes a message whose type is the alternative of Message with the number `kind`. Tries the alternatives from `at`
+/// on.
 template <std::size_t at = 1>
 Result<Message> decodeKind(std::uint16_t kind, std::string_view frame) {
   if constexpr (at < std::variant_size_v<Message>) {
--- a/src/config/configuration.cpp
+++ b/src/config/configuration.cpp
@@ -7,8 +7,8 @@
 
 namespace tt {
 namespace {
-/// Bounds on what is remembered to recognize repeated requests. They are part of the replicated state: all members must
-/// evict alike.
+/// How many changes and rejections are kept to recognize repeated requests. They are part of the replicated state, so
+/// all members must use the same limits.
 constexpr std::size_t maxRecentChanges = 4096;
 constexpr std::size_t maxRecentRefusals = 1024;
 }  // namespace
@@ -262,7 +262,7 @@
   return tenant;
 }
 
-/// Cuts the path back from slash to slash, so the longest prefix is found first.
+/// Shortens the path slash by slash, so that the longest matching prefix is found first.
 const RouteView* Configuration::routeFor(const std::string& host, const std::string& path) const {
   auto prefixes = routeByPrefix.find(host);
   if (prefixes == routeByPrefix.end()) return nullptr;
--- a/src/config/item_edits.cpp
+++ b/src/config/item_edits.cpp
@@ -9,13 +9,13 @@
 const std::set<std::string> orderedSections{"routes", "services", "tenants"};
 const std::set<std::string> editNames{"set", "drop", "upsert", "remove"};
 
-/// Null if the member is missing or is no object.
+/// Returns a member that is an object; null if it is missing or of another type.
 const JsonObject* objectAt(const JsonObject& object, const std::string& name) {
   auto found = object.find(name);
   return found == object.end() || !found->second.is<JsonObject>() ? nullptr : &found->second.get<JsonObject>();
 }
 
-/// The first position behind all present items.
+/// Returns the first position after all present items.
 double nextPosition(const JsonObject& items) {
   double position = 0;
   for (const auto& [name, item] : items)
@@ -23,7 +23,8 @@
   return position;
 }
 
-/// New items without a position come last, in the order of their names.
+/// Gives new items positions after all present ones, and present items their old position. Among the new items, those
+/// without a position come last, in the order of their names.
 void assignPositions(JsonObject& change, const JsonObject& present) {
   std::vector<std::pair<std::int64_t, std::string>> added;
   for (auto& [name, item] : change) {
@@ -42,7 +43,7 @@
   for (const auto& row : added) change[row.second].get<JsonObject>()["at"] = Json(position++);
 }
 
-/// Checks the form of one edit of a list and returns the name of the field by which rows are identified.
+/// Checks the shape of one edit of a list and returns the name of the field that identifies rows.
 Result<std::string> identifyingField(const Json& edit, const std::string& rowsName, const std::string& path) {
   if (!edit.is<JsonObject>()) return makeError(Code::badField, path, "must be an object");
   const auto& fields = edit.get<JsonObject>();
@@ -52,7 +53,8 @@
   return stringField(fields, "by", path);
 }
 
-/// Rows without the field are always appended.
+/// Replaces the rows that have the same value of the identifying field, and appends all others, including rows without
+/// that field.
 void upsertRows(Json& list, const std::string& field, const JsonArray& rows) {
   if (!list.is<JsonArray>()) list = Json(JsonArray());
   auto& target = list.get<JsonArray>();
@@ -108,7 +110,7 @@
   return editRows(item, edits, path);
 }
 
-/// An edit that leaves a new item empty is removed from the change.
+/// Replaces the edits of each item by the edited item. If this leaves a new item empty, the edits are removed instead.
 Result<void> editItems(JsonObject& change, const JsonObject& present) {
   for (auto row = change.begin(); row != change.end();) {
     auto& [name, edits] = *row;
--- a/src/config/item_readers.cpp
+++ b/src/config/item_readers.cpp
@@ -6,8 +6,8 @@
 namespace tt {
 namespace {
 
-/// Reads a number of milliseconds. It is limited to 10^12 (31 years), since more nanoseconds may not fit into a
-/// Duration.
+/// Reads a number of milliseconds. It is limited to 10^12 (31 years), as a much longer time does not fit into a
+/// Duration, which counts nanoseconds.
 Duration durationOr(const Json& item, const std::string& name, std::int64_t fallbackMs) {
   constexpr std::int64_t maxMs = 1000000000000;
   return std::chrono::milliseconds(std::clamp(integerOr(item, name, fallbackMs), -maxMs, maxMs));
@@ -30,7 +30,7 @@
   return static_cast<int>(std::clamp(integerOr(item, name, fallback), min, max));
 }
 
-/// The elements of a list field; none if the item, which must be an object, has no such list.
+/// Returns the elements of a list field, or an empty list if there is no such field. The item must be an object.
 const JsonArray& listOf(const Json& item, const std::string& name) {
   static const JsonArray none;
   const auto& fields = item.get<JsonObject>();
@@ -45,7 +45,7 @@
   return RetryMode::once;
 }
 
-/// A route names one service, a list of them with weights, or both.
+/// Reads the services of a route, which are a single one, a list with weights, or both.
 std::vector<std::pair<std::string, double>> readSplit(const Json& item) {
   std::vector<std::pair<std::string, double>> split;
   if (auto service = stringOr(item, "service"); !service.empty()) split.emplace_back(service, 1);
--- a/src/config/manifests.cpp
+++ b/src/config/manifests.cpp
@@ -17,7 +17,7 @@
   return &found->second.get<JsonObject>();
 }
 
-/// The element of a list that must hold just one object.
+/// Returns the only element of a list, which must be an object.
 Result<const JsonObject*> singleObject(const JsonObject& object, const std::string& name, const std::string& path) {
   auto found = object.find(name);
   if (found == object.end()) return makeError(Code::missingField, fieldPath(path, name));
@@ -27,7 +27,8 @@
   return &found->second.get<JsonArray>().front().get<JsonObject>();
 }
 
-/// `path` is the path of the manifest within the body; empty if it is the body.
+/// Adds the route that a manifest declares. `path` is the path of the manifest within the body; empty if the manifest
+/// is the body.
 Result<void> addRoute(const Json& manifest, const std::string& path, JsonObject& routes) {
   if (!manifest.is<JsonObject>()) return makeError(Code::badField, path.empty() ? "body" : path, "must be an object");
   const auto& fields = manifest.get<JsonObject>();
--- a/src/config/manifests.hpp
+++ b/src/config/manifests.hpp
@@ -3,9 +3,9 @@
 
 namespace tt {
 
-/// Turns HTTPRoute manifests of the Kubernetes Gateway API (one, or a List, as JSON) into a patch of the section
-/// `routes`. A route needs one rule with one backend, which names the model. Fields beyond that are rejected by name,
-/// so that no setting is silently ignored.
+/// Turns an HTTPRoute manifest of the Kubernetes Gateway API, or a List of them, from JSON into a patch of the section
+/// `routes`. A manifest must have one rule with one backend, whose name is the model. Any other field is rejected with
+/// an error that names it, so that no setting is silently ignored.
 Result<std::string> patchFromManifests(const std::string& text);
 
 }  // namespace tt
--- a/src/config/patch_checks.cpp
+++ b/src/config/patch_checks.cpp
@@ -6,10 +6,10 @@
 namespace {
 
 constexpr std::size_t sha256HexDigits = 64;
-/// Up to here a double holds every integer, and numbers in JSON are doubles.
+/// JSON numbers are doubles, which represent every integer up to this one exactly.
 constexpr std::int64_t maxWeightsNumber = std::int64_t(1) << 53;
 
-/// A section whose items refer to items of other sections, the targets.
+/// A section whose items refer to items of other sections (the targets).
 struct Reference {
   std::string referrer;
   std::set<std::string> targets;
--- a/src/config/patch_checks.hpp
+++ b/src/config/patch_checks.hpp
@@ -5,12 +5,12 @@
 
 namespace tt {
 
-/// Checks the configuration as it would be after a patch, without applying it: each touched item by itself, that the
-/// items it refers to exist, that secrets and route prefixes are unique, and that no untouched item refers to a removed
-/// one.
+/// Checks the configuration as it would be after a patch, without applying it: that each item in the patch is valid,
+/// that the items to which it refers exist, that secrets and route prefixes are unique, and that no other item refers
+/// to a removed one.
 class PatchChecks {
  public:
-  /// The sections and the index of keys must outlive the checks. The patch must be normalized (see normalizeShape).
+  /// The sections and the index of keys must outlive this object. The patch must be normalized (see normalizeShape).
   PatchChecks(const Sections& present, const std::unordered_map<std::string, std::string>& keyIdByHash,
               const JsonObject& patch);
   /// Returns the first error that is found.
@@ -26,23 +26,23 @@
   using MergedItems = std::map<std::string, std::optional<Json>>;
   const Sections& sections;
   const std::unordered_map<std::string, std::string>& keyIdByHash;
-  /// The touched items of each section as they will be; no value for an item that is removed.
+  /// The items in the patch as they will be after it, by section. Removed items have no value.
   std::map<std::string, MergedItems> merged;
-  /// The owners of what must be unique: those of untouched items first, then those of checked ones.
+  /// The owners of values that must be unique. At first these are items outside the patch; checked items are added.
   std::map<std::string, std::string> tenantBySecret, keyByHash;
   std::map<std::pair<std::string, std::string>, std::string> routeByPrefix;
 
   void mergeItem(const std::string& sectionName, const std::string& name, const Json& item);
   void collectTenantSecrets();
   void collectRoutePrefixes();
-  /// The present items that the patch leaves as they are; none if it does not touch the section at all.
+  /// The present items of a section that the patch does not contain; none if it does not contain the section.
   std::vector<const JsonObject::value_type*> untouchedItems(const std::string& sectionName) const;
-  /// An item as it will be after the patch; null if there will be none.
+  /// Returns an item as it will be after the patch, or null if it will not exist.
   const Json* findItem(const std::string& sectionName, const std::string& name) const;
 
   Result<void> checkTouchedItems();
-  /// Checks untouched items again whose references may have become invalid: those that may refer to a section in which
-  /// an item is removed, or to weights that change.
+  /// Checks items outside the patch whose references may become invalid: those of sections that refer to a section in
+  /// which an item is removed, or to weights if any of them change.
   Result<void> checkReferrers();
   Result<void> checkItem(const std::string& sectionName, const std::string& name, const Json& item);
   Result<void> checkModel(const CheckedItem& checked) const;
--- a/src/config/patch_shape.cpp
+++ b/src/config/patch_shape.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t maxNameBytes = 128;
 constexpr std::size_t minSecretBytes = 8;
 
-/// The merge patch that turns one value into another; nothing if they are equal.
+/// Returns the merge patch that turns one value into another, or nothing if they are equal.
 std::optional<Json> differenceOf(const Json& old, const Json& wanted) {
   if (old == wanted) return std::nullopt;
   if (!old.is<JsonObject>() || !wanted.is<JsonObject>()) return wanted;
@@ -41,7 +41,7 @@
   return Json(changes);
 }
 
-/// A patch of one section that removes all its items.
+/// Returns a patch of one section that removes all its items.
 Json removalOfAll(const std::string& sectionName, const Sections& sections) {
   JsonObject removal;
   auto found = sections.find(sectionName);
@@ -50,7 +50,7 @@
   return Json(removal);
 }
 
-/// Replaces a key's secret by its hash, since the log must not hold secrets.
+/// Replaces the secret of a key by its hash, because the log must not contain secrets.
 Result<void> hashSecret(JsonObject& fields, const std::string& path) {
   if (!fields.count("secret")) return boost::outcome_v2::success();
   if (fields.count("hash")) return makeError(Code::badField, path + ".hash", "not allowed together with a secret");
@@ -84,13 +84,13 @@
   return boost::outcome_v2::success();
 }
 
-/// Adds a removal of each field that the present item has and the wanted one lacks.
+/// Adds a null for each field that the present item has and the wanted one lacks, which removes the field.
 void removeMissingFields(const JsonObject& present, JsonObject& wanted) {
   for (const auto& [fieldName, value] : present)
     if (!wanted.count(fieldName)) wanted[fieldName] = Json();
 }
 
-/// As the complete items are merged over the present ones, only fields and items that are to go need a null.
+/// Turns one complete item into a merge patch. It may keep unchanged fields; only removed fields and items need a null.
 void reduceWholeItem(const std::string& name, const Json& present, JsonObject& wanted) {
   auto found = wanted.find(name);
   if (found == wanted.end()) {
--- a/src/config/patch_shape.hpp
+++ b/src/config/patch_shape.hpp
@@ -6,19 +6,19 @@
 /// The content of a configuration: the items of each section, by the section's name.
 using Sections = std::map<std::string, JsonObject>;
 
-/// Whether a section accepts items with any fields. Their readers must cope with unusable values.
+/// Whether the items of a section may have any fields. Their readers must accept invalid values.
 bool isFreeSection(const std::string& section);
 
-/// Checks that an operator's patch consists of known sections, and of items with known fields and of the right type,
-/// and normalizes it in place: secrets of keys are replaced by their hashes, and a section that is null by a removal of
-/// each of its items. With `whole` the patch is a complete configuration, which may hold no null.
+/// Checks that an operator's patch consists of known sections, and of items of the right type with known fields, and
+/// normalizes it in place: secrets of keys are replaced by their hashes, and null in place of a section is replaced by
+/// a removal of each of its items. With `complete` the patch is a complete configuration, which must not contain null.
 Result<void> normalizeShape(JsonObject& patch, const Sections& sections, bool whole);
 
 /// Turns a complete configuration into the merge patch that leads to it from the present one.
 void reduceWhole(JsonObject& patch, const Sections& sections);
 
-/// Turns complete items into the merge patch that leads to them from the present ones. With removeUnnamed, the present
-/// items that a touched section of the patch does not name are removed.
+/// Turns complete items into the merge patch that leads to them from the present ones. With removeUnnamed, present
+/// items that are absent from the patch are removed if the patch contains their section.
 void reduceItems(JsonObject& patch, const Sections& sections, bool removeUnnamed);
 
 }  // namespace tt
--- a/src/config/policy.hpp
+++ b/src/config/policy.hpp
@@ -3,21 +3,21 @@
 
 namespace tt {
 
-/// What a policy may test about one candidate source of cached blocks.
+/// The properties of a possible source of cached blocks that a policy can test.
 struct FetchCandidate {
   /// Whether the source is a block store and not another worker (a peer).
   bool fromStore{false};
-  /// Length of the prefix that the source has: in blocks, or in tokens for a prompt whose parts are known by ids.
+  /// Length of the prefix that the source has cached: in blocks, or in tokens if the prompt's parts are given by ids.
   double hits{0};
   /// The speed of transfers from the source in blocks per second.
   double speed{0};
-  /// The load of the source: busy slots per slot.
+  /// The load of the source: running requests per slot.
   double busyness{0};
 };
 
-/// An operator's rule on fetching cached blocks, as at most 32 lines of the form
-/// `fetch peer|store [when FIELD SIGN NUMBER [and ...]]` or `recompute [when ...]`; `#` begins a comment. The first
-/// line that matches decides, and if none matches, the blocks are computed again.
+/// An operator's rules for fetching cached blocks: at most 32 lines of the form
+/// `fetch peer|store [when FIELD SIGN NUMBER [and ...]]` or `recompute [when ...]`, where `#` begins a comment. The
+/// first line that matches decides; if none matches, the blocks are computed.
 class Policy {
  public:
   /// Parses a policy; the error's subject is the number of the line.
--- a/src/net/answer_framing.cpp
+++ b/src/net/answer_framing.cpp
@@ -11,7 +11,7 @@
 constexpr int noContent = 204, notModified = 304, serverError = 500;
 constexpr int minStatus = 200, maxStatus = 599;
 
-/// Hop-by-hop header fields. The server sets its own.
+/// Whether a header field is hop-by-hop. The server sets these fields itself.
 bool isHopByHop(std::string_view name) {
   for (auto other : {"Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length", "TE", "Trailer", "Upgrade"})
     if (equalIgnoringCase(name, other)) return true;
--- a/src/net/answer_framing.hpp
+++ b/src/net/answer_framing.hpp
@@ -13,25 +13,25 @@
   bool isHttp10{false}, isHead{false};
 };
 
-/// Whether the connection stays open after the response, and the announced idle timeout; 0 announces none.
+/// Whether the connection stays open after the response, and the idle timeout to announce to the client; 0: none.
 struct KeepAlive {
   bool enabled{false};
   std::chrono::seconds timeout{0};
 };
 
-/// Body bytes as they are sent: with the framing before and after them.
+/// A piece of the body, with the framing that is sent before and after it.
 struct FramedBytes {
   std::string before;
   std::string_view bytes;
   std::string_view after;
 };
 
-/// Formats a response head and frames its body. The last bytes of the response are held back until it is ended, so that
-/// a client can always tell a complete response from an aborted one. Does no I/O.
+/// Formats a response head and frames the body. The last bytes of the response are withheld until the response is
+/// complete, so that clients can always distinguish a complete response from an aborted one. Does no I/O.
 class ResponseFraming {
  public:
-  /// Chooses how the end of the body is marked: by its length if that is given, else by chunks, or by the end of the
-  /// connection for an HTTP/1.0 client.
+  /// Chooses how the end of the body is marked: by its length if that is given, otherwise by chunked encoding, or by
+  /// the end of the connection for HTTP/1.0 clients.
   void start(int status, std::optional<std::size_t> length, RequestTraits request);
   /// Returns to the state before start().
   void reset();
@@ -42,11 +42,11 @@
   /// Whether all announced bytes have been framed.
   bool isComplete() const { return isStarted() && !(body == Body::length && bytesLeft > 0); }
 
-  /// Text of the head. Leaves out hop-by-hop header fields and fields whose name or value is not well-formed.
+  /// Formats the head. Hop-by-hop header fields and fields with a malformed name or value are omitted.
   std::string head(const HttpHeaders& headers, KeepAlive keepAlive);
-  /// Frames a piece of the body. Returns nothing if it exceeds the announced length.
+  /// Frames a piece of the body. Returns nothing if the body would exceed its announced length.
   std::optional<FramedBytes> frame(std::string_view bytes);
-  /// The bytes held back so far. Writing them completes the response.
+  /// Returns the withheld bytes. Sending them completes the response.
   std::string takeFinalBytes() { return std::exchange(finalBytes, {}); }
   std::size_t finalByteCount() const { return finalBytes.size(); }
 
@@ -61,7 +61,7 @@
   std::string finalBytes;
 };
 
-/// An error response without a body, which announces that the connection will be closed.
+/// Formats an error response that has no body and announces that the connection will be closed.
 std::string errorResponse(int status);
 
 }  // namespace tt
--- a/src/net/calls.cpp
+++ b/src/net/calls.cpp
@@ -15,9 +15,9 @@
 
 /// Connections that libcurl keeps open for reuse.
 constexpr long maxConnections = 1024;
-/// Easy handles kept for reuse.
+/// Unused libcurl handles kept for reuse.
 constexpr std::size_t maxFreeHandles = 256;
-/// For peers that announce no Keep-Alive timeout.
+/// Assumed for peers that announce no Keep-Alive timeout.
 constexpr long defaultKeepAliveSeconds = 15;
 /// How long the client remembers that a peer closes idle connections early.
 constexpr Duration earlyCloseMemory = 30s;
@@ -72,8 +72,8 @@
   int status = (digits[0] - '0') * 100 + (digits[1] - '0') * 10 + (digits[2] - '0');
   return status >= 100 && status <= 599 && status != 101 ? status : 0;
 }
-/// How the end of a response body is marked. `malformed`: by contradicting headers, or in a way that parsers interpret
-/// differently.
+/// How the end of a response body is marked. delimited: by its length or by chunked encoding. untilClose: by the end of
+/// the connection. malformed: the headers contradict each other, or parsers could interpret them differently.
 enum class BodyEnd { delimited, untilClose, malformed };
 BodyEnd bodyEndOf(const HttpResponseHead& head, std::string_view method) {
   const std::string *length = nullptr, *encoding = nullptr;
@@ -102,15 +102,15 @@
 struct HttpClient::Impl : std::enable_shared_from_this<Impl> {
   explicit Impl(asio::io_context& context) : io(context), timer(context) {}
 
-  /// A socket opened for libcurl, and the events that libcurl wants to be notified of.
+  /// A socket of libcurl, and the events of which libcurl wants to be notified.
   struct SocketState {
     explicit SocketState(asio::io_context& context) : descriptor(context) {}
     asio::posix::stream_descriptor descriptor;
     int pollEvents{0};
     bool reading{false}, writing{false}, closed{false};
-    /// Local and remote address, set once a request was sent.
+    /// Local and remote address, set when the first request is sent.
     std::string endpoints;
-    /// Close with a reset, so that the system sends nothing more of an abandoned request.
+    /// Close the socket with a reset, so that the system sends nothing more of a cancelled request.
     bool resetOnClose{false};
     /// When a call last ended on this connection.
     TimePoint lastUsedAt{};
@@ -145,15 +145,17 @@
   CURLM* multi{nullptr};
   std::unordered_map<std::uint64_t, std::unique_ptr<Transfer>> transfers;
   std::unordered_map<curl_socket_t, std::shared_ptr<SocketState>> socketStates;
-  /// Sockets by local and remote address: libcurl does not tell which socket it is about to use for a request.
+  /// Sockets by local and remote address, because libcurl does not report which socket it is going to use for a
+  /// request.
   std::unordered_map<std::string, curl_socket_t> socketOf;
   std::vector<CURL*> freeHandles;
-  /// Calls started and dropped within a libcurl callback, which must not re-enter libcurl.
+  /// Calls that were started or cancelled within a libcurl callback. They are processed after it, as libcurl must not
+  /// be re-entered.
   std::vector<std::uint64_t> starting, dropping;
-  /// Keep-Alive timeouts last announced, by peer.
+  /// The last announced Keep-Alive timeout of each peer.
   std::unordered_map<std::string, long> keepAliveSeconds;
-  /// A peer that closed an idle connection early: the idle time up to which connections to it are still reused, and
-  /// when this was learned.
+  /// A peer that closed an idle connection earlier than announced: the idle time up to which connections to it are
+  /// still reused, and when the early close was observed.
   struct EarlyCloser {
     Duration maxIdle{};
     TimePoint learnedAt{};
@@ -300,8 +302,8 @@
     transfer->sent = true;
     return CURL_PREREQFUNC_OK;
   }
-  /// Whether the peer has closed an idle connection or sent unsolicited bytes on it. libcurl 7.88 regards both as
-  /// alive.
+  /// Whether the peer has closed an idle connection or sent unsolicited bytes on it. libcurl 7.88 would reuse the
+  /// connection in both cases.
   bool isStale(const std::string& endpoints) const {
     auto found = socketOf.find(endpoints);
     if (found == socketOf.end()) return true;
@@ -309,8 +311,8 @@
     auto got = ::recv(found->second, &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     return got >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
   }
-  /// Whether the peer recently closed a connection after an idle time not much longer than that of this one: the peer
-  /// may have closed this one too, and the request would be lost.
+  /// Whether the peer recently closed another connection after at most twice the idle time of this one. It may have
+  /// closed this one too, and then the request would be lost.
   bool isLikelyClosedByPeer(Transfer& transfer, const std::string& endpoints) {
     TimePoint now = Clock::now();
     auto socketState = socketStates.find(socketOf.at(endpoints));
@@ -323,7 +325,7 @@
     }
     return transfer.idleTime >= peer->second.maxIdle;
   }
-  /// Updates what is known of the connection and its peer when a call ends.
+  /// Updates the state of the connection and of its peer when a call ends.
   void recordUse(const Transfer& transfer, bool closedEarly) {
     TimePoint now = Clock::now();
     if (auto socketState = socketStates.find(transfer.usedSocket); socketState != socketStates.end())
@@ -382,8 +384,8 @@
     return transfer->dropped ? 0 : bytes;
   }
 
-  /// Receives libcurl's debug messages from the end of the head on. libcurl 7.88 reuses a connection on which surplus
-  /// bytes followed a chunked or empty response, and mentions them only there; such a connection must not be reused.
+  /// Receives libcurl's debug messages after the head is complete. A connection on which surplus bytes follow a chunked
+  /// or empty response must not be reused, but libcurl 7.88 reuses it and reports such bytes only in these messages.
   static int onDebugText(CURL* easy, curl_infotype kind, char* start, std::size_t size, void*) {
     if (kind != CURLINFO_TEXT) return 0;
     std::string_view text(start, size);
@@ -405,7 +407,7 @@
       if (ms >= 0) setTimer(ms);
     }
   }
-  /// Handles what libcurl's callbacks deferred and the transfers that have ended.
+  /// Processes the calls that libcurl's callbacks deferred, and the transfers that have ended.
   void processFinished() {
     for (auto id : std::exchange(dropping, {})) remove(id);
     int left = 0;
@@ -419,7 +421,7 @@
     for (auto id : std::exchange(starting, {})) startTransfer(id);
   }
 
-  /// Restarts a call that found its reused connection stale before anything was written.
+  /// Restarts a call on a new connection if its reused one was found stale before anything was written.
   bool restartOnNewConnection(std::uint64_t id) {
     auto found = transfers.find(id);
     if (found == transfers.end()) return false;
@@ -479,7 +481,7 @@
     return transfer;
   }
 
-  /// Ends a call that cannot be sent, from the event loop and not from within start().
+  /// Ends a call that cannot be sent. The callback is made from the event loop, never from within start().
   void failBeforeSend(Transfer& transfer, std::string reason) {
     asio::post(io, [weak = weak_from_this(), id = transfer.id, reason = std::move(reason)] {
       auto self = weak.lock();
--- a/src/net/contract.cpp
+++ b/src/net/contract.cpp
@@ -16,7 +16,7 @@
   return Json(array);
 }
 Json number(double value) { return Json(value); }
-/// Reads an integer field as an int. Values out of range are clamped.
+/// Reads an integer field as an int. Values outside its range are clamped.
 int intOr(const Json& object, const std::string& name, int fallback) {
   constexpr std::int64_t minInt = std::numeric_limits<int>::min(), maxInt = std::numeric_limits<int>::max();
   return static_cast<int>(std::clamp(integerOr(object, name, fallback), minInt, maxInt));
--- a/src/net/contract.hpp
+++ b/src/net/contract.hpp
@@ -11,7 +11,7 @@
 Result<WorkerOrder> readWorkerOrder(const std::string& text);
 std::string writeWorkerChunk(const WorkerChunk& chunk);
 std::string writeWorkerEnd(const WorkerEnd& end);
-/// Parses one line of a worker's stream: a chunk, the end, or std::monostate if it is neither.
+/// Parses one line of a worker's response stream: a chunk or the end. Returns std::monostate if it is neither.
 std::variant<std::monostate, WorkerChunk, WorkerEnd> readWorkerLine(const std::string& orderId,
                                                                     const std::string& line);
 std::string writeReport(const Report& report);
@@ -20,13 +20,13 @@
 Result<ControlAsk> readControl(const std::string& text);
 std::string writeControlReply(const ControlReply& reply);
 Result<ControlReply> readControlReply(const std::string& text);
-/// Block hashes and where each block came from: the data path between the stand-ins of workers and stores.
+/// Block hashes and the origin of each block, as the stand-ins of workers and stores exchange them.
 std::string writeBlocks(const Hashes& hashes, const Strings& origins);
 Result<StoreMsg> readBlocks(const std::string& text);
 std::string writeMachines(const MachinesReply& reply);
 Result<MachinesReply> readMachines(const std::string& text);
 Result<Machine> readMachine(const Json& value);
-/// Limit of the body of a client's request.
+/// Maximum size of the body of a client's request.
 constexpr std::size_t maxCallerBodyBytes = 1u << 20;
 /// Parses a client's request.
 Result<CallerOrder> readCallerOrder(const std::string& text);
--- a/src/net/gate.cpp
+++ b/src/net/gate.cpp
@@ -7,9 +7,9 @@
 
 namespace tt {
 namespace {
-/// Pause after a failed accept, as when no file descriptor is free.
+/// Delay after a failed accept, for instance because no file descriptor is free.
 constexpr Duration acceptRetryDelay = 50ms;
-/// Shortest time between two checks of all connections' deadlines.
+/// Minimum interval between two checks of the deadlines of all connections.
 constexpr Duration minSweepInterval = 100ms;
 }  // namespace
 
--- a/src/net/gate.hpp
+++ b/src/net/gate.hpp
@@ -14,16 +14,16 @@
 
 /// Size limits and timeouts that protect the server from its clients.
 struct HttpServerLimits {
-  /// Limits of a request: its head, including the request line, and its decoded body.
+  /// Limits on the size of a request's head, including the request line, and of its decoded body.
   std::size_t maxHeaderBytes{16384}, maxBodyBytes{4u << 20};
-  /// Longest time from the first to the last byte of a request head, and between two reads of a request body.
+  /// Timeout from the first to the last byte of a request head, and between two reads of a request body.
   Duration headerTimeout{3s};
   /// How long a connection is kept open without a request.
   Duration idleTimeout{15s};
-  /// The same while the server is draining.
+  /// Replaces idleTimeout while the server is draining.
   Duration drainIdleTimeout{300ms};
-  /// Response bytes that may be queued over all connections. Above this, the connections with the largest queues are
-  /// closed.
+  /// Limit on the response bytes queued on all connections together. Above it, the connections with the largest queues
+  /// are closed.
   std::size_t maxQueuedBytes{64u << 20};
 };
 
@@ -34,7 +34,7 @@
   std::string body;
 };
 
-/// State of one exchange (a request and its response) in progress.
+/// The state of an exchange (a request and its response) in progress.
 struct ExchangeStatus {
   TimePoint connectedAt{}, requestReceivedAt{};
   /// Number of the request on its connection, counted from 1.
@@ -42,33 +42,33 @@
   bool responseStarted{false};
 };
 
-/// Writes the response of one exchange. It may outlive the connection: once the client has disconnected, its methods do
-/// nothing. Releasing the last reference before end() aborts the response.
+/// Writes the response of one exchange. It may outlive the connection; after the client has disconnected, its methods
+/// do nothing. Releasing the last reference before end() aborts the response.
 class ResponseWriter {
  public:
   virtual ~ResponseWriter() = default;
-  /// Sends status line and headers. Without a length the body is sent chunked.
+  /// Sends the status line and headers. Without a length the body is sent in chunked encoding.
   virtual void head(int status, const HttpHeaders& headers, std::optional<std::size_t> length) = 0;
-  /// Sends a piece of the body. More bytes than the announced length abort the response.
+  /// Sends a piece of the body. If the body exceeds the announced length, the response is aborted.
   virtual void bytes(std::string_view bytes) = 0;
   /// Completes the response. If fewer bytes were sent than announced, the response is aborted instead.
   virtual void end() = 0;
-  /// Closes the connection in a way that the client cannot take the response for a complete one.
+  /// Closes the connection in such a way that the client cannot mistake the response for a complete one.
   virtual void abort() = 0;
-  /// Sets a handler that is called once if the client disconnects before end() (EOF, reset or write error), also while
-  /// nothing is being written. It is never called from within a method of this object, nor when the server itself
-  /// closes the connection.
+  /// Sets a handler that is called once if the client disconnects before end() (EOF, reset or write error), even while
+  /// nothing is being written. It is not called from within a method of this object, or if the server itself closes the
+  /// connection.
   virtual void onDisconnect(std::function<void()> handler) = 0;
-  /// Bytes queued and not yet accepted by the socket.
+  /// Number of queued bytes that the socket has not accepted yet.
   virtual std::size_t unwritten() const = 0;
   /// Whether the head has been queued for sending.
   virtual bool started() const = 0;
 };
 using HttpHandler = std::function<void(HttpRequest, std::shared_ptr<ResponseWriter>)>;
 
-/// HTTP/1.1 server for clients' requests. Malformed requests are answered with an error and never reach the handler.
-/// Not thread-safe: all calls and callbacks happen on the single thread that runs the io_context. Must be closed or
-/// destroyed before the io_context.
+/// HTTP/1.1 server for clients' requests. Malformed requests get an error response and are not passed to the handler.
+/// Not thread-safe: all calls and callbacks must be made on the single thread that runs the io_context. Must be closed
+/// or destroyed before the io_context.
 class HttpServer {
  public:
   /// The address is ip:port. Port 0 lets the system choose a free port.
@@ -76,12 +76,12 @@
   ~HttpServer();
   /// Binds the address and starts accepting. Fails with badProps if the address is invalid or cannot be bound.
   Result<void> open();
-  /// The port the server listens on, valid after open().
+  /// The port on which the server listens; valid after open().
   unsigned short port() const;
   /// Applies to requests that begin after this call.
   void setLimits(const HttpServerLimits& limits);
-  /// From now on responses carry "Connection: close", and idle connections are closed after drainIdleTimeout. New
-  /// connections are still accepted and served.
+  /// From now on responses have "Connection: close", and idle connections are closed after drainIdleTimeout. New
+  /// connections are still accepted.
   void startDraining();
   /// Stops listening; open connections continue.
   void stopAccepting();
@@ -89,13 +89,13 @@
   void close();
   /// Number of open connections.
   std::size_t connections() const;
-  /// Number of exchanges whose request was passed to the handler and whose response the socket has not fully accepted.
+  /// Number of exchanges whose request was passed to the handler and whose response is not completely written yet.
   std::size_t exchanges() const;
-  /// Exchanges in progress, in no particular order.
+  /// The exchanges in progress, in no particular order.
   std::vector<ExchangeStatus> activeExchanges() const;
-  /// Response bytes queued over all connections.
+  /// Number of response bytes queued on all connections together.
   std::size_t queued() const;
-  /// Total bytes read from clients.
+  /// Total number of bytes read from clients.
   std::uint64_t bytesReceived() const;
 
  private:
--- a/src/net/gate_connection.cpp
+++ b/src/net/gate_connection.cpp
@@ -9,14 +9,14 @@
 using Tcp = asio::ip::tcp;
 
 constexpr std::size_t smallReadSize = 4096, largeReadSize = 64 * 1024;
-/// While an exchange is in progress, at most about this much of the following requests is read ahead. TCP flow control
-/// then holds the client back.
+/// While an exchange is in progress, about this many bytes of pipelined requests are read ahead. Then TCP flow control
+/// stops the client.
 constexpr std::size_t maxPipelinedBytes = 64 * 1024;
-/// Larger write buffers are freed after use.
+/// Write buffers with a larger capacity are freed after use.
 constexpr std::size_t maxRetainedCapacity = 64 * 1024;
 constexpr Duration lingerTimeout = 500ms, deadlineExtension = 100ms;
 constexpr int requestTimeout = 408;
-/// TCP keep-alive probes find a vanished client on an idle connection after about 16 s. While sent data stays
+/// TCP keep-alive probes detect a vanished client on an idle connection after about 16 s. If sent data remains
 /// unacknowledged, the connection fails after 2 s.
 constexpr int keepIdleSeconds = 10, keepIntervalSeconds = 2, keepProbes = 3, userTimeoutMs = 2000;
 
@@ -278,8 +278,9 @@
   return std::max(Clock::now() + server->limits.idleTimeout, keepAliveUntil);
 }
 
-/// Enabled while a response is written whose end is marked by the end of the connection: whatever closes the connection
-/// early, even a kill of the process, must then reset it, or the client would take a truncated body for a complete one.
+/// Enabled while a response is written whose end is marked by the end of the connection. Any early close of the
+/// connection, even by a kill of the process, must then reset it, or the client would mistake a truncated body for a
+/// complete one.
 void HttpServer::Connection::resetOnClose(bool enabled) {
   asio::error_code ignored;
   socket.set_option(asio::socket_base::linger(enabled, 0), ignored);
--- a/src/net/gate_connection.hpp
+++ b/src/net/gate_connection.hpp
@@ -5,7 +5,7 @@
 
 namespace tt {
 
-/// One client connection: reads a request, passes it to the handler, writes the response, then reads the next request.
+/// A client's connection: reads a request, passes it to the handler, writes the response, then reads the next request.
 /// Runs on the server's single thread.
 class HttpServer::Connection : public std::enable_shared_from_this<Connection> {
  public:
@@ -13,12 +13,12 @@
       : server(std::move(owner)), socket(std::move(accepted)) {}
 
   void start();
-  /// The server is draining: shortens the deadline of an idle connection.
+  /// Called when the server starts draining. Shortens the deadline of an idle connection.
   void startDraining();
   /// When onDeadline() is to be called, or `never`.
   TimePoint due() const { return deadline; }
-  /// Closes an idle or lingering connection, and rejects an incomplete request with status 408. Bytes that arrived
-  /// unread, as after a freeze of the process, postpone it, except during a head.
+  /// Closes an idle or lingering connection, and rejects an incomplete request with status 408. If unread bytes have
+  /// arrived, as after a freeze of the process, the deadline is extended instead, except while a head is being read.
   void onDeadline();
   void close();
 
@@ -40,8 +40,9 @@
   std::function<void()> disconnectHandler;
 
  private:
-  /// The last four lead to the close: `rejecting` and `aborting` write what is queued, `lingering` reads until the
-  /// client closes too, because closing with unread bytes would send a reset that can destroy the last response.
+  /// rejecting, aborting: the queued bytes are written before the connection is closed. lingering: the connection is
+  /// shut down for sending, and reads until the client closes it too, because closing it with unread bytes would send a
+  /// reset, which can destroy the last response.
   enum class Phase { idle, head, body, exchange, rejecting, aborting, lingering, closed };
 
   std::shared_ptr<Impl> server;
@@ -59,29 +60,29 @@
   bool exchanging{false}, ended{false}, keepsAlive{false};
   TimePoint connectedAt{}, requestReceivedAt{};
   std::size_t requestCount{0};
-  /// Keep-alive time announced in the current response, and until when an earlier response promised to keep the
-  /// connection.
+  /// The keep-alive timeout announced in the current response, and the time until which the connection must stay open
+  /// according to an earlier response.
   Duration promisedKeepAlive{0};
   TimePoint keepAliveUntil{};
 
-  /// `inFlight` is being written to the socket; `pending` is queued behind it.
+  /// `inFlight` is being written to the socket; `pending` is queued after it.
   std::string pending, inFlight;
   std::size_t inFlightWritten{0};
   bool flushPosted{false};
 
   void setDeadline(TimePoint moment);
   TimePoint idleDeadline() const;
-  /// Whether the system sends a reset, and not an orderly end, when the socket is closed for whatever reason.
+  /// Sets whether the system sends a reset instead of a FIN when the socket is closed.
   void resetOnClose(bool enabled);
 
   void read();
-  /// Waits for a socket error without reading, for as long as the read buffer is full.
+  /// Waits for a socket error without reading, while the read buffer is full.
   void watchForErrors();
   void onRead(asio::error_code error, std::size_t size);
   void onReadEnd(asio::error_code error);
   void onFailure();
   void parse();
-  /// These return whether to go on with reading the current request.
+  /// These return whether to continue reading the current request.
   bool parseHead();
   bool parseBody();
   void reject(int status);
@@ -95,7 +96,7 @@
   KeepAlive decideKeepAlive();
 
   void enqueue(std::string_view bytes);
-  /// Flushes in the next turn of the event loop, so that bytes queued in the same turn go out in one write.
+  /// Flushes in the next iteration of the event loop, so that bytes queued in the same iteration are sent by one write.
   void postFlush();
   void flush();
   void onWritten(asio::error_code error, std::size_t size);
@@ -104,7 +105,7 @@
   void lingerClose();
 };
 
-/// The handler's side of an exchange. Outlives the connection if the handler keeps it.
+/// The handler's side of an exchange. It may outlive the connection.
 class HttpServer::Response : public ResponseWriter {
  public:
   Response(std::shared_ptr<Connection> owner, asio::io_context& context) : connection(std::move(owner)), io(context) {}
@@ -117,7 +118,7 @@
   std::size_t unwritten() const override { return connection ? connection->unwritten() : 0; }
   bool started() const override { return connection ? connection->hasStarted() : wasStarted; }
 
-  /// Ends the exchange; from now on the methods do nothing. `left`: the client disconnected before the end.
+  /// Ends the exchange, after which the methods do nothing. `left`: the client disconnected before the end.
   void detach(bool left);
 
  private:
--- a/src/net/gate_drain.hpp
+++ b/src/net/gate_drain.hpp
@@ -4,14 +4,14 @@
 
 namespace tt {
 
-/// Takes an HttpServer out of service as its DrainPlan says: it keeps accepting until clients have been directed
+/// Takes an HttpServer out of service according to a DrainPlan: accepts connections until clients have been directed
 /// elsewhere, and ends once all connections are closed or the plan's time is over. Runs on the io_context's single
 /// thread.
 class HttpServerDrain {
  public:
   HttpServerDrain(asio::io_context& context, HttpServer& httpServer);
   bool hasStarted() const { return started; }
-  /// Starts draining. Calls back once at the end, after which the process may exit. Further calls do nothing.
+  /// Starts draining. endCallback is called once, when the process may exit. Further calls do nothing.
   void start(const DrainPlan& drainPlan, std::function<void()> endCallback);
 
  private:
--- a/src/net/gate_listener.hpp
+++ b/src/net/gate_listener.hpp
@@ -35,8 +35,8 @@
   Result<void> open();
   void accept();
   void stopAccepting();
-  /// Schedules a sweep at or shortly after the given deadline of a connection. Sweeps keep a minimum interval, so that
-  /// one timer serves all connections.
+  /// Schedules a sweep at the given deadline of a connection, or later if the minimum interval between sweeps requires
+  /// it. One timer serves all connections.
   void scheduleSweep(TimePoint moment);
   /// Calls onDeadline() of every connection whose deadline has passed.
   void sweep();
--- a/src/net/host.cpp
+++ b/src/net/host.cpp
@@ -6,7 +6,7 @@
 
 namespace tt {
 namespace {
-/// A connection fails when sent data stays unacknowledged this long.
+/// A connection fails if sent data remains unacknowledged for this long.
 constexpr Duration unacknowledgedTimeout = 2s;
 
 void setTcpOptions(asio::ip::tcp::socket& socket) {
@@ -22,13 +22,13 @@
   set(TCP_KEEPCNT, 3);
 }
 
-/// Bounds of memory that one peer, or a foreign client, can make this process use.
+/// Limits on the memory and connections that peers, and other processes that connect, can make this process use.
 constexpr std::size_t maxFrameBytes = 8u << 20;
 constexpr std::size_t maxLinkPendingBytes = 16u << 20;
 constexpr std::size_t maxInboundConnections = 512;
 std::atomic<std::size_t> inboundCount{0};
 
-/// A frame is the payload after its size, a 32-bit little-endian number.
+/// A frame consists of the size of the payload, a 32-bit little-endian number, and the payload.
 std::string encodeFrame(const std::string& bytes) {
   std::uint32_t size = static_cast<std::uint32_t>(bytes.size());
   std::string frame(4, '\0');
@@ -50,8 +50,8 @@
   return Address{ip.to_string(), static_cast<unsigned short>(std::stoul(port))};
 }
 
-/// An outgoing connection to one peer. Its first frame is this process's own address. After a failure the queue is
-/// discarded, and messages are dropped until a short back-off has passed.
+/// An outgoing connection to a peer. Its first frame is the address of this process. After a failure the queue is
+/// discarded, and messages are dropped during a short back-off.
 struct PeerTransport::Link : std::enable_shared_from_this<Link> {
   Link(PeerTransport& owner, std::string peer)
       : transport(owner), strand(asio::make_strand(owner.io)), socket(strand), timer(strand), to(std::move(peer)) {}
@@ -126,7 +126,7 @@
                         self->advance();
                       });
   }
-  /// Reads until the peer closes, to notice it at once. The peer sends nothing on this connection.
+  /// Reads to detect at once that the peer has closed the connection. The peer sends nothing on it.
   void watchForClose() {
     socket.async_read_some(asio::buffer(&discardedByte, 1),
                            [self = shared_from_this()](asio::error_code error, std::size_t) {
--- a/src/net/host.hpp
+++ b/src/net/host.hpp
@@ -21,12 +21,12 @@
 /// Parses "ip:port". Host names are not resolved. Fails with badProps.
 Result<Address> parseAddress(const std::string& text);
 
-/// Sends messages between the fleet's own processes as length-prefixed frames over TCP. Sending never blocks: messages
-/// that a link cannot take are dropped, as on a lossy network, and the nodes repeat what must arrive.
+/// Sends messages between the processes of the fleet as length-prefixed frames over TCP. Sending never blocks: messages
+/// that cannot be queued are dropped, as on a lossy network, and the nodes resend what must arrive.
 class PeerTransport {
  public:
   using MessageHandler = std::function<void(const std::string& from, Message message)>;
-  /// Peers know this process by ownAddress. It may listen on another address, to which connections are forwarded.
+  /// Peers know this process by ownAddress. It may listen on another address if connections are forwarded to that.
   PeerTransport(asio::io_context& context, std::string ownAddress, MessageHandler handler, std::string listenOn = {});
   /// Binds the address and accepts connections of peers.
   Result<void> listen();
@@ -51,8 +51,8 @@
 
 /// Runs one Node in a process: serializes access to it by a lock, calls its tick periodically, and carries out the
 /// effects of its handlers (messages to send, records to persist).
-/// Lock order: node, journal views, PeerTransport links, open exchanges. No callback is made while one of the later
-/// locks is held.
+/// Lock order: node, journal views, PeerTransport links, open exchanges. Only the lock of the node may be held during a
+/// callback.
 class NodeHost {
  public:
   using MessageSender = std::function<void(const std::string& to, Message&& message)>;
@@ -61,8 +61,8 @@
   ~NodeHost();
   /// Sends a message of the node. Set before start().
   MessageSender sendMessage;
-  /// Where records are persisted; the node is informed once they are synced. Set before start() by processes with a
-  /// disk, else null.
+  /// Where records are persisted; the node is informed once they are synced. Processes with a disk set it before
+  /// start(); otherwise it is null.
   Ring* ring{nullptr};
   void start();
   void stop();
@@ -70,7 +70,7 @@
   void handle(const std::string& from, const Message& message);
   /// Runs an action on the node under its lock and carries out the effects.
   void with(const std::function<void(Effects&)>& action);
-  /// How long the oldest record that is not yet synced has been waiting.
+  /// How long the oldest unsynced record has been waiting; 0 if there is none.
   Duration unsyncedDuration() const;
   /// Called before each tick with unsyncedDuration().
   std::function<void(Duration)> reportSyncWait;
--- a/src/net/operator_drain.cpp
+++ b/src/net/operator_drain.cpp
@@ -39,8 +39,8 @@
 
 void OperatorDrain::rejectAll() {
   auto waiting = pendingResponses.removeAll();
-  logInfo("Shutting down: rejecting " + std::to_string(waiting.size()) + " pending operator requests; " +
-          (callbacks.safeToStop() ? "safe to stop." : "not all records are on enough disks."));
+  logInfo("Shutting down: rejecting " + std::to_string(waiting.size()) +
+          " pending operator requests; replicas of the records: " + (callbacks.safeToStop() ? "enough." : "too few."));
   for (const auto& response : waiting) callbacks.reject(*response);
 }
 
--- a/src/net/operator_drain.hpp
+++ b/src/net/operator_drain.hpp
@@ -3,15 +3,15 @@
 
 namespace tt {
 
-/// Orderly shutdown of a process that serves operators. It waits until no request is pending and the process is safe to
-/// stop, but no longer than its deadline. Then it rejects the requests still pending and leaves time for the last
-/// responses to be sent. Runs on the io_context's single thread.
+/// Orderly shutdown of a process that serves operators. Waits until no request is pending and the process can stop
+/// safely, at most until a deadline. Then it rejects the requests still pending and leaves time for the last responses
+/// to be sent. Runs on the io_context's single thread.
 class OperatorDrain {
  public:
   struct Callbacks {
-    /// Whether the process can stop without loss, for instance of records that no other process has yet.
+    /// Whether the process can stop without a loss of data, for instance of records that no other process has yet.
     std::function<bool()> safeToStop;
-    /// Answers a pending request with a rejection.
+    /// Rejects a pending request.
     std::function<void(WebResponse& response)> reject;
     /// Called once at the end; the process may then exit.
     std::function<void()> onEnded;
--- a/src/net/process.cpp
+++ b/src/net/process.cpp
@@ -10,8 +10,8 @@
 Settings::Settings(std::string programName, std::string description)
     : app(description, programName), program(std::move(programName)) {
   app.set_version_flag("--version", program + " " TROUTTALLY_VERSION);
-  app.add_option("--props", file, "JSON file with this program's props");
-  app.add_flag("--check", checkOnly, "Check the props, print what is wrong, and exit");
+  app.add_option("--props", file, "JSON file with the settings of this program");
+  app.add_flag("--check", checkOnly, "Check the settings, print errors, and exit");
 }
 
 Settings::Setting& Settings::add(const std::string& key, const std::string& description) {
@@ -139,7 +139,7 @@
     if (setting->required && setting->text && setting->text->empty())
       return reportStartFailure(makeError(Code::badProps, setting->key, "must be given"));
   if (checkOnly) {
-    std::cout << "props are good\n";
+    std::cout << "settings are valid\n";
     return 0;
   }
   return std::nullopt;
--- a/src/net/process.hpp
+++ b/src/net/process.hpp
@@ -8,23 +8,23 @@
 
 namespace tt {
 
-/// A program's settings: read from a JSON file, overridden by command-line flags. Each method below declares one key,
-/// which is also the name of a flag; the variable it points to keeps its value as the default.
+/// The settings of a program, read from a JSON file and overridden by command-line flags. Each of the declaring methods
+/// adds one key, which is also the name of a flag. The variable to which it points holds the default.
 class Settings {
  public:
   Settings(std::string programName, std::string description);
-  /// A string. A required one must not be empty.
+  /// Declares a string. A required one must not be empty.
   Settings& text(const std::string& key, std::string* value, const std::string& description, bool required = false);
-  /// An "ip:port", or a list of them.
+  /// Declares an "ip:port", or a list of them.
   Settings& address(const std::string& key, std::string* value, const std::string& description, bool required = true);
   Settings& addresses(const std::string& key, std::vector<std::string>* value, const std::string& description);
   Settings& texts(const std::string& key, std::vector<std::string>* value, const std::string& description);
-  /// A number between minValue and maxValue.
+  /// Declares a number from minValue to maxValue.
   Settings& number(const std::string& key, double* value, double minValue, double maxValue,
                    const std::string& description);
   Settings& flag(const std::string& key, bool* value, const std::string& description);
-  /// Reads the command line and the settings file. Returns an exit code if the program is to end now: 2 after an error,
-  /// which names the key it is about, and 0 after --help, --version or --check.
+  /// Reads the command line and the settings file. Returns an exit code if the program must end: 2 after an error,
+  /// which is printed with the key concerned, and 0 after --help, --version or --check.
   std::optional<int> read(int count, char** arguments);
   CLI::App app;
 
@@ -49,15 +49,15 @@
   Result<void> set(Setting& setting, const Json& value);
 };
 
-/// Runs the io_context on a pool of threads until SIGTERM or SIGINT; then calls stopping, stops the io_context and
+/// Runs the io_context on a pool of threads until SIGTERM or SIGINT. Then calls stopping, stops the io_context and
 /// returns.
 void runThreadPool(asio::io_context& context, std::size_t threads, const std::function<void()>& stopping);
-/// Prints an error that prevents the start, and returns the exit code for it: 2.
+/// Prints an error that prevents the start, and returns the corresponding exit code, 2.
 int reportStartFailure(const Error& error);
-/// Logs that the disk cannot be read or written, and returns the exit code for it: 3. Data on the disk is left as it
-/// is.
+/// Logs that the disk cannot be read or written, and returns the corresponding exit code, 3. Does not change the data
+/// on the disk.
 int reportDiskFailure(const Error& error);
-/// Logs that a damaged ring log was emptied, and counts it in the journal.
+/// Logs that a damaged ring log was replaced by an empty one, and records this in the journal.
 void reportRingDamage(Journal& journal, const Error& damage);
 
 }  // namespace tt
--- a/src/net/request_reader.cpp
+++ b/src/net/request_reader.cpp
@@ -8,23 +8,23 @@
 namespace tt {
 namespace {
 
-/// A larger empty buffer is freed after a request.
+/// An empty buffer with a larger capacity is freed after a request.
 constexpr std::size_t maxRetainedCapacity = 64 * 1024;
 constexpr std::size_t maxSizeLineBytes = 256, maxExcessOverhead = 16 * 1024;
-/// Framing bytes that a chunk may have without counting as excess: a constant and a share of its data.
+/// Framing bytes that a chunk may have before they count as excess: a constant plus a multiple of its data bytes.
 constexpr std::size_t overheadPerChunk = 16, overheadPerDataByte = 2;
 constexpr std::size_t typicalHeaderCount = 12;
 constexpr int badRequest = 400, bodyTooLarge = 413, headTooLarge = 431;
 
-/// http_parser treats any field whose name merely begins with "Transfer-Encoding" as that field, and rejects a
-/// Content-Length beside it. Its checks are switched off here: RequestReader has validated every byte of the head
-/// before and checks the framing fields by their full names.
+/// http_parser takes any field whose name begins with "Transfer-Encoding" for that field, and rejects a Content-Length
+/// beside it. Its checks can be disabled, because RequestReader has already validated every byte of the head, and
+/// checks the framing fields by their full names.
 void disableFramingChecks(http_parser& parser) {
   parser.lenient_http_headers = 1;
   parser.allow_chunked_length = 1;
 }
 
-/// Fills an HttpRequest from a request head by means of http_parser.
+/// Parses a request head into an HttpRequest with http_parser.
 class HeadParser {
  public:
   explicit HeadParser(HttpRequest& target) : request(target) {
@@ -33,7 +33,7 @@
     parser.data = this;
   }
 
-  /// Returns the HTTP status to reject the head with, or 0 if it is valid.
+  /// Returns the HTTP status with which to reject the head, or 0 if it is valid.
   int parse(std::string_view head) {
     std::size_t parsed = http_parser_execute(&parser, &settings(), head.data(), head.size());
     if (HTTP_PARSER_ERRNO(&parser) == HPE_HEADER_OVERFLOW) return headTooLarge;
@@ -248,8 +248,7 @@
   return std::nullopt;
 }
 
-/// Rejects a client that sends far more bytes of chunk framing than of data, which would cost much work for little
-/// payload.
+/// Rejects requests with far more bytes of chunk framing than of data, which cost much work for little payload.
 std::optional<RequestReader::Progress> RequestReader::parseSizeLine(std::string_view line) {
   auto size = parseChunkSize(line);
   if (!size) return reject(badRequest);
--- a/src/net/request_reader.hpp
+++ b/src/net/request_reader.hpp
@@ -3,11 +3,11 @@
 
 namespace tt {
 
-/// Incremental parser for the requests of one connection. Rejects malformed and too large requests. Does no I/O and
+/// Incremental parser for the requests of one connection. Rejects malformed and oversized requests. Does no I/O and
 /// reads no clock. Used by HttpServer::Connection on the server's thread.
 class RequestReader {
  public:
-  /// `none`: no byte of a request has arrived; `incomplete`: more bytes are needed; `rejected`: see rejectionStatus().
+  /// none: no byte of a request has arrived. incomplete: more bytes are needed. rejected: see rejectionStatus().
   enum class Progress { none, incomplete, complete, rejected };
 
   /// Adds bytes that were read from the connection.
@@ -21,9 +21,9 @@
   /// Parses the buffered bytes. Call readHead() until it is complete, then readBody().
   Progress readHead();
   Progress readBody() { return isChunked ? readChunks() : readFixedLengthBody(); }
-  /// HTTP status to answer a rejected request with.
+  /// HTTP status of the response to a rejected request.
   int rejectionStatus() const { return rejectedWith; }
-  /// Moves the complete request out.
+  /// Moves the complete request out of the reader.
   HttpRequest takeRequest() { return std::move(request); }
   /// Discards the request and all buffered bytes.
   void discard();
@@ -43,7 +43,7 @@
  private:
   enum class ChunkPart { size, data, dataEnd, trailer };
 
-  /// Bytes read from the connection and not yet consumed; `scannedBytes` of them have been checked as part of a head.
+  /// Bytes read from the connection and not yet consumed. The first `scannedBytes` have been checked as part of a head.
   std::string buffer;
   HttpServerLimits requestLimits;
   HttpRequest request;
@@ -53,11 +53,11 @@
   bool http10{false}, headMethod{false}, keepAliveAllowed{false}, isChunked{false};
   std::uint64_t bodyLeft{0};
   ChunkPart chunkPart{ChunkPart::size};
-  /// Chunk framing bytes beyond the allowance so far, see parseSizeLine().
+  /// `excessOverhead`: bytes of chunk framing beyond the allowance so far, see parseSizeLine().
   std::size_t excessOverhead{0}, trailerBytes{0};
 
   Progress reject(int status);
-  /// Skips one empty line before a request, as some clients send. Returns whether it did.
+  /// Skips an empty line before a request, which some clients send. Returns whether there was one.
   bool skipBlankLine();
   /// Parses a complete head of the given size.
   Progress parseHead(std::size_t size);
@@ -65,9 +65,9 @@
   Progress parseFraming(unsigned parserFlags);
   Progress readFixedLengthBody();
   Progress readChunks();
-  /// Longest line that is accepted in the current part of a chunked body.
+  /// Maximum length of a line in the current part of a chunked body.
   std::size_t maxLineBytes() const;
-  /// These consume bytes of `left`, and return nothing while the parsing of the chunked body can go on.
+  /// These consume bytes of `left`, and return nothing as long as parsing of the chunked body can continue.
   std::optional<Progress> readChunkData(std::string_view& left);
   std::optional<Progress> readChunkLine(std::string_view& left);
   std::optional<Progress> parseSizeLine(std::string_view line);
--- a/src/net/web.cpp
+++ b/src/net/web.cpp
@@ -10,9 +10,10 @@
 namespace tt {
 namespace {
 
-/// Limit of a request body and of a line of a streamed response; a response read in one piece may have four times this.
+/// Maximum size of a request body and of a line of a streamed response. Other response bodies may be four times as
+/// large.
 constexpr std::size_t maxBodyBytes = 8u << 20;
-/// A streamed response fails when more lines than this wait for a slow client.
+/// A streamed response fails if more lines than this are queued for a slow client.
 constexpr int maxUnwrittenChunks = 512;
 
 struct Traits : public restinio::default_traits_t {
@@ -20,7 +21,7 @@
 };
 using Chunked = restinio::response_builder_t<restinio::chunked_output_t>;
 
-/// WebResponse on a RESTinio request.
+/// The response to a RESTinio request.
 class RestinioResponse : public WebResponse, public std::enable_shared_from_this<RestinioResponse> {
  public:
   explicit RestinioResponse(restinio::request_handle_t handle) : request(std::move(handle)) {}
--- a/src/net/web.hpp
+++ b/src/net/web.hpp
@@ -17,7 +17,7 @@
   std::map<std::string, std::string> query;
   HttpHeaders headers;
 };
-/// The response to an HTTP request: either a single body or a stream of lines. Thread-safe.
+/// The response to an HTTP request: either a JSON body or a stream of lines. Thread-safe.
 class WebResponse {
  public:
   virtual ~WebResponse() = default;
@@ -61,7 +61,7 @@
   bool requestUnsent{false};
   int status{0};
   int retryAfterMs{0};
-  /// `trouble`: text of the error if no complete response was received.
+  /// `errorMessage`: description of the error if no complete response was received.
   std::string body, errorMessage;
 };
 /// HTTP client on libcurl with a thread of its own, on which all callbacks are made.
@@ -72,7 +72,7 @@
   WebClient();
   ~WebClient();
   /// Starts a call and returns its id. With onLine, the lines of a response with status 200 are passed to it as they
-  /// arrive; otherwise the whole body is part of the result.
+  /// arrive; in all other cases the body is part of the result.
   std::uint64_t start(WebCall call, OnDone onDone, OnLine onLine = {});
   /// Cancels a call; onDone is not called.
   void drop(std::uint64_t callId);
@@ -82,22 +82,22 @@
   std::unique_ptr<Impl> impl;
 };
 
-/// How an order ended, as far as the end of the HTTP call to the worker tells, if the worker's last line has not told
-/// it: not sent only if no byte was sent, and denied only if the worker's denial was received completely.
+/// How an attempt on a worker ended whose response stream had no last line: not sent if certainly no byte was sent,
+/// denied if a complete rejection was received, otherwise broken.
 WorkerEnd workerEndOfCall(const std::string& sendId, const WebResult& result);
 
-/// Makes a call and blocks until it has ended. For tools.
+/// Makes a call and blocks until it has ended. Used by tools.
 WebResult callAndWait(WebClient& calls, WebCall call);
 
-/// Responses that wait for an answer of the node, by the name under which the node knows the request. Thread-safe.
+/// Responses to requests that the node has not completed, by the id of the request. Thread-safe.
 class PendingResponses {
  public:
-  /// Adds a response under a new name, and returns the name.
+  /// Adds a response under a new id, and returns the id.
   std::string add(std::shared_ptr<WebResponse> response);
-  /// Returns a name that was not used before in this object.
+  /// Returns an id that this object has not used before.
   std::string newName();
   void addAs(const std::string& name, std::shared_ptr<WebResponse> response);
-  /// find() and remove() return null if there is no response of that name.
+  /// find() and remove() return null if there is no response with this id.
   std::shared_ptr<WebResponse> find(const std::string& name);
   std::shared_ptr<WebResponse> remove(const std::string& name);
   /// Removes and returns all pending responses.
