--- a/tests/call_faults.cpp
+++ b/tests/call_faults.cpp
@@ -34,7 +34,7 @@
       auto second = bench.finish(once(bench.call(server, "/second", "POST", "body")));
       cr_assert(second->end.outcome == HttpCallOutcome::whole, "%s", second->end.errorMessage.c_str());
       cr_assert_eq(second->body, "own");
-      cr_assert_eq(bench.calls.connectionsOpened(), 2u, "the connection with surplus bytes is not reused");
+      cr_assert_eq(bench.calls.connectionsOpened(), 2u, "the connection with surplus bytes must not be reused");
     }
   }
 }
@@ -118,7 +118,7 @@
     cr_assert(bench.until([&] { return seen->ends > 0; }));
     bench.pass(20ms);
     cr_expect(seen->end.outcome == HttpCallOutcome::unsent);
-    cr_expect_eq(server.copies("/order"), 0u, "not a byte of it was written");
+    cr_expect_eq(server.copies("/order"), 0u, "no byte of the request may be written");
     cr_expect_geq(asked, 1);
     leaseValid = true;
     auto next = bench.finish(call);
@@ -146,7 +146,7 @@
   call.maySend = [&] { return leaseValid; };
   auto seen = bench.start(call);
   bench.pass(20ms);
-  cr_assert_eq(seen->ends, 0, "the connection hangs");
+  cr_assert_eq(seen->ends, 0, "the connection must not be established yet");
   leaseValid = false;
   std::string got;
   std::vector<std::shared_ptr<asio::ip::tcp::socket>> accepted;
@@ -182,7 +182,7 @@
   cr_assert_eq(bench.finish(call)->body, "order");
   cr_assert_eq(bench.finish(bench.call(server, "/second"))->body, "other");
   cr_assert_eq(bench.calls.connectionsOpened(), 3u);
-  cr_assert_eq(server.connections[0]->requests, 2u, "the persistent connection serves the other requests");
+  cr_assert_eq(server.connections[0]->requests, 2u, "the persistent connection must serve the other requests");
   cr_assert_eq(server.connections[1]->requests, 1u);
   cr_assert_eq(server.connections[2]->requests, 1u);
 }
@@ -198,7 +198,7 @@
       });
       auto fresh = bench.finish(once(bench.call(server, "/second", "POST", "body")));
       cr_assert(fresh->end.outcome == HttpCallOutcome::broken);
-      cr_assert_not(fresh->end.forgotten, "a new connection was not idle");
+      cr_assert_not(fresh->end.forgotten, "a new connection cannot have been closed because it was idle");
       bench.finish(bench.call(server, "/first"));
       auto kept = bench.finish(once(bench.call(server, "/second", "POST", "body")));
       cr_assert(kept->end.outcome == HttpCallOutcome::broken, "the request may have been processed");
@@ -232,7 +232,7 @@
   cr_assert(lost->end.forgotten);
   for (int count = 0; count < 4; ++count) {
     auto next = bench.finish(once(bench.call(server, "/third", "POST", "body")));
-    cr_expect(next->end.outcome == HttpCallOutcome::whole, "only one request is lost to early closes");
+    cr_expect(next->end.outcome == HttpCallOutcome::whole, "only one request may be lost to early closes");
     cr_expect_eq(next->body, "own");
   }
 }
--- a/tests/call_fuzz.cpp
+++ b/tests/call_fuzz.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-/// Random numbers that depend on the seed only and are the same on every machine.
+/// Random numbers that depend only on the seed and are the same on every machine.
 class SeededRandom {
  public:
   explicit SeededRandom(std::uint32_t seed) : source(seed) {}
@@ -28,7 +28,7 @@
   return text + (random.oneIn(4) ? "0\r\nX-Trailer: 1\r\n\r\n" : "0\r\n\r\n");
 }
 
-/// A valid response with random framing, and its body.
+/// Returns a valid response with random framing, and its body.
 std::pair<std::string, std::string> validResponse(const std::string& headers, const std::string& body,
                                                   SeededRandom& random) {
   std::string text;
@@ -75,8 +75,8 @@
 
 }  // namespace
 
-/// Guards against an incomplete response that is taken for a complete one. The last line feed of a chunked response may
-/// be missing, because the HTTP library accepts the end without it.
+/// Guards against an incomplete response that counts as complete. The last line feed of a chunked response may be
+/// missing, because libcurl accepts the response without it.
 Test(call_fuzz, a_response_is_complete_if_and_only_if_all_of_it_was_sent) {
   constexpr int cases = 600;
   SeededRandom random(20261202);
@@ -111,7 +111,7 @@
   cr_assert_geq(incomplete, cases / 2);
 }
 
-/// Guards against bytes of a malformed response that are taken for the response to the next call on the connection.
+/// Guards against bytes of a malformed response that are passed on as the response to the next call.
 Test(call_fuzz, mutated_responses_do_not_affect_other_calls) {
   constexpr int cases = 1000;
   SeededRandom random(7);
@@ -152,8 +152,8 @@
   cr_assert_geq(failedCalls, cases / 4);
 }
 
-/// Guards against a client that gets the response to another request, and against a status that denies an execution
-/// that took place. Workers send surplus, swapped, incomplete and unsealed responses.
+/// Guards against a client that receives the response to another request, and against a status that says "not executed"
+/// for a request that was executed. Workers send surplus, swapped, incomplete and unsealed responses.
 Test(call_fuzz, clients_get_their_own_responses_whatever_workers_send) {
   constexpr int fleets = 60, asks = 5;
   SeededRandom random(16);
--- a/tests/call_table.cpp
+++ b/tests/call_table.cpp
@@ -41,8 +41,8 @@
 const std::string partialHead = "HTTP/1.1 200 OK\r\nX-Attempt-Id: a-";
 const std::string completeHead = "HTTP/1.1 200 OK\r\n@Content-Length: 9\r\n\r\n";
 
-/// Runs a row over a new or a reused connection. Each request after the first gets a success response with another
-/// seal.
+/// Runs a row on a new or a reused connection. The first attempt gets the action of the row, all later ones get a
+/// success response with another seal.
 void runRow(const Row& row, const std::string& route, bool reused, int status, std::size_t arrivals) {
   ProxyHarness harness;
   bool armed = false;
@@ -81,8 +81,8 @@
     runRow(row, "single", reused, row.single, row.arrivalsSingle);
   }
 }
-/// A request that may have been executed: reported as unknown, and retried only if it is repeatable and has attempts
-/// left.
+/// A row for a request that may have been executed: the client is told that the outcome is unknown, unless the request
+/// is repeatable and has attempts left, so that it is retried.
 Row mayHaveRun(const char* name, WorkerAction action) { return Row{name, std::move(action), 502, 200, 502, 1, 2, 1}; }
 
 }  // namespace
@@ -327,7 +327,7 @@
   for (int id = from; id <= to; ++id) all += event(id);
   return all;
 }
-/// The first worker of a stream sends events 1 and 2 and partialHead of 3 and closeConnection the connection; the later
+/// The first worker of a stream sends events 1 and 2 and a part of event 3, and closes the connection. The later
 /// attempts run the given actions.
 struct StreamHarness : ProxyHarness {
   std::vector<WorkerAction> laterActions;
--- a/tests/calls.cpp
+++ b/tests/calls.cpp
@@ -5,8 +5,9 @@
 
 namespace {
 
-/// The server reads the second request on a reused connection completely and closes it without a byte of response. The
-/// call must end as broken, as the request may have been processed, and libcurl must not send it again.
+/// The server reads the second request on a reused connection completely, and then closes the connection without a byte
+/// of response. The call must end as broken, because the request may have been processed, and it must not be sent
+/// again.
 void expectNotResent(const std::string& method, const std::string& body, bool byReset) {
   Bench bench;
   RawServer server(bench.io, [&](const RawServer::ConnectionPtr& held, const std::string& request) {
@@ -20,11 +21,12 @@
   auto seen = bench.finish(call);
   bench.pass(20ms);
   cr_assert_eq(seen->ends, 1);
-  cr_assert_eq(server.copies("/second"), 1u, "one copy over all connections, not %zu", server.copies("/second"));
+  cr_assert_eq(server.copies("/second"), 1u, "received %zu times on all connections, not once",
+               server.copies("/second"));
   cr_assert(seen->end.outcome == HttpCallOutcome::broken);
   cr_assert(!seen->end.errorMessage.empty());
   cr_assert_eq(seen->heads, 0);
-  cr_assert_eq(bench.calls.connectionsOpened(), 1u, "the request was sent on the reused connection");
+  cr_assert_eq(bench.calls.connectionsOpened(), 1u, "the request must be sent on the reused connection");
 }
 
 }  // namespace
@@ -250,7 +252,7 @@
     held->say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
   });
   auto seen = bench.start(bench.call(server));
-  cr_assert(bench.until([&] { return seen->heads == 1; }), "the head comes before any of the body");
+  cr_assert(bench.until([&] { return seen->heads == 1; }), "the head must be delivered before the body arrives");
   for (std::size_t count = 1; count <= 5; ++count) {
     open->say("7\r\npiece " + std::to_string(count) + "\r\n");
     cr_assert(bench.until([&] { return seen->pieces.size() == count; }));
@@ -327,33 +329,33 @@
       bench.calls.drop(own);
       next = bench.start(bench.call(server, "/whole/next"));
     };
-    auto held = std::make_shared<std::string>("the callbacks keep this");
+    auto captured = std::make_shared<std::string>("captured by a callback!");
     own = bench.calls.start(
         bench.call(server, where == "end" ? "/whole/own" : "/own"),
-        [&, held](const HttpResponseHead&) {
+        [&, captured](const HttpResponseHead&) {
           ++heads;
           leave("head");
-          cr_assert_eq(held->size(), 23u);
+          cr_assert_eq(captured->size(), 23u);
         },
-        [&, held](std::string_view) {
+        [&, captured](std::string_view) {
           ++pieces;
           leave("bytes");
-          cr_assert_eq(held->size(), 23u);
+          cr_assert_eq(captured->size(), 23u);
         },
-        [&, held](const HttpCallResult&) {
+        [&, captured](const HttpCallResult&) {
           ++ends;
           leave("end");
-          cr_assert_eq(held->size(), 23u);
+          cr_assert_eq(captured->size(), 23u);
         });
     cr_assert(bench.until([&] { return next && next->ends == 1; }));
     cr_assert(next->end.outcome == HttpCallOutcome::whole);
-    cr_assert(bench.until([&] { return otherConnection->ended; }), "the dropped call's connection is closed");
+    cr_assert(bench.until([&] { return otherConnection->ended; }), "the connection of the dropped call must be closed");
     bench.pass(5ms);
     cr_assert_eq(heads, 1);
     cr_assert_eq(pieces, where == "head" ? 0 : 1);
     cr_assert_eq(ends, where == "end" ? 1 : 0);
     cr_assert_eq(other->ends, 0);
-    cr_assert_eq(held.use_count(), 1, "the callbacks are let go");
+    cr_assert_eq(captured.use_count(), 1, "the callbacks must be released");
   }
   cr_assert_eq(server.copies("/at-once"), 0u);
 }
@@ -410,7 +412,7 @@
       cr_assert_eq(all[static_cast<std::size_t>(count)]->body, std::to_string(100 + count));
     }
   }
-  cr_assert_eq(bench.calls.connectionsOpened(), 200u, "the second round reuses the first one's connections");
+  cr_assert_eq(bench.calls.connectionsOpened(), 200u, "the second round must reuse the connections of the first");
   cr_assert_eq(bench.calls.callsStarted(), 400u);
 }
 
@@ -431,17 +433,17 @@
 
 Test(calls, connection_is_not_reused_if_its_keep_alive_is_one_second_or_less) {
   Bench bench;
-  std::string told = "Keep-Alive: max=9, Timeout=1\r\n";
+  std::string keepAlive = "Keep-Alive: max=9, Timeout=1\r\n";
   RawServer server(bench.io, [&](const RawServer::ConnectionPtr& held, const std::string&) {
-    held->say(successResponse("fine", told));
+    held->say(successResponse("fine", keepAlive));
   });
   for (int count = 0; count < 3; ++count)
     cr_assert(bench.finish(bench.call(server))->end.outcome == HttpCallOutcome::whole);
   cr_assert_eq(bench.calls.connectionsOpened(), 3u);
-  told = "Keep-Alive: timeout=30\r\n";
+  keepAlive = "Keep-Alive: timeout=30\r\n";
   bench.finish(bench.call(server));
   bench.finish(bench.call(server));
-  cr_assert_eq(bench.calls.connectionsOpened(), 4u, "what the peer said last counts");
+  cr_assert_eq(bench.calls.connectionsOpened(), 4u, "the last announced timeout must apply");
 }
 
 Test(calls, total_timeout_ends_a_call_as_broken) {
--- a/tests/drain.cpp
+++ b/tests/drain.cpp
@@ -1,6 +1,6 @@
 #include "proxy_fixture.hpp"
 
-/// Draining of processes that got a signal to stop: how open and new requests end. Uses real processes and signals.
+/// How open and new requests end at a process that has received SIGTERM. Uses real processes and signals.
 using namespace tt;
 using namespace tt::proxytest;
 
@@ -17,7 +17,7 @@
       if (!side.request.empty() && Clock::now() >= side.respondAt) respond(side);
     }
   }
-  /// Ids of the attempts that have reached the worker.
+  /// Attempt ids of the requests that have reached the worker.
   std::set<std::string> attempts;
 
  private:
@@ -54,7 +54,7 @@
   return bodyAt != std::string::npos && !length.empty() && response.size() - bodyAt - 4 == std::stoul(length);
 }
 
-/// A core in a process of its own that waits for seeds that never start.
+/// A core in a process of its own, which waits for seeds that never start.
 class IsolatedCore {
  public:
   explicit IsolatedCore(Duration grace) : firstPort(freePorts(3)) {
--- a/tests/fleet_bench.hpp
+++ b/tests/fleet_bench.hpp
@@ -9,9 +9,9 @@
 
 namespace tt {
 
-/// Runs the logic of cores and agents on a simulated network and disk, under one clock that the test advances. Links
-/// can be cut one by one and in one direction. After each step it checks that no agent counts itself as fresh without a
-/// change that was acknowledged.
+/// Runs the logic of cores and agents on a simulated network and disk, with a clock that the test advances. Each
+/// direction of a link can be cut separately. After each step, agents that count as fresh without an acknowledged
+/// change are recorded.
 struct FleetHarness {
   struct Envelope {
     std::string from, to;
@@ -22,11 +22,11 @@
     std::unique_ptr<Node> node;
     Core* core{nullptr};
     Agent* agent{nullptr};
-    /// What is synced; it survives a stop.
+    /// The synced state, which survives a stop.
     RecoveredState disk;
     std::vector<Effects::Save> pendingSaves;
     TimePoint nextSyncAt{};
-    /// Counts starts and stops, so that messages to an earlier run of the machine are dropped.
+    /// Incremented at each start and stop, so that messages to an earlier run are dropped.
     std::uint64_t incarnation{0};
     bool alive() const { return node != nullptr; }
   };
@@ -35,16 +35,16 @@
   std::mt19937_64 randomSource;
   std::map<std::string, Machine> machines;
   std::multimap<TimePoint, std::pair<std::uint64_t, Envelope>> inFlight;
-  /// Pairs of sender and receiver between which messages are lost.
+  /// Senders and receivers between which messages are lost.
   std::set<std::pair<std::string, std::string>> cutLinks;
   std::map<std::string, OperatorResponse> replies;
-  /// Messages to addresses at which nothing runs, such as proxies.
+  /// Messages to addresses outside the fleet, such as proxies.
   std::vector<std::pair<std::string, Message>> outside;
   std::map<std::string, ReadResponse> reads;
   std::map<std::string, int> eventCounts;
   std::uint64_t acknowledgedIndex{0};
   int requestCount{0};
-  /// Names of agents that were found fresh without an acknowledged entry, once per step.
+  /// Names of agents that were fresh without an acknowledged entry, once for each step.
   Strings staleReaders;
 
   explicit FleetHarness(std::uint64_t seed = 1) : randomSource(seed) {
@@ -116,7 +116,8 @@
     for (const auto& one : oneSide)
       for (const auto& other : otherSide) cut(one, other);
   }
-  /// Runs an action on a machine's node and carries out its effects. Messages take 1 to 8 ms, those to itself none.
+  /// Runs an action on the node of a machine and applies its effects. Messages take 1 to 8 ms; those to itself arrive
+  /// in the next step.
   void with(Machine& machine, const std::function<void(Effects&)>& action) {
     Effects effects{now, randomSource, machine.node->journal, {}, {}};
     action(effects);
@@ -136,7 +137,7 @@
     }
     for (auto& save : effects.saves) machine.pendingSaves.push_back(std::move(save));
   }
-  /// Makes all pending records durable at once, but only once every 6 ms.
+  /// Syncs all pending records together, at most once every 6 ms.
   void sync(Machine& machine) {
     if (machine.pendingSaves.empty() || now < machine.nextSyncAt) return;
     machine.nextSyncAt = now + 6ms;
@@ -156,7 +157,7 @@
       return;
     with(machine, [&](Effects& effects) { machine.node->handle(effects, envelope.from, envelope.message); });
   }
-  /// Records agents that are fresh without an acknowledged entry.
+  /// Records the agents that are fresh without an acknowledged entry.
   void checkReaders() {
     for (auto& [name, machine] : machines)
       if (machine.agent && machine.agent->fresh(now) && machine.agent->configuration().index() < acknowledgedIndex)
@@ -180,9 +181,9 @@
   void run(Duration span) {
     for (TimePoint until = now + span; now < until;) step();
   }
-  /// Returns whether the condition came true within the time.
-  bool runUntil(const std::function<bool()>& reached, Duration most) {
-    for (TimePoint until = now + most; now < until && !reached();) step();
+  /// Runs until a condition is true. Returns false if it is still false after maxDuration.
+  bool runUntil(const std::function<bool()>& reached, Duration maxDuration) {
+    for (TimePoint until = now + maxDuration; now < until && !reached();) step();
     return reached();
   }
   const ReplicatedLog& logOf(const std::string& name) { return machines.at(name).core->consensusLog(); }
@@ -214,7 +215,7 @@
         40s));
   }
   bool agentFresh(const std::string& name) { return machines.at(name).agent->fresh(now); }
-  /// Requests a change that adds weights of a name; returns the id of the request.
+  /// Requests a change that adds weights with the name of the change. Returns the id of the request.
   std::string ask(const std::string& name, const std::string& changeName) {
     return askWith(name, changeName, R"({"weights":{")" + changeName + R"(":{"model":"moss"}}})");
   }
@@ -228,7 +229,7 @@
     with(machines.at(name), [&](Effects& effects) { machines.at(name).node->handle(effects, "operator", change); });
     return requestId;
   }
-  /// Requests a consistent read; returns the id of the request.
+  /// Requests a consistent read. Returns the id of the request.
   std::string read(const std::string& name) {
     std::string requestId = "read-" + std::to_string(++requestCount);
     with(machines.at(name),
--- a/tests/freshness.cpp
+++ b/tests/freshness.cpp
@@ -6,8 +6,8 @@
 
 using namespace tt;
 
-/// A core holds in memory which readers follow it and how far they are. If a core that lost this by a restart counted
-/// as having no readers, a change could be acknowledged while a partitioned reader still counts itself as fresh.
+/// A core keeps only in memory which readers it has and what they have applied. If a restarted core, which has lost
+/// this, counted as having no readers, a change could be acknowledged while a partitioned reader still counts as fresh.
 Test(freshness, a_change_is_not_acknowledged_on_the_word_of_a_restarted_core_that_lost_its_readers) {
   FleetHarness bench;
   bench.form(4);
@@ -31,8 +31,8 @@
             static_cast<int>(bench.staleReaders.size()));
 }
 
-/// While a member's removal is not committed, readers still rely on the old members. Counting only the new ones would
-/// let a change be acknowledged that such a reader lacks.
+/// As long as the removal of a member is not committed, readers still rely on the old members. If only the new ones
+/// were counted, a change could be acknowledged that such a reader lacks.
 Test(freshness, a_change_before_an_uncommitted_member_removal_needs_a_majority_of_the_old_members) {
   FleetHarness bench;
   bench.form(4);
@@ -53,8 +53,8 @@
             static_cast<int>(bench.staleReaders.size()));
 }
 
-/// A reader that has not heard of a membership change stays fresh on responses of old members. The time for which the
-/// leader waits for it begins when the new members are committed, not when the change was appended.
+/// A reader that does not know of a membership change stays fresh with responses of the old members. The time for which
+/// the leader waits for it must start when the new members are committed, not when their entry is appended.
 Test(freshness, readers_that_know_only_the_old_members_are_waited_for_after_a_membership_change) {
   FleetHarness bench;
   bench.form(4);
@@ -122,8 +122,8 @@
   for (const char* name : {"core-1", "core-2", "core-3", "core-4"}) cr_expect(bench.readFrom(name).confirmed);
 }
 
-/// A leader that was replaced without its knowledge has an outdated configuration. It must neither confirm reads nor
-/// judge changes by it, also while its own messages still arrive at others.
+/// A leader that does not know that it was replaced has an outdated configuration. It must neither confirm reads nor
+/// accept or reject changes by it, even while its own messages still reach the others.
 Test(freshness, a_leader_that_receives_nothing_confirms_no_read_and_decides_no_change) {
   for (int cores : {4, 5, 8}) {
     for (bool hears : {false, true}) {
@@ -170,11 +170,11 @@
       for (int round = 0; round < 400; ++round) {
         const auto& one = names[bench.randomSource() % names.size()];
         const auto& other = names[bench.randomSource() % names.size()];
-        auto dice = bench.randomSource() % 12;
-        if (dice < 2 && one != other) bench.cutLinks.insert({one, other});
-        if (dice == 2) bench.partition({one}, bench.coresExcept(one));
-        if (dice == 3) bench.cutLinks.clear();
-        if (dice == 4) openChanges.push_back(bench.ask(one, "change-" + std::to_string(round)));
+        auto action = bench.randomSource() % 12;
+        if (action < 2 && one != other) bench.cutLinks.insert({one, other});
+        if (action == 2) bench.partition({one}, bench.coresExcept(one));
+        if (action == 3) bench.cutLinks.clear();
+        if (action == 4) openChanges.push_back(bench.ask(one, "change-" + std::to_string(round)));
         openReads[bench.read(other)] = bench.acknowledgedIndex;
         bench.run(std::chrono::milliseconds(25 + bench.randomSource() % 100));
         for (auto open = openReads.begin(); open != openReads.end();) {
@@ -200,7 +200,7 @@
 }
 
 namespace {
-/// A reader that has applied entry 5, and gets responses of a subset of the voters. Sets of voters are bit masks.
+/// A reader that has applied entry 5 and receives responses of some of the voters. Sets of voters are bit masks.
 struct ReaderHarness {
   std::size_t voters;
   Configuration view;
@@ -216,7 +216,7 @@
     view.apply(LogEntry{5, 1, static_cast<int>(EntryKind::members), encodeMembers(members), {}, 0});
   }
   static std::string nameOf(std::size_t at) { return "core-" + std::to_string(at); }
-  /// Whether the reader counts its view as complete after the responses of the voters in `heard`.
+  /// Whether the reader counts its view as complete after responses of the voters in a set.
   bool completeAfter(unsigned heard, const std::function<LogEndResponse(std::size_t)>& responseOf) {
     reader = ClusterView(ReaderSettings{"reader", "reader:1", "north-a", {}, true, {}});
     Effects asking{now, randomSource, journal, {}, {}};
@@ -236,9 +236,9 @@
 std::size_t countOf(unsigned set) { return static_cast<std::size_t>(__builtin_popcount(set)); }
 }  // namespace
 
-/// Tries all combinations: which majority has entry 6, which voters respond, and which other voter still counts itself
-/// as leader of the older term. A reader that has applied entry 5 must never count as complete. Without entry 6 it must
-/// count as complete just when enough voters respond.
+/// Tries all combinations of the majority that has entry 6, the voters that respond, and another voter that still
+/// counts itself as the leader of the older term. A reader that has applied only entry 5 must never count as complete.
+/// If there is no entry 6, it must count as complete if and only if enough voters respond.
 Test(freshness, no_set_of_responses_makes_a_reader_complete_without_an_entry_that_a_majority_has) {
   for (std::size_t voters : {3u, 4u, 5u, 8u}) {
     ReaderHarness bench(voters);
@@ -276,8 +276,9 @@
   }
 }
 
-/// After a restart an agent does not know its proxies. One that it has not heard yet may still be fresh by a response
-/// of the earlier run, so the agent must not tell the cores that all its proxies have applied an index.
+/// After a restart an agent does not know its proxies. A proxy that has not contacted it yet may still be fresh because
+/// of a response of the previous run, so the agent must not report to the cores that all its proxies have applied an
+/// index.
 Test(freshness, a_restarted_agent_reports_index_0_while_unheard_proxies_may_be_fresh) {
   TimingGuard kept;
   AgentSettings settings;
@@ -315,7 +316,7 @@
   cr_expect_eq(reportedIndex.value_or(9), 1u);
 }
 
-/// If the host read the clock before waiting for the lock, the node could take an expired lease for valid.
+/// If the host read the clock before it waits for the lock, the node could regard an expired lease as valid.
 Test(freshness, a_node_is_given_a_time_read_after_the_wait_for_the_lock) {
   struct TimeRecorder : Node {
     std::vector<TimePoint> times;
--- a/tests/gate.cpp
+++ b/tests/gate.cpp
@@ -126,15 +126,15 @@
     RawClient caller(server.port);
     auto got = caller.askAll(row.input);
     cr_expect_eq(statusOf(got), row.status, "%s: expected %d, got \"%s\"", row.name, row.status, got.c_str());
-    cr_expect_eq(count(got, "HTTP/1.1 "), 1u, "%s: one response", row.name);
-    cr_expect(has(got, "\r\nConnection: close\r\n"), "%s: must say close", row.name);
-    cr_expect(!caller.timedOut && !caller.reset, "%s: must end in order", row.name);
+    cr_expect_eq(count(got, "HTTP/1.1 "), 1u, "%s: exactly one response", row.name);
+    cr_expect(has(got, "\r\nConnection: close\r\n"), "%s: must announce the close", row.name);
+    cr_expect(!caller.timedOut && !caller.reset, "%s: the connection must end without a timeout or reset", row.name);
     cr_expect_eq(handled.load(), 0, "%s: must not reach the handler", row.name);
     handled = 0;
   }
   cr_expect(eventually([&] { return server.connections() == 0; }));
   RawClient caller(server.port);
-  cr_assert_eq(statusOf(caller.askAll(getClose)), 200, "a valid request is answered");
+  cr_assert_eq(statusOf(caller.askAll(getClose)), 200, "a valid request must be served afterwards");
 }
 
 Test(gate, error_response_arrives_while_the_client_keeps_sending) {
@@ -244,7 +244,7 @@
   caller.send(post("Content-Length: 3\r\n", "one") + get + "GET /z HTTP/1.1\r\nHost:");
   cr_assert(eventually([&] { return held.received == 1; }));
   cr_assert_eq(caller.receive(30ms).value(), "");
-  cr_assert_eq(held.received.load(), 1, "the second waits for the first's answer");
+  cr_assert_eq(held.received.load(), 1, "the second request must wait for the response to the first");
   server.run([&] { sendResponse(held.responses[0], "first"); });
   cr_assert(has(caller.until("first"), "Content-Length: 5\r\n"));
   cr_assert(eventually([&] { return held.received == 2; }));
@@ -274,7 +274,7 @@
   std::size_t at = 0;
   for (int number = 0; number < requests; ++number) {
     at = got.find("GET /" + std::to_string(number) + " []", at);
-    cr_assert_neq(at, std::string::npos, "answer %d in order", number);
+    cr_assert_neq(at, std::string::npos, "response %d is missing or out of order", number);
   }
 }
 
@@ -309,7 +309,8 @@
   blank.send("\r\n");
   used.send(get);
   auto promise = used.until("[]");
-  cr_assert(has(promise, "Connection: keep-alive\r\n") && !has(promise, "Keep-Alive: "), "no second is promised");
+  cr_assert(has(promise, "Connection: keep-alive\r\n") && !has(promise, "Keep-Alive: "),
+            "a timeout of less than one second must not be announced");
   cr_assert_eq(used.all(), "");
   cr_assert_eq(fresh.all(), "");
   cr_assert_eq(blank.all(), "");
@@ -339,14 +340,14 @@
     dribble.send(std::string_view(&letter, 1));
     if (dribble.receive(20ms) != "") break;
   }
-  cr_assert_lt(toMilliseconds(Clock::now() - began), 450, "a head that dribbles has no more time");
+  cr_assert_lt(toMilliseconds(Clock::now() - began), 450, "the timeout must cover the complete head");
   RawClient slow(server.port);
   slow.send(post("Content-Length: 8\r\n"));
   for (int part = 0; part < 8; ++part) {
     cr_assert_eq(slow.receive(50ms).value_or("end"), "");
     slow.send("x");
   }
-  cr_assert_eq(statusOf(slow.until("ok")), 200, "a body that goes on has its time");
+  cr_assert_eq(statusOf(slow.until("ok")), 200, "the timeout must start anew with each part of the body");
   cr_assert_eq(handled.load(), 1);
 }
 
@@ -357,7 +358,7 @@
   limits.maxHeaderBytes = 100;
   RawClient caller(server.port);
   caller.send(post("Expect: 100-continue\r\nContent-Length: 5\r\n"));
-  cr_assert_eq(statusOf(caller.until("\r\n\r\n")), 100, "the first request has begun");
+  cr_assert_eq(statusOf(caller.until("\r\n\r\n")), 100, "the first request must have begun under the old limits");
   server.run([&] { server.httpServer.setLimits(limits); });
   caller.send("hello");
   cr_assert_eq(statusOf(caller.until("[hello]")), 200);
@@ -376,11 +377,11 @@
   caller.send("hello");
   cr_assert_eq(statusOf(caller.until("[hello]")), 200);
   caller.send(post("Expect: 100-continue\r\nContent-Length: 5\r\n", "hello"));
-  cr_assert_eq(statusOf(caller.until("[hello]")), 200, "what is there need not be asked for");
+  cr_assert_eq(statusOf(caller.until("[hello]")), 200, "100 Continue must not be sent if the body has already arrived");
   caller.send(post("Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n"));
   cr_assert_eq(caller.until("\r\n\r\n"), "HTTP/1.1 100 Continue\r\n\r\n");
   caller.send("5\r\n");
-  cr_assert_eq(caller.receive(30ms).value(), "", "it asks once");
+  cr_assert_eq(caller.receive(30ms).value(), "", "100 Continue must be sent only once");
   caller.send("hello\r\n0\r\n\r\n");
   cr_assert_eq(statusOf(caller.until("[hello]")), 200);
   cr_assert_eq(statusOf(caller.askAll(post("Expect: 100-continue\r\nContent-Length: 5000000\r\n"))), 413);
@@ -433,7 +434,7 @@
   cr_assert_eq(caller.until("\r\n0\r\n\r\n"), "1\r\na\r\n14\r\n" + std::string(20, 'b') + "\r\n0\r\n\r\n");
   cr_assert(eventually([&] { return server.exchanges() == 0; }));
   caller.send(get);
-  cr_assert(eventually([&] { return held.received == 2; }), "the connection is kept");
+  cr_assert(eventually([&] { return held.received == 2; }), "the connection must stay open");
 }
 
 Test(gate, responses_that_must_not_have_a_body_have_none) {
@@ -552,7 +553,7 @@
         inOneTurn);
     cr_assert(untilClose.reset, "a response delimited by the end of the connection must end in a reset");
   }
-  cr_assert_eq(held.disconnects.load(), 0, "the server aborted the responses, no client disconnected");
+  cr_assert_eq(held.disconnects.load(), 0, "the server aborted the responses; no client has disconnected");
   cr_assert_eq(server.exchanges(), 0u);
 }
 
@@ -626,7 +627,8 @@
           cr_assert_eq(response->unwritten(), 0u);
           response->onDisconnect([&] { ++responseCount; });
         });
-        cr_assert(eventually([&] { return responseCount == 1; }), "a handler set late is called too");
+        cr_assert(eventually([&] { return responseCount == 1; }),
+                  "a handler that is set after the disconnect must be called, too");
         cr_assert_eq(server.connections(), 0u);
         cr_assert_eq(server.exchanges(), 0u);
         cr_assert_eq(held.received.load(), 1);
@@ -683,7 +685,7 @@
   auto head = caller.until("\r\n\r\n");
   got += head.size() - head.find("\r\n\r\n") - 4;
   while (got < 32 * part.size() - 1) got += caller.receive()->size();
-  cr_assert_eq(server.run([&] { return response->unwritten(); }), 1u, "the last byte waits for the end");
+  cr_assert_eq(server.run([&] { return response->unwritten(); }), 1u, "the last byte must be withheld until the end");
   server.run([&] { response->end(); });
   cr_assert_eq(caller.receive()->size(), 1u);
   cr_assert_eq(held.disconnects.load(), 0);
@@ -696,7 +698,7 @@
   server.run([&] { server.httpServer.startDraining(); });
   RawClient silent(server.port), asking(server.port);
   asking.send(get);
-  cr_assert(has(asking.all(), "Connection: close"), "a client that sends a request is served");
+  cr_assert(has(asking.all(), "Connection: close"), "a client that sends a request must be served");
   cr_assert_eq(silent.all(), "");
   cr_assert_not(silent.timedOut);
 }
@@ -710,7 +712,7 @@
   server.run([&] { server.httpServer.stopAccepting(); });
   asio::error_code error;
   RawClient late(server.port, error);
-  cr_assert(error, "nobody listens any more");
+  cr_assert(error, "new connections must be refused");
   server.run([&] { sendResponse(held.responses[0], "well"); });
   cr_assert(has(caller.until("well"), "well"));
 }
@@ -746,7 +748,7 @@
   cr_assert_lt(toMilliseconds(Clock::now() - left), 600);
   RawClient fresh(server.port);
   fresh.send(get);
-  cr_assert(eventually([&] { return held.received == 5; }), "new connections are still served");
+  cr_assert(eventually([&] { return held.received == 5; }), "new connections must still be served");
   server.run([&] {
     sendResponse(held.responses[4], "fresh");
     sendResponse(held.responses[2], "busy");
--- a/tests/gate_faults.cpp
+++ b/tests/gate_faults.cpp
@@ -13,7 +13,7 @@
 
 const std::string http10Get = "GET /x HTTP/1.0\r\n\r\n";
 
-/// Blocks the server's thread until destroyed, as a freeze of the process does.
+/// Blocks the server's thread until it is destroyed. Simulates a freeze of the process.
 class BlockedThread {
  public:
   explicit BlockedThread(asio::io_context& io) {
@@ -31,7 +31,7 @@
   std::promise<void> thawed;
 };
 
-/// An HttpServer in a process of its own, which starts responses and never ends them.
+/// An HttpServer in a process of its own, which starts responses but never ends them.
 class ServerProcess {
  public:
   ServerProcess() {
@@ -67,21 +67,21 @@
   }
 };
 
-/// Sends until the server accepts nothing for 200 ms, or `most` bytes. Returns how many bytes were accepted.
-std::size_t sendUntilBlocked(RawClient& caller, std::size_t most) {
+/// Sends up to maxBytes, until the server accepts nothing for 200 ms. Returns how many bytes were accepted.
+std::size_t sendUntilBlocked(RawClient& caller, std::size_t maxBytes) {
   const std::string part(64 * 1024, 'x');
-  std::size_t taken = 0;
-  while (taken < most) {
-    pollfd facts{caller.socket.native_handle(), POLLOUT, 0};
-    if (::poll(&facts, 1, 200) <= 0) break;
+  std::size_t sentBytes = 0;
+  while (sentBytes < maxBytes) {
+    pollfd descriptor{caller.socket.native_handle(), POLLOUT, 0};
+    if (::poll(&descriptor, 1, 200) <= 0) break;
     auto size = ::send(caller.socket.native_handle(), part.data(), part.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
     if (size <= 0) break;
-    taken += static_cast<std::size_t>(size);
+    sentBytes += static_cast<std::size_t>(size);
   }
-  return taken;
+  return sentBytes;
 }
 
-/// An operators' server on its own thread, which holds the requests until the test answers them.
+/// A server for operators on its own thread, whose requests are pending until the test completes them.
 class OperatorServerFixture {
  public:
   OperatorServerFixture() {
@@ -122,7 +122,7 @@
   return "PUT " + path + " HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}";
 }
 
-/// A cluster of a single core, which can be restarted on the same disk.
+/// A cluster of a single core, which can be restarted with the same disk.
 struct SingleCoreCluster {
   TimePoint now{std::chrono::hours(1)};
   std::mt19937_64 randomSource{1};
@@ -156,9 +156,9 @@
     for (int step = 0; step < 4000 && !core->consensusLog().leads(now); ++step) {
       now += 5ms;
       with([&](Effects& effects) { core->tick(effects); });
-      auto mail = std::move(out);
+      auto messages = std::move(out);
       out.clear();
-      for (auto& [to, message] : mail)
+      for (auto& [to, message] : messages)
         if (to == "core-1:1") handle(to, message);
     }
     cr_assert(core->consensusLog().leads(now));
@@ -253,7 +253,7 @@
     held.responses[0]->end();
   });
   cr_assert(has(caller.until("0\r\n\r\n"), "0\r\n\r\n"));
-  cr_assert_eq(caller.receive(700ms).value_or("end"), "", "the announced two seconds are kept");
+  cr_assert_eq(caller.receive(700ms).value_or("end"), "", "the connection must stay open for the announced 2 s");
   caller.send(get);
   cr_assert(eventually([&] { return held.received == 2; }));
 }
@@ -277,13 +277,13 @@
   cr_assert_eq(caller.receive(30ms).value(), "");
   server.run([&] { server.httpServer.startDraining(); });
   for (int number = 0; number < 3; ++number) {
-    cr_assert(eventually([&] { return held.received == number + 1; }), "request %d is served", number);
+    cr_assert(eventually([&] { return held.received == number + 1; }), "request %d must be served", number);
     server.run(
         [&] { sendResponse(held.responses[static_cast<std::size_t>(number)], "answer" + std::to_string(number)); });
   }
   auto got = caller.all();
   cr_assert_eq(count(got, "HTTP/1.1 200"), 3u, "got \"%s\"", got.c_str());
-  cr_assert_eq(count(got, "Connection: close\r\n"), 1u, "only the last one closes");
+  cr_assert_eq(count(got, "Connection: close\r\n"), 1u, "only the last response may announce the close");
   cr_assert(has(got, "answer2") && !caller.reset && !caller.timedOut);
 }
 
@@ -298,7 +298,7 @@
   reading.send(get);
   cr_assert(eventually([&] { return held.received == 2; }));
   const std::string part(1 << 20, 'x');
-  std::size_t most = 0, read = 0;
+  std::size_t maxQueued = 0, read = 0;
   server.run([&] {
     for (auto& response : held.responses) response->head(200, {}, 64 * part.size());
   });
@@ -311,17 +311,17 @@
     std::size_t awaited = step * part.size() - (step == 64 ? 1 : 0);
     while (read < awaited) {
       auto got = reading.receive();
-      cr_assert(got && !got->empty(), "the reading client is still served at %zu", read);
+      cr_assert(got && !got->empty(), "the reading client must still be served after %zu bytes", read);
       read += got->size();
     }
-    most = std::max(most, server.run([&] { return server.httpServer.queued(); }));
+    maxQueued = std::max(maxQueued, server.run([&] { return server.httpServer.queued(); }));
   }
   server.run([&] { held.responses[1]->end(); });
   cr_assert_eq(reading.receive()->size(), 1u);
-  cr_assert_leq(most, limits.maxQueuedBytes + 2 * part.size());
-  cr_assert_eq(held.disconnects.load(), 1, "the client that does not read is reported as disconnected");
+  cr_assert_leq(maxQueued, limits.maxQueuedBytes + 2 * part.size());
+  cr_assert_eq(held.disconnects.load(), 1, "the client that does not read must be reported as disconnected");
   idle.all();
-  cr_assert(idle.reset, "its response does not look complete");
+  cr_assert(idle.reset, "its response must not look complete");
   cr_assert(eventually([&] { return server.run([&] { return server.httpServer.queued(); }) == 0; }));
 }
 
@@ -331,11 +331,11 @@
   RawClient caller(server.port);
   caller.send(get);
   cr_assert(eventually([&] { return held.received == 1; }));
-  auto taken = sendUntilBlocked(caller, 256u << 20);
-  cr_assert_lt(taken, 64u << 20, "no more than the kernel's buffers hold");
+  auto sentBytes = sendUntilBlocked(caller, 256u << 20);
+  cr_assert_lt(sentBytes, 64u << 20, "no more must be accepted than the buffers of the kernel hold");
   server.run([&] { sendResponse(held.responses[0], "ok"); });
   auto got = caller.all();
-  cr_assert_eq(count(got, "HTTP/1.1 "), 2u, "its response, then a rejection of the bytes that are no request");
+  cr_assert_eq(count(got, "HTTP/1.1 "), 2u, "one response, and one rejection of the bytes that are not a request");
   cr_assert(has(got, "HTTP/1.1 200") && has(got, "HTTP/1.1 4"));
   cr_assert_eq(held.received.load(), 1);
 }
--- a/tests/gate_fixture.hpp
+++ b/tests/gate_fixture.hpp
@@ -7,10 +7,10 @@
 
 #include "gate.hpp"
 
-/// Shared by the tests of HttpServer: a server on its own thread, clients on plain sockets, and handlers.
+/// Test fixtures for HttpServer: a server on its own thread, clients on plain sockets, and handlers.
 namespace tt::gatetest {
 
-/// An HttpServer on a thread of its own. Everything that accesses it must go through run().
+/// An HttpServer on a thread of its own. It must be accessed only through run().
 class HttpServerFixture {
  public:
   explicit HttpServerFixture(HttpHandler handler, HttpServerLimits limits = {})
@@ -61,7 +61,7 @@
     asio::error_code ignored;
     asio::write(socket, asio::buffer(text.data(), text.size()), ignored);
   }
-  /// Bytes received within the wait, empty after a timeout, or nothing at the end of the connection.
+  /// Returns the next bytes received, an empty string after a timeout, or nothing at the end of the connection.
   std::optional<std::string> receive(Duration wait = 3s) {
     timeval span{toMilliseconds(wait) / 1000, toMilliseconds(wait) % 1000 * 1000};
     ::setsockopt(socket.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &span, sizeof span);
@@ -72,8 +72,8 @@
     reset = size < 0;
     return std::nullopt;
   }
-  /// Reads until the text has been received, or the end of the connection or a timeout. Returns everything read since
-  /// the last call.
+  /// Reads until a text has been received, the connection ends or a timeout expires. Returns all bytes that no earlier
+  /// call has returned.
   std::string until(std::string_view text) {
     while (unread.find(text) == std::string::npos) {
       auto got = receive();
@@ -82,7 +82,7 @@
     }
     return std::exchange(unread, {});
   }
-  /// Reads to the end of the connection.
+  /// Reads until the connection ends or a timeout expires. Returns all bytes that no earlier call has returned.
   std::string all() {
     while (auto got = receive()) {
       if (got->empty()) {
@@ -111,7 +111,7 @@
   bool reset{false}, timedOut{false};
 };
 
-/// Waits until a condition holds. Returns whether it does.
+/// Waits until a condition is true. Returns false if it is still false after the wait.
 template <class Condition>
 bool eventually(Condition condition, Duration wait = 3s) {
   for (TimePoint end = Clock::now() + wait; Clock::now() < end; std::this_thread::sleep_for(2ms))
@@ -141,7 +141,7 @@
 inline const std::string get = "GET /x HTTP/1.1\r\nHost: a\r\n\r\n";
 inline const std::string getClose = "GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
 
-/// A handler that holds the responses it receives, for the test to answer them.
+/// A handler that collects the responses, to be completed by the test.
 struct HeldResponses {
   std::vector<std::shared_ptr<ResponseWriter>> responses;
   std::atomic<int> received{0}, disconnects{0};
--- a/tests/leave_by.cpp
+++ b/tests/leave_by.cpp
@@ -5,7 +5,8 @@
 using namespace raw;
 
 namespace {
-/// Drives the translation between clients and workers alone; the test stands in for the router.
+/// Tests the translation between clients and workers without a router; the test itself sends the messages of the
+/// router.
 struct SendDeadlineHarness : Bench {
   std::vector<Message> delivered;
   Exchanges exchanges{calls, "proxy-1",
@@ -26,7 +27,7 @@
       if (auto* found = std::get_if<T>(&*row)) return found;
     return nullptr;
   }
-  /// Sends a client's request and returns the message with which the router would pass it to a worker.
+  /// Sends a client's request. Returns the message with which the router would send it to a worker.
   WorkerOrder nextRequest() {
     delivered.clear();
     asio::error_code ignored;
--- a/tests/list_faults.cpp
+++ b/tests/list_faults.cpp
@@ -14,7 +14,7 @@
   return R"({"Instances":[)" + rows + R"(],"NextToken":)" + (next.empty() ? "null" : "\"" + next + "\"") + "}";
 }
 
-/// Requests lists from a scripted platform and records those that are delivered.
+/// Requests lists from a scripted platform and records the complete ones.
 struct ListHarness : Bench {
   std::vector<MachinesReply> lists;
   void ask(const RawServer& server, std::int64_t askedAt = 1) {
--- a/tests/order_faults.cpp
+++ b/tests/order_faults.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Sends commands to a scripted worker and records the replies that are delivered to the core.
+/// Sends commands to a scripted worker and records the replies to the core.
 struct CommandHarness : Bench {
   std::vector<ControlReply> replies;
   bool leaseValid{true};
@@ -26,7 +26,7 @@
   return "HTTP/1.1 202 Accepted\r\n" + headers + "Content-Length: 0\r\n\r\n";
 }
 std::string responseWith(int status) {
-  return "HTTP/1.1 " + std::to_string(status) + " As told\r\nContent-Length: 0\r\n\r\n";
+  return "HTTP/1.1 " + std::to_string(status) + " Scripted\r\nContent-Length: 0\r\n\r\n";
 }
 
 }  // namespace
--- a/tests/parts.cpp
+++ b/tests/parts.cpp
@@ -243,7 +243,7 @@
   cr_assert_eq(with("HTTPRoute", "TLSRoute"), "kind");
 }
 
-/// Logic that read a clock or random device itself could not be replayed in the simulator.
+/// The simulator could not replay logic that reads a clock or random device itself.
 Test(logic, reads_no_clock_or_random_device_itself) {
   for (const char* name :
        {"consensus/election", "consensus/replicated_log", "consensus/membership", "consensus/snapshot",
@@ -331,8 +331,8 @@
                "a snapshot must keep the bound of evicted ids");
 }
 
-/// Leases, freshness and the order of machine lists rest on the steady clock, so that a jump of the wall clock cannot
-/// affect them.
+/// Leases, freshness and the order of machine lists depend on the steady clock only, so that a jump of the wall clock
+/// cannot affect them.
 Test(clocks, only_log_messages_use_the_wall_clock) {
   std::filesystem::path folder = std::filesystem::path(TT_SOURCE) / "src";
   std::size_t checkedFiles = 0;
@@ -413,8 +413,7 @@
   cr_assert_eq(result.runs, 100);
 }
 
-/// A check that finds nothing proves nothing unless it is seen to fail, so every line of the audit needs an injection
-/// here.
+/// Each invariant that the audit checks needs an injected violation here, which shows that the check can fail.
 Test(audit, finds_each_injected_violation_and_no_other) {
   using Injection = std::function<void(AuditRecords&)>;
   std::map<std::string, Injection> injections{
@@ -503,7 +502,7 @@
 }
 
 namespace {
-/// A worker that reads a number of bytes, writes an answer and closes the connection.
+/// A worker that reads a number of bytes, writes a response and closes the connection.
 class ClosingWorker {
  public:
   ClosingWorker(std::size_t readBytes, std::string answer)
@@ -539,8 +538,8 @@
 }
 }  // namespace
 
-/// A request that counts as not sent or as rejected is sent to another worker, even if it must run at most once. So a
-/// connection that breaks at any other point must count as broken.
+/// A request that counts as not sent or as rejected is sent to another worker, even if it must run at most once. So it
+/// must count as broken if the connection breaks at any other point.
 Test(web, a_request_counts_as_not_sent_or_rejected_only_if_that_is_certain) {
   std::string unreachable;
   {
--- a/tests/plain_cells.cpp
+++ b/tests/plain_cells.cpp
@@ -30,7 +30,7 @@
   return nullptr;
 }
 
-/// The state that a reader has after applying all that the cell's lease holder published.
+/// Returns the state of a reader that has applied all updates that the cell's lease holder has published.
 CellNews publishedBy(CellHarness& harness) {
   CellNews state;
   for (auto& [address, core] : harness.cores)
--- a/tests/platform.cpp
+++ b/tests/platform.cpp
@@ -66,7 +66,7 @@
   cr_assert_neq(position, std::string::npos, "%s", old.c_str());
   return text.replace(position, old.size(), replacement);
 }
-/// Reads 4000 random mutations of a valid text; the seed is fixed.
+/// Passes 4000 random mutations of a valid text to read. The seed is fixed.
 template <class Read>
 void mutate(const std::string& valid, Read read) {
   std::mt19937 random(20240817);
--- a/tests/proxy_bench.hpp
+++ b/tests/proxy_bench.hpp
@@ -3,16 +3,16 @@
 #include "exchanges.hpp"
 #include "raw_server.hpp"
 
-/// Test harness for a proxy's path between clients and workers over real sockets: HTTP server, router, calls, and
-/// workers that respond with scripted raw bytes. The agent is simulated.
+/// Test harness for the complete path between clients and workers through a proxy, on real sockets: HTTP server,
+/// router, HTTP client, and workers that respond with scripted raw bytes. The agent is simulated.
 namespace raw {
 
-/// The response that a client received.
+/// A response as a client received it.
 struct ClientResponse {
   int status{0};
   HttpHeaders headers;
   std::string body, text;
-  /// Whether the body ended as its framing requires.
+  /// Whether the body is complete according to its framing.
   bool complete{false};
   std::string header(const std::string& name) const {
     const auto* found = findHeader(headers, name);
@@ -53,19 +53,19 @@
   }
 }
 
-/// The value of a request's header; empty if it is absent.
+/// Returns the value of a header of a request; empty if it is absent.
 inline std::string headerIn(const std::string& request, const std::string& name) {
   auto at = request.find("\r\n" + name + ": ");
   if (at == std::string::npos) return {};
   at += name.size() + 4;
   return request.substr(at, request.find("\r\n", at) - at);
 }
-/// The two headers that a worker sets in each response to this request.
+/// Returns the two headers that a worker must set in a response to a request.
 inline std::string workerHeaders(const std::string& request, const std::string& seal = "seal-1") {
   return "X-Attempt-Id: " + headerIn(request, "X-Attempt-Id") + "\r\nX-Server-Seal: " + seal + "\r\n";
 }
 
-/// A proxy with scripted workers on one event loop, which the test runs.
+/// A proxy with scripted workers on an event loop that the test runs.
 class ProxyHarness {
  public:
   using Script = std::function<void(const RawServer::ConnectionPtr& held, const std::string& request)>;
--- a/tests/proxy_faults.cpp
+++ b/tests/proxy_faults.cpp
@@ -4,7 +4,7 @@
 using namespace tt::proxytest;
 
 namespace {
-/// The head of a worker's response, up to its body.
+/// Returns the head of a worker's response to a request.
 std::string responseHead(const std::string& request, const std::string& seal, const std::string& framing) {
   return "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + headerOf(request, "X-Attempt-Id") + "\r\nX-Server-Seal: " + seal +
          "\r\n" + framing + "\r\n";
--- a/tests/proxy_fixture.hpp
+++ b/tests/proxy_fixture.hpp
@@ -8,8 +8,8 @@
 #include "gate_fixture.hpp"
 #include "roles.hpp"
 
-/// Fixture for tests of a proxy process: a proxy in a process of its own, an agent that sends it updates, and workers
-/// on raw sockets for which the test writes every byte.
+/// Fixture for tests of a proxy process: a proxy in a process of its own, a simulated agent that sends it updates, and
+/// workers on raw sockets, for which the test writes every byte.
 namespace tt::proxytest {
 using namespace tt::gatetest;
 
@@ -55,7 +55,7 @@
     return *this;
   }
   ~WorkerConnection() { close(); }
-  /// The next request with its body; empty if none arrives in time or the connection ends.
+  /// Reads the next request with its body. Empty if none arrives in time or the connection ends.
   std::string request(Duration wait = 5s) {
     while (true) {
       auto end = unread.find("\r\n\r\n");
@@ -71,7 +71,7 @@
       if (!fill(wait)) return {};
     }
   }
-  /// Whether the proxy closes the connection within the time.
+  /// Waits until the proxy closes the connection. Returns false if it does not do so in time.
   bool ended(Duration wait = 5s) {
     while (fill(wait)) {
     }
@@ -103,7 +103,7 @@
   }
 };
 
-/// Listening socket of a worker.
+/// The listening socket of a worker.
 class WorkerListener {
  public:
   WorkerListener() : acceptor(io, asio::ip::tcp::endpoint(asio::ip::address_v4::loopback(), 0)) {}
@@ -132,7 +132,7 @@
     ::waitpid(id, nullptr, 0);
   }
   void signal(int number) { ::kill(id, number); }
-  /// Whether the process exits within the time.
+  /// Waits until the process exits. Returns false if it does not do so in time.
   bool hasEnded(Duration wait) {
     bool over = eventually([this] { return ::waitpid(id, nullptr, WNOHANG) == id; }, wait);
     if (over) id = 0;
@@ -283,19 +283,19 @@
   }
 };
 
-/// The value of a header; empty if it is absent.
+/// Returns the value of a header; empty if it is absent.
 inline std::string headerOf(const std::string& text, const std::string& name) {
   auto at = text.find("\r\n" + name + ": ");
   if (at == std::string::npos) return {};
   at += name.size() + 4;
   return text.substr(at, text.find("\r\n", at) - at);
 }
-/// A worker's complete response to a request, with the attempt id of the request.
+/// Returns a worker's complete response to a request, with the attempt id of the request.
 inline std::string responseTo(const std::string& request, const std::string& seal, const std::string& body) {
   return "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + headerOf(request, "X-Attempt-Id") + "\r\nX-Server-Seal: " + seal +
          "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
-/// A GET request with an attempt id.
+/// Returns a GET request with an attempt id.
 inline std::string ask(const std::string& path, const std::string& attempt, const std::string& more = {}) {
   return "GET " + path + " HTTP/1.1\r\nHost: a\r\nX-Attempt-Id: " + attempt + "\r\nX-Deadline-Ms: 8000\r\n" + more +
          "\r\n";
--- a/tests/raw_server.hpp
+++ b/tests/raw_server.hpp
@@ -4,12 +4,11 @@
 
 #include "calls.hpp"
 
-/// Shared by the tests of HttpClient: a server that answers with scripted raw bytes, and a client whose callbacks are
-/// recorded.
+/// Test fixtures for HttpClient: a server that sends scripted raw bytes, and a client whose callbacks are recorded.
 namespace raw {
 using namespace tt;
 
-/// A server that only finds the end of each request, by its Content-Length. A script decides what to do with it.
+/// A server that only determines the end of each request, by its Content-Length. A script decides what to send.
 class RawServer {
  public:
   struct Connection {
@@ -41,14 +40,14 @@
     accept();
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()); }
-  /// How often a text was received, over all connections.
+  /// How many times a text was received, on all connections together.
   std::size_t copies(const std::string& marker) const {
     std::size_t count = 0;
     for (const auto& held : connections)
       for (auto at = held->got.find(marker); at != std::string::npos; at = held->got.find(marker, at + 1)) ++count;
     return count;
   }
-  /// Closes all connections and stops listening, as if the process had ended.
+  /// Closes all connections and stops listening, as at the end of a process.
   void shut() {
     asio::error_code ignored;
     acceptor.close(ignored);
@@ -102,6 +101,7 @@
   }
 };
 
+/// What the callbacks of one call have received.
 struct CallRecord {
   std::uint64_t id{0};
   int heads{0}, ends{0};
@@ -111,6 +111,7 @@
   HttpCallResult end;
 };
 
+/// An HttpClient on an event loop that the test runs.
 struct Bench {
   asio::io_context io;
   HttpClient calls{io};
@@ -142,8 +143,9 @@
         });
     return seen;
   }
-  bool until(const std::function<bool()>& done, Duration most = 5s) {
-    auto limit = Clock::now() + most;
+  /// Runs the event loop until a condition is true. Returns false if it is still false after the wait.
+  bool until(const std::function<bool()>& done, Duration maxWait = 5s) {
+    auto limit = Clock::now() + maxWait;
     while (!done() && Clock::now() < limit) {
       io.restart();
       io.run_one_until(limit);
