--- a/src/base/messages.hpp
+++ b/src/base/messages.hpp
@@ -57,9 +57,9 @@
 /// Bloom filter over their hashes. `savedPermille`: of a store, the share of prefixes, in 1/1000, that are worth writing
 /// to it.
 TT_STRUCT(WorkerView, ((std::string, name))((std::string, address))((std::string, zone))((std::string, kind))
-          ((std::string, weights))((std::string, model))((int, running))((int, slots))((bool, held))((bool, alive))
-          ((bool, confirmed))((Uint64, kept))((Uint64, reportSequence))((std::string, summary))
-          ((std::string, service))((int, waiting))((int, memory))((int, savedPermille)))
+          ((std::string, weights))((std::string, model))((int, running))((int, slots))((bool, withheld))((bool, alive))
+          ((bool, confirmed))((Uint64, cachedBlocks))((Uint64, reportSequence))((std::string, summary))
+          ((std::string, service))((int, waiting))((int, kvUsedPercent))((int, savedPermille)))
 /// The measured speed of transfers from one worker to another.
 TT_STRUCT(LinkSpeed, ((std::string, source))((std::string, target))((double, blocksPerSecond)))
 /// A change to a worker's cached blocks; `kind` is a CacheEventKind. Within one run of a worker, sequence numbers are
@@ -103,9 +103,9 @@
   /* configuration changes, from core to leader. `ifRevision` -1: at any present revision. `toRevision` above 0:      \
      the revision after the change; below 0: the revision does not change. `appliedAtRequest`: index of the log       \
      that the core had applied when it received the operator's request */                                             \
-  X(ChangeRequest, ((std::string, requestId))((std::string, body))((bool, whole))((std::int64_t, ifRevision))         \
+  X(ChangeRequest, ((std::string, requestId))((std::string, body))((bool, complete))((std::int64_t, ifRevision))         \
       ((std::string, changeId))((std::int64_t, sinceRevision))((int, changeFormat))((std::int64_t, toRevision))       \
-      ((Uint64, seen)))                                                                                               \
+      ((Uint64, appliedAtRequest)))                                                                                               \
   X(ChangeResponse, ((std::string, requestId))((int, code))((std::string, subject))((std::string, text))              \
       ((Uint64, revision))((Uint64, index))((Uint64, term)))                                                          \
   /* readers and cores: the end of the log, and the indexes that readers have applied. `upstreamCandidates`:          \
@@ -114,28 +114,28 @@
   X(LogEndRequest, ((Uint64, requestId))((std::string, agent))((std::string, zone))((Uint64, applied))                \
       ((std::vector<CellVersion>, cells))((bool, fresh))((bool, relays))((Uint64, machineListDigest)))                \
   X(LogEndResponse, ((Uint64, requestId))((std::string, core))((Uint64, term))((bool, leads))((Uint64, lastIndex))    \
-      ((Uint64, commit))((std::vector<Member>, members))((Strings, watch))((bool, machineListKnown))                  \
+      ((Uint64, commit))((std::vector<Member>, members))((Strings, upstreamCandidates))((bool, machineListKnown))                  \
       ((std::int64_t, machineListAgeNs))((Uint64, machineListDigest))((std::vector<Machine>, machines))               \
-      ((std::vector<WeightsAnnouncement>, namings)))                                                                  \
+      ((std::vector<WeightsAnnouncement>, weightsAnnouncements)))                                                                  \
   X(ReadersRequest, ((Uint64, roundId))((Uint64, index))((Uint64, term)))                                             \
-  X(ReadersResponse, ((Uint64, roundId))((std::string, core))((bool, has))((std::vector<Reader>, readers)))           \
+  X(ReadersResponse, ((Uint64, roundId))((std::string, core))((bool, hasEntry))((std::vector<Reader>, readers)))           \
   /* updates of the configuration, of cells and of the machine list (MarksMsg). CellNews with `base` above 0 has      \
      only the changes since that sequence, and names the workers that were removed */                                 \
   X(NewsAsk, ((std::string, agent))((Uint64, applied))((std::vector<CellVersion>, cells)))                            \
   X(NewsMsg, ((Uint64, commit))((std::vector<LogEntry>, entries))((std::vector<Snapshot>, snapshots)))                \
   X(CellNews, ((std::string, zone))((Uint64, term))((Uint64, sequence))((std::string, holder))                        \
       ((std::vector<WorkerView>, workers))((std::vector<LinkSpeed>, links))((bool, omitsSummaries))((Uint64, base))   \
-      ((Strings, gone)))                                                                                              \
+      ((Strings, removedWorkers)))                                                                                              \
   X(MarksMsg, ((std::int64_t, age))((std::vector<Machine>, machines)))                                                \
   X(FeedAsk, ((std::int64_t, sentAt))((Uint64, applied))((std::vector<CellVersion>, cells))                           \
       ((Uint64, machineListDigest)))                                                                                  \
-  X(FeedReply, ((std::int64_t, sentAt))((std::int64_t, age))((Uint64, needed))((bool, known))                         \
-      ((std::vector<WeightsAnnouncement>, namings)))                                                                  \
+  X(FeedReply, ((std::int64_t, sentAt))((std::int64_t, age))((Uint64, requiredIndex))((bool, known))                         \
+      ((std::vector<WeightsAnnouncement>, weightsAnnouncements)))                                                                  \
   /* cached blocks. `cacheNode`: the worker or store that the lookup is about. `hits`: numbers of cached blocks,      \
      from the start of the prompt. WatchMsg asks a cell to send TransferDone once a worker has the blocks */          \
-  X(LookupMsg, ((std::string, lookupId))((std::string, zone))((std::string, keeper))((std::string, weights))          \
+  X(LookupMsg, ((std::string, lookupId))((std::string, zone))((std::string, cacheNode))((std::string, weights))          \
       ((Hashes, hashes))((std::string, replyTo)))                                                                     \
-  X(LookupReply, ((std::string, lookupId))((std::string, keeper))((std::vector<int>, hits))((double, waitingTokens))  \
+  X(LookupReply, ((std::string, lookupId))((std::string, cacheNode))((std::vector<int>, hits))((double, waitingTokens))  \
       ((double, tokensPerMs))((int, pendingHits)))                                                                    \
   X(WatchMsg, ((std::string, moveId))((std::string, zone))((std::string, source))((std::string, target))              \
       ((Hashes, hashes))((std::int64_t, deadlineMs))((std::string, replyTo)))                                         \
@@ -147,23 +147,23 @@
      computed. Report: `gaps`: the sequence numbers of events are not consecutive; `lost`: events are missing.        \
      ControlAsk: with `checksCommandCount`, the worker executes the command only if it has received                   \
      `expectedCommandCount` commands before */                                                                        \
-  X(WorkerOrder, ((std::string, orderId))((std::string, model))((std::string, weights))((std::string, cacheSalt))     \
-      ((Strings, parts))((Hashes, hashes))((int, maxTokens))((bool, moves))((std::string, transferId))                \
+  X(WorkerOrder, ((std::string, requestId))((std::string, model))((std::string, weights))((std::string, cacheSalt))     \
+      ((Strings, parts))((Hashes, hashes))((int, maxTokens))((bool, transferOnly))((std::string, transferId))                \
       ((std::string, sourceAddress))((std::string, tenant))((bool, app))((std::string, params))                       \
-      ((std::string, callerOrderId))((std::string, worker))((std::string, sinkAddress))((int, urgency))               \
+      ((std::string, clientRequestId))((std::string, worker))((std::string, sinkAddress))((int, urgency))               \
       ((std::int64_t, deadlineMs))((std::string, resumeAfter))((bool, once))((std::int64_t, sendDeadline)))           \
-  X(WorkerDrop, ((std::string, orderId)))                                                                             \
-  X(WorkerLoad, ((std::string, orderId))((int, running))((int, waiting))((int, slots)))                               \
-  X(WorkerChunk, ((std::string, orderId))((std::string, text))((std::string, piece)))                                 \
-  X(WorkerEnd, ((std::string, orderId))((int, outcome))((int, code))((int, local))((int, fetched))((int, computed)))  \
-  X(ReportAsk, ((Uint64, after))((std::string, incarnation))((bool, whole))((int, scope))((std::string, worker)))     \
+  X(WorkerDrop, ((std::string, requestId)))                                                                             \
+  X(WorkerLoad, ((std::string, requestId))((int, running))((int, waiting))((int, slots)))                               \
+  X(WorkerChunk, ((std::string, requestId))((std::string, text))((std::string, eventId)))                                 \
+  X(WorkerEnd, ((std::string, requestId))((int, outcome))((int, code))((int, local))((int, fetched))((int, computed)))  \
+  X(ReportAsk, ((Uint64, after))((std::string, incarnation))((bool, complete))((int, scope))((std::string, worker)))     \
   X(Report, ((std::string, worker))((std::string, incarnation))((std::string, weights))((std::string, model))         \
-      ((int, running))((int, slots))((Uint64, sequence))((std::vector<CacheEvent>, events))((bool, whole))            \
-      ((Hashes, kept))((bool, draining))((Uint64, term))((int, scope))((bool, gaps))((bool, lost))((int, waiting))    \
-      ((int, memory))((bool, countsOrders))((Uint64, orders)))                                                        \
+      ((int, running))((int, slots))((Uint64, sequence))((std::vector<CacheEvent>, events))((bool, complete))            \
+      ((Hashes, cachedBlocks))((bool, draining))((Uint64, term))((int, scope))((bool, gaps))((bool, lost))((int, waiting))    \
+      ((int, kvUsedPercent))((bool, reportsCommandCount))((Uint64, commandCount)))                                                        \
   X(ControlAsk, ((Uint64, term))((std::string, holder))((std::string, action))((std::string, model))                  \
-      ((std::string, weights))((std::string, incarnation))((std::string, worker))((Uint64, number))((bool, expects))  \
-      ((Uint64, expected)))                                                                                           \
+      ((std::string, weights))((std::string, incarnation))((std::string, worker))((Uint64, number))((bool, checksCommandCount))  \
+      ((Uint64, expectedCommandCount)))                                                                                           \
   X(ControlReply, ((std::string, worker))((Uint64, term))((int, code))((Uint64, number)))                             \
   X(PullAsk, ((std::string, pullId))((Hashes, hashes)))                                                               \
   X(PullReply, ((std::string, pullId))((Hashes, hashes))((Strings, origins)))                                         \
@@ -172,16 +172,16 @@
   X(MachinesReply, ((std::int64_t, askedAt))((std::vector<Machine>, machines)))                                       \
   /* clients and operators. `key`: the client's secret; `partTokens`: the length of each part in tokens, if the       \
      client has sent it */                                                                                            \
-  X(CallerOrder, ((std::string, orderId))((std::string, key))((std::string, route))((std::string, model))             \
+  X(CallerOrder, ((std::string, requestId))((std::string, key))((std::string, route))((std::string, model))             \
       ((Strings, parts))((bool, repeatable))((int, maxTokens))((std::string, tenant))((Strings, modes))               \
       ((std::string, params))((std::string, host))((std::string, path))((std::vector<int>, partTokens))               \
-      ((std::int64_t, deadlineMs))((std::string, resumeAfter))((int, tokensIn)))                                      \
-  X(CallerGone, ((std::string, orderId)))                                                                             \
-  X(CallerChunk, ((std::string, orderId))((std::string, text)))                                                       \
-  X(CallerVerdict, ((std::string, orderId))((std::string, verdict))((int, code))((std::string, subject))              \
+      ((std::int64_t, deadlineMs))((std::string, resumeAfter))((int, promptTokens)))                                      \
+  X(CallerGone, ((std::string, requestId)))                                                                             \
+  X(CallerChunk, ((std::string, requestId))((std::string, text)))                                                       \
+  X(CallerVerdict, ((std::string, requestId))((std::string, verdict))((int, code))((std::string, subject))              \
       ((std::string, text))((int, retryAfterMs))((int, tries))((int, local))((int, fetched))((int, computed))         \
       ((std::string, worker))((bool, began)))                                                                         \
-  X(OperatorRequest, ((std::string, requestId))((std::string, body))((bool, whole))((std::int64_t, ifRevision))       \
+  X(OperatorRequest, ((std::string, requestId))((std::string, body))((bool, complete))((std::int64_t, ifRevision))       \
       ((std::string, changeId))((std::int64_t, sinceRevision))((int, changeFormat))((std::int64_t, toRevision)))      \
   X(OperatorResponse, ((std::string, requestId))((int, code))((std::string, subject))((std::string, text))            \
       ((Uint64, revision))((Uint64, reached)))                                                                        \
@@ -191,7 +191,7 @@
   X(InstallSnapshotResponse, ((Uint64, term))((std::string, voter))((std::string, digest))((Uint64, offset))          \
       ((Uint64, attempt)))                                                                                            \
   /* tells a restarted core when weights were announced */                                                            \
-  X(NamingsMsg, ((std::vector<WeightsAnnouncement>, namings)))                                                        \
+  X(NamingsMsg, ((std::vector<WeightsAnnouncement>, weightsAnnouncements)))                                                        \
   /* proxies report to the cell of a worker which prompts they have sent to the worker, and when prefill of these     \
      has ended; `read`: prefill was completed */                                                                      \
   X(PrefillStarted, ((std::string, sendId))((std::string, zone))((std::string, worker))((Hashes, hashes))             \
@@ -213,7 +213,7 @@
 /// Applies an update to a view of a cell. Returns false and changes nothing if the update is not newer, or if it has a
 /// base that is not the sequence of the view. An update with omitsSummaries has no Bloom filters: workers that are
 /// still confirmed and have the same weights keep theirs.
-bool applyCellNews(CellNews& kept, const CellNews& update);
+bool applyCellUpdate(CellNews& cachedBlocks, const CellNews& update);
 /// Returns a digest of the fields that readers compare: name, address, zone, kind and leaving. It depends on the order
 /// of the list.
 Uint64 digestOfMachineList(const std::vector<Machine>& machines);
@@ -232,7 +232,7 @@
 Result<LogEntry> decodeEntry(std::string_view bytes);
 
 /// How an attempt on a worker ended. The numbers are part of messages and reports.
-enum class OrderOutcome : int {
+enum class AttemptOutcome : int {
   done = 0,
   /// The worker rejected the request, so it did not run.
   denied = 1,
@@ -246,12 +246,12 @@
   silent = 5,
   /// A connection that was kept open from an earlier request ended without a byte of response. The request may have
   /// run, but the worker is not necessarily faulty: it may just have closed the idle connection.
-  forgotten = 6
+  lostOnIdleConnection = 6
 };
 /// The content of a log entry. empty: nothing (the first entry of a leader's term). change: a configuration change.
 /// members: the members of the group. complete: stands for all entries that an installed snapshot covers. refusal: the
 /// rejection of a change.
-enum class EntryKind : int { empty = 0, change = 1, members = 2, whole = 3, refusal = 4 };
+enum class EntryKind : int { empty = 0, change = 1, members = 2, complete = 3, refusal = 4 };
 /// What a worker's report covers: all, only its cached blocks, or only its load and weights.
 enum class ReportScope : int { all = 0, index = 1, condition = 2 };
 /// The format of the body of a configuration change.
@@ -259,7 +259,7 @@
   /// A merge patch.
   patch = 0,
   /// The complete configuration.
-  whole = 1,
+  complete = 1,
   /// Complete sections; sections that are absent do not change.
   sections = 2,
   /// Complete items; items that are absent do not change.
--- a/src/cluster/core.hpp
+++ b/src/cluster/core.hpp
@@ -14,7 +14,7 @@
   /// Upper bound of the configuration's size and of the entries not yet committed, in bytes.
   std::size_t maxRecordBytes{1 << 20};
   /// Whether this core may take part in bootstrapping a new fleet. A core that comes back with an empty disk may not.
-  bool mayForm{true};
+  bool mayBootstrap{true};
   CellSettings cell;
   Defences defences;
 };
@@ -68,7 +68,7 @@
     std::uint64_t revision{0}, index{0}, term{0};
     OperatorRequest request;
     /// The commit index that this core knew before any copy of this change can have been sent.
-    Uint64 seen{0};
+    Uint64 appliedAtRequest{0};
     bool committed{false};
     /// When it was last sent to the leader; TimePoint{} if it was not.
     TimePoint sentAt{};
--- a/src/config/configuration.hpp
+++ b/src/config/configuration.hpp
@@ -66,8 +66,8 @@
  public:
   /// Turns an operator's change into a merge patch for the log, without applying it: checks the items, replaces secrets
   /// by their hashes, and reduces complete content to the differences. An error names the field.
-  Result<std::string> preparePatch(const std::string& text, bool whole) const {
-    return preparePatch(text, whole ? ChangeFormat::whole : ChangeFormat::patch);
+  Result<std::string> preparePatch(const std::string& text, bool complete) const {
+    return preparePatch(text, complete ? ChangeFormat::complete : ChangeFormat::patch);
   }
   Result<std::string> preparePatch(const std::string& text, ChangeFormat changeFormat) const;
   /// Applies a committed entry. Entries must be applied in the order of their index; those already applied are ignored.
--- a/src/consensus/timing_check.cpp
+++ b/src/consensus/timing_check.cpp
@@ -42,9 +42,9 @@
       {"memberGone > promise",
        durations.memberRemovalTimeout == Duration(0) || durations.memberRemovalTimeout > durations.minElectionTimeout},
       {"last start of a roll-out < last use of old weights < unbegun orders dropped < VersionMs",
-       durations.rolloutStartTimeout() < durations.oldWeightsOrderTimeout &&
-           durations.oldWeightsOrderTimeout < durations.unstartedOrderTimeout &&
-           durations.unstartedOrderTimeout < durations.oldWeightsTimeout},
+       durations.rolloutStartTimeout() < durations.oldWeightsSendTimeout &&
+           durations.oldWeightsSendTimeout < durations.unstartedRequestTimeout &&
+           durations.unstartedRequestTimeout < durations.oldWeightsTimeout},
       {"votersLeast >= 1", durations.minVoters >= 1},
   };
   for (const auto& inequality : inequalities)
--- a/src/index/cell.hpp
+++ b/src/index/cell.hpp
@@ -27,7 +27,7 @@
   bool known{false}, confirmed{false}, reportPending{false};
   /// The sequence number of the last cache event that was applied to `kept`.
   std::uint64_t appliedSequence{0};
-  std::unordered_set<BlockHash, BlockHashHasher> kept;
+  std::unordered_set<BlockHash, BlockHashHasher> cachedBlocks;
   /// The last Bloom filter that was made of `kept`.
   std::string summary;
   bool summaryStale{true};
@@ -71,7 +71,7 @@
   /// How long a roll-out waits for further announcements before it starts its first worker.
   Duration rolloutSettleDelay{0};
   /// The time over which the starts of a zone's workers are spread. At 0 as many start at once as may change at once.
-  Duration rolloutSpan{0};
+  Duration rolloutSpread{0};
 };
 
 /// The control state of one zone: its workers, the exact index of their cached blocks, and the commands to them. Every
--- a/src/net/calls.hpp
+++ b/src/net/http_client.hpp
@@ -1,6 +1,6 @@
 #pragma once
-#include "host.hpp"
 #include "http.hpp"
+#include "node_host.hpp"
 
 namespace tt {
 
@@ -38,7 +38,7 @@
 };
 /// How a call ended. complete: with a complete response. unsent: certainly no byte of the request was written to an
 /// established connection. broken: in any other way; the peer may have processed the request.
-enum class HttpCallOutcome { whole, unsent, broken };
+enum class HttpCallOutcome { complete, unsent, broken };
 struct HttpCallResult {
   HttpCallOutcome outcome{HttpCallOutcome::broken};
   HttpResponseHead head;
@@ -46,7 +46,7 @@
   std::string errorMessage;
   /// The request was sent on a reused connection, which ended without a byte of response. Probably the peer closed it
   /// because it was idle, and never read the request.
-  bool forgotten{false};
+  bool lostOnIdleConnection{false};
 };
 
 /// HTTP/1.1 client with persistent connections, built on libcurl's multi-socket interface. It has no thread of its own:
--- a/src/net/web.hpp
+++ b/src/net/web.hpp
@@ -5,9 +5,9 @@
 #include <mutex>
 #include <thread>
 
-#include "host.hpp"
 #include "http.hpp"
 #include "json.hpp"
+#include "node_host.hpp"
 
 namespace tt {
 
@@ -95,8 +95,8 @@
   /// Adds a response under a new id, and returns the id.
   std::string add(std::shared_ptr<WebResponse> response);
   /// Returns an id that this object has not used before.
-  std::string newName();
-  void addAs(const std::string& name, std::shared_ptr<WebResponse> response);
+  std::string newRequestId();
+  void addWithId(const std::string& name, std::shared_ptr<WebResponse> response);
   /// find() and remove() return null if there is no response with this id.
   std::shared_ptr<WebResponse> find(const std::string& name);
   std::shared_ptr<WebResponse> remove(const std::string& name);
--- a/src/routing/edge.hpp
+++ b/src/routing/proxy_router.hpp
@@ -116,7 +116,7 @@
     TimePoint pendingSince{}, lastActivityAt{}, lookupStartedAt{}, deadline{};
     /// The service drawn from the route's split, and the id of the last event that the client got, from which another
     /// worker can resume the stream.
-    std::string service, lastPiece;
+    std::string service, lastEventId;
     /// `unsentAttempts` counts the attempts whose connection broke before the request was sent.
     int priority{5}, urgency{5}, unsentAttempts{0};
     /// Its tokens are counted as not yet prefilled at its worker; the client has a chunk of the response.
@@ -234,13 +234,13 @@
   /// The request whose current attempt has this id; null if the request is over or has another attempt since.
   Request* requestOfAttempt(const std::string& attemptId);
   /// The event of the chart "order" that stands for the end of an attempt.
-  const char* chartEventFor(const Request& request, OrderOutcome outcome) const;
+  const char* chartEventFor(const Request& request, AttemptOutcome outcome) const;
 
   /// Denies a new request or accepts it.
   void admit(Effects& effects, const CallerOrder& submitted);
   void accept(Effects& effects, std::unique_ptr<Request> request);
   /// Gives an event to a request's state machine, and removes the request if that ended it.
-  void dispatch(Effects& effects, const std::string& orderId, const std::string& event);
+  void dispatch(Effects& effects, const std::string& requestId, const std::string& event);
   /// Makes a plan with a worker for the request. False if there is none now; `lastCode` then says why.
   bool selectWorker(Effects& effects, Request& request);
   /// Fills the plan's candidates: those whose cells are asked what they have of the prompt.
@@ -255,7 +255,7 @@
   bool selectPlainWorker(Effects& effects, Request& request);
   PlainCandidate plainCandidate(const WorkerView& worker, TimePoint now) const;
   /// Ejects a worker for a time if the end of an attempt there calls for it.
-  void eject(const Request& request, OrderOutcome outcome, TimePoint now);
+  void eject(const Request& request, AttemptOutcome outcome, TimePoint now);
   /// selectSources on a path route: adds one store to the candidates and removes those whose cell does not answer.
   void selectFetchCandidates(Request& request, TimePoint now);
   /// Places a request of a path route by the replies to its lookup: worker, source, store to save to, urgency. True if
@@ -350,7 +350,7 @@
   std::optional<Code> endReasonForAll(TimePoint now) const;
   /// Dispatches the event, which sends the request or starts a transfer, if the plan is still valid; otherwise queues
   /// the request again.
-  void sendOrReselect(Effects& effects, const std::string& orderId, const std::string& event);
+  void sendOrReselect(Effects& effects, const std::string& requestId, const std::string& event);
   /// Measured blocks per second of a link.
   double linkSpeed(const std::string& source, const std::string& target) const;
 };
--- a/tests/proxy_bench.hpp
+++ b/tests/proxy_harness.hpp
@@ -1,6 +1,6 @@
 #pragma once
-#include "edge.hpp"
 #include "exchanges.hpp"
+#include "proxy_router.hpp"
 #include "raw_server.hpp"
 
 /// Test harness for the complete path between clients and workers through a proxy, on real sockets: HTTP server,
--- a/tests/raw_server.hpp
+++ b/tests/raw_server.hpp
@@ -2,7 +2,7 @@
 #include <criterion/criterion.h>
 #include <sys/socket.h>
 
-#include "calls.hpp"
+#include "http_client.hpp"
 
 /// Test fixtures for HttpClient: a server that sends scripted raw bytes, and a client whose callbacks are recorded.
 namespace raw {
