--- a/src/base/messages.hpp
+++ b/src/base/messages.hpp
@@ -53,7 +53,7 @@
 /// A worker or block store as the cell of its zone sees it.
 /// `running`, `waiting`: numbers of requests in these states. `slots`: maximum number of running requests.
 /// `kvUsedPercent`: how much of the KV cache is in use. `withheld`: gets no new requests during a roll-out. `alive`: it
-/// sends reports. `confirmed`: the cell knows exactly which blocks it has. `kept`: number of cached blocks. `summary`: a
+/// sends reports. `confirmed`: the cell knows exactly which blocks it has. `cachedBlocks`: number of cached blocks. `summary`: a
 /// Bloom filter over their hashes. `savedPermille`: of a store, the share of prefixes, in 1/1000, that are worth writing
 /// to it.
 TT_STRUCT(WorkerView, ((std::string, name))((std::string, address))((std::string, zone))((std::string, kind))
@@ -89,8 +89,8 @@
   X(HeartbeatResponse, ((std::string, duty))((Uint64, term))((std::string, voter))((std::int64_t, sentAt))            \
       ((bool, granted)))                                                                                              \
   /* the replicated log; `round` is the number of the leader's round of requests, repeated in the response */         \
-  X(AppendRequest, ((Uint64, term))((std::string, leader))((Uint64, prevIndex))((Uint64, prevTerm))                   \
-      ((Uint64, commit))((std::vector<LogEntry>, entries))((Uint64, round)))                                          \
+  X(AppendRequest, ((Uint64, term))((std::string, leader))((Uint64, prevIndex))((Uint64, prevTerm))((Uint64, commit)) \
+      ((std::vector<LogEntry>, entries))((Uint64, round)))                                                            \
   X(AppendResponse, ((Uint64, term))((std::string, voter))((bool, matched))((Uint64, index))((Uint64, received))      \
       ((Uint64, round)))                                                                                              \
   X(InstallSnapshot, ((Uint64, term))((std::string, leader))((Uint64, index))((Uint64, snapshotTerm))                 \
@@ -103,9 +103,9 @@
   /* configuration changes, from core to leader. `ifRevision` -1: at any present revision. `toRevision` above 0:      \
      the revision after the change; below 0: the revision does not change. `appliedAtRequest`: index of the log       \
      that the core had applied when it received the operator's request */                                             \
-  X(ChangeRequest, ((std::string, requestId))((std::string, body))((bool, complete))((std::int64_t, ifRevision))         \
+  X(ChangeRequest, ((std::string, requestId))((std::string, body))((bool, complete))((std::int64_t, ifRevision))      \
       ((std::string, changeId))((std::int64_t, sinceRevision))((int, changeFormat))((std::int64_t, toRevision))       \
-      ((Uint64, appliedAtRequest)))                                                                                               \
+      ((Uint64, appliedAtRequest)))                                                                                   \
   X(ChangeResponse, ((std::string, requestId))((int, code))((std::string, subject))((std::string, text))              \
       ((Uint64, revision))((Uint64, index))((Uint64, term)))                                                          \
   /* readers and cores: the end of the log, and the indexes that readers have applied. `upstreamCandidates`:          \
@@ -114,29 +114,29 @@
   X(LogEndRequest, ((Uint64, requestId))((std::string, agent))((std::string, zone))((Uint64, applied))                \
       ((std::vector<CellVersion>, cells))((bool, fresh))((bool, relays))((Uint64, machineListDigest)))                \
   X(LogEndResponse, ((Uint64, requestId))((std::string, core))((Uint64, term))((bool, leads))((Uint64, lastIndex))    \
-      ((Uint64, commit))((std::vector<Member>, members))((Strings, upstreamCandidates))((bool, machineListKnown))                  \
+      ((Uint64, commit))((std::vector<Member>, members))((Strings, upstreamCandidates))((bool, machineListKnown))     \
       ((std::int64_t, machineListAgeNs))((Uint64, machineListDigest))((std::vector<Machine>, machines))               \
-      ((std::vector<WeightsAnnouncement>, weightsAnnouncements)))                                                                  \
+      ((std::vector<WeightsAnnouncement>, weightsAnnouncements)))                                                     \
   X(ReadersRequest, ((Uint64, roundId))((Uint64, index))((Uint64, term)))                                             \
-  X(ReadersResponse, ((Uint64, roundId))((std::string, core))((bool, hasEntry))((std::vector<Reader>, readers)))           \
+  X(ReadersResponse, ((Uint64, roundId))((std::string, core))((bool, hasEntry))((std::vector<Reader>, readers)))      \
   /* updates of the configuration, of cells and of the machine list (MarksMsg). CellNews with `base` above 0 has      \
      only the changes since that sequence, and names the workers that were removed */                                 \
   X(NewsAsk, ((std::string, agent))((Uint64, applied))((std::vector<CellVersion>, cells)))                            \
   X(NewsMsg, ((Uint64, commit))((std::vector<LogEntry>, entries))((std::vector<Snapshot>, snapshots)))                \
   X(CellNews, ((std::string, zone))((Uint64, term))((Uint64, sequence))((std::string, holder))                        \
       ((std::vector<WorkerView>, workers))((std::vector<LinkSpeed>, links))((bool, omitsSummaries))((Uint64, base))   \
-      ((Strings, removedWorkers)))                                                                                              \
+      ((Strings, removedWorkers)))                                                                                    \
   X(MarksMsg, ((std::int64_t, age))((std::vector<Machine>, machines)))                                                \
   X(FeedAsk, ((std::int64_t, sentAt))((Uint64, applied))((std::vector<CellVersion>, cells))                           \
       ((Uint64, machineListDigest)))                                                                                  \
-  X(FeedReply, ((std::int64_t, sentAt))((std::int64_t, age))((Uint64, requiredIndex))((bool, known))                         \
-      ((std::vector<WeightsAnnouncement>, weightsAnnouncements)))                                                                  \
+  X(FeedReply, ((std::int64_t, sentAt))((std::int64_t, age))((Uint64, requiredIndex))((bool, known))                  \
+      ((std::vector<WeightsAnnouncement>, weightsAnnouncements)))                                                     \
   /* cached blocks. `cacheNode`: the worker or store that the lookup is about. `hits`: numbers of cached blocks,      \
      from the start of the prompt. WatchMsg asks a cell to send TransferDone once a worker has the blocks */          \
-  X(LookupMsg, ((std::string, lookupId))((std::string, zone))((std::string, cacheNode))((std::string, weights))          \
+  X(LookupMsg, ((std::string, lookupId))((std::string, zone))((std::string, cacheNode))((std::string, weights))       \
       ((Hashes, hashes))((std::string, replyTo)))                                                                     \
-  X(LookupReply, ((std::string, lookupId))((std::string, cacheNode))((std::vector<int>, hits))((double, waitingTokens))  \
-      ((double, tokensPerMs))((int, pendingHits)))                                                                    \
+  X(LookupReply, ((std::string, lookupId))((std::string, cacheNode))((std::vector<int>, hits))                        \
+      ((double, waitingTokens))((double, tokensPerMs))((int, pendingHits)))                                           \
   X(WatchMsg, ((std::string, moveId))((std::string, zone))((std::string, source))((std::string, target))              \
       ((Hashes, hashes))((std::int64_t, deadlineMs))((std::string, replyTo)))                                         \
   X(TransferDone, ((std::string, moveId))((bool, success)))                                                           \
@@ -147,23 +147,24 @@
      computed. Report: `gaps`: the sequence numbers of events are not consecutive; `lost`: events are missing.        \
      ControlAsk: with `checksCommandCount`, the worker executes the command only if it has received                   \
      `expectedCommandCount` commands before */                                                                        \
-  X(WorkerOrder, ((std::string, requestId))((std::string, model))((std::string, weights))((std::string, cacheSalt))     \
-      ((Strings, parts))((Hashes, hashes))((int, maxTokens))((bool, transferOnly))((std::string, transferId))                \
+  X(WorkerOrder, ((std::string, requestId))((std::string, model))((std::string, weights))((std::string, cacheSalt))   \
+      ((Strings, parts))((Hashes, hashes))((int, maxTokens))((bool, transferOnly))((std::string, transferId))         \
       ((std::string, sourceAddress))((std::string, tenant))((bool, app))((std::string, params))                       \
-      ((std::string, clientRequestId))((std::string, worker))((std::string, sinkAddress))((int, urgency))               \
+      ((std::string, clientRequestId))((std::string, worker))((std::string, sinkAddress))((int, urgency))             \
       ((std::int64_t, deadlineMs))((std::string, resumeAfter))((bool, once))((std::int64_t, sendDeadline)))           \
-  X(WorkerDrop, ((std::string, requestId)))                                                                             \
-  X(WorkerLoad, ((std::string, requestId))((int, running))((int, waiting))((int, slots)))                               \
-  X(WorkerChunk, ((std::string, requestId))((std::string, text))((std::string, eventId)))                                 \
-  X(WorkerEnd, ((std::string, requestId))((int, outcome))((int, code))((int, local))((int, fetched))((int, computed)))  \
-  X(ReportAsk, ((Uint64, after))((std::string, incarnation))((bool, complete))((int, scope))((std::string, worker)))     \
+  X(WorkerDrop, ((std::string, requestId)))                                                                           \
+  X(WorkerLoad, ((std::string, requestId))((int, running))((int, waiting))((int, slots)))                             \
+  X(WorkerChunk, ((std::string, requestId))((std::string, text))((std::string, eventId)))                             \
+  X(WorkerEnd, ((std::string, requestId))((int, outcome))((int, code))((int, local))((int, fetched))                  \
+      ((int, computed)))                                                                                              \
+  X(ReportAsk, ((Uint64, after))((std::string, incarnation))((bool, complete))((int, scope))((std::string, worker)))  \
   X(Report, ((std::string, worker))((std::string, incarnation))((std::string, weights))((std::string, model))         \
-      ((int, running))((int, slots))((Uint64, sequence))((std::vector<CacheEvent>, events))((bool, complete))            \
-      ((Hashes, cachedBlocks))((bool, draining))((Uint64, term))((int, scope))((bool, gaps))((bool, lost))((int, waiting))    \
-      ((int, kvUsedPercent))((bool, reportsCommandCount))((Uint64, commandCount)))                                                        \
+      ((int, running))((int, slots))((Uint64, sequence))((std::vector<CacheEvent>, events))((bool, complete))         \
+      ((Hashes, cachedBlocks))((bool, draining))((Uint64, term))((int, scope))((bool, gaps))((bool, lost))            \
+      ((int, waiting))((int, kvUsedPercent))((bool, reportsCommandCount))((Uint64, commandCount)))                    \
   X(ControlAsk, ((Uint64, term))((std::string, holder))((std::string, action))((std::string, model))                  \
-      ((std::string, weights))((std::string, incarnation))((std::string, worker))((Uint64, number))((bool, checksCommandCount))  \
-      ((Uint64, expectedCommandCount)))                                                                                           \
+      ((std::string, weights))((std::string, incarnation))((std::string, worker))((Uint64, number))                   \
+      ((bool, checksCommandCount))((Uint64, expectedCommandCount)))                                                   \
   X(ControlReply, ((std::string, worker))((Uint64, term))((int, code))((Uint64, number)))                             \
   X(PullAsk, ((std::string, pullId))((Hashes, hashes)))                                                               \
   X(PullReply, ((std::string, pullId))((Hashes, hashes))((Strings, origins)))                                         \
@@ -172,16 +173,16 @@
   X(MachinesReply, ((std::int64_t, askedAt))((std::vector<Machine>, machines)))                                       \
   /* clients and operators. `key`: the client's secret; `partTokens`: the length of each part in tokens, if the       \
      client has sent it */                                                                                            \
-  X(CallerOrder, ((std::string, requestId))((std::string, key))((std::string, route))((std::string, model))             \
+  X(CallerOrder, ((std::string, requestId))((std::string, key))((std::string, route))((std::string, model))           \
       ((Strings, parts))((bool, repeatable))((int, maxTokens))((std::string, tenant))((Strings, modes))               \
       ((std::string, params))((std::string, host))((std::string, path))((std::vector<int>, partTokens))               \
-      ((std::int64_t, deadlineMs))((std::string, resumeAfter))((int, promptTokens)))                                      \
-  X(CallerGone, ((std::string, requestId)))                                                                             \
-  X(CallerChunk, ((std::string, requestId))((std::string, text)))                                                       \
-  X(CallerVerdict, ((std::string, requestId))((std::string, verdict))((int, code))((std::string, subject))              \
+      ((std::int64_t, deadlineMs))((std::string, resumeAfter))((int, promptTokens)))                                  \
+  X(CallerGone, ((std::string, requestId)))                                                                           \
+  X(CallerChunk, ((std::string, requestId))((std::string, text)))                                                     \
+  X(CallerVerdict, ((std::string, requestId))((std::string, verdict))((int, code))((std::string, subject))            \
       ((std::string, text))((int, retryAfterMs))((int, tries))((int, local))((int, fetched))((int, computed))         \
       ((std::string, worker))((bool, began)))                                                                         \
-  X(OperatorRequest, ((std::string, requestId))((std::string, body))((bool, complete))((std::int64_t, ifRevision))       \
+  X(OperatorRequest, ((std::string, requestId))((std::string, body))((bool, complete))((std::int64_t, ifRevision))    \
       ((std::string, changeId))((std::int64_t, sinceRevision))((int, changeFormat))((std::int64_t, toRevision)))      \
   X(OperatorResponse, ((std::string, requestId))((int, code))((std::string, subject))((std::string, text))            \
       ((Uint64, revision))((Uint64, reached)))                                                                        \
@@ -191,7 +192,7 @@
   X(InstallSnapshotResponse, ((Uint64, term))((std::string, voter))((std::string, digest))((Uint64, offset))          \
       ((Uint64, attempt)))                                                                                            \
   /* tells a restarted core when weights were announced */                                                            \
-  X(NamingsMsg, ((std::vector<WeightsAnnouncement>, weightsAnnouncements)))                                                        \
+  X(NamingsMsg, ((std::vector<WeightsAnnouncement>, weightsAnnouncements)))                                           \
   /* proxies report to the cell of a worker which prompts they have sent to the worker, and when prefill of these     \
      has ended; `read`: prefill was completed */                                                                      \
   X(PrefillStarted, ((std::string, sendId))((std::string, zone))((std::string, worker))((Hashes, hashes))             \
