--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -206,8 +206,8 @@
     followerSeenAt[from] = effects.now;
     sendUpdates(effects, from, request->applied, request->cells);
   } else if (auto* cellUpdate = std::get_if<CellNews>(&message)) {
-    auto& kept = cells[cellUpdate->zone];
-    if (!applyCellUpdate(kept, *cellUpdate)) return;
+    auto& cell = cells[cellUpdate->zone];
+    if (!applyCellUpdate(cell, *cellUpdate)) return;
     forwardDownstream(effects, message);
   } else if (auto* poll = std::get_if<FeedAsk>(&message)) {
     proxySeenAt[from] = effects.now;
@@ -216,9 +216,9 @@
     bool known = clusterView.completeAsOf() != TimePoint{};
     bool lagging = poll->applied < view.index() || poll->applied == 0 || poll->cells.size() < cells.size();
     for (const auto& version : poll->cells)
-      if (auto kept = cells.find(version.zone); kept != cells.end())
+      if (auto cell = cells.find(version.zone); cell != cells.end())
         lagging = lagging || std::make_pair(version.term, version.sequence) <
-                                 std::make_pair(kept->second.term, kept->second.sequence);
+                                 std::make_pair(cell->second.term, cell->second.sequence);
     if (lagging) sendUpdates(effects, from, poll->applied, poll->cells);
     if (clusterView.machineListKnown() && poll->machineListDigest != clusterView.machineListDigest())
       effects.send(from, MarksMsg{(effects.now - clusterView.machineListAt()).count(), clusterView.machines()});
@@ -233,8 +233,8 @@
     forwardToCell(effects, started->zone, message);
   } else if (auto* ended = std::get_if<PrefillEnded>(&message)) {
     forwardToCell(effects, ended->zone, message);
-  } else if (auto* upstreamCandidates = std::get_if<WatchMsg>(&message)) {
-    WatchMsg forwarded = *upstreamCandidates;
+  } else if (auto* watchRequest = std::get_if<WatchMsg>(&message)) {
+    WatchMsg forwarded = *watchRequest;
     forwarded.replyTo = settings.address;
     forwardToCell(effects, forwarded.zone, forwarded);
   } else if (std::holds_alternative<LookupReply>(message) || std::holds_alternative<TransferDone>(message)) {
--- a/src/base/base.cpp
+++ b/src/base/base.cpp
@@ -160,17 +160,17 @@
   std::vector<std::string> truncated;
   std::size_t remainingBytes = blocks * blockBytes;
   for (const auto& part : parts) {
-    std::string kept;
+    std::string prefix;
     for (char byte : part) {
       std::size_t width = byte == '\x1e' || byte == '\x1f' ? 2 : 1;
       if (remainingBytes < width) {
         remainingBytes = 0;
         break;
       }
-      kept += byte;
+      prefix += byte;
       remainingBytes -= width;
     }
-    if (!kept.empty() || remainingBytes) truncated.push_back(kept);
+    if (!prefix.empty() || remainingBytes) truncated.push_back(prefix);
     if (remainingBytes == 0) break;
     remainingBytes -= 1;
     if (remainingBytes == 0) break;
--- a/src/base/defences.hpp
+++ b/src/base/defences.hpp
@@ -19,7 +19,7 @@
   X(incarnationFence, "a worker rejects commands that are meant for an earlier run of it")                   \
   X(changeIdOnce, "a change that is sent again under the same id is not applied again")                      \
   X(ackWaits, "a change is acknowledged only after all readers that may still be fresh have it")             \
-  X(freshnessWeighed, "a reader counts itself as fresh only after enough cores have answered")               \
+  X(freshnessWeighed, "a reader counts itself as fresh only after enough cores have responded")              \
   X(staleEndsStreams, "a proxy that is no longer fresh ends its streams")                                    \
   X(revokeEndsStreams, "the update that revokes a key ends the open requests of that key")                   \
   X(marksAtDraw, "only workers that the platform does not list as leaving are selected")                     \
@@ -28,7 +28,7 @@
   X(saltTenant, "block hashes are salted with the tenant's domain")                                          \
   X(hitsConfirmed, "only hits that the exact index confirmed are used")                                      \
   X(moveCut, "the prompt of a transfer ends at the last confirmed block")                                    \
-  X(lookupExpires, "a lookup that is not answered in time counts as a miss")                                 \
+  X(lookupExpires, "a lookup without a response in time counts as a miss")                                   \
   X(retryBudget, "retries are limited by a budget")                                                          \
   X(retryOnlyRepeatable, "a request that may have run is retried only if it is marked as repeatable")        \
   X(unknownOnceSent, "a request that was sent and not rejected is never reported as not run")                \
@@ -40,7 +40,7 @@
   X(unbegunDropped, "a request that has not started when the use of its weights ends is withdrawn")          \
   X(leaveByKept, "a request is not sent to its worker after its send deadline, whatever delayed it")         \
   X(failedNotCounted, "a worker that cannot load weights does not hold up the roll-out to others")           \
-  X(listOrder, "machine lists are ordered by the time at which the platform was asked")                      \
+  X(listOrder, "machine lists are ordered by the time at which they were requested")                         \
   X(drainRefuses, "a draining proxy accepts only requests that are sure to end before it does")              \
   X(drainAnswers, "a draining proxy sends a final response to every request that it leaves unfinished")
 
--- a/src/base/effects.cpp
+++ b/src/base/effects.cpp
@@ -4,15 +4,15 @@
 
 namespace tt {
 namespace {
-constexpr std::size_t maxKeptEvents = 2048;
+constexpr std::size_t maxRecentEvents = 2048;
 }
 
 /// Listeners get a copy, because the stored event may be evicted if a listener appends another one.
 void Journal::append(TimePoint at, std::string kind, std::string subject, std::int64_t number) {
-  keptEvents.push_back(Event{at, std::move(kind), std::move(subject), number});
-  ++countByKind[keptEvents.back().kind];
-  Event copy = keptEvents.back();
-  if (keptEvents.size() > maxKeptEvents) keptEvents.pop_front();
+  recentEvents.push_back(Event{at, std::move(kind), std::move(subject), number});
+  ++countByKind[recentEvents.back().kind];
+  Event copy = recentEvents.back();
+  if (recentEvents.size() > maxRecentEvents) recentEvents.pop_front();
   appended(copy);
 }
 
@@ -26,29 +26,29 @@
   return digest;
 }
 
-bool applyCellUpdate(CellNews& kept, const CellNews& update) {
-  if (std::make_pair(update.term, update.sequence) <= std::make_pair(kept.term, kept.sequence)) return false;
+bool applyCellUpdate(CellNews& view, const CellNews& update) {
+  if (std::make_pair(update.term, update.sequence) <= std::make_pair(view.term, view.sequence)) return false;
   if (update.base > 0) {
-    if (kept.term != update.term || kept.sequence != update.base) return false;
+    if (view.term != update.term || view.sequence != update.base) return false;
     std::map<std::string, WorkerView> rows;
-    for (auto& worker : kept.workers) rows[worker.name] = std::move(worker);
+    for (auto& worker : view.workers) rows[worker.name] = std::move(worker);
     for (const auto& name : update.removedWorkers) rows.erase(name);
     for (const auto& worker : update.workers) rows[worker.name] = worker;
-    kept.workers.clear();
-    for (auto& [name, worker] : rows) kept.workers.push_back(std::move(worker));
-    kept.sequence = update.sequence;
-    kept.holder = update.holder;
-    kept.links = update.links;
+    view.workers.clear();
+    for (auto& [name, worker] : rows) view.workers.push_back(std::move(worker));
+    view.sequence = update.sequence;
+    view.holder = update.holder;
+    view.links = update.links;
     return true;
   }
   CellNews merged = update;
   if (update.omitsSummaries)
     for (auto& worker : merged.workers)
-      for (const auto& known : kept.workers)
+      for (const auto& known : view.workers)
         if (known.name == worker.name && known.weights == worker.weights && worker.confirmed)
           worker.summary = known.summary;
   merged.omitsSummaries = false;
-  kept = std::move(merged);
+  view = std::move(merged);
   return true;
 }
 
@@ -66,7 +66,7 @@
 Record identityRecord(const std::string& id) { return {RecordKind::identity, id}; }
 Record voteRecord(const std::string& duty, const Vote& vote) { return {RecordKind::vote, encodeVote(duty, vote)}; }
 Record entryRecord(const LogEntry& entry) { return {RecordKind::entry, encodeEntry(entry)}; }
-Record truncationRecord(std::uint64_t firstRemoved) { return {RecordKind::cut, std::to_string(firstRemoved)}; }
+Record truncationRecord(std::uint64_t firstRemoved) { return {RecordKind::truncation, std::to_string(firstRemoved)}; }
 Record snapshotRecord(const Snapshot& snapshot) { return {RecordKind::snapshot, encodeSnapshot(snapshot)}; }
 Record installedRecord(const Snapshot& snapshot) { return {RecordKind::installedSnapshot, encodeSnapshot(snapshot)}; }
 
@@ -89,7 +89,7 @@
       entries.push_back(std::move(entry));
       return true;
     }
-    case RecordKind::cut: {
+    case RecordKind::truncation: {
       std::uint64_t firstRemoved = std::strtoull(record.bytes.c_str(), nullptr, 10);
       while (!entries.empty() && entries.back().index >= firstRemoved) entries.pop_back();
       return true;
@@ -98,10 +98,10 @@
       auto decoded = decodeSnapshot(record.bytes);
       if (!decoded) return false;
       snapshot = std::move(decoded).value();
-      std::vector<LogEntry> kept;
+      std::vector<LogEntry> remaining;
       for (auto& entry : entries)
-        if (entry.index > snapshot->index) kept.push_back(std::move(entry));
-      entries = std::move(kept);
+        if (entry.index > snapshot->index) remaining.push_back(std::move(entry));
+      entries = std::move(remaining);
       return true;
     }
     case RecordKind::installedSnapshot: {
--- a/src/base/effects.hpp
+++ b/src/base/effects.hpp
@@ -28,12 +28,12 @@
                                boost::signals2::keywords::mutex_type<boost::signals2::dummy_mutex>>::type appended;
   void append(TimePoint at, std::string kind, std::string subject = {}, std::int64_t number = 0);
   /// The last 2048 events, the oldest first.
-  const std::deque<Event>& events() const { return keptEvents; }
+  const std::deque<Event>& events() const { return recentEvents; }
   /// The number of events of each kind since the process started.
   const std::map<std::string, std::int64_t>& counts() const { return countByKind; }
 
  private:
-  std::deque<Event> keptEvents;
+  std::deque<Event> recentEvents;
   std::map<std::string, std::int64_t> countByKind;
 };
 
@@ -46,7 +46,7 @@
   /// An entry of the replicated log. It replaces entries of the same or a higher index.
   entry = 3,
   /// A truncation of the log: all entries from an index on are removed.
-  cut = 4,
+  truncation = 4,
   /// A snapshot that replaces the entries up to its index; later entries stay.
   snapshot = 5,
   /// Marks that the records before it are a complete copy of the state (a checkpoint).
--- a/src/base/messages.hpp
+++ b/src/base/messages.hpp
@@ -214,7 +214,7 @@
 /// Applies an update to a view of a cell. Returns false and changes nothing if the update is not newer, or if it has a
 /// base that is not the sequence of the view. An update with omitsSummaries has no Bloom filters: workers that are
 /// still confirmed and have the same weights keep theirs.
-bool applyCellUpdate(CellNews& cachedBlocks, const CellNews& update);
+bool applyCellUpdate(CellNews& view, const CellNews& update);
 /// Returns a digest of the fields that readers compare: name, address, zone, kind and leaving. It depends on the order
 /// of the list.
 Uint64 digestOfMachineList(const std::vector<Machine>& machines);
--- a/src/config/configuration.cpp
+++ b/src/config/configuration.cpp
@@ -22,7 +22,7 @@
     if (auto resolved = resolveEdits(patch, sections); !resolved) return resolved.error();
   auto normalized = normalizeShape(patch, sections, changeFormat == ChangeFormat::complete);
   if (!normalized) return normalized.error();
-  if (changeFormat == ChangeFormat::complete) reduceWhole(patch, sections);
+  if (changeFormat == ChangeFormat::complete) reduceCompleteConfig(patch, sections);
   if (changeFormat == ChangeFormat::sections || changeFormat == ChangeFormat::items ||
       changeFormat == ChangeFormat::edits)
     reduceItems(patch, sections, changeFormat == ChangeFormat::sections);
@@ -59,7 +59,7 @@
   if (sectionName == "routes") updateRoute(name, value);
   if (sectionName == "services") updateService(name, value);
   if (sectionName == "limits" && name == "callers")
-    currentCallerLimits = value ? readClientLimits(*value) : ClientLimits();
+    currentClientLimits = value ? readClientLimits(*value) : ClientLimits();
 }
 
 void Configuration::updateTenantSecrets(const std::string& name, const Json* old, const Json* value) {
--- a/src/config/configuration.hpp
+++ b/src/config/configuration.hpp
@@ -111,7 +111,7 @@
   /// Finds a service; null if there is none of that name.
   const ServiceView* findService(const std::string& name) const;
   const std::map<std::string, ServiceView>& services() const { return servicesByName; }
-  const ClientLimits& clientLimits() const { return currentCallerLimits; }
+  const ClientLimits& clientLimits() const { return currentClientLimits; }
   /// Returns a section without copying it, or null if it has no items.
   const JsonObject* findSection(const std::string& name) const;
   /// The weights that a model should have; nothing for an unknown model.
@@ -136,7 +136,7 @@
   std::map<std::string, std::map<std::string, std::string>> routeByPrefix;
   std::vector<StoreView> blockStores;
   std::map<std::string, ServiceView> servicesByName;
-  ClientLimits currentCallerLimits;
+  ClientLimits currentClientLimits;
   std::map<std::string, Policy> policies;
   std::vector<Member> currentMembers;
   std::deque<std::string> recentChangeIds;
--- a/src/config/patch_shape.cpp
+++ b/src/config/patch_shape.cpp
@@ -91,7 +91,7 @@
 }
 
 /// Turns one complete item into a merge patch. It may keep unchanged fields; only removed fields and items need a null.
-void reduceWholeItem(const std::string& name, const Json& present, JsonObject& wanted) {
+void reduceCompleteItem(const std::string& name, const Json& present, JsonObject& wanted) {
   auto found = wanted.find(name);
   if (found == wanted.end()) {
     wanted[name] = Json();
@@ -130,12 +130,12 @@
   return boost::outcome_v2::success();
 }
 
-void reduceWhole(JsonObject& patch, const Sections& sections) {
+void reduceCompleteConfig(JsonObject& patch, const Sections& sections) {
   for (const auto& [sectionName, items] : sections)
     for (const auto& [name, item] : items) {
       auto& content = patch[sectionName];
       if (!content.is<JsonObject>()) content = Json(JsonObject());
-      reduceWholeItem(name, item, content.get<JsonObject>());
+      reduceCompleteItem(name, item, content.get<JsonObject>());
     }
 }
 
--- a/src/config/patch_shape.hpp
+++ b/src/config/patch_shape.hpp
@@ -15,7 +15,7 @@
 Result<void> normalizeShape(JsonObject& patch, const Sections& sections, bool complete);
 
 /// Turns a complete configuration into the merge patch that leads to it from the present one.
-void reduceWhole(JsonObject& patch, const Sections& sections);
+void reduceCompleteConfig(JsonObject& patch, const Sections& sections);
 
 /// Turns complete items into the merge patch that leads to them from the present ones. With removeUnnamed, present
 /// items that are absent from the patch are removed if the patch contains their section.
--- a/src/net/http_client.cpp
+++ b/src/net/http_client.cpp
@@ -226,7 +226,7 @@
   static curl_socket_t onOpenSocket(void* owner, curlsocktype, curl_sockaddr* address) {
     auto* transfer = static_cast<Transfer*>(owner);
     auto* self = transfer->owner;
-    if (transfer->call.once && transfer->sent) {
+    if (transfer->call.noResend && transfer->sent) {
       transfer->resendRefused = true;
       return CURL_SOCKET_BAD;
     }
@@ -275,7 +275,7 @@
     auto* transfer = static_cast<Transfer*>(owner);
     auto* self = transfer->owner;
     if (transfer->dropped) return CURL_PREREQFUNC_ABORT;
-    if (transfer->call.once && transfer->sent) {
+    if (transfer->call.noResend && transfer->sent) {
       transfer->resendRefused = true;
       return CURL_PREREQFUNC_ABORT;
     }
--- a/src/net/http_client.hpp
+++ b/src/net/http_client.hpp
@@ -19,7 +19,7 @@
   Duration connectTimeout{1s}, totalTimeout{0};
   /// Never send this request a second time. libcurl resends requests by itself if a reused connection turns out to be
   /// closed.
-  bool once{false};
+  bool noResend{false};
   /// Use a new connection for this request only, and reset it afterwards. So the response to another request cannot be
   /// mistaken for the response to this one, and nothing more of the request is sent once it is cancelled.
   bool exclusiveConnection{false};
--- a/src/net/http_server.cpp
+++ b/src/net/http_server.cpp
@@ -64,10 +64,10 @@
   std::vector<std::shared_ptr<Connection>> due;
   TimePoint next = never;
   for (const auto& connection : connections) {
-    if (connection->due() <= lastSweep)
+    if (connection->nextDeadline() <= lastSweep)
       due.push_back(connection);
     else
-      next = std::min(next, connection->due());
+      next = std::min(next, connection->nextDeadline());
   }
   for (const auto& connection : due) connection->onDeadline();
   if (next != never) scheduleSweep(next);
@@ -132,6 +132,6 @@
   return active;
 }
 std::uint64_t HttpServer::bytesReceived() const { return impl->receivedBytes; }
-std::size_t HttpServer::queued() const { return impl->queuedBytes; }
+std::size_t HttpServer::queuedBytes() const { return impl->queuedBytes; }
 
 }  // namespace tt
--- a/src/net/http_server.hpp
+++ b/src/net/http_server.hpp
@@ -94,7 +94,7 @@
   /// The exchanges in progress, in no particular order.
   std::vector<ExchangeStatus> activeExchanges() const;
   /// Number of response bytes queued on all connections together.
-  std::size_t queued() const;
+  std::size_t queuedBytes() const;
   /// Total number of bytes read from clients.
   std::uint64_t bytesReceived() const;
 
--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -53,14 +53,14 @@
 void HttpServer::Connection::read() {
   if (reading || phase == Phase::closed) return;
   if (phase == Phase::exchange && reader.unreadBytes() >= maxPipelinedBytes) return watchForErrors();
-  std::size_t room = phase == Phase::body || phase == Phase::lingering ? largeReadSize : smallReadSize;
-  if (readRoom < room || (phase == Phase::idle && readRoom > room)) {
-    readSpace.reset(new char[room]);
-    readRoom = room;
+  std::size_t size = phase == Phase::body || phase == Phase::lingering ? largeReadSize : smallReadSize;
+  if (readBufferSize < size || (phase == Phase::idle && readBufferSize > size)) {
+    readBuffer.reset(new char[size]);
+    readBufferSize = size;
   }
   reading = true;
   socket.async_read_some(
-      asio::buffer(readSpace.get(), readRoom),
+      asio::buffer(readBuffer.get(), readBufferSize),
       [self = shared_from_this()](asio::error_code error, std::size_t size) { self->onRead(error, size); });
 }
 
@@ -83,7 +83,7 @@
   if (phase == Phase::closed) return;
   if (error) return onReadEnd(error);
   bool acceptsBytes = phase == Phase::idle || phase == Phase::head || phase == Phase::body || phase == Phase::exchange;
-  if (acceptsBytes) reader.append(readSpace.get(), size);
+  if (acceptsBytes) reader.append(readBuffer.get(), size);
   if (acceptsBytes && phase != Phase::exchange) return parse();
   read();
 }
@@ -358,19 +358,19 @@
 }
 
 void HttpServer::Response::head(int status, const HttpHeaders& headers, std::optional<std::size_t> length) {
-  if (auto held = connection) held->head(status, headers, length);
+  if (auto active = connection) active->head(status, headers, length);
 }
 
 void HttpServer::Response::bytes(std::string_view bytes) {
-  if (auto held = connection) held->bytes(bytes);
+  if (auto active = connection) active->bytes(bytes);
 }
 
 void HttpServer::Response::end() {
-  if (auto held = connection) held->end();
+  if (auto active = connection) active->end();
 }
 
 void HttpServer::Response::abort() {
-  if (auto held = connection) held->abort();
+  if (auto active = connection) active->abort();
 }
 
 void HttpServer::Response::onDisconnect(std::function<void()> handler) {
--- a/src/net/http_server_connection.hpp
+++ b/src/net/http_server_connection.hpp
@@ -16,7 +16,7 @@
   /// Called when the server starts draining. Shortens the deadline of an idle connection.
   void startDraining();
   /// When onDeadline() is to be called, or `never`.
-  TimePoint due() const { return deadline; }
+  TimePoint nextDeadline() const { return deadline; }
   /// Closes an idle or lingering connection, and rejects an incomplete request with status 408. If unread bytes have
   /// arrived, as after a freeze of the process, the deadline is extended instead, except while a head is being read.
   void onDeadline();
@@ -50,8 +50,8 @@
   Phase phase{Phase::idle};
   TimePoint deadline{never};
 
-  std::unique_ptr<char[]> readSpace;
-  std::size_t readRoom{0};
+  std::unique_ptr<char[]> readBuffer;
+  std::size_t readBufferSize{0};
   /// `reading`, `watching`: an asynchronous read or error wait is pending. `readEnded`: EOF or a read error was seen.
   bool reading{false}, watching{false}, readEnded{false};
   RequestReader reader;
--- a/src/net/json_bodies.cpp
+++ b/src/net/json_bodies.cpp
@@ -320,8 +320,8 @@
 }
 
 Result<CallerOrder> readCallerOrder(const std::string& text) {
-  if (text.size() > maxCallerBodyBytes)
-    return makeError(Code::tooLarge, "body", "the body exceeds " + std::to_string(maxCallerBodyBytes) + " bytes");
+  if (text.size() > maxClientBodyBytes)
+    return makeError(Code::tooLarge, "body", "the body exceeds " + std::to_string(maxClientBodyBytes) + " bytes");
   auto parsed =
       parseObject(text, {"route", "model", "parts", "repeatable", "maxTokens", "tenant", "kv_transfer_params"});
   if (!parsed) return parsed.error();
--- a/src/net/json_bodies.hpp
+++ b/src/net/json_bodies.hpp
@@ -27,7 +27,7 @@
 Result<MachinesReply> readMachines(const std::string& text);
 Result<Machine> readMachine(const Json& value);
 /// Maximum size of the body of a client's request.
-constexpr std::size_t maxCallerBodyBytes = 1u << 20;
+constexpr std::size_t maxClientBodyBytes = 1u << 20;
 /// Parses a client's request.
 Result<CallerOrder> readCallerOrder(const std::string& text);
 std::string writeVerdict(const CallerVerdict& verdict);
--- a/src/net/node_host.cpp
+++ b/src/net/node_host.cpp
@@ -8,6 +8,12 @@
 namespace {
 /// A connection fails if sent data remains unacknowledged for this long.
 constexpr Duration unacknowledgedTimeout = 2s;
+/// TCP keep-alive probes detect a vanished peer on an idle connection after about 11 s.
+constexpr int keepIdleSeconds = 5, keepIntervalSeconds = 2, keepProbes = 3;
+constexpr auto connectTimeout = 1s;
+/// How long messages to a peer are dropped after a failure of the connection to it.
+constexpr auto reconnectDelay = 100ms;
+constexpr int listenBacklog = 128;
 
 void setTcpOptions(asio::ip::tcp::socket& socket) {
   asio::error_code ignored;
@@ -17,15 +23,17 @@
     (void)::setsockopt(socket.native_handle(), IPPROTO_TCP, name, &value, sizeof value);
   };
   set(TCP_USER_TIMEOUT, static_cast<int>(toMilliseconds(unacknowledgedTimeout)));
-  set(TCP_KEEPIDLE, 5);
-  set(TCP_KEEPINTVL, 2);
-  set(TCP_KEEPCNT, 3);
+  set(TCP_KEEPIDLE, keepIdleSeconds);
+  set(TCP_KEEPINTVL, keepIntervalSeconds);
+  set(TCP_KEEPCNT, keepProbes);
 }
 
 /// Limits on the memory and connections that peers, and other processes that connect, can make this process use.
 constexpr std::size_t maxFrameBytes = 8u << 20;
 constexpr std::size_t maxLinkPendingBytes = 16u << 20;
 constexpr std::size_t maxInboundConnections = 512;
+/// Maximum size of the first frame of an inbound connection, which is the address of the peer.
+constexpr std::size_t maxAddressBytes = 64;
 std::atomic<std::size_t> inboundCount{0};
 
 /// A frame consists of the size of the payload, a 32-bit little-endian number, and the payload.
@@ -81,7 +89,7 @@
     pending.clear();
     pendingBytes = 0;
     backingOff = true;
-    timer.expires_after(100ms);
+    timer.expires_after(reconnectDelay);
     timer.async_wait([self = shared_from_this()](asio::error_code) { self->backingOff = false; });
   }
   /// Connects if needed, else writes the next frame.
@@ -93,7 +101,7 @@
       connecting = true;
       asio::error_code error;
       asio::ip::tcp::endpoint endpoint(asio::ip::make_address(address.value().ip, error), address.value().port);
-      timer.expires_after(1s);
+      timer.expires_after(connectTimeout);
       timer.async_wait([self = shared_from_this()](asio::error_code waitError) {
         if (!waitError && self->connecting) self->disconnect();
       });
@@ -154,7 +162,7 @@
           if (error) return;
           std::size_t size = 0;
           for (int at = 3; at >= 0; --at) size = size << 8 | self->lengthBytes[at];
-          if (size > maxFrameBytes || (self->from.empty() && size > 64)) {
+          if (size > maxFrameBytes || (self->from.empty() && size > maxAddressBytes)) {
             logWarning("Closed an inbound link: frame of " + std::to_string(size) + " bytes exceeds the limit.");
             return;
           }
@@ -162,6 +170,7 @@
           self->readBody(size);
         });
   }
+  /// Reads in steps, so that memory is allocated only for bytes that arrive.
   void readBody(std::size_t left) {
     if (left == 0) return onFrame();
     std::size_t step = std::min<std::size_t>(left, 64 * 1024);
@@ -207,7 +216,7 @@
   acceptor.open(endpoint.protocol(), error);
   if (!error) acceptor.set_option(asio::socket_base::reuse_address(true), error);
   if (!error) acceptor.bind(endpoint, error);
-  if (!error) acceptor.listen(128, error);
+  if (!error) acceptor.listen(listenBacklog, error);
   if (error)
     return makeError(Code::badProps, listenAddress == self ? "address" : "listen",
                      listenAddress + ": " + error.message());
--- a/src/net/web.cpp
+++ b/src/net/web.cpp
@@ -390,23 +390,23 @@
   std::lock_guard<std::mutex> guard(lock);
   return "http/" + std::to_string(++lastNumber);
 }
-void PendingResponses::addWithId(const std::string& name, std::shared_ptr<WebResponse> response) {
+void PendingResponses::addWithId(const std::string& requestId, std::shared_ptr<WebResponse> response) {
   std::lock_guard<std::mutex> guard(lock);
-  responses[name] = std::move(response);
+  responses[requestId] = std::move(response);
 }
 std::string PendingResponses::add(std::shared_ptr<WebResponse> response) {
-  std::string name = newRequestId();
-  addWithId(name, std::move(response));
-  return name;
+  std::string requestId = newRequestId();
+  addWithId(requestId, std::move(response));
+  return requestId;
 }
-std::shared_ptr<WebResponse> PendingResponses::find(const std::string& name) {
+std::shared_ptr<WebResponse> PendingResponses::find(const std::string& requestId) {
   std::lock_guard<std::mutex> guard(lock);
-  auto found = responses.find(name);
+  auto found = responses.find(requestId);
   return found == responses.end() ? nullptr : found->second;
 }
-std::shared_ptr<WebResponse> PendingResponses::remove(const std::string& name) {
+std::shared_ptr<WebResponse> PendingResponses::remove(const std::string& requestId) {
   std::lock_guard<std::mutex> guard(lock);
-  auto found = responses.find(name);
+  auto found = responses.find(requestId);
   if (found == responses.end()) return nullptr;
   auto response = found->second;
   responses.erase(found);
@@ -415,7 +415,7 @@
 std::vector<std::shared_ptr<WebResponse>> PendingResponses::removeAll() {
   std::lock_guard<std::mutex> guard(lock);
   std::vector<std::shared_ptr<WebResponse>> all;
-  for (auto& [name, response] : responses) all.push_back(std::move(response));
+  for (auto& [requestId, response] : responses) all.push_back(std::move(response));
   responses.clear();
   return all;
 }
--- a/src/net/web.hpp
+++ b/src/net/web.hpp
@@ -96,10 +96,10 @@
   std::string add(std::shared_ptr<WebResponse> response);
   /// Returns an id that this object has not used before.
   std::string newRequestId();
-  void addWithId(const std::string& name, std::shared_ptr<WebResponse> response);
+  void addWithId(const std::string& requestId, std::shared_ptr<WebResponse> response);
   /// find() and remove() return null if there is no response with this id.
-  std::shared_ptr<WebResponse> find(const std::string& name);
-  std::shared_ptr<WebResponse> remove(const std::string& name);
+  std::shared_ptr<WebResponse> find(const std::string& requestId);
+  std::shared_ptr<WebResponse> remove(const std::string& requestId);
   /// Removes and returns all pending responses.
   std::vector<std::shared_ptr<WebResponse>> removeAll();
   std::size_t count();
--- a/tests/call_fuzz.cpp
+++ b/tests/call_fuzz.cpp
@@ -65,10 +65,10 @@
   }
   return text;
 }
-void sendInPieces(const RawServer::ConnectionPtr& held, const std::string& text, SeededRandom& random) {
+void sendInPieces(const RawServer::ConnectionPtr& connection, const std::string& text, SeededRandom& random) {
   for (std::size_t at = 0; at < text.size();) {
     std::size_t size = 1 + random.pick(text.size() - at);
-    held->say(text.substr(at, size));
+    connection->send(text.substr(at, size));
     at += size;
   }
 }
@@ -82,17 +82,17 @@
   SeededRandom random(20261202);
   int complete = 0, incomplete = 0;
   for (int number = 0; number < cases; ++number) {
-    Bench harness;
+    HttpClientHarness harness;
     std::string body(random.pick(60), static_cast<char>('a' + number % 26));
     auto [text, expected] = validResponse("X-Case: " + std::to_string(number) + "\r\n", body, random);
     std::size_t sent = random.oneIn(4) ? text.size() : random.pick(text.size());
     bool byReset = random.oneIn(4) && sent < text.size();
-    RawServer server(harness.io, [&](const RawServer::ConnectionPtr& held, const std::string&) {
-      sendInPieces(held, text.substr(0, sent), random);
-      byReset ? held->reset() : held->close();
+    RawServer server(harness.io, [&](const RawServer::ConnectionPtr& connection, const std::string&) {
+      sendInPieces(connection, text.substr(0, sent), random);
+      byReset ? connection->reset() : connection->close();
     });
     auto call = harness.call(server, "/", "POST", "body");
-    call.once = true;
+    call.noResend = true;
     auto seen = harness.finish(call);
     bool chunked = text.find("chunked") != std::string::npos;
     if (chunked && sent + 1 == text.size()) sent += seen->end.outcome == HttpCallOutcome::complete;
@@ -103,7 +103,7 @@
     cr_expect_eq(seen->ends, 1);
     if (allSent) cr_expect_eq(seen->body, expected, "case %d", number);
     if (!allSent) cr_expect_eq(expected.rfind(seen->body, 0), 0u, "case %d: not a prefix of the body", number);
-    cr_expect_eq(server.copies("POST / "), 1u);
+    cr_expect_eq(server.timesReceived("POST / "), 1u);
     ++(allSent ? complete : incomplete);
   }
   cr_assert_eq(complete + incomplete, cases);
@@ -117,18 +117,18 @@
   SeededRandom random(7);
   int failedCalls = 0;
   for (int number = 0; number < cases; ++number) {
-    Bench harness;
-    auto [sound, expected] = validResponse("X-Attempt-Id: first\r\n", std::string(random.pick(40), 'x'), random);
-    std::string text = mutated(sound, random);
+    HttpClientHarness harness;
+    auto [valid, expected] = validResponse("X-Attempt-Id: first\r\n", std::string(random.pick(40), 'x'), random);
+    std::string text = mutated(valid, random);
     bool stays = random.oneIn(2);
-    RawServer server(harness.io, [&](const RawServer::ConnectionPtr& held, const std::string& request) {
+    RawServer server(harness.io, [&](const RawServer::ConnectionPtr& connection, const std::string& request) {
       if (request.find("/first") == std::string::npos)
-        return held->say(successResponse("own", "X-Attempt-Id: second\r\n"));
-      sendInPieces(held, text, random);
-      if (!stays) held->close();
+        return connection->send(successResponse("own", "X-Attempt-Id: second\r\n"));
+      sendInPieces(connection, text, random);
+      if (!stays) connection->close();
     });
     auto call = harness.call(server, "/first", "POST", "body");
-    call.once = true;
+    call.noResend = true;
     call.totalTimeout = 8ms;
     auto first = harness.finish(call);
     cr_expect_leq(first->heads, 1);
@@ -147,7 +147,7 @@
     cr_expect(second->end.outcome == HttpCallOutcome::complete, "case %d: %s after %s", number,
               second->end.errorMessage.c_str(), text.c_str());
     cr_expect_eq(second->body, "own", "case %d after %s", number, text.c_str());
-    cr_expect_eq(server.copies("/first"), 1u);
+    cr_expect_eq(server.timesReceived("/first"), 1u);
   }
   cr_assert_geq(failedCalls, cases / 4);
 }
@@ -155,7 +155,7 @@
 /// Guards against a client that receives the response to another request, and against a status that says "not executed"
 /// for a request that was executed. Workers send surplus, swapped, incomplete and unsealed responses.
 Test(call_fuzz, clients_get_their_own_responses_whatever_workers_send) {
-  constexpr int fleets = 60, asks = 5;
+  constexpr int fleets = 60, requestsPerFleet = 5;
   SeededRandom random(16);
   int answered = 0, served = 0;
   for (int fleet = 0; fleet < fleets; ++fleet) {
@@ -171,7 +171,7 @@
       return "HTTP/1.1 503 Full\r\nX-Attempt-Id: " + id + "\r\n" + (notExecuted ? "X-Not-Executed: 1\r\n" : "") +
              "Content-Length: 0\r\n\r\n";
     };
-    harness.script = [&](const RawServer::ConnectionPtr& held, const std::string& request) {
+    harness.script = [&](const RawServer::ConnectionPtr& connection, const std::string& request) {
       std::string id = headerIn(request, "X-Attempt-Id");
       std::string other = earlier[random.pick(earlier.size())];
       earlier.push_back(id);
@@ -216,13 +216,13 @@
           break;
       }
       ran[id] = ran[id] || runs;
-      sendInPieces(held, text, random);
-      if (ends) random.oneIn(2) && text.empty() ? held->reset() : held->close();
+      sendInPieces(connection, text, random);
+      if (ends) random.oneIn(2) && text.empty() ? connection->reset() : connection->close();
     };
-    for (int ask = 1; ask <= asks; ++ask) {
+    for (int number = 1; number <= requestsPerFleet; ++number) {
       bool once = random.oneIn(2);
-      std::string id = "a-" + std::to_string(ask);
-      auto response = harness.ask(once ? "/once/x" : "/safe/x");
+      std::string id = "a-" + std::to_string(number);
+      auto response = harness.request(once ? "/once/x" : "/safe/x");
       ++answered;
       if (response.complete && response.status >= 200 && response.status < 300) {
         ++served;
@@ -239,6 +239,6 @@
       if (once && ran[id]) cr_expect_leq(arrivals[id], 2, "fleet %d", fleet);
     }
   }
-  cr_assert_eq(answered, fleets * asks);
+  cr_assert_eq(answered, fleets * requestsPerFleet);
   cr_assert_geq(served, answered / 4);
 }
--- a/tests/drain.cpp
+++ b/tests/drain.cpp
@@ -12,9 +12,9 @@
   SlowWorker(Proxy& callingProxy, Duration responseDelay) : proxy(callingProxy), delay(responseDelay) {}
   void step() {
     if (proxy.isCalled(0ms)) connections.push_back(Connection{proxy.accept(), {}, {}});
-    for (auto& side : connections) {
-      if (side.request.empty()) readRequest(side);
-      if (!side.request.empty() && Clock::now() >= side.respondAt) respond(side);
+    for (auto& entry : connections) {
+      if (entry.request.empty()) readRequest(entry);
+      if (!entry.request.empty() && Clock::now() >= entry.respondAt) respond(entry);
     }
   }
   /// Attempt ids of the requests that have reached the worker.
@@ -30,15 +30,15 @@
   Duration delay;
   std::vector<Connection> connections;
 
-  void readRequest(Connection& side) {
-    side.request = side.connection.request(0ms);
-    if (side.request.empty()) return;
-    side.respondAt = Clock::now() + delay;
-    attempts.insert(headerOf(side.request, "X-Attempt-Id"));
+  void readRequest(Connection& entry) {
+    entry.request = entry.connection.request(0ms);
+    if (entry.request.empty()) return;
+    entry.respondAt = Clock::now() + delay;
+    attempts.insert(headerOf(entry.request, "X-Attempt-Id"));
   }
-  static void respond(Connection& side) {
-    side.connection.say(responseTo(side.request, "s", "well"));
-    side.request.clear();
+  static void respond(Connection& entry) {
+    entry.connection.send(responseTo(entry.request, "s", "well"));
+    entry.request.clear();
   }
 };
 
@@ -105,11 +105,11 @@
       continue;
     }
     clients.push_back(Client{std::move(caller), "a" + std::to_string(clients.size() + 1)});
-    clients.back().caller->send(ask("/once/x", clients.back().attempt));
+    clients.back().caller->send(getRequest("/once/x", clients.back().attempt));
   }
   std::size_t served = 0;
   for (auto& client : clients) {
-    auto response = client.caller->all();
+    auto response = client.caller->readAll();
     if (!response.empty() || worker.attempts.count(client.attempt))
       cr_expect(isCompleteResponse(response), "%s got \"%s\"", client.attempt.c_str(), response.c_str());
     served += statusOf(response) == 200;
@@ -122,22 +122,22 @@
   cr_expect_gt(rejected, 0u, "requests that could not finish in time must be rejected");
 }
 
-Test(drain, a_request_on_a_kept_connection_is_answered_too) {
+Test(drain, a_request_on_a_keep_alive_connection_gets_a_response_too) {
   Proxy proxy(1, 4s);
   RawClient kept(proxy.front());
-  kept.send(ask("/once/first", "a1"));
+  kept.send(getRequest("/once/first", "a1"));
   auto worker = proxy.accept();
   auto request = worker.request();
-  worker.say("HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Server-Seal: s\r\nContent-Length: 8\r\n\r\nhalf");
-  cr_assert(has(kept.until("half"), "Connection: keep-alive"));
+  worker.send("HTTP/1.1 200 OK\r\nX-Attempt-Id: a1\r\nX-Server-Seal: s\r\nContent-Length: 8\r\n\r\nhalf");
+  cr_assert(has(kept.readUntil("half"), "Connection: keep-alive"));
   proxy.signal(SIGTERM);
   cr_assert(eventually([&] { return !proxy.isReady(); }));
   std::this_thread::sleep_for(2500ms);
-  kept.send(ask("/once/second", "a2"));
-  worker.say("rest");
-  auto received = kept.until("rest");
+  kept.send(getRequest("/once/second", "a2"));
+  worker.send("rest");
+  auto received = kept.readUntil("rest");
   cr_assert(has(received, "rest"));
-  auto response = received.substr(received.find("rest") + 4) + kept.all();
+  auto response = received.substr(received.find("rest") + 4) + kept.readAll();
   cr_expect(isCompleteResponse(response), "got \"%s\"", response.c_str());
   cr_expect_eq(statusOf(response), 503);
   cr_expect(proxy.hasEnded(8s));
@@ -152,7 +152,7 @@
       "    ");
   std::this_thread::sleep_for(100ms);
   core.signal(SIGTERM);
-  auto response = change.until("}");
+  auto response = change.readUntil("}");
   cr_expect(statusOf(response) == 503 || statusOf(response) == 504, "got \"%s\"", response.c_str());
   cr_expect(core.hasEnded(8s));
 }
--- a/tests/fleet_harness.hpp
+++ b/tests/fleet_harness.hpp
@@ -30,7 +30,7 @@
     std::uint64_t incarnation{0};
     bool alive() const { return node != nullptr; }
   };
-  TimingGuard kept;
+  TimingGuard timingGuard;
   TimePoint now{std::chrono::hours(3)};
   std::mt19937_64 randomSource;
   std::map<std::string, Machine> machines;
@@ -216,11 +216,11 @@
   }
   bool agentFresh(const std::string& name) { return machines.at(name).agent->fresh(now); }
   /// Requests a change that adds weights with the name of the change. Returns the id of the request.
-  std::string ask(const std::string& name, const std::string& changeName) {
+  std::string requestChange(const std::string& name, const std::string& changeName) {
     return askWith(name, changeName, R"({"weights":{")" + changeName + R"(":{"model":"moss"}}})");
   }
   std::string askWith(const std::string& name, const std::string& changeName, const std::string& body) {
-    std::string requestId = "ask-" + std::to_string(++requestCount);
+    std::string requestId = "change-" + std::to_string(++requestCount);
     OperatorRequest change;
     change.requestId = requestId;
     change.body = body;
@@ -252,7 +252,7 @@
     auto found = replies.find(requestId);
     return found != replies.end() && found->second.code == static_cast<int>(Code::changeTaken);
   }
-  /// Whether a core's configuration has the weights of a change made by ask().
+  /// Whether a core's configuration has the weights of a change requested by requestChange().
   bool has(const std::string& name, const std::string& changeName) {
     return logOf(name).configuration().section("weights").count(changeName) > 0;
   }
--- a/tests/freshness.cpp
+++ b/tests/freshness.cpp
@@ -8,102 +8,102 @@
 
 /// A core keeps only in memory which readers it has and what they have applied. If a restarted core, which has lost
 /// this, counted as having no readers, a change could be acknowledged while a partitioned reader still counts as fresh.
-Test(freshness, a_change_is_not_acknowledged_on_the_word_of_a_restarted_core_that_lost_its_readers) {
-  FleetHarness bench;
-  bench.form(4);
-  std::string leader = bench.leader();
-  auto others = bench.followers();
+Test(freshness, a_restarted_core_that_lost_its_readers_does_not_let_a_change_be_acknowledged) {
+  FleetHarness fleet;
+  fleet.form(4);
+  std::string leader = fleet.leader();
+  auto others = fleet.followers();
   std::string restarted = others[0], cutWithReader = others[1], third = others[2];
-  bench.startAgent("edge-1");
-  cr_assert(bench.runUntil([&] { return bench.agentFresh("edge-1"); }, 5s));
-  bench.partition({"edge-1", cutWithReader}, {leader, third});
-  bench.run(4s);
-  cr_assert(bench.agentFresh("edge-1"), "two of four cores respond");
-  bench.partition({"edge-1", cutWithReader}, {restarted});
-  bench.stop(restarted);
-  bench.run(50ms);
-  bench.startCore(restarted, false);
-  bench.run(50ms);
-  auto requestId = bench.ask(leader, "late");
-  cr_assert(bench.runUntil([&] { return bench.acknowledged(requestId); }, 5s));
-  bench.run(3s);
-  cr_expect(bench.staleReaders.empty(), "%d times an agent was fresh without an acknowledged change",
-            static_cast<int>(bench.staleReaders.size()));
+  fleet.startAgent("edge-1");
+  cr_assert(fleet.runUntil([&] { return fleet.agentFresh("edge-1"); }, 5s));
+  fleet.partition({"edge-1", cutWithReader}, {leader, third});
+  fleet.run(4s);
+  cr_assert(fleet.agentFresh("edge-1"), "two of four cores respond");
+  fleet.partition({"edge-1", cutWithReader}, {restarted});
+  fleet.stop(restarted);
+  fleet.run(50ms);
+  fleet.startCore(restarted, false);
+  fleet.run(50ms);
+  auto requestId = fleet.requestChange(leader, "late");
+  cr_assert(fleet.runUntil([&] { return fleet.acknowledged(requestId); }, 5s));
+  fleet.run(3s);
+  cr_expect(fleet.staleReaders.empty(), "%d times an agent was fresh without an acknowledged change",
+            static_cast<int>(fleet.staleReaders.size()));
 }
 
 /// As long as the removal of a member is not committed, readers still rely on the old members. If only the new ones
 /// were counted, a change could be acknowledged that such a reader lacks.
 Test(freshness, a_change_before_an_uncommitted_member_removal_needs_a_majority_of_the_old_members) {
-  FleetHarness bench;
-  bench.form(4);
-  std::string leader = bench.leader();
-  auto others = bench.followers();
+  FleetHarness fleet;
+  fleet.form(4);
+  std::string leader = fleet.leader();
+  auto others = fleet.followers();
   std::string near = others[0], far = others[1], gone = others[2];
-  bench.startAgent("edge-1");
-  cr_assert(bench.runUntil([&] { return bench.agentFresh("edge-1"); }, 5s));
-  bench.partition({"edge-1", gone}, {leader, near});
-  bench.cut(gone, far);
-  bench.run(5600ms);
-  cr_assert_eq(bench.leader(), leader);
-  bench.cut(far, leader);
-  bench.cut(far, near);
-  bench.ask(leader, "lone");
-  bench.run(20s);
-  cr_expect(bench.staleReaders.empty(), "%d times an agent was fresh without an acknowledged change",
-            static_cast<int>(bench.staleReaders.size()));
+  fleet.startAgent("edge-1");
+  cr_assert(fleet.runUntil([&] { return fleet.agentFresh("edge-1"); }, 5s));
+  fleet.partition({"edge-1", gone}, {leader, near});
+  fleet.cut(gone, far);
+  fleet.run(5600ms);
+  cr_assert_eq(fleet.leader(), leader);
+  fleet.cut(far, leader);
+  fleet.cut(far, near);
+  fleet.requestChange(leader, "lone");
+  fleet.run(20s);
+  cr_expect(fleet.staleReaders.empty(), "%d times an agent was fresh without an acknowledged change",
+            static_cast<int>(fleet.staleReaders.size()));
 }
 
 /// A reader that does not know of a membership change stays fresh with responses of the old members. The time for which
 /// the leader waits for it must start when the new members are committed, not when their entry is appended.
 Test(freshness, readers_that_know_only_the_old_members_are_waited_for_after_a_membership_change) {
-  FleetHarness bench;
-  bench.form(4);
-  bench.startAgent("edge-1");
-  cr_assert(bench.runUntil([&] { return bench.agentFresh("edge-1"); }, 5s));
-  std::string leader = bench.leader();
-  auto others = bench.followers();
+  FleetHarness fleet;
+  fleet.form(4);
+  fleet.startAgent("edge-1");
+  cr_assert(fleet.runUntil([&] { return fleet.agentFresh("edge-1"); }, 5s));
+  std::string leader = fleet.leader();
+  auto others = fleet.followers();
   std::string near = others[0], far = others[1], farther = others[2];
-  bench.partition({"edge-1"}, {leader, near, "core-5"});
-  bench.startCore("core-5", false);
-  cr_assert(bench.runUntil([&] { return bench.votersAt(leader) == 5; }, 15s));
-  cr_assert_eq(bench.leader(), leader);
-  std::uint64_t membersIndex = bench.logOf(leader).logEnd();
-  bench.partition({far, farther}, {leader, near, "core-5"});
-  bench.run(2s);
-  cr_assert(bench.agentFresh("edge-1"), "two of the four cores that it knows respond");
-  cr_assert_lt(bench.logOf(leader).commit(), membersIndex, "two of the four old members do not commit it");
-  bench.join(far, leader);
-  cr_assert(bench.runUntil([&] { return bench.logOf(leader).commit() >= membersIndex; }, 2s));
-  bench.cut(far, leader);
-  auto requestId = bench.ask(leader, "late");
-  cr_assert(bench.runUntil([&] { return bench.acknowledged(requestId); }, 5s));
-  bench.run(3s);
-  cr_expect(bench.staleReaders.empty(), "%d times an agent was fresh without an acknowledged change",
-            static_cast<int>(bench.staleReaders.size()));
+  fleet.partition({"edge-1"}, {leader, near, "core-5"});
+  fleet.startCore("core-5", false);
+  cr_assert(fleet.runUntil([&] { return fleet.votersAt(leader) == 5; }, 15s));
+  cr_assert_eq(fleet.leader(), leader);
+  std::uint64_t membersIndex = fleet.logOf(leader).logEnd();
+  fleet.partition({far, farther}, {leader, near, "core-5"});
+  fleet.run(2s);
+  cr_assert(fleet.agentFresh("edge-1"), "two of the four cores that it knows respond");
+  cr_assert_lt(fleet.logOf(leader).commit(), membersIndex, "two of the four old members do not commit it");
+  fleet.join(far, leader);
+  cr_assert(fleet.runUntil([&] { return fleet.logOf(leader).commit() >= membersIndex; }, 2s));
+  fleet.cut(far, leader);
+  auto requestId = fleet.requestChange(leader, "late");
+  cr_assert(fleet.runUntil([&] { return fleet.acknowledged(requestId); }, 5s));
+  fleet.run(3s);
+  cr_expect(fleet.staleReaders.empty(), "%d times an agent was fresh without an acknowledged change",
+            static_cast<int>(fleet.staleReaders.size()));
 }
 
 /// A core without contact to a majority may lack acknowledged changes, so it must not confirm reads of operators.
 Test(freshness, a_partitioned_core_confirms_no_read_older_than_an_acknowledged_change) {
   for (int cores : {4, 5, 8}) {
-    FleetHarness bench;
+    FleetHarness fleet;
     timing.maxStaleness = 4s;
     timing.readerAckTimeout = 666ms;
-    bench.form(cores);
-    bench.run(2s);
+    fleet.form(cores);
+    fleet.run(2s);
     for (int round = 0; round < 2; ++round) {
-      std::string leader = bench.leader(), cutOff = bench.followers()[0], name = "late-" + std::to_string(round);
-      cr_assert(bench.readFrom(cutOff).confirmed, "a connected core confirms reads");
-      bench.partition({cutOff}, bench.coresExcept(cutOff));
-      auto requestId = bench.ask(leader, name);
-      cr_assert(bench.runUntil([&] { return bench.acknowledged(requestId); }, 3s));
-      cr_assert_not(bench.has(cutOff, name));
-      cr_expect_not(bench.readFrom(cutOff).confirmed, "%d cores, round %d: confirmed without a majority", cores, round);
-      auto kept = bench.readFrom(leader);
-      cr_expect(kept.confirmed && kept.index >= bench.acknowledgedIndex);
-      bench.cutLinks.clear();
-      cr_assert(bench.runUntil([&] { return bench.has(cutOff, name); }, 5s));
-      auto healed = bench.readFrom(cutOff);
-      cr_expect(healed.confirmed && healed.index >= bench.acknowledgedIndex,
+      std::string leader = fleet.leader(), cutOff = fleet.followers()[0], name = "late-" + std::to_string(round);
+      cr_assert(fleet.readFrom(cutOff).confirmed, "a connected core confirms reads");
+      fleet.partition({cutOff}, fleet.coresExcept(cutOff));
+      auto requestId = fleet.requestChange(leader, name);
+      cr_assert(fleet.runUntil([&] { return fleet.acknowledged(requestId); }, 3s));
+      cr_assert_not(fleet.has(cutOff, name));
+      cr_expect_not(fleet.readFrom(cutOff).confirmed, "%d cores, round %d: confirmed without a majority", cores, round);
+      auto connected = fleet.readFrom(leader);
+      cr_expect(connected.confirmed && connected.index >= fleet.acknowledgedIndex);
+      fleet.cutLinks.clear();
+      cr_assert(fleet.runUntil([&] { return fleet.has(cutOff, name); }, 5s));
+      auto healed = fleet.readFrom(cutOff);
+      cr_expect(healed.confirmed && healed.index >= fleet.acknowledgedIndex,
                 "%d cores: a reconnected core confirms reads", cores);
     }
   }
@@ -111,15 +111,15 @@
 
 /// With four cores in two halves, neither half may confirm a read, although half of the voters suffices for freshness.
 Test(freshness, a_read_needs_responses_of_a_majority_requested_after_it_arrived) {
-  FleetHarness bench;
-  bench.form(4);
-  bench.run(1s);
-  bench.partition({"core-1", "core-2"}, {"core-3", "core-4"});
+  FleetHarness fleet;
+  fleet.form(4);
+  fleet.run(1s);
+  fleet.partition({"core-1", "core-2"}, {"core-3", "core-4"});
   for (const char* name : {"core-1", "core-2", "core-3", "core-4"})
-    cr_expect_not(bench.readFrom(name).confirmed, "%s has contact to two of four cores only", name);
-  bench.cutLinks.clear();
-  cr_assert(bench.runUntil([&] { return !bench.leader().empty(); }, 10s));
-  for (const char* name : {"core-1", "core-2", "core-3", "core-4"}) cr_expect(bench.readFrom(name).confirmed);
+    cr_expect_not(fleet.readFrom(name).confirmed, "%s has contact to two of four cores only", name);
+  fleet.cutLinks.clear();
+  cr_assert(fleet.runUntil([&] { return !fleet.leader().empty(); }, 10s));
+  for (const char* name : {"core-1", "core-2", "core-3", "core-4"}) cr_expect(fleet.readFrom(name).confirmed);
 }
 
 /// A leader that does not know that it was replaced has an outdated configuration. It must neither confirm reads nor
@@ -127,28 +127,28 @@
 Test(freshness, a_leader_that_receives_nothing_confirms_no_read_and_decides_no_change) {
   for (int cores : {4, 5, 8}) {
     for (bool hears : {false, true}) {
-      FleetHarness bench;
-      bench.form(cores);
-      bench.run(2s);
-      std::string old = bench.leader();
-      for (const auto& other : bench.coresExcept(old)) {
-        bench.cutLinks.insert({other, old});
-        if (!hears) bench.cutLinks.insert({old, other});
+      FleetHarness fleet;
+      fleet.form(cores);
+      fleet.run(2s);
+      std::string old = fleet.leader();
+      for (const auto& other : fleet.coresExcept(old)) {
+        fleet.cutLinks.insert({other, old});
+        if (!hears) fleet.cutLinks.insert({old, other});
       }
-      auto lone = bench.ask(old, "lone");
+      auto lone = fleet.requestChange(old, "lone");
       OperatorRequest stale;
       stale.requestId = "stale";
       stale.body = R"({"weights":{"stale":{"model":"moss"}}})";
       stale.ifRevision = 77;
       stale.changeId = "stale";
-      bench.run(1s);
-      bench.with(bench.machines.at(old),
-                 [&](Effects& effects) { bench.machines.at(old).node->handle(effects, "operator", stale); });
-      bench.run(hears ? Duration(5s) : Duration(12s));
-      cr_expect_not(bench.readFrom(old).confirmed);
+      fleet.run(1s);
+      fleet.with(fleet.machines.at(old),
+                 [&](Effects& effects) { fleet.machines.at(old).node->handle(effects, "operator", stale); });
+      fleet.run(hears ? Duration(5s) : Duration(12s));
+      cr_expect_not(fleet.readFrom(old).confirmed);
       for (const auto* requestId : {&lone, &stale.requestId}) {
-        if (!bench.replies.count(*requestId)) continue;
-        auto code = static_cast<Code>(bench.replies[*requestId].code);
+        if (!fleet.replies.count(*requestId)) continue;
+        auto code = static_cast<Code>(fleet.replies[*requestId].code);
         cr_expect(code == Code::changeUnsure || code == Code::notLeading, "%d cores: %s answered %s", cores,
                   requestId->c_str(), codeName(code));
       }
@@ -160,26 +160,26 @@
   int confirmed = 0, rejectedReads = 0, acked = 0;
   for (int cores : {4, 5, 8})
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-      FleetHarness bench(seed);
+      FleetHarness fleet(seed);
       timing.maxStaleness = 4s;
       timing.readerAckTimeout = 666ms;
-      bench.form(cores);
+      fleet.form(cores);
       std::map<std::string, std::uint64_t> openReads;
       Strings openChanges;
-      auto names = bench.coresExcept({});
+      auto names = fleet.coresExcept({});
       for (int round = 0; round < 400; ++round) {
-        const auto& one = names[bench.randomSource() % names.size()];
-        const auto& other = names[bench.randomSource() % names.size()];
-        auto action = bench.randomSource() % 12;
-        if (action < 2 && one != other) bench.cutLinks.insert({one, other});
-        if (action == 2) bench.partition({one}, bench.coresExcept(one));
-        if (action == 3) bench.cutLinks.clear();
-        if (action == 4) openChanges.push_back(bench.ask(one, "change-" + std::to_string(round)));
-        openReads[bench.read(other)] = bench.acknowledgedIndex;
-        bench.run(std::chrono::milliseconds(25 + bench.randomSource() % 100));
+        const auto& one = names[fleet.randomSource() % names.size()];
+        const auto& other = names[fleet.randomSource() % names.size()];
+        auto action = fleet.randomSource() % 12;
+        if (action < 2 && one != other) fleet.cutLinks.insert({one, other});
+        if (action == 2) fleet.partition({one}, fleet.coresExcept(one));
+        if (action == 3) fleet.cutLinks.clear();
+        if (action == 4) openChanges.push_back(fleet.requestChange(one, "change-" + std::to_string(round)));
+        openReads[fleet.read(other)] = fleet.acknowledgedIndex;
+        fleet.run(std::chrono::milliseconds(25 + fleet.randomSource() % 100));
         for (auto open = openReads.begin(); open != openReads.end();) {
-          auto found = bench.reads.find(open->first);
-          if (found == bench.reads.end()) {
+          auto found = fleet.reads.find(open->first);
+          if (found == fleet.reads.end()) {
             ++open;
             continue;
           }
@@ -191,7 +191,7 @@
           open = openReads.erase(open);
         }
       }
-      for (const auto& requestId : openChanges) acked += bench.acknowledged(requestId);
+      for (const auto& requestId : openChanges) acked += fleet.acknowledged(requestId);
     }
   cr_expect_gt(confirmed, 3000);
   cr_expect_gt(rejectedReads, 1000);
@@ -217,13 +217,13 @@
   }
   static std::string nameOf(std::size_t at) { return "core-" + std::to_string(at); }
   /// Whether the reader counts its view as complete after responses of the voters in a set.
-  bool completeAfter(unsigned heard, const std::function<LogEndResponse(std::size_t)>& responseOf) {
+  bool completeAfter(unsigned responding, const std::function<LogEndResponse(std::size_t)>& responseOf) {
     reader = ClusterView(ReaderSettings{"reader", "reader:1", "north-a", {}, true, {}});
     Effects asking{now, randomSource, journal, {}, {}};
     reader.ask(asking, 5, {}, view);
     for (const auto& [to, message] : asking.sends)
       for (std::size_t at = 0; at < voters; ++at) {
-        if (to != nameOf(at) + ":1" || !(heard >> at & 1)) continue;
+        if (to != nameOf(at) + ":1" || !(responding >> at & 1)) continue;
         auto response = responseOf(at);
         response.requestId = std::get<LogEndRequest>(message).requestId;
         response.core = nameOf(at);
@@ -241,14 +241,14 @@
 /// If there is no entry 6, it must count as complete if and only if enough voters respond.
 Test(freshness, no_set_of_responses_makes_a_reader_complete_without_an_entry_that_a_majority_has) {
   for (std::size_t voters : {3u, 4u, 5u, 8u}) {
-    ReaderHarness bench(voters);
+    ReaderHarness fleet(voters);
     std::size_t quorum = voters / 2 + 1, complete = 0;
     for (unsigned holders = 0; holders < 1u << voters; ++holders) {
       if (countOf(holders) != quorum) continue;
-      for (unsigned heard = 1; heard < 1u << voters; ++heard) {
+      for (unsigned responding = 1; responding < 1u << voters; ++responding) {
         for (std::size_t oldLeader = 0; oldLeader <= voters; ++oldLeader) {
           if (oldLeader < voters && holders >> oldLeader & 1) continue;
-          bool done = bench.completeAfter(heard, [&](std::size_t at) {
+          bool done = fleet.completeAfter(responding, [&](std::size_t at) {
             bool has = holders >> at & 1;
             LogEndResponse response;
             response.term = has ? 2 : 1;
@@ -258,20 +258,20 @@
             return response;
           });
           complete += done;
-          cr_expect_not(done, "%d voters, entry 6 on %x, heard %x, old leader %d", static_cast<int>(voters), holders,
-                        heard, static_cast<int>(oldLeader));
+          cr_expect_not(done, "%d voters, entry 6 on %x, responding %x, old leader %d", static_cast<int>(voters),
+                        holders, responding, static_cast<int>(oldLeader));
         }
       }
     }
-    for (unsigned heard = 1; heard < 1u << voters; ++heard) {
-      bool done = bench.completeAfter(heard, [](std::size_t) {
+    for (unsigned responding = 1; responding < 1u << voters; ++responding) {
+      bool done = fleet.completeAfter(responding, [](std::size_t) {
         LogEndResponse response;
         response.term = 1;
         response.lastIndex = response.commit = 5;
         return response;
       });
-      cr_expect_eq(done, countOf(heard) + quorum > voters, "%d voters, no entry 6, heard %x", static_cast<int>(voters),
-                   heard);
+      cr_expect_eq(done, countOf(responding) + quorum > voters, "%d voters, no entry 6, responding %x",
+                   static_cast<int>(voters), responding);
     }
   }
 }
@@ -280,7 +280,7 @@
 /// of a response of the previous run, so the agent must not report to the cores that all its proxies have applied an
 /// index.
 Test(freshness, a_restarted_agent_reports_index_0_while_unheard_proxies_may_be_fresh) {
-  TimingGuard kept;
+  TimingGuard timingGuard;
   AgentSettings settings;
   settings.name = "edge-1";
   settings.address = "edge-1:1";
@@ -293,7 +293,7 @@
     Effects effects{now, randomSource, agent.journal, {}, {}};
     action(effects);
     for (const auto& [to, message] : effects.sends)
-      if (auto* ask = std::get_if<LogEndRequest>(&message)) reportedIndex = ask->applied;
+      if (auto* request = std::get_if<LogEndRequest>(&message)) reportedIndex = request->applied;
   };
   auto advance = [&](Duration span) {
     for (TimePoint until = now + span; now < until; now += 10ms) with([&](Effects& effects) { agent.tick(effects); });
--- a/tests/gate.cpp
+++ b/tests/gate.cpp
@@ -1,7 +1,7 @@
 #include "http_server_fixture.hpp"
 
 using namespace tt;
-using namespace tt::gatetest;
+using namespace tt::servertest;
 
 Test(gate, malformed_requests_are_rejected) {
   struct Row {
@@ -124,7 +124,7 @@
   });
   for (const auto& row : rows) {
     RawClient caller(server.port);
-    auto got = caller.askAll(row.input);
+    auto got = caller.sendAndReadAll(row.input);
     cr_expect_eq(statusOf(got), row.status, "%s: expected %d, got \"%s\"", row.name, row.status, got.c_str());
     cr_expect_eq(count(got, "HTTP/1.1 "), 1u, "%s: exactly one response", row.name);
     cr_expect(has(got, "\r\nConnection: close\r\n"), "%s: must announce the close", row.name);
@@ -134,7 +134,7 @@
   }
   cr_expect(eventually([&] { return server.connections() == 0; }));
   RawClient caller(server.port);
-  cr_assert_eq(statusOf(caller.askAll(getClose)), 200, "a valid request must be served afterwards");
+  cr_assert_eq(statusOf(caller.sendAndReadAll(getClose)), 200, "a valid request must be served afterwards");
 }
 
 Test(gate, error_response_arrives_while_the_client_keeps_sending) {
@@ -142,7 +142,7 @@
   RawClient caller(server.port);
   caller.send(post("Content-Length: 99999999\r\n"));
   for (int part = 0; part < 8; ++part) caller.send(std::string(65536, 'x'));
-  auto got = caller.all();
+  auto got = caller.readAll();
   cr_assert_eq(statusOf(got), 413, "got \"%s\"", got.c_str());
   cr_assert(!caller.reset && !caller.timedOut, "a reset could have destroyed the response");
 }
@@ -154,7 +154,7 @@
     sendResponse(response, "ok");
   });
   RawClient caller(server.port);
-  auto got = caller.askAll(
+  auto got = caller.sendAndReadAll(
       "\r\nPOST /a/b?c=d%20e HTTP/1.1\r\nhOST: a:80\r\nX-Empty:\r\nX-Spaced: \t b c \t\r\nX-Two: 1\r\nx-two: 2\r\n"
       "X-High: \xc3\xa9\r\nUpgrade: h2c\r\nConnection: Upgrade, close\r\nContent-Length: 3\r\n\r\nxyz");
   cr_assert_eq(statusOf(got), 200, "got \"%s\"", got.c_str());
@@ -177,7 +177,7 @@
                                  "2;x=y\r\nhe\r\n03\r\nllo\r\n0\r\nTrailer: t\r\n\r\n")}) {
     RawClient caller(server.port);
     for (char letter : input) caller.send(std::string_view(&letter, 1));
-    auto got = caller.all();
+    auto got = caller.readAll();
     cr_assert(has(got, "\r\n\r\nPOST /v1 [hello]"), "got \"%s\"", got.c_str());
   }
 }
@@ -194,12 +194,12 @@
       RawClient caller(server.port);
       caller.send(std::string_view(input).substr(0, size));
       caller.socket.shutdown(asio::ip::tcp::socket::shutdown_send);
-      cr_assert_eq(caller.all(), "", "cut at %zu", size);
+      cr_assert_eq(caller.readAll(), "", "cut at %zu", size);
       cr_assert_eq(handled.load(), 0, "cut at %zu", size);
     }
     RawClient caller(server.port);
     caller.send(input);
-    cr_assert_eq(statusOf(caller.until("ok")), 200);
+    cr_assert_eq(statusOf(caller.readUntil("ok")), 200);
     handled = 0;
   }
 }
@@ -220,7 +220,7 @@
   });
   RawClient caller(server.port);
   caller.send(post("Transfer-Encoding: chunked\r\n", framed + "0\r\n\r\n"));
-  cr_assert_eq(statusOf(caller.until("ok")), 200);
+  cr_assert_eq(statusOf(caller.readUntil("ok")), 200);
   cr_assert(seen == body);
 }
 
@@ -229,33 +229,34 @@
   std::string framed;
   for (int number = 0; number < 400; ++number) framed += "1;" + std::string(200, 'a') + "\r\nx\r\n";
   RawClient caller(server.port);
-  cr_assert_eq(statusOf(caller.askAll(post("Transfer-Encoding: chunked\r\n", framed + "0\r\n\r\n"))), 400);
+  cr_assert_eq(statusOf(caller.sendAndReadAll(post("Transfer-Encoding: chunked\r\n", framed + "0\r\n\r\n"))), 400);
   std::string fair;
   for (int number = 0; number < 20000; ++number) fair += "1\r\nx\r\n";
   RawClient other(server.port);
-  cr_assert_eq(statusOf(other.askAll(post("Connection: close\r\nTransfer-Encoding: chunked\r\n", fair + "0\r\n\r\n"))),
-               200);
+  cr_assert_eq(
+      statusOf(other.sendAndReadAll(post("Connection: close\r\nTransfer-Encoding: chunked\r\n", fair + "0\r\n\r\n"))),
+      200);
 }
 
 Test(gate, pipelined_requests_are_answered_one_at_a_time_and_in_order) {
-  HeldResponses held;
-  HttpServerFixture server(held.handler());
+  ResponseCollector collector;
+  HttpServerFixture server(collector.handler());
   RawClient caller(server.port);
   caller.send(post("Content-Length: 3\r\n", "one") + get + "GET /z HTTP/1.1\r\nHost:");
-  cr_assert(eventually([&] { return held.received == 1; }));
+  cr_assert(eventually([&] { return collector.received == 1; }));
   cr_assert_eq(caller.receive(30ms).value(), "");
-  cr_assert_eq(held.received.load(), 1, "the second request must wait for the response to the first");
-  server.run([&] { sendResponse(held.responses[0], "first"); });
-  cr_assert(has(caller.until("first"), "Content-Length: 5\r\n"));
-  cr_assert(eventually([&] { return held.received == 2; }));
-  server.run([&] { sendResponse(held.responses[1], "second"); });
-  cr_assert(has(caller.until("second"), "Content-Length: 6\r\n"));
+  cr_assert_eq(collector.received.load(), 1, "the second request must wait for the response to the first");
+  server.run([&] { sendResponse(collector.responses[0], "first"); });
+  cr_assert(has(caller.readUntil("first"), "Content-Length: 5\r\n"));
+  cr_assert(eventually([&] { return collector.received == 2; }));
+  server.run([&] { sendResponse(collector.responses[1], "second"); });
+  cr_assert(has(caller.readUntil("second"), "Content-Length: 6\r\n"));
   caller.send(" a\r\nConnection: close\r\n\r\n");
-  cr_assert(eventually([&] { return held.received == 3; }));
-  server.run([&] { sendResponse(held.responses[2], "third"); });
-  auto last = caller.all();
+  cr_assert(eventually([&] { return collector.received == 3; }));
+  server.run([&] { sendResponse(collector.responses[2], "third"); });
+  auto last = caller.readAll();
   cr_assert(has(last, "Connection: close\r\n") && has(last, "third"));
-  cr_assert_eq(held.disconnects.load(), 0);
+  cr_assert_eq(collector.disconnects.load(), 0);
 }
 
 Test(gate, many_pipelined_requests_beyond_the_buffer_are_all_answered) {
@@ -268,7 +269,7 @@
       text += "GET /" + std::to_string(number) + " HTTP/1.1\r\nHost: a\r\n\r\n";
     caller.send(text + getClose);
   });
-  auto got = caller.all();
+  auto got = caller.readAll();
   sender.join();
   cr_assert_eq(count(got, "HTTP/1.1 200 OK\r\n"), static_cast<std::size_t>(requests) + 1);
   std::size_t at = 0;
@@ -285,7 +286,7 @@
   RawClient caller(server.port);
   for (int time = 0; time < 5; ++time) {
     caller.send(get);
-    auto got = caller.until("[]");
+    auto got = caller.readUntil("[]");
     cr_assert(has(got, "\r\nConnection: keep-alive\r\n") && has(got, "\r\nKeep-Alive: timeout=2\r\n"), "got \"%s\"",
               got.c_str());
   }
@@ -293,11 +294,11 @@
   cr_assert_eq(server.exchanges(), 0u);
   RawClient old(server.port);
   old.send("GET /x HTTP/1.0\r\nConnection: keep-alive\r\n\r\n");
-  cr_assert(has(old.until("[]"), "\r\nConnection: keep-alive\r\n"));
-  auto got = old.askAll("GET /x HTTP/1.0\r\n\r\n");
+  cr_assert(has(old.readUntil("[]"), "\r\nConnection: keep-alive\r\n"));
+  auto got = old.sendAndReadAll("GET /x HTTP/1.0\r\n\r\n");
   cr_assert(has(got, "\r\nConnection: close\r\n") && has(got, "[]"));
   RawClient both(server.port);
-  got = both.askAll("GET /x HTTP/1.0\r\nConnection: keep-alive, close\r\n\r\n");
+  got = both.sendAndReadAll("GET /x HTTP/1.0\r\nConnection: keep-alive, close\r\n\r\n");
   cr_assert(has(got, "\r\nConnection: close\r\n") && !both.timedOut);
 }
 
@@ -308,12 +309,12 @@
   RawClient fresh(server.port), used(server.port), blank(server.port);
   blank.send("\r\n");
   used.send(get);
-  auto promise = used.until("[]");
+  auto promise = used.readUntil("[]");
   cr_assert(has(promise, "Connection: keep-alive\r\n") && !has(promise, "Keep-Alive: "),
             "a timeout of less than one second must not be announced");
-  cr_assert_eq(used.all(), "");
-  cr_assert_eq(fresh.all(), "");
-  cr_assert_eq(blank.all(), "");
+  cr_assert_eq(used.readAll(), "");
+  cr_assert_eq(fresh.readAll(), "");
+  cr_assert_eq(blank.readAll(), "");
   cr_assert(!used.timedOut && !fresh.timedOut && !blank.timedOut && !used.reset && !fresh.reset);
   cr_assert(eventually([&] { return server.connections() == 0; }));
 }
@@ -331,14 +332,14 @@
   for (const auto& input : {std::string("G"), std::string("GET /x HTTP/1.1\r\nHost: a\r\n"),
                             post("Content-Length: 5\r\n", "hell"), post("Transfer-Encoding: chunked\r\n", "2\r\nhe")}) {
     RawClient caller(server.port);
-    auto got = caller.askAll(input);
+    auto got = caller.sendAndReadAll(input);
     cr_assert_eq(statusOf(got), 408, "got \"%s\"", got.c_str());
   }
-  RawClient dribble(server.port);
+  RawClient slowHead(server.port);
   TimePoint began = Clock::now();
   for (char letter : get) {
-    dribble.send(std::string_view(&letter, 1));
-    if (dribble.receive(20ms) != "") break;
+    slowHead.send(std::string_view(&letter, 1));
+    if (slowHead.receive(20ms) != "") break;
   }
   cr_assert_lt(toMilliseconds(Clock::now() - began), 450, "the timeout must cover the complete head");
   RawClient slow(server.port);
@@ -347,7 +348,7 @@
     cr_assert_eq(slow.receive(50ms).value_or("end"), "");
     slow.send("x");
   }
-  cr_assert_eq(statusOf(slow.until("ok")), 200, "the timeout must start anew with each part of the body");
+  cr_assert_eq(statusOf(slow.readUntil("ok")), 200, "the timeout must start anew with each part of the body");
   cr_assert_eq(handled.load(), 1);
 }
 
@@ -358,43 +359,44 @@
   limits.maxHeaderBytes = 100;
   RawClient caller(server.port);
   caller.send(post("Expect: 100-continue\r\nContent-Length: 5\r\n"));
-  cr_assert_eq(statusOf(caller.until("\r\n\r\n")), 100, "the first request must have begun under the old limits");
+  cr_assert_eq(statusOf(caller.readUntil("\r\n\r\n")), 100, "the first request must have begun under the old limits");
   server.run([&] { server.httpServer.setLimits(limits); });
   caller.send("hello");
-  cr_assert_eq(statusOf(caller.until("[hello]")), 200);
-  cr_assert_eq(statusOf(caller.askAll(post("Content-Length: 5\r\n", "hello"))), 413);
+  cr_assert_eq(statusOf(caller.readUntil("[hello]")), 200);
+  cr_assert_eq(statusOf(caller.sendAndReadAll(post("Content-Length: 5\r\n", "hello"))), 413);
   std::string head = "GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\nOdd: ";
   RawClient fits(server.port), tooLong(server.port);
-  cr_assert_eq(statusOf(fits.askAll(head + std::string(96 - head.size(), 'b') + "\r\n\r\n")), 200);
-  cr_assert_eq(statusOf(tooLong.askAll(head + std::string(97 - head.size(), 'b') + "\r\n\r\n")), 431);
+  cr_assert_eq(statusOf(fits.sendAndReadAll(head + std::string(96 - head.size(), 'b') + "\r\n\r\n")), 200);
+  cr_assert_eq(statusOf(tooLong.sendAndReadAll(head + std::string(97 - head.size(), 'b') + "\r\n\r\n")), 431);
 }
 
 Test(gate, expect_100_continue_is_answered) {
   HttpServerFixture server(echo);
   RawClient caller(server.port);
   caller.send(post("Expect: 100-continue\r\nContent-Length: 5\r\n"));
-  cr_assert_eq(caller.until("\r\n\r\n"), "HTTP/1.1 100 Continue\r\n\r\n");
+  cr_assert_eq(caller.readUntil("\r\n\r\n"), "HTTP/1.1 100 Continue\r\n\r\n");
   caller.send("hello");
-  cr_assert_eq(statusOf(caller.until("[hello]")), 200);
+  cr_assert_eq(statusOf(caller.readUntil("[hello]")), 200);
   caller.send(post("Expect: 100-continue\r\nContent-Length: 5\r\n", "hello"));
-  cr_assert_eq(statusOf(caller.until("[hello]")), 200, "100 Continue must not be sent if the body has already arrived");
+  cr_assert_eq(statusOf(caller.readUntil("[hello]")), 200,
+               "100 Continue must not be sent if the body has already arrived");
   caller.send(post("Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n"));
-  cr_assert_eq(caller.until("\r\n\r\n"), "HTTP/1.1 100 Continue\r\n\r\n");
+  cr_assert_eq(caller.readUntil("\r\n\r\n"), "HTTP/1.1 100 Continue\r\n\r\n");
   caller.send("5\r\n");
   cr_assert_eq(caller.receive(30ms).value(), "", "100 Continue must be sent only once");
   caller.send("hello\r\n0\r\n\r\n");
-  cr_assert_eq(statusOf(caller.until("[hello]")), 200);
-  cr_assert_eq(statusOf(caller.askAll(post("Expect: 100-continue\r\nContent-Length: 5000000\r\n"))), 413);
+  cr_assert_eq(statusOf(caller.readUntil("[hello]")), 200);
+  cr_assert_eq(statusOf(caller.sendAndReadAll(post("Expect: 100-continue\r\nContent-Length: 5000000\r\n"))), 413);
 }
 
 Test(gate, streamed_response_arrives_piece_by_piece) {
-  HeldResponses held;
-  HttpServerFixture server(held.handler());
+  ResponseCollector collector;
+  HttpServerFixture server(collector.handler());
   RawClient caller(server.port);
   caller.send(get);
-  cr_assert(eventually([&] { return held.received == 1; }));
+  cr_assert(eventually([&] { return collector.received == 1; }));
   cr_assert_eq(server.exchanges(), 1u);
-  auto response = held.responses[0];
+  auto response = collector.responses[0];
   cr_assert(!server.run([&] { return response->started(); }));
   server.run([&] {
     response->head(200,
@@ -412,7 +414,7 @@
                     {"X-Two", "2"}},
                    std::nullopt);
   });
-  cr_assert_eq(caller.until("\r\n\r\n"),
+  cr_assert_eq(caller.readUntil("\r\n\r\n"),
                "HTTP/1.1 200 OK\r\nX-odd-Case: One\r\nX-Two: 1\r\nX-Two: 2\r\nTransfer-Encoding: chunked\r\n"
                "Connection: keep-alive\r\nKeep-Alive: timeout=15\r\n\r\n");
   for (int number = 0; number < 3; ++number) {
@@ -420,7 +422,7 @@
       response->bytes("piece " + std::to_string(number));
       response->bytes("");
     });
-    cr_assert_eq(caller.until("\r\npiece " + std::to_string(number) + "\r\n"),
+    cr_assert_eq(caller.readUntil("\r\npiece " + std::to_string(number) + "\r\n"),
                  "7\r\npiece " + std::to_string(number) + "\r\n");
   }
   server.run([&] {
@@ -431,10 +433,10 @@
     response->end();
     response->abort();
   });
-  cr_assert_eq(caller.until("\r\n0\r\n\r\n"), "1\r\na\r\n14\r\n" + std::string(20, 'b') + "\r\n0\r\n\r\n");
+  cr_assert_eq(caller.readUntil("\r\n0\r\n\r\n"), "1\r\na\r\n14\r\n" + std::string(20, 'b') + "\r\n0\r\n\r\n");
   cr_assert(eventually([&] { return server.exchanges() == 0; }));
   caller.send(get);
-  cr_assert(eventually([&] { return held.received == 2; }), "the connection must stay open");
+  cr_assert(eventually([&] { return collector.received == 2; }), "the connection must stay open");
 }
 
 Test(gate, responses_that_must_not_have_a_body_have_none) {
@@ -445,12 +447,12 @@
     response->end();
   });
   RawClient caller(server.port);
-  auto ask = [&](const std::string& line) {
+  auto exchange = [&](const std::string& line) {
     caller.send(line + " HTTP/1.1\r\nHost: a\r\n\r\nGET /299 HTTP/1.1\r\nHost: a\r\n\r\n");
-    return caller.until("body");
+    return caller.readUntil("body");
   };
   for (const auto& line : {"HEAD /200", "HEAD /201", "GET /204", "GET /304", "HEAD /304"}) {
-    auto got = ask(line);
+    auto got = exchange(line);
     cr_assert_eq(count(got, "HTTP/1.1 "), 2u, "%s: got \"%s\"", line, got.c_str());
     cr_assert_eq(count(got, "body"), 1u, "%s: got \"%s\"", line, got.c_str());
     cr_assert(has(got, "\r\n\r\nHTTP/1.1 299 Success\r\n"), "%s: got \"%s\"", line, got.c_str());
@@ -461,33 +463,33 @@
 }
 
 Test(gate, http_1_0_streams_end_with_the_connection) {
-  HeldResponses held;
-  HttpServerFixture server(held.handler());
+  ResponseCollector collector;
+  HttpServerFixture server(collector.handler());
   RawClient caller(server.port);
   caller.send("GET /x HTTP/1.0\r\nConnection: keep-alive\r\n\r\n");
-  cr_assert(eventually([&] { return held.received == 1; }));
+  cr_assert(eventually([&] { return collector.received == 1; }));
   server.run([&] {
-    held.responses[0]->head(200, {}, std::nullopt);
-    held.responses[0]->bytes("one ");
+    collector.responses[0]->head(200, {}, std::nullopt);
+    collector.responses[0]->bytes("one ");
   });
-  cr_assert_eq(caller.until("one "), "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\none ");
+  cr_assert_eq(caller.readUntil("one "), "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\none ");
   server.run([&] {
-    held.responses[0]->bytes("two");
-    held.responses[0]->end();
+    collector.responses[0]->bytes("two");
+    collector.responses[0]->end();
   });
-  cr_assert_eq(caller.all(), "two");
+  cr_assert_eq(caller.readAll(), "two");
   cr_assert(!caller.reset && !caller.timedOut);
 }
 
 Test(gate, aborted_response_never_looks_complete) {
-  HeldResponses held;
-  HttpServerFixture server(held.handler());
-  auto cutAfter = [&](const std::string& request, RawClient& caller, const std::function<void(ResponseWriter&)>& action,
-                      bool inOneTurn) {
-    int before = held.received;
+  ResponseCollector collector;
+  HttpServerFixture server(collector.handler());
+  auto abortAfter = [&](const std::string& request, RawClient& caller,
+                        const std::function<void(ResponseWriter&)>& action, bool inOneTurn) {
+    int before = collector.received;
     caller.send(request);
-    cr_assert(eventually([&] { return held.received > before; }));
-    auto response = held.responses.back();
+    cr_assert(eventually([&] { return collector.received > before; }));
+    auto response = collector.responses.back();
     server.run([&] {
       action(*response);
       if (inOneTurn) response->abort();
@@ -501,7 +503,7 @@
       }
       server.run([&] { response->abort(); });
     }
-    got += caller.all();
+    got += caller.readAll();
     cr_assert(!caller.timedOut);
     server.run([&] {
       response->bytes("late");
@@ -512,11 +514,11 @@
   const std::string old = "GET /x HTTP/1.0\r\n\r\n", head = "HEAD /x HTTP/1.1\r\nHost: a\r\n\r\n";
   for (bool inOneTurn : {true, false}) {
     RawClient silent(server.port);
-    cr_assert_eq(cutAfter(
+    cr_assert_eq(abortAfter(
                      get, silent, [](ResponseWriter&) {}, inOneTurn),
                  "", "nothing written");
     RawClient chunks(server.port);
-    auto got = cutAfter(
+    auto got = abortAfter(
         get, chunks,
         [](ResponseWriter& response) {
           response.head(200, {}, std::nullopt);
@@ -525,7 +527,7 @@
         inOneTurn);
     cr_assert(has(got, "3\r\nabc\r\n") && !has(got, "0\r\n\r\n"), "got \"%s\"", got.c_str());
     RawClient filled(server.port);
-    got = cutAfter(
+    got = abortAfter(
         get, filled,
         [](ResponseWriter& response) {
           response.head(200, {}, 3);
@@ -535,16 +537,16 @@
     cr_assert(has(got, "\r\n\r\nab") && !has(got, "abc"), "got \"%s\"", got.c_str());
     for (const auto& request : {get, head}) {
       RawClient empty(server.port);
-      got = cutAfter(
+      got = abortAfter(
           request, empty, [](ResponseWriter& response) { response.head(200, {}, 0); }, inOneTurn);
       cr_assert(!has(got, "\r\n\r\n"), "got \"%s\"", got.c_str());
     }
     RawClient none(server.port);
-    got = cutAfter(
+    got = abortAfter(
         get, none, [](ResponseWriter& response) { response.head(204, {}, std::nullopt); }, inOneTurn);
     cr_assert(!has(got, "\r\n\r\n"), "got \"%s\"", got.c_str());
     RawClient untilClose(server.port);
-    cutAfter(
+    abortAfter(
         old, untilClose,
         [](ResponseWriter& response) {
           response.head(200, {}, std::nullopt);
@@ -553,7 +555,7 @@
         inOneTurn);
     cr_assert(untilClose.reset, "a response delimited by the end of the connection must end in a reset");
   }
-  cr_assert_eq(held.disconnects.load(), 0, "the server aborted the responses; no client has disconnected");
+  cr_assert_eq(collector.disconnects.load(), 0, "the server aborted the responses; no client has disconnected");
   cr_assert_eq(server.exchanges(), 0u);
 }
 
@@ -575,47 +577,48 @@
       response->bytes("ab");
     }
   });
-  for (const auto& [target, least] : std::vector<std::pair<std::string, std::string>>{
+  for (const auto& [target, minimum] : std::vector<std::pair<std::string, std::string>>{
            {"/short", "abcd"}, {"/long", "ab"}, {"/silent", ""}, {"/dropped", "2\r\nab\r\n"}, {"/untouched", ""}}) {
     RawClient caller(server.port);
-    auto got = caller.askAll("GET " + target + " HTTP/1.1\r\nHost: a\r\n\r\n");
+    auto got = caller.sendAndReadAll("GET " + target + " HTTP/1.1\r\nHost: a\r\n\r\n");
     cr_assert(!caller.timedOut, "%s must end", target.c_str());
-    if (least.empty())
+    if (minimum.empty())
       cr_assert_eq(got, "", "%s: got \"%s\"", target.c_str(), got.c_str());
     else
-      cr_assert_eq(got.substr(std::min(got.size(), got.find("\r\n\r\n") + 4)), least, "%s: got \"%s\"", target.c_str(),
-                   got.c_str());
+      cr_assert_eq(got.substr(std::min(got.size(), got.find("\r\n\r\n") + 4)), minimum, "%s: got \"%s\"",
+                   target.c_str(), got.c_str());
   }
   cr_assert_eq(server.exchanges(), 0u);
 }
 
 Test(gate, client_disconnect_is_reported) {
-  enum Way { closing, resetting, halfClosing };
-  for (Way way : {closing, resetting, halfClosing}) {
+  enum Disconnect { closing, resetting, halfClosing };
+  for (Disconnect disconnect : {closing, resetting, halfClosing}) {
     for (bool midStream : {false, true}) {
       for (bool pipelined : {false, true}) {
-        HeldResponses held;
-        HttpServerFixture server(held.handler());
+        ResponseCollector collector;
+        HttpServerFixture server(collector.handler());
         RawClient caller(server.port);
         caller.send(pipelined ? get + get : get);
-        cr_assert(eventually([&] { return held.received == 1; }));
-        auto response = held.responses[0];
+        cr_assert(eventually([&] { return collector.received == 1; }));
+        auto response = collector.responses[0];
         if (midStream) {
           server.run([&] {
             response->head(200, {}, std::nullopt);
             response->bytes("abc");
           });
-          cr_assert(has(caller.until("abc\r\n"), "abc"));
+          cr_assert(has(caller.readUntil("abc\r\n"), "abc"));
         }
-        cr_assert_eq(held.disconnects.load(), 0);
+        cr_assert_eq(collector.disconnects.load(), 0);
         TimePoint left = Clock::now();
-        if (way == closing)
+        if (disconnect == closing)
           caller.close();
-        else if (way == resetting)
+        else if (disconnect == resetting)
           caller.resetConnection();
         else
           caller.socket.shutdown(asio::ip::tcp::socket::shutdown_send);
-        cr_assert(eventually([&] { return held.disconnects == 1; }), "way %d, mid-stream %d", way, midStream);
+        cr_assert(eventually([&] { return collector.disconnects == 1; }), "disconnect %d, mid-stream %d", disconnect,
+                  midStream);
         cr_assert_lt(toMilliseconds(Clock::now() - left), 200);
         std::atomic<int> responseCount{0};
         server.run([&] {
@@ -631,47 +634,47 @@
                   "a handler that is set after the disconnect must be called, too");
         cr_assert_eq(server.connections(), 0u);
         cr_assert_eq(server.exchanges(), 0u);
-        cr_assert_eq(held.received.load(), 1);
-        cr_assert_eq(held.disconnects.load(), 1);
+        cr_assert_eq(collector.received.load(), 1);
+        cr_assert_eq(collector.disconnects.load(), 1);
       }
     }
   }
 }
 
 Test(gate, client_disconnect_is_reported_with_a_full_read_buffer) {
-  HeldResponses held;
-  HttpServerFixture server(held.handler());
+  ResponseCollector collector;
+  HttpServerFixture server(collector.handler());
   RawClient caller(server.port);
   caller.send(get);
   for (int part = 0; part < 20; ++part) caller.send(std::string(4096, 'x'));
-  cr_assert(eventually([&] { return held.received == 1; }));
+  cr_assert(eventually([&] { return collector.received == 1; }));
   cr_assert_eq(caller.receive(50ms).value(), "");
   caller.resetConnection();
-  cr_assert(eventually([&] { return held.disconnects == 1; }));
+  cr_assert(eventually([&] { return collector.disconnects == 1; }));
 }
 
 Test(gate, ended_response_is_written_to_a_half_closed_client) {
-  HeldResponses held;
-  HttpServerFixture server(held.handler());
+  ResponseCollector collector;
+  HttpServerFixture server(collector.handler());
   RawClient caller(server.port);
   caller.send(get);
-  cr_assert(eventually([&] { return held.received == 1; }));
+  cr_assert(eventually([&] { return collector.received == 1; }));
   const std::string body(16 << 20, 'x');
-  server.run([&] { sendResponse(held.responses[0], body); });
+  server.run([&] { sendResponse(collector.responses[0], body); });
   caller.socket.shutdown(asio::ip::tcp::socket::shutdown_send);
   cr_assert_eq(caller.receive(30ms)->substr(0, 12), "HTTP/1.1 200");
-  cr_assert_gt(caller.all().size(), body.size() - 16384);
+  cr_assert_gt(caller.readAll().size(), body.size() - 16384);
   cr_assert(!caller.reset && !caller.timedOut);
-  cr_assert_eq(held.disconnects.load(), 0);
+  cr_assert_eq(collector.disconnects.load(), 0);
 }
 
 Test(gate, unwritten_bytes_are_counted) {
-  HeldResponses held;
-  HttpServerFixture server(held.handler());
+  ResponseCollector collector;
+  HttpServerFixture server(collector.handler());
   RawClient caller(server.port);
   caller.send(get);
-  cr_assert(eventually([&] { return held.received == 1; }));
-  auto response = held.responses[0];
+  cr_assert(eventually([&] { return collector.received == 1; }));
+  auto response = collector.responses[0];
   const std::string part(1 << 20, 'x');
   server.run([&] {
     response->head(200, {}, 32 * part.size());
@@ -682,13 +685,13 @@
   cr_assert_gt(left, 1u << 20);
   cr_assert_lt(left, 32 * part.size());
   std::size_t got = 0;
-  auto head = caller.until("\r\n\r\n");
+  auto head = caller.readUntil("\r\n\r\n");
   got += head.size() - head.find("\r\n\r\n") - 4;
   while (got < 32 * part.size() - 1) got += caller.receive()->size();
   cr_assert_eq(server.run([&] { return response->unwritten(); }), 1u, "the last byte must be withheld until the end");
   server.run([&] { response->end(); });
   cr_assert_eq(caller.receive()->size(), 1u);
-  cr_assert_eq(held.disconnects.load(), 0);
+  cr_assert_eq(collector.disconnects.load(), 0);
 }
 
 Test(gate, silent_new_connection_does_not_delay_draining) {
@@ -698,81 +701,81 @@
   server.run([&] { server.httpServer.startDraining(); });
   RawClient silent(server.port), asking(server.port);
   asking.send(get);
-  cr_assert(has(asking.all(), "Connection: close"), "a client that sends a request must be served");
-  cr_assert_eq(silent.all(), "");
+  cr_assert(has(asking.readAll(), "Connection: close"), "a client that sends a request must be served");
+  cr_assert_eq(silent.readAll(), "");
   cr_assert_not(silent.timedOut);
 }
 
 Test(gate, open_connections_are_served_after_accepting_stopped) {
-  HeldResponses held;
-  HttpServerFixture server(held.handler());
+  ResponseCollector collector;
+  HttpServerFixture server(collector.handler());
   RawClient caller(server.port);
   caller.send(get);
-  cr_assert(eventually([&] { return held.received == 1; }));
+  cr_assert(eventually([&] { return collector.received == 1; }));
   server.run([&] { server.httpServer.stopAccepting(); });
   asio::error_code error;
   RawClient late(server.port, error);
   cr_assert(error, "new connections must be refused");
-  server.run([&] { sendResponse(held.responses[0], "well"); });
-  cr_assert(has(caller.until("well"), "well"));
+  server.run([&] { sendResponse(collector.responses[0], "well"); });
+  cr_assert(has(caller.readUntil("well"), "well"));
 }
 
 Test(gate, draining_closes_idle_connections_and_serves_the_others) {
-  HeldResponses held;
+  ResponseCollector collector;
   HttpServerLimits limits;
   limits.drainIdleTimeout = 150ms;
-  HttpServerFixture server(held.handler(), limits);
+  HttpServerFixture server(collector.handler(), limits);
   RawClient idle(server.port), busy(server.port), late(server.port);
   idle.send(get);
   late.send(get);
-  cr_assert(eventually([&] { return held.received == 2; }));
+  cr_assert(eventually([&] { return collector.received == 2; }));
   server.run([&] {
-    sendResponse(held.responses[0], "ok");
-    sendResponse(held.responses[1], "ok");
+    sendResponse(collector.responses[0], "ok");
+    sendResponse(collector.responses[1], "ok");
   });
-  cr_assert(has(idle.until("ok"), "keep-alive"));
-  cr_assert(has(late.until("ok"), "keep-alive"));
+  cr_assert(has(idle.readUntil("ok"), "keep-alive"));
+  cr_assert(has(late.readUntil("ok"), "keep-alive"));
   busy.send(get);
-  cr_assert(eventually([&] { return held.received == 3; }));
+  cr_assert(eventually([&] { return collector.received == 3; }));
   TimePoint left = Clock::now();
   server.run([&] { server.httpServer.startDraining(); });
   late.send(get);
-  cr_assert(eventually([&] { return held.received == 4; }));
-  server.run([&] { sendResponse(held.responses[3], "late"); });
-  auto got = late.all();
+  cr_assert(eventually([&] { return collector.received == 4; }));
+  server.run([&] { sendResponse(collector.responses[3], "late"); });
+  auto got = late.readAll();
   cr_assert(has(got, "\r\nConnection: close\r\n") && !has(got, "Keep-Alive") && has(got, "late"));
   cr_assert(!late.timedOut && !late.reset);
-  cr_assert_eq(idle.all(), "");
+  cr_assert_eq(idle.readAll(), "");
   cr_assert(!idle.timedOut);
   cr_assert_geq(toMilliseconds(Clock::now() - left), 145);
   cr_assert_lt(toMilliseconds(Clock::now() - left), 600);
   RawClient fresh(server.port);
   fresh.send(get);
-  cr_assert(eventually([&] { return held.received == 5; }), "new connections must still be served");
+  cr_assert(eventually([&] { return collector.received == 5; }), "new connections must still be served");
   server.run([&] {
-    sendResponse(held.responses[4], "fresh");
-    sendResponse(held.responses[2], "busy");
+    sendResponse(collector.responses[4], "fresh");
+    sendResponse(collector.responses[2], "busy");
   });
-  got = fresh.all();
+  got = fresh.readAll();
   cr_assert(has(got, "\r\nConnection: close\r\n") && has(got, "fresh"));
-  got = busy.all();
+  got = busy.readAll();
   cr_assert(has(got, "\r\nConnection: close\r\n") && has(got, "busy"));
   cr_assert(eventually([&] { return server.connections() == 0; }));
 }
 
 Test(gate, close_ends_all_connections_without_callbacks) {
-  HeldResponses held;
-  HttpServerFixture server(held.handler());
+  ResponseCollector collector;
+  HttpServerFixture server(collector.handler());
   RawClient idle(server.port), busy(server.port);
   busy.send(get);
-  cr_assert(eventually([&] { return held.received == 1; }));
+  cr_assert(eventually([&] { return collector.received == 1; }));
   server.run([&] { server.httpServer.close(); });
-  cr_assert_eq(idle.all(), "");
-  cr_assert_eq(busy.all(), "");
-  server.run([&] { sendResponse(held.responses[0], "late"); });
+  cr_assert_eq(idle.readAll(), "");
+  cr_assert_eq(busy.readAll(), "");
+  server.run([&] { sendResponse(collector.responses[0], "late"); });
   cr_assert_eq(server.connections(), 0u);
   cr_assert_eq(server.exchanges(), 0u);
-  cr_assert_eq(held.disconnects.load(), 0);
+  cr_assert_eq(collector.disconnects.load(), 0);
 }
 
 Test(gate, address_that_cannot_be_bound_is_reported) {
--- a/tests/gate_faults.cpp
+++ b/tests/gate_faults.cpp
@@ -7,7 +7,7 @@
 #include "web.hpp"
 
 using namespace tt;
-using namespace tt::gatetest;
+using namespace tt::servertest;
 
 namespace {
 
@@ -53,11 +53,11 @@
   pid_t id{0};
   [[noreturn]] static void serve(int portPipe) {
     asio::io_context io;
-    std::vector<std::shared_ptr<ResponseWriter>> held;
-    HttpServer httpServer(io, "127.0.0.1:0", [&held](HttpRequest, std::shared_ptr<ResponseWriter> response) {
+    std::vector<std::shared_ptr<ResponseWriter>> responses;
+    HttpServer httpServer(io, "127.0.0.1:0", [&responses](HttpRequest, std::shared_ptr<ResponseWriter> response) {
       response->head(200, {}, std::nullopt);
       response->bytes("part");
-      held.push_back(std::move(response));
+      responses.push_back(std::move(response));
     });
     if (!httpServer.open()) ::_exit(1);
     auto port = httpServer.port();
@@ -90,8 +90,8 @@
     port = finder.port();
     finder.close();
     server = std::make_unique<WebServer>(io, "127.0.0.1:" + std::to_string(port),
-                                         [this](WebRequest ask, std::shared_ptr<WebResponse> response) {
-                                           names[ask.path] = responses.add(std::move(response));
+                                         [this](WebRequest request, std::shared_ptr<WebResponse> response) {
+                                           requestIds[request.path] = responses.add(std::move(response));
                                            ++received;
                                          });
     cr_assert(bool(server->open()));
@@ -104,7 +104,7 @@
   void finish(const std::string& path, const std::string& body) {
     std::promise<void> done;
     asio::post(io, [&] {
-      if (auto response = responses.remove(names.at(path))) response->finish(200, body);
+      if (auto response = responses.remove(requestIds.at(path))) response->finish(200, body);
       done.set_value();
     });
     done.get_future().wait();
@@ -112,7 +112,7 @@
   asio::io_context io;
   asio::executor_work_guard<asio::io_context::executor_type> work{io.get_executor()};
   PendingResponses responses;
-  std::map<std::string, std::string> names;
+  std::map<std::string, std::string> requestIds;
   std::unique_ptr<WebServer> server;
   std::atomic<int> received{0};
   unsigned short port{0};
@@ -192,70 +192,70 @@
   RawClient old(server.port), current(server.port);
   old.send(http10Get);
   current.send(get);
-  cr_assert(has(old.until("part"), "part"));
-  cr_assert(has(current.until("part\r\n"), "part"));
+  cr_assert(has(old.readUntil("part"), "part"));
+  cr_assert(has(current.readUntil("part\r\n"), "part"));
   server.kill();
-  cr_assert_eq(old.all(), "");
+  cr_assert_eq(old.readAll(), "");
   cr_assert(old.reset,
             "a response delimited by the end of the connection must end in a reset when its process is killed");
-  cr_assert(!has(current.all(), "0\r\n\r\n"));
+  cr_assert(!has(current.readAll(), "0\r\n\r\n"));
 }
 
 Test(gate_faults, closed_server_leaves_no_complete_looking_response_to_an_http_1_0_client) {
-  HeldResponses held;
-  HttpServerFixture server(held.handler());
+  ResponseCollector collector;
+  HttpServerFixture server(collector.handler());
   RawClient old(server.port);
   old.send(http10Get);
-  cr_assert(eventually([&] { return held.received == 1; }));
+  cr_assert(eventually([&] { return collector.received == 1; }));
   server.run([&] {
-    held.responses[0]->head(200, {}, std::nullopt);
-    held.responses[0]->bytes("part");
+    collector.responses[0]->head(200, {}, std::nullopt);
+    collector.responses[0]->bytes("part");
   });
-  cr_assert(has(old.until("part"), "part"));
+  cr_assert(has(old.readUntil("part"), "part"));
   server.run([&] { server.httpServer.close(); });
-  cr_assert_eq(old.all(), "");
+  cr_assert_eq(old.readAll(), "");
   cr_assert(old.reset);
 }
 
 Test(gate_faults, complete_response_to_an_http_1_0_client_ends_orderly) {
-  HeldResponses held;
-  HttpServerFixture server(held.handler());
+  ResponseCollector collector;
+  HttpServerFixture server(collector.handler());
   RawClient old(server.port);
   old.send(http10Get);
-  cr_assert(eventually([&] { return held.received == 1; }));
+  cr_assert(eventually([&] { return collector.received == 1; }));
   const std::string body(4 << 20, 'x');
   server.run([&] {
-    held.responses[0]->head(200, {}, std::nullopt);
-    held.responses[0]->bytes(body);
-    held.responses[0]->end();
+    collector.responses[0]->head(200, {}, std::nullopt);
+    collector.responses[0]->bytes(body);
+    collector.responses[0]->end();
   });
-  auto got = old.all();
+  auto got = old.readAll();
   cr_assert_eq(got.size() - got.find("\r\n\r\n") - 4, body.size());
   cr_assert(!old.reset && !old.timedOut);
 }
 
 Test(gate_faults, connection_is_kept_as_long_as_announced) {
-  HeldResponses held;
+  ResponseCollector collector;
   HttpServerLimits limits;
   limits.idleTimeout = 2s;
-  HttpServerFixture server(held.handler(), limits);
+  HttpServerFixture server(collector.handler(), limits);
   RawClient caller(server.port);
   caller.send(get);
-  cr_assert(eventually([&] { return held.received == 1; }));
+  cr_assert(eventually([&] { return collector.received == 1; }));
   server.run([&] {
-    held.responses[0]->head(200, {}, std::nullopt);
-    held.responses[0]->bytes("a");
+    collector.responses[0]->head(200, {}, std::nullopt);
+    collector.responses[0]->bytes("a");
   });
-  cr_assert(has(caller.until("\r\na\r\n"), "Keep-Alive: timeout=2\r\n"));
+  cr_assert(has(caller.readUntil("\r\na\r\n"), "Keep-Alive: timeout=2\r\n"));
   limits.idleTimeout = 100ms;
   server.run([&] {
     server.httpServer.setLimits(limits);
-    held.responses[0]->end();
+    collector.responses[0]->end();
   });
-  cr_assert(has(caller.until("0\r\n\r\n"), "0\r\n\r\n"));
+  cr_assert(has(caller.readUntil("0\r\n\r\n"), "0\r\n\r\n"));
   cr_assert_eq(caller.receive(700ms).value_or("end"), "", "the connection must stay open for the announced 2 s");
   caller.send(get);
-  cr_assert(eventually([&] { return held.received == 2; }));
+  cr_assert(eventually([&] { return collector.received == 2; }));
 }
 
 Test(gate_faults, keep_alive_below_one_second_is_not_announced) {
@@ -264,49 +264,50 @@
   HttpServerFixture server(echo, limits);
   RawClient caller(server.port);
   caller.send(get);
-  auto got = caller.until("[]");
+  auto got = caller.readUntil("[]");
   cr_assert(has(got, "Connection: keep-alive\r\n") && !has(got, "Keep-Alive: "), "got \"%s\"", got.c_str());
 }
 
 Test(gate_faults, pipelined_requests_read_before_draining_are_all_answered) {
-  HeldResponses held;
-  HttpServerFixture server(held.handler());
+  ResponseCollector collector;
+  HttpServerFixture server(collector.handler());
   RawClient caller(server.port);
   caller.send(get + get + get);
-  cr_assert(eventually([&] { return held.received == 1; }));
+  cr_assert(eventually([&] { return collector.received == 1; }));
   cr_assert_eq(caller.receive(30ms).value(), "");
   server.run([&] { server.httpServer.startDraining(); });
   for (int number = 0; number < 3; ++number) {
-    cr_assert(eventually([&] { return held.received == number + 1; }), "request %d must be served", number);
-    server.run(
-        [&] { sendResponse(held.responses[static_cast<std::size_t>(number)], "answer" + std::to_string(number)); });
+    cr_assert(eventually([&] { return collector.received == number + 1; }), "request %d must be served", number);
+    server.run([&] {
+      sendResponse(collector.responses[static_cast<std::size_t>(number)], "answer" + std::to_string(number));
+    });
   }
-  auto got = caller.all();
+  auto got = caller.readAll();
   cr_assert_eq(count(got, "HTTP/1.1 200"), 3u, "got \"%s\"", got.c_str());
   cr_assert_eq(count(got, "Connection: close\r\n"), 1u, "only the last response may announce the close");
   cr_assert(has(got, "answer2") && !caller.reset && !caller.timedOut);
 }
 
 Test(gate_faults, client_that_does_not_read_is_reset_at_the_queue_limit_and_delays_no_other) {
-  HeldResponses held;
+  ResponseCollector collector;
   HttpServerLimits limits;
   limits.maxQueuedBytes = 8 << 20;
-  HttpServerFixture server(held.handler(), limits);
+  HttpServerFixture server(collector.handler(), limits);
   RawClient idle(server.port), reading(server.port);
   idle.send(get);
-  cr_assert(eventually([&] { return held.received == 1; }));
+  cr_assert(eventually([&] { return collector.received == 1; }));
   reading.send(get);
-  cr_assert(eventually([&] { return held.received == 2; }));
+  cr_assert(eventually([&] { return collector.received == 2; }));
   const std::string part(1 << 20, 'x');
   std::size_t maxQueued = 0, read = 0;
   server.run([&] {
-    for (auto& response : held.responses) response->head(200, {}, 64 * part.size());
+    for (auto& response : collector.responses) response->head(200, {}, 64 * part.size());
   });
-  auto head = reading.until("\r\n\r\n");
+  auto head = reading.readUntil("\r\n\r\n");
   read = head.size() - head.find("\r\n\r\n") - 4;
   for (std::size_t step = 1; step <= 64; ++step) {
     server.run([&] {
-      for (auto& response : held.responses) response->bytes(part);
+      for (auto& response : collector.responses) response->bytes(part);
     });
     std::size_t awaited = step * part.size() - (step == 64 ? 1 : 0);
     while (read < awaited) {
@@ -314,40 +315,40 @@
       cr_assert(got && !got->empty(), "the reading client must still be served after %zu bytes", read);
       read += got->size();
     }
-    maxQueued = std::max(maxQueued, server.run([&] { return server.httpServer.queued(); }));
+    maxQueued = std::max(maxQueued, server.run([&] { return server.httpServer.queuedBytes(); }));
   }
-  server.run([&] { held.responses[1]->end(); });
+  server.run([&] { collector.responses[1]->end(); });
   cr_assert_eq(reading.receive()->size(), 1u);
   cr_assert_leq(maxQueued, limits.maxQueuedBytes + 2 * part.size());
-  cr_assert_eq(held.disconnects.load(), 1, "the client that does not read must be reported as disconnected");
-  idle.all();
+  cr_assert_eq(collector.disconnects.load(), 1, "the client that does not read must be reported as disconnected");
+  idle.readAll();
   cr_assert(idle.reset, "its response must not look complete");
-  cr_assert(eventually([&] { return server.run([&] { return server.httpServer.queued(); }) == 0; }));
+  cr_assert(eventually([&] { return server.run([&] { return server.httpServer.queuedBytes(); }) == 0; }));
 }
 
 Test(gate_faults, client_that_keeps_sending_during_its_response_is_held_back_by_flow_control) {
-  HeldResponses held;
-  HttpServerFixture server(held.handler());
+  ResponseCollector collector;
+  HttpServerFixture server(collector.handler());
   RawClient caller(server.port);
   caller.send(get);
-  cr_assert(eventually([&] { return held.received == 1; }));
+  cr_assert(eventually([&] { return collector.received == 1; }));
   auto sentBytes = sendUntilBlocked(caller, 256u << 20);
   cr_assert_lt(sentBytes, 64u << 20, "no more must be accepted than the buffers of the kernel hold");
-  server.run([&] { sendResponse(held.responses[0], "ok"); });
-  auto got = caller.all();
+  server.run([&] { sendResponse(collector.responses[0], "ok"); });
+  auto got = caller.readAll();
   cr_assert_eq(count(got, "HTTP/1.1 "), 2u, "one response, and one rejection of the bytes that are not a request");
   cr_assert(has(got, "HTTP/1.1 200") && has(got, "HTTP/1.1 4"));
-  cr_assert_eq(held.received.load(), 1);
+  cr_assert_eq(collector.received.load(), 1);
 }
 
 Test(gate_faults, response_for_a_disconnected_client_reaches_no_new_connection) {
-  HeldResponses held;
-  HttpServerFixture server(held.handler());
+  ResponseCollector collector;
+  HttpServerFixture server(collector.handler());
   for (bool byReset : {false, true}) {
-    std::size_t first = held.responses.size();
+    std::size_t first = collector.responses.size();
     auto gone = std::make_unique<RawClient>(server.port);
     gone->send(get);
-    cr_assert(eventually([&] { return held.responses.size() == first + 1; }));
+    cr_assert(eventually([&] { return collector.responses.size() == first + 1; }));
     std::unique_ptr<RawClient> next;
     {
       BlockedThread frozen(server.io);
@@ -357,14 +358,15 @@
         gone->close();
       next = std::make_unique<RawClient>(server.port);
       next->send(get);
-      asio::post(server.io, [&held, first] { sendResponse(held.responses[first], "for the one that has gone"); });
+      asio::post(server.io,
+                 [&collector, first] { sendResponse(collector.responses[first], "for the one that has gone"); });
     }
-    cr_assert(eventually([&] { return held.responses.size() == first + 2; }));
+    cr_assert(eventually([&] { return collector.responses.size() == first + 2; }));
     server.run([&] {
-      sendResponse(held.responses[first], "again for the one that has gone");
-      sendResponse(held.responses[first + 1], "for the next");
+      sendResponse(collector.responses[first], "again for the one that has gone");
+      sendResponse(collector.responses[first + 1], "for the next");
     });
-    auto got = next->until("next");
+    auto got = next->readUntil("next");
     cr_assert(has(got, "for the next") && !has(got, "gone"), "got \"%s\"", got.c_str());
     cr_assert_eq(count(got, "HTTP/1.1 "), 1u);
   }
@@ -386,7 +388,7 @@
         caller.send(std::string_view(input).substr(size));
         std::this_thread::sleep_for(70ms);
       }
-      cr_assert_eq(statusOf(caller.until("]")), 200, "sent %zu before the freeze", size);
+      cr_assert_eq(statusOf(caller.readUntil("]")), 200, "sent %zu before the freeze", size);
     }
   }
 }
@@ -400,7 +402,7 @@
   for (const char* framing : {"Content-Length: 5\r\n", "Transfer-Encoding: chunked\r\n"}) {
     RawClient caller(server.port);
     caller.send(post(std::string("Expect: 100-continue\r\n") + framing));
-    cr_assert_eq(statusOf(caller.until("\r\n\r\n")), 100);
+    cr_assert_eq(statusOf(caller.readUntil("\r\n\r\n")), 100);
     caller.send(framing[0] == 'C' ? "hell" : "5\r\nhell");
     caller.resetConnection();
     cr_assert(eventually([&] { return server.connections() == 0; }));
@@ -414,7 +416,7 @@
   const std::string inner = "GET /inner HTTP/1.1\r\nHost: a\r\n\r\n";
   caller.send("GET /outer HTTP/1.1\r\nHost: a\r\nContent-Length: " + std::to_string(inner.size()) + "\r\n\r\n" + inner +
               "HEAD /head HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n" + getClose);
-  auto got = caller.all();
+  auto got = caller.readAll();
   cr_assert_eq(count(got, "HTTP/1.1 200"), 3u, "got \"%s\"", got.c_str());
   cr_assert(has(got, "GET /outer [" + inner + "]") && has(got, "GET /x []"));
 }
@@ -425,7 +427,7 @@
   for (const char* name :
        {"Transfer-EncodingX: chunked\r\n", "Content-LengthX: 9\r\n", "X-Transfer-Encoding: chunked\r\n"}) {
     caller.send(post(std::string(name) + "Content-Length: 5\r\n", "hello"));
-    auto got = caller.until("]");
+    auto got = caller.readUntil("]");
     cr_assert_eq(statusOf(got), 200, "%s: got \"%s\"", name, got.c_str());
     cr_assert(has(got, "[hello]"));
   }
@@ -442,7 +444,7 @@
         post("Content-Length: 2\r\nContent-Length: 3\r\n", "abc"), post("Transfer-Encoding : chunked\r\n", "0\r\n\r\n"),
         post("Transfer-Encoding: chunked\r\n", "0x0\r\n\r\n"), post("Odd: a\r\n Content-Length: 3\r\n", "abc")}) {
     RawClient caller(server.port);
-    auto got = caller.askAll(refused + get + get);
+    auto got = caller.sendAndReadAll(refused + get + get);
     cr_assert_eq(count(got, "HTTP/1.1 "), 1u, "got \"%s\"", got.c_str());
     cr_assert_eq(statusOf(got), 400);
     cr_assert_eq(handled.load(), 0);
@@ -457,10 +459,10 @@
   other.send(put("/other"));
   cr_assert(eventually([&] { return server.received == 2; }));
   server.finish("/other", "\"for the other\"");
-  cr_assert(has(other.until("other"), "for the other"));
+  cr_assert(has(other.readUntil("other"), "for the other"));
   cr_assert_eq(one.receive(50ms).value_or("end"), "");
   server.finish("/one", "\"for the one\"");
-  cr_assert(has(one.until("one"), "for the one"));
+  cr_assert(has(one.readUntil("one"), "for the one"));
   cr_assert_eq(server.responses.count(), 0u);
 }
 
@@ -475,7 +477,7 @@
   cr_assert(eventually([&] { return server.received == 2; }));
   server.finish("/gone", "\"for the one that has gone\"");
   server.finish("/next", "\"for the next\"");
-  auto got = next.until("next\"");
+  auto got = next.readUntil("next\"");
   cr_assert(has(got, "for the next") && !has(got, "gone"), "got \"%s\"", got.c_str());
   server.finish("/gone", "\"again\"");
   cr_assert_eq(next.receive(50ms).value_or("end"), "");
--- a/tests/http_server_fixture.hpp
+++ b/tests/http_server_fixture.hpp
@@ -8,7 +8,7 @@
 #include "http_server.hpp"
 
 /// Test fixtures for HttpServer: a server on its own thread, clients on plain sockets, and handlers.
-namespace tt::gatetest {
+namespace tt::servertest {
 
 /// An HttpServer on a thread of its own. It must be accessed only through run().
 class HttpServerFixture {
@@ -74,7 +74,7 @@
   }
   /// Reads until a text has been received, the connection ends or a timeout expires. Returns all bytes that no earlier
   /// call has returned.
-  std::string until(std::string_view text) {
+  std::string readUntil(std::string_view text) {
     while (unread.find(text) == std::string::npos) {
       auto got = receive();
       if (!got || got->empty()) break;
@@ -83,7 +83,7 @@
     return std::exchange(unread, {});
   }
   /// Reads until the connection ends or a timeout expires. Returns all bytes that no earlier call has returned.
-  std::string all() {
+  std::string readAll() {
     while (auto got = receive()) {
       if (got->empty()) {
         timedOut = true;
@@ -93,9 +93,9 @@
     }
     return std::exchange(unread, {});
   }
-  std::string askAll(std::string_view text) {
+  std::string sendAndReadAll(std::string_view text) {
     send(text);
-    return all();
+    return readAll();
   }
   void close() {
     asio::error_code ignored;
@@ -142,7 +142,7 @@
 inline const std::string getClose = "GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
 
 /// A handler that collects the responses, to be completed by the test.
-struct HeldResponses {
+struct ResponseCollector {
   std::vector<std::shared_ptr<ResponseWriter>> responses;
   std::atomic<int> received{0}, disconnects{0};
   HttpHandler handler() {
@@ -154,4 +154,4 @@
   }
 };
 
-}  // namespace tt::gatetest
+}  // namespace tt::servertest
--- a/tests/leave_by.cpp
+++ b/tests/leave_by.cpp
@@ -7,15 +7,16 @@
 namespace {
 /// Tests the translation between clients and workers without a router; the test itself sends the messages of the
 /// router.
-struct SendDeadlineHarness : Bench {
+struct SendDeadlineHarness : HttpClientHarness {
   std::vector<Message> delivered;
   Exchanges exchanges{calls, "proxy-1",
                       [this](const std::string&, const Message& message) { delivered.push_back(message); }};
   HttpServer server{io, "127.0.0.1:0", [this](HttpRequest request, std::shared_ptr<ResponseWriter> response) {
                       exchanges.handle(std::move(request), std::move(response));
                     }};
-  RawServer worker{
-      io, [](const RawServer::ConnectionPtr& held, const std::string&) { held->say(successResponse("well")); }};
+  RawServer worker{io, [](const RawServer::ConnectionPtr& connection, const std::string&) {
+                     connection->send(successResponse("well"));
+                   }};
   asio::ip::tcp::socket client{io};
   int requestCount{0};
 
@@ -35,7 +36,7 @@
     client.connect({asio::ip::address_v4::loopback(), server.port()});
     std::string attempt = "a-" + std::to_string(++requestCount);
     asio::write(client, asio::buffer("GET /x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: " + attempt + "\r\n\r\n"));
-    cr_assert(until([&] { return lastDelivered<CallerOrder>() != nullptr; }));
+    cr_assert(waitUntil([&] { return lastDelivered<CallerOrder>() != nullptr; }));
     WorkerOrder order;
     order.clientRequestId = lastDelivered<CallerOrder>()->requestId;
     order.requestId = order.clientRequestId + ".1";
@@ -43,11 +44,14 @@
     return order;
   }
   void send(const WorkerOrder& order) { cr_assert(exchanges.sendMessage(worker.address(), order)); }
-  std::size_t arrived() const { return worker.copies("X-Attempt-Id: a-" + std::to_string(requestCount) + "\r\n"); }
+  std::size_t arrived() const {
+    return worker.timesReceived("X-Attempt-Id: a-" + std::to_string(requestCount) + "\r\n");
+  }
   void expectUnsent() {
-    cr_assert(until([&] { return lastDelivered<WorkerEnd>() != nullptr; }), "the end must be delivered to the router");
+    cr_assert(waitUntil([&] { return lastDelivered<WorkerEnd>() != nullptr; }),
+              "the end must be delivered to the router");
     cr_expect_eq(lastDelivered<WorkerEnd>()->outcome, static_cast<int>(AttemptOutcome::brokenBeforeSend));
-    pass(50ms);
+    runFor(50ms);
     cr_expect_eq(arrived(), 0u);
   }
 };
@@ -59,7 +63,7 @@
     auto order = harness.nextRequest();
     order.sendDeadline = sendDeadline;
     harness.send(order);
-    cr_assert(harness.until([&] { return harness.arrived() == 1; }));
+    cr_assert(harness.waitUntil([&] { return harness.arrived() == 1; }));
   }
 }
 
--- a/tests/list_faults.cpp
+++ b/tests/list_faults.cpp
@@ -15,10 +15,10 @@
 }
 
 /// Requests lists from a scripted platform and records the complete ones.
-struct ListHarness : Bench {
+struct ListHarness : HttpClientHarness {
   std::vector<MachinesReply> lists;
-  void ask(const RawServer& server, std::int64_t askedAt = 1) {
-    std::make_shared<ListReader>(calls, server.address(), askedAt, [this](const MachinesReply& reply) {
+  void requestList(const RawServer& server, std::int64_t askedAt = 1) {
+    std::make_shared<MachineListReader>(calls, server.address(), askedAt, [this](const MachinesReply& reply) {
       lists.push_back(reply);
     })->start();
   }
@@ -37,14 +37,14 @@
 
 Test(list_faults, pages_are_joined_to_one_list) {
   ListHarness harness;
-  RawServer server(harness.io, [](const RawServer::ConnectionPtr& held, const std::string& request) {
+  RawServer server(harness.io, [](const RawServer::ConnectionPtr& connection, const std::string& request) {
     auto token = pageTokenOf(request);
-    held->say(successResponse(token.empty()    ? page({"a", "b"}, "p-2")
-                              : token == "p-2" ? page({"c"}, "p-3")
-                                               : page({"d"}, "")));
+    connection->send(successResponse(token.empty()    ? page({"a", "b"}, "p-2")
+                                     : token == "p-2" ? page({"c"}, "p-3")
+                                                      : page({"d"}, "")));
   });
-  harness.ask(server, 77);
-  cr_assert(harness.until([&] { return harness.lists.size() == 1; }));
+  harness.requestList(server, 77);
+  cr_assert(harness.waitUntil([&] { return harness.lists.size() == 1; }));
   cr_expect_eq(harness.lists[0].askedAt, 77);
   cr_expect(harness.idsOf(0) == (Strings{"a", "b", "c", "d"}));
 }
@@ -52,25 +52,25 @@
 Test(list_faults, a_page_token_is_percent_encoded) {
   ListHarness harness;
   std::vector<std::string> tokens;
-  RawServer server(harness.io, [&](const RawServer::ConnectionPtr& held, const std::string& request) {
+  RawServer server(harness.io, [&](const RawServer::ConnectionPtr& connection, const std::string& request) {
     tokens.push_back(pageTokenOf(request));
-    held->say(successResponse(tokens.size() == 1 ? page({"a"}, "p 50&Zone=x#%/+") : page({"b"}, "")));
+    connection->send(successResponse(tokens.size() == 1 ? page({"a"}, "p 50&Zone=x#%/+") : page({"b"}, "")));
   });
-  harness.ask(server);
-  cr_assert(harness.until([&] { return harness.lists.size() == 1; }, 2s), "the second page must be requested");
+  harness.requestList(server);
+  cr_assert(harness.waitUntil([&] { return harness.lists.size() == 1; }, 2s), "the second page must be requested");
   cr_expect_eq(tokens.back(), "p%2050%26Zone%3Dx%23%25%2F%2B");
 }
 
 Test(list_faults, a_worker_on_two_pages_is_listed_once_and_leaving_if_either_page_says_so) {
   ListHarness harness;
-  RawServer server(harness.io, [](const RawServer::ConnectionPtr& held, const std::string& request) {
+  RawServer server(harness.io, [](const RawServer::ConnectionPtr& connection, const std::string& request) {
     auto first = page({"a", "b"}, "p-2");
     if (pageTokenOf(request).empty())
-      return held->say(successResponse(first.replace(first.rfind("ready"), 5, "draining")));
-    held->say(successResponse(page({"b", "c"}, "")));
+      return connection->send(successResponse(first.replace(first.rfind("ready"), 5, "draining")));
+    connection->send(successResponse(page({"b", "c"}, "")));
   });
-  harness.ask(server);
-  cr_assert(harness.until([&] { return harness.lists.size() == 1; }));
+  harness.requestList(server);
+  cr_assert(harness.waitUntil([&] { return harness.lists.size() == 1; }));
   cr_expect(harness.idsOf(0) == (Strings{"a", "b", "c"}));
   cr_expect_not(harness.lists[0].machines[0].leaving);
   cr_expect(harness.lists[0].machines[1].leaving);
@@ -78,45 +78,51 @@
 
 Test(list_faults, reading_stops_if_page_tokens_repeat) {
   ListHarness harness;
-  RawServer server(harness.io, [](const RawServer::ConnectionPtr& held, const std::string& request) {
-    held->say(successResponse(page({}, pageTokenOf(request) == "p-2" ? "p-3" : "p-2")));
+  RawServer server(harness.io, [](const RawServer::ConnectionPtr& connection, const std::string& request) {
+    connection->send(successResponse(page({}, pageTokenOf(request) == "p-2" ? "p-3" : "p-2")));
   });
-  harness.ask(server);
-  harness.pass(60ms);
+  harness.requestList(server);
+  harness.runFor(60ms);
   cr_expect(harness.lists.empty());
-  cr_expect_leq(server.copies("GET /instances"), 4u, "the number of calls to the platform must be bounded");
+  cr_expect_leq(server.timesReceived("GET /instances"), 4u, "the number of calls to the platform must be bounded");
 }
 
 Test(list_faults, an_incomplete_list_is_not_delivered) {
   const std::vector<std::function<void(const RawServer::ConnectionPtr&)>> faults{
-      [](const RawServer::ConnectionPtr& held) { held->reset(); },
-      [](const RawServer::ConnectionPtr& held) { held->close(); },
-      [](const RawServer::ConnectionPtr& held) { held->say("HTTP/1.1 429 Many\r\nContent-Length: 0\r\n\r\n"); },
-      [](const RawServer::ConnectionPtr& held) { held->say("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n"); },
-      [](const RawServer::ConnectionPtr& held) {
-        held->say("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + page({"c"}, ""));
-        held->close();
+      [](const RawServer::ConnectionPtr& connection) { connection->reset(); },
+      [](const RawServer::ConnectionPtr& connection) { connection->close(); },
+      [](const RawServer::ConnectionPtr& connection) {
+        connection->send("HTTP/1.1 429 Many\r\nContent-Length: 0\r\n\r\n");
       },
-      [](const RawServer::ConnectionPtr& held) {
-        held->say("HTTP/1.1 200 OK\r\n\r\n" + page({"c"}, ""));
-        held->close();
+      [](const RawServer::ConnectionPtr& connection) {
+        connection->send("HTTP/1.1 503 Down\r\nContent-Length: 0\r\n\r\n");
       },
-      [](const RawServer::ConnectionPtr& held) { held->say(successResponse(page({"c"}, "").substr(0, 30))); },
-      [](const RawServer::ConnectionPtr& held) {
-        held->say(successResponse(R"({"Instances":[{"Id":"c"}],"NextToken":null})"));
+      [](const RawServer::ConnectionPtr& connection) {
+        connection->send("HTTP/1.1 200 OK\r\nContent-Length: 900\r\n\r\n" + page({"c"}, ""));
+        connection->close();
+      },
+      [](const RawServer::ConnectionPtr& connection) {
+        connection->send("HTTP/1.1 200 OK\r\n\r\n" + page({"c"}, ""));
+        connection->close();
+      },
+      [](const RawServer::ConnectionPtr& connection) {
+        connection->send(successResponse(page({"c"}, "").substr(0, 30)));
+      },
+      [](const RawServer::ConnectionPtr& connection) {
+        connection->send(successResponse(R"({"Instances":[{"Id":"c"}],"NextToken":null})"));
       },
   };
   for (const auto& fault : faults) {
     ListHarness harness;
-    RawServer server(harness.io, [&](const RawServer::ConnectionPtr& held, const std::string& request) {
-      if (pageTokenOf(request).empty()) return held->say(successResponse(page({"a", "b"}, "p-2")));
-      fault(held);
+    RawServer server(harness.io, [&](const RawServer::ConnectionPtr& connection, const std::string& request) {
+      if (pageTokenOf(request).empty()) return connection->send(successResponse(page({"a", "b"}, "p-2")));
+      fault(connection);
     });
-    harness.ask(server);
-    cr_assert(harness.until([&] { return server.copies("PageToken=p-2") == 1; }));
-    harness.pass(15ms);
+    harness.requestList(server);
+    cr_assert(harness.waitUntil([&] { return server.timesReceived("PageToken=p-2") == 1; }));
+    harness.runFor(15ms);
     cr_expect(harness.lists.empty());
-    cr_expect_eq(server.copies("GET /instances"), 2u,
+    cr_expect_eq(server.timesReceived("GET /instances"), 2u,
                  "a page must not be requested again, as the rate limit does not count such a call");
   }
 }
@@ -124,19 +130,19 @@
 Test(list_faults, a_late_list_has_the_time_of_its_request) {
   ListHarness harness;
   RawServer::ConnectionPtr waiting;
-  RawServer server(harness.io, [&](const RawServer::ConnectionPtr& held, const std::string&) {
+  RawServer server(harness.io, [&](const RawServer::ConnectionPtr& connection, const std::string&) {
     if (!waiting) {
-      waiting = held;
+      waiting = connection;
       return;
     }
-    held->say(successResponse(page({"new"}, "")));
+    connection->send(successResponse(page({"new"}, "")));
   });
-  harness.ask(server, 100);
-  cr_assert(harness.until([&] { return waiting != nullptr; }));
-  harness.ask(server, 200);
-  cr_assert(harness.until([&] { return harness.lists.size() == 1; }));
-  waiting->say(successResponse(page({"old"}, "")));
-  cr_assert(harness.until([&] { return harness.lists.size() == 2; }));
+  harness.requestList(server, 100);
+  cr_assert(harness.waitUntil([&] { return waiting != nullptr; }));
+  harness.requestList(server, 200);
+  cr_assert(harness.waitUntil([&] { return harness.lists.size() == 1; }));
+  waiting->send(successResponse(page({"old"}, "")));
+  cr_assert(harness.waitUntil([&] { return harness.lists.size() == 2; }));
   cr_expect_eq(harness.lists[0].askedAt, 200);
   cr_expect_eq(harness.lists[1].askedAt, 100, "the receiver must be able to tell that this list is older");
 }
--- a/tests/parts.cpp
+++ b/tests/parts.cpp
@@ -300,11 +300,12 @@
   for (int number = 0; number < 90; ++number) agents.push_back("127.0.0.1:" + std::to_string(9000 + number));
   int maxDepth = 0;
   for (const auto& agent : agents) {
-    std::string at = agent;
+    std::string current = agent;
     int depth = 0;
-    for (auto watch = selectUpstreams(at, agents, 3); !watch.empty(); watch = selectUpstreams(at, agents, 3)) {
-      cr_assert_lt(rendezvousHash("rank", watch[0]), rendezvousHash("rank", at));
-      at = watch[0];
+    for (auto upstreams = selectUpstreams(current, agents, 3); !upstreams.empty();
+         upstreams = selectUpstreams(current, agents, 3)) {
+      cr_assert_lt(rendezvousHash("rank", upstreams[0]), rendezvousHash("rank", current));
+      current = upstreams[0];
       ++depth;
     }
     maxDepth = std::max(maxDepth, depth);
--- a/tests/plain_cells.cpp
+++ b/tests/plain_cells.cpp
@@ -70,43 +70,43 @@
     if (core.cell->election.holdsLease(harness.now)) leaseHolder = address;
   cr_assert_not(leaseHolder.empty());
   Hashes hashes{blockHash("a"), blockHash("b")};
-  auto ask = [&] {
+  auto lookUp = [&] {
     harness.sent.clear();
     harness.runOn(leaseHolder, [&](Effects& effects, Cell& cell) {
-      cell.handle(effects, "asker", LookupMsg{"l", "north-a", "w1", "moss/3", hashes, "asker"});
+      cell.handle(effects, "reader", LookupMsg{"l", "north-a", "w1", "moss/3", hashes, "reader"});
     });
     for (const auto& row : harness.sent)
       if (auto* reply = std::get_if<LookupReply>(&row.message)) return *reply;
     return LookupReply{};
   };
-  cr_expect_eq(ask().waitingTokens, 0);
+  cr_expect_eq(lookUp().waitingTokens, 0);
   harness.runOn(leaseHolder, [&](Effects& effects, Cell& cell) {
-    cell.handle(effects, "asker", PrefillStarted{"o.1", "north-a", "w1", hashes, 5000});
-    cell.handle(effects, "asker", PrefillStarted{"o.2", "north-a", "unlisted", hashes, 5000});
+    cell.handle(effects, "reader", PrefillStarted{"o.1", "north-a", "w1", hashes, 5000});
+    cell.handle(effects, "reader", PrefillStarted{"o.2", "north-a", "unlisted", hashes, 5000});
   });
-  auto reply = ask();
+  auto reply = lookUp();
   cr_expect_eq(reply.waitingTokens, 5000);
   cr_expect_eq(reply.pendingHits, 2);
   cr_expect(reply.hits == (std::vector<int>{0, 0}), "blocks in prefill are not confirmed");
   harness.runOn(leaseHolder, [&](Effects& effects, Cell& cell) {
-    cell.handle(effects, "asker", PrefillEnded{"o.1", "north-a", "w1", hashes, false});
+    cell.handle(effects, "reader", PrefillEnded{"o.1", "north-a", "w1", hashes, false});
   });
-  cr_expect_eq(ask().waitingTokens, 0);
-  cr_expect_eq(ask().pendingHits, 0);
+  cr_expect_eq(lookUp().waitingTokens, 0);
+  cr_expect_eq(lookUp().pendingHits, 0);
 }
 
 Test(plain_cells, the_machine_list_distinguishes_engines_from_plain_workers) {
-  raw::Bench harness;
+  raw::HttpClientHarness harness;
   std::vector<MachinesReply> lists;
   raw::RawServer server(harness.io, [](const raw::RawServer::ConnectionPtr& withheld, const std::string&) {
-    withheld->say(raw::successResponse(
+    withheld->send(raw::successResponse(
         R"({"Instances":[{"Id":"e","Backend":"mill","Address":"10.1.0.1:80","Zone":"z","Models":[{"Name":"moss","Revision":3}]},)"
         R"({"Id":"p","Backend":"weir","Address":"10.1.0.2:80","Zone":"z","Slots":6}],"NextToken":null})"));
   });
-  std::make_shared<ListReader>(harness.calls, server.address(), 1, [&](const MachinesReply& reply) {
+  std::make_shared<MachineListReader>(harness.calls, server.address(), 1, [&](const MachinesReply& reply) {
     lists.push_back(reply);
   })->start();
-  cr_assert(harness.until([&] { return lists.size() == 1; }));
+  cr_assert(harness.waitUntil([&] { return lists.size() == 1; }));
   cr_assert_eq(lists[0].machines.size(), 2u);
   cr_expect_eq(lists[0].machines[0].kind, "language");
   cr_expect_eq(lists[0].machines[0].weights, "moss/3");
--- a/tests/platform.cpp
+++ b/tests/platform.cpp
@@ -109,11 +109,11 @@
     "5\r\n"
     "CloudApi.Duties=\r\nCloudApi.MaxLagMs=650\r\nNewField.Of=tomorrow\r\n";
 std::string withoutField(const std::string& field) {
-  std::string kept;
+  std::string remaining;
   std::istringstream lines(siteLines);
   for (std::string line; std::getline(lines, line);)
-    if (line.rfind(field + "=", 0) != 0) kept += line + "\n";
-  return kept;
+    if (line.rfind(field + "=", 0) != 0) remaining += line + "\n";
+  return remaining;
 }
 const std::string eventsBody =
     R"({"Epoch":9912,"NextToken":502,"Lost":false,"New":{"a":[1.5e3,null,"\u00e9"]},"Events":[)"
@@ -349,9 +349,9 @@
   auto read = loadSettings();
   std::filesystem::remove(file);
   cr_assert(bool(read));
-  auto gone = loadSettings();
-  cr_assert_not(bool(gone));
-  cr_assert_eq(gone.error().subject, file.string());
+  auto missing = loadSettings();
+  cr_assert_not(bool(missing));
+  cr_assert_eq(missing.error().subject, file.string());
   unsetenv("TROUTTALLY_SETTINGS");
   cr_assert_eq(settingsFile(), "/etc/trouttally/settings.conf");
 }
@@ -401,7 +401,8 @@
             rows[1].model == "moss7");
   auto list = readCachedPartList(listBody);
   cr_assert(bool(list), "%s", list.error().text.c_str());
-  cr_assert(list.value().held.size() == 2 && list.value().held[1].id == "cd34" && list.value().held[1].model == "fern");
+  cr_assert(list.value().parts.size() == 2 && list.value().parts[1].id == "cd34" &&
+            list.value().parts[1].model == "fern");
   cr_assert(
       readCachedPartEvents(R"( { "Events" : [ ] , "Lost" : true , "Epoch" : 18446744073709551615 , "NextToken" : 0 } )")
           .value()
@@ -464,9 +465,9 @@
       cr_assert_neq(change.error().subject, "");
       return;
     }
-    auto whole = parsed(writeConfig(change.value().revision, sectionsOf(change.value())));
+    auto parsedText = parsed(writeConfig(change.value().revision, sectionsOf(change.value())));
     auto sent = parsed(text);
-    cr_assert(whole == sent, "%s", text.c_str());
+    cr_assert(parsedText == sent, "%s", text.c_str());
   });
   mutate(patch, [&](const std::string& text) {
     auto change = readConfigPatch(text);
@@ -487,16 +488,16 @@
   mutate("3,0,8", [](const std::string& text) { (void)readInstanceLoad(text); });
   auto check = [](const std::string& text, bool read, std::size_t rows, const char* list) {
     if (!read) return;
-    auto whole = parsed(text);
-    cr_assert_eq(whole.get(list).get<JsonArray>().size(), rows, "%s", text.c_str());
+    auto parsedText = parsed(text);
+    cr_assert_eq(parsedText.get(list).get<JsonArray>().size(), rows, "%s", text.c_str());
   };
   mutate(eventsBody, [&](const std::string& text) {
-    auto kept = readCachedPartEvents(text);
-    check(text, bool(kept), kept ? kept.value().events.size() : 0, "Events");
+    auto parsedBody = readCachedPartEvents(text);
+    check(text, bool(parsedBody), parsedBody ? parsedBody.value().events.size() : 0, "Events");
   });
   mutate(listBody, [&](const std::string& text) {
-    auto kept = readCachedPartList(text);
-    check(text, bool(kept), kept ? kept.value().held.size() : 0, "Held");
+    auto parsedBody = readCachedPartList(text);
+    check(text, bool(parsedBody), parsedBody ? parsedBody.value().parts.size() : 0, "Held");
   });
 }
 
--- a/tests/proxy_fixture.hpp
+++ b/tests/proxy_fixture.hpp
@@ -11,7 +11,7 @@
 /// Fixture for tests of a proxy process: a proxy in a process of its own, a simulated agent that sends it updates, and
 /// workers on raw sockets, for which the test writes every byte.
 namespace tt::proxytest {
-using namespace tt::gatetest;
+using namespace tt::servertest;
 
 /// Ports that the fixture gives out. They end below 32768, where the range begins that Linux uses for outgoing
 /// connections by default (net.ipv4.ip_local_port_range): such a connection of another test could take a port after it
@@ -75,9 +75,9 @@
   bool ended(Duration wait = 5s) {
     while (fill(wait)) {
     }
-    return over;
+    return closed;
   }
-  void say(std::string_view text) { (void)!::send(handle, text.data(), text.size(), MSG_NOSIGNAL); }
+  void send(std::string_view text) { (void)!::send(handle, text.data(), text.size(), MSG_NOSIGNAL); }
   void close() {
     if (handle >= 0) ::close(handle);
     handle = -1;
@@ -91,15 +91,15 @@
  private:
   int handle{-1};
   std::string unread;
-  bool over{false};
+  bool closed{false};
   bool fill(Duration wait) {
     pollfd descriptors{handle, POLLIN, 0};
     if (::poll(&descriptors, 1, static_cast<int>(toMilliseconds(wait))) <= 0) return false;
     char bytes[16384];
     auto size = ::recv(handle, bytes, sizeof bytes, 0);
-    over = size <= 0;
-    if (!over) unread.append(bytes, static_cast<std::size_t>(size));
-    return !over;
+    closed = size <= 0;
+    if (!closed) unread.append(bytes, static_cast<std::size_t>(size));
+    return !closed;
   }
 };
 
@@ -134,9 +134,9 @@
   void signal(int number) { ::kill(id, number); }
   /// Waits until the process exits. Returns false if it does not do so in time.
   bool hasEnded(Duration wait) {
-    bool over = eventually([this] { return ::waitpid(id, nullptr, WNOHANG) == id; }, wait);
-    if (over) id = 0;
-    return over;
+    bool exited = eventually([this] { return ::waitpid(id, nullptr, WNOHANG) == id; }, wait);
+    if (exited) id = 0;
+    return exited;
   }
 
  private:
@@ -154,13 +154,14 @@
     settings.zone = "north-a";
     settings.internalPortFirst = firstPort;
     settings.internalPortLast = firstPort + 2;
-    settings.frontAddress = at(3);
-    settings.readinessAddress = at(4);
+    settings.frontAddress = addressOf(3);
+    settings.readinessAddress = addressOf(4);
     settings.bounds.grace = grace;
     process = std::make_unique<RoleProcess>(settings, runProxy);
-    transport = std::make_unique<PeerTransport>(context, at(1), [this](const std::string& from, Message message) {
-      if (auto* ask = std::get_if<FeedAsk>(&message)) feed(from, *ask);
-    });
+    transport =
+        std::make_unique<PeerTransport>(context, addressOf(1), [this](const std::string& from, Message message) {
+          if (auto* poll = std::get_if<FeedAsk>(&message)) respondToPoll(from, *poll);
+        });
     cr_assert(bool(transport->listen()));
     thread = std::thread([this] { context.run(); });
     applyPatch(R"({"services":{"mill":{}},"routes":{
@@ -187,7 +188,7 @@
     cr_assert(eventually([&] { return applied >= index; }, 10s));
   }
   /// Announces a model's weights version, which all workers report from now on, and waits until the proxy has both.
-  void name(const std::string& model, const std::string& weights) {
+  void announceWeights(const std::string& model, const std::string& weights) {
     {
       std::lock_guard<std::mutex> guard(lock);
       workersModel = model;
@@ -195,8 +196,8 @@
     }
     applyPatch(R"({"weights":{")" + weights + R"(":{"model":")" + model + R"("}},"models":{")" + model +
                R"(":{"weights":")" + weights + R"("}}})");
-    auto enough = fed + 2;
-    cr_assert(eventually([&] { return fed >= enough; }, 10s));
+    auto awaitedCount = pollCount + 2;
+    cr_assert(eventually([&] { return pollCount >= awaitedCount; }, 10s));
   }
   /// Accepts the next connection from the proxy to any worker.
   WorkerConnection accept(Duration wait = 5s) {
@@ -222,7 +223,7 @@
     if (error) return false;
     RawClient caller(static_cast<unsigned short>(firstPort + 4));
     caller.send("GET /ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-    return has(caller.until("\r\n\r\n"), " 200 ");
+    return has(caller.readUntil("\r\n\r\n"), " 200 ");
   }
   void signal(int number) { process->signal(number); }
   bool hasEnded(Duration wait) { return process->hasEnded(wait); }
@@ -236,20 +237,20 @@
   std::thread thread;
   std::mutex lock;
   Configuration view;
-  std::atomic<std::uint64_t> applied{0}, fed{0};
+  std::atomic<std::uint64_t> applied{0}, pollCount{0};
   std::uint64_t sequence{0};
   std::string workersModel, workersWeights;
   std::unique_ptr<RoleProcess> process;
 
-  std::string at(int port) const { return "127.0.0.1:" + std::to_string(firstPort + port); }
-  void feed(const std::string& to, const FeedAsk& ask) {
+  std::string addressOf(int portOffset) const { return "127.0.0.1:" + std::to_string(firstPort + portOffset); }
+  void respondToPoll(const std::string& to, const FeedAsk& poll) {
     std::lock_guard<std::mutex> guard(lock);
-    applied = ask.applied;
-    if (ask.applied < view.index()) {
-      NewsMsg news;
-      news.commit = view.index();
-      news.snapshots.push_back(view.snapshot());
-      transport->send(to, news);
+    applied = poll.applied;
+    if (poll.applied < view.index()) {
+      NewsMsg update;
+      update.commit = view.index();
+      update.snapshots.push_back(view.snapshot());
+      transport->send(to, update);
     }
     CellNews cell;
     cell.zone = "north-a";
@@ -278,8 +279,8 @@
     }
     transport->send(to, cell);
     transport->send(to, marks);
-    transport->send(to, FeedReply{ask.sentAt, 0, view.index(), true});
-    ++fed;
+    transport->send(to, FeedReply{poll.sentAt, 0, view.index(), true});
+    ++pollCount;
   }
 };
 
@@ -296,7 +297,7 @@
          "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 /// Returns a GET request with an attempt id.
-inline std::string ask(const std::string& path, const std::string& attempt, const std::string& more = {}) {
+inline std::string getRequest(const std::string& path, const std::string& attempt, const std::string& more = {}) {
   return "GET " + path + " HTTP/1.1\r\nHost: a\r\nX-Attempt-Id: " + attempt + "\r\nX-Deadline-Ms: 8000\r\n" + more +
          "\r\n";
 }
--- a/tests/proxy_harness.hpp
+++ b/tests/proxy_harness.hpp
@@ -68,7 +68,7 @@
 /// A proxy with scripted workers on an event loop that the test runs.
 class ProxyHarness {
  public:
-  using Script = std::function<void(const RawServer::ConnectionPtr& held, const std::string& request)>;
+  using Script = std::function<void(const RawServer::ConnectionPtr& connection, const std::string& request)>;
 
   explicit ProxyHarness(std::size_t workers = 2, Duration pendingTimeout = 1500ms) {
     ProxyRouterSettings settings;
@@ -92,29 +92,29 @@
                                           });
     host->sendMessage = [this](const std::string& to, Message&& message) {
       if (exchanges->sendMessage(to, message)) return;
-      if (auto* ask = std::get_if<FeedAsk>(&message); ask && feedEnabled)
-        asio::post(io, [this, sentAt = ask->sentAt] {
+      if (auto* poll = std::get_if<FeedAsk>(&message); poll && feedEnabled)
+        asio::post(io, [this, sentAt = poll->sentAt] {
           host->handle("agent:1", FeedReply{sentAt, 0, router->configuration().index(), true});
         });
     };
     for (std::size_t number = 0; number < workers; ++number)
-      servers.push_back(
-          std::make_unique<RawServer>(io, [this](const RawServer::ConnectionPtr& held, const std::string& request) {
+      servers.push_back(std::make_unique<RawServer>(
+          io, [this](const RawServer::ConnectionPtr& connection, const std::string& request) {
             ++arrivals;
-            script(held, request);
+            script(connection, request);
           }));
     cr_assert(bool(server->open()));
     host->start();
     declare();
     publishWorkers();
-    cr_assert(until([&] { return router->ready(Clock::now()); }));
+    cr_assert(waitUntil([&] { return router->ready(Clock::now()); }));
   }
   ~ProxyHarness() {
     host->stop();
     server->close();
     calls.reset();
   }
-  bool until(const std::function<bool()>& done, Duration maxWait = 5s) {
+  bool waitUntil(const std::function<bool()>& done, Duration maxWait = 5s) {
     auto limit = Clock::now() + maxWait;
     while (!done() && Clock::now() < limit) {
       io.restart();
@@ -122,8 +122,8 @@
     }
     return done();
   }
-  void pass(Duration duration) {
-    until([] { return false; }, duration);
+  void runFor(Duration duration) {
+    waitUntil([] { return false; }, duration);
   }
 
   struct Client {
@@ -148,15 +148,15 @@
     return client;
   }
   ClientResponse finish(const std::shared_ptr<Client>& client) {
-    cr_assert(until([&] { return client->ended; }), "the client's connection must end");
+    cr_assert(waitUntil([&] { return client->ended; }), "the client's connection must end");
     return parseResponse(client->text);
   }
-  ClientResponse ask(const std::string& target, const std::string& headers = {}, const std::string& body = "body") {
+  ClientResponse request(const std::string& target, const std::string& headers = {}, const std::string& body = "body") {
     return finish(begin(target, headers, body));
   }
-  std::size_t copies(const std::string& marker) const {
+  std::size_t timesReceived(const std::string& marker) const {
     std::size_t count = 0;
-    for (const auto& server : servers) count += server->copies(marker);
+    for (const auto& server : servers) count += server->timesReceived(marker);
     return count;
   }
   void publishWorkers() {
--- a/tests/raw_server.hpp
+++ b/tests/raw_server.hpp
@@ -18,7 +18,7 @@
     std::array<char, 16384> piece{};
     std::size_t number{0}, requests{0};
     bool ended{false}, wasReset{false};
-    void say(const std::string& text) {
+    void send(const std::string& text) {
       asio::error_code error;
       asio::write(socket, asio::buffer(text), error);
     }
@@ -41,17 +41,18 @@
   }
   std::string address() const { return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()); }
   /// How many times a text was received, on all connections together.
-  std::size_t copies(const std::string& marker) const {
+  std::size_t timesReceived(const std::string& marker) const {
     std::size_t count = 0;
-    for (const auto& held : connections)
-      for (auto at = held->got.find(marker); at != std::string::npos; at = held->got.find(marker, at + 1)) ++count;
+    for (const auto& connection : connections)
+      for (auto at = connection->got.find(marker); at != std::string::npos; at = connection->got.find(marker, at + 1))
+        ++count;
     return count;
   }
   /// Closes all connections and stops listening, as at the end of a process.
-  void shut() {
+  void shutDown() {
     asio::error_code ignored;
     acceptor.close(ignored);
-    for (const auto& held : connections) held->close();
+    for (const auto& connection : connections) connection->close();
   }
   std::vector<ConnectionPtr> connections;
   Script script;
@@ -63,32 +64,32 @@
     acceptor.async_accept([this](const asio::error_code& error, asio::ip::tcp::socket socket) {
       if (error) return;
       socket.set_option(asio::ip::tcp::no_delay(true));
-      auto held = std::make_shared<Connection>(std::move(socket));
-      held->number = connections.size();
-      connections.push_back(held);
-      read(held);
+      auto connection = std::make_shared<Connection>(std::move(socket));
+      connection->number = connections.size();
+      connections.push_back(connection);
+      read(connection);
       accept();
     });
   }
-  void read(const ConnectionPtr& held) {
-    held->socket.async_read_some(asio::buffer(held->piece),
-                                 [this, held](const asio::error_code& error, std::size_t bytes) {
-                                   if (error) {
-                                     held->ended = true;
-                                     held->wasReset = error == asio::error::connection_reset;
-                                     return;
-                                   }
-                                   held->got.append(held->piece.data(), bytes);
-                                   held->unread.append(held->piece.data(), bytes);
-                                   if (onPiece) onPiece(held);
-                                   while (auto request = whole(*held)) {
-                                     ++held->requests;
-                                     script(held, *request);
-                                   }
-                                   if (held->socket.is_open()) read(held);
-                                 });
+  void read(const ConnectionPtr& connection) {
+    connection->socket.async_read_some(asio::buffer(connection->piece),
+                                       [this, connection](const asio::error_code& error, std::size_t bytes) {
+                                         if (error) {
+                                           connection->ended = true;
+                                           connection->wasReset = error == asio::error::connection_reset;
+                                           return;
+                                         }
+                                         connection->got.append(connection->piece.data(), bytes);
+                                         connection->unread.append(connection->piece.data(), bytes);
+                                         if (onPiece) onPiece(connection);
+                                         while (auto request = takeCompleteRequest(*connection)) {
+                                           ++connection->requests;
+                                           script(connection, *request);
+                                         }
+                                         if (connection->socket.is_open()) read(connection);
+                                       });
   }
-  static std::optional<std::string> whole(Connection& connection) {
+  static std::optional<std::string> takeCompleteRequest(Connection& connection) {
     auto end = connection.unread.find("\r\n\r\n");
     if (end == std::string::npos) return std::nullopt;
     std::size_t size = end + 4;
@@ -112,23 +113,23 @@
 };
 
 /// An HttpClient on an event loop that the test runs.
-struct Bench {
+struct HttpClientHarness {
   asio::io_context io;
   HttpClient calls{io};
 
   HttpClientRequest call(const RawServer& server, std::string target = "/", std::string method = "GET",
                          std::string body = {}) {
-    HttpClientRequest made;
-    made.method = std::move(method);
-    made.address = server.address();
-    made.target = std::move(target);
-    made.body = std::move(body);
-    return made;
+    HttpClientRequest request;
+    request.method = std::move(method);
+    request.address = server.address();
+    request.target = std::move(target);
+    request.body = std::move(body);
+    return request;
   }
-  std::shared_ptr<CallRecord> start(HttpClientRequest made) {
+  std::shared_ptr<CallRecord> start(HttpClientRequest request) {
     auto seen = std::make_shared<CallRecord>();
     seen->id = calls.start(
-        std::move(made),
+        std::move(request),
         [seen](const HttpResponseHead& head) {
           ++seen->heads;
           seen->head = head;
@@ -144,7 +145,7 @@
     return seen;
   }
   /// Runs the event loop until a condition is true. Returns false if it is still false after the wait.
-  bool until(const std::function<bool()>& done, Duration maxWait = 5s) {
+  bool waitUntil(const std::function<bool()>& done, Duration maxWait = 5s) {
     auto limit = Clock::now() + maxWait;
     while (!done() && Clock::now() < limit) {
       io.restart();
@@ -152,12 +153,12 @@
     }
     return done();
   }
-  void pass(Duration span) {
-    until([] { return false; }, span);
+  void runFor(Duration span) {
+    waitUntil([] { return false; }, span);
   }
-  std::shared_ptr<CallRecord> finish(HttpClientRequest made) {
-    auto seen = start(std::move(made));
-    cr_assert(until([&] { return seen->ends > 0; }), "the call must end");
+  std::shared_ptr<CallRecord> finish(HttpClientRequest request) {
+    auto seen = start(std::move(request));
+    cr_assert(waitUntil([&] { return seen->ends > 0; }), "the call must end");
     return seen;
   }
 };
