--- a/src/base/defences.hpp
+++ b/src/base/defences.hpp
@@ -33,7 +33,7 @@
   X(retryOnlyRepeatable, "a request that may have run is retried only if it is marked as repeatable")        \
   X(unknownOnceSent, "a request that was sent and not rejected is never reported as not run")                \
   X(retryBeforeBytes, "nothing is retried after the client has received a part of the response")             \
-  X(brokenSaysSo, "a response that broke off is never reported as complete")                                 \
+  X(brokenSaysSo, "a response that was interrupted is never reported as complete")                           \
   X(commandAgain, "a command is sent to a worker again until its report shows the effect")                   \
   X(oldWeightsEnd, "workers with old weights are selected only as long as a roll-out may take")              \
   X(endFromFirstNewer, "the use of old weights ends a fixed time after the first newer ones were announced") \
--- a/tests/call_faults.cpp
+++ b/tests/call_faults.cpp
@@ -92,8 +92,8 @@
   RawServer server(harness.io, [](const RawServer::ConnectionPtr& connection, const std::string&) {
     connection->send(successResponse("own"));
   });
-  server.onPiece = [](const RawServer::ConnectionPtr& connection) {
-    if (connection->got.find("/big") == std::string::npos || connection->ended) return;
+  server.onRead = [](const RawServer::ConnectionPtr& connection) {
+    if (connection->received.find("/big") == std::string::npos || connection->ended) return;
     connection->send("HTTP/1.1 503 Full\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n");
     connection->ended = true;
   };
--- a/tests/call_table.cpp
+++ b/tests/call_table.cpp
@@ -449,8 +449,8 @@
       connection->send(okResponse(request, "own"));
     };
     for (const auto& server : harness.servers)
-      server->onPiece = [&](const RawServer::ConnectionPtr& connection) {
-        if (connection->got.size() > 60000 && !std::exchange(wasReset, true)) connection->reset();
+      server->onRead = [&](const RawServer::ConnectionPtr& connection) {
+        if (connection->received.size() > 60000 && !std::exchange(wasReset, true)) connection->reset();
       };
     auto response = harness.request(route, {}, std::string(2u << 20, 'x'));
     bool once = std::string(route) == "/once/x";
--- a/tests/calls.cpp
+++ b/tests/calls.cpp
@@ -74,8 +74,8 @@
   RawServer server(harness.io, [](const RawServer::ConnectionPtr& connection, const std::string&) {
     connection->send(successResponse("fine"));
   });
-  server.onPiece = [](const RawServer::ConnectionPtr& connection) {
-    if (connection->got.find("/second") != std::string::npos) connection->reset();
+  server.onRead = [](const RawServer::ConnectionPtr& connection) {
+    if (connection->received.find("/second") != std::string::npos) connection->reset();
   };
   cr_assert(harness.finish(harness.call(server, "/first"))->end.outcome == HttpCallOutcome::complete);
   auto call = harness.call(server, "/second", "POST", std::string(8u << 20, 'x'));
@@ -398,7 +398,7 @@
     connection->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     if (waiting.size() < 200) return;
     for (auto& each : waiting) {
-      auto asked = each->got.substr(each->got.rfind("POST /") + 6);
+      auto asked = each->received.substr(each->received.rfind("POST /") + 6);
       auto said = asked.substr(0, asked.find(' '));
       each->send("3\r\n" + said + "\r\n0\r\n\r\n");
     }
--- a/tests/proxy_harness.hpp
+++ b/tests/proxy_harness.hpp
@@ -130,7 +130,7 @@
     explicit Client(asio::io_context& context) : socket(context) {}
     asio::ip::tcp::socket socket;
     std::string text;
-    std::array<char, 16384> piece{};
+    std::array<char, 16384> readBuffer{};
     bool ended{false};
   };
   std::shared_ptr<Client> begin(const std::string& target, const std::string& headers = {},
@@ -220,9 +220,9 @@
     host->handle("agent:1", update);
   }
   void read(const std::shared_ptr<Client>& client) {
-    client->socket.async_read_some(asio::buffer(client->piece),
+    client->socket.async_read_some(asio::buffer(client->readBuffer),
                                    [this, client](const asio::error_code& error, std::size_t bytes) {
-                                     client->text.append(client->piece.data(), bytes);
+                                     client->text.append(client->readBuffer.data(), bytes);
                                      if (error) {
                                        client->ended = true;
                                        return;
--- a/tests/raw_server.hpp
+++ b/tests/raw_server.hpp
@@ -14,8 +14,10 @@
   struct Connection {
     explicit Connection(asio::ip::tcp::socket accepted) : socket(std::move(accepted)) {}
     asio::ip::tcp::socket socket;
-    std::string got, unread;
-    std::array<char, 16384> piece{};
+    /// All bytes received, and those that are not part of a complete request yet.
+    std::string received, unread;
+    std::array<char, 16384> readBuffer{};
+    /// The number of the connection, counted from 0, and how many complete requests were received on it.
     std::size_t number{0}, requests{0};
     bool ended{false}, wasReset{false};
     void send(const std::string& text) {
@@ -44,7 +46,8 @@
   std::size_t timesReceived(const std::string& marker) const {
     std::size_t count = 0;
     for (const auto& connection : connections)
-      for (auto at = connection->got.find(marker); at != std::string::npos; at = connection->got.find(marker, at + 1))
+      for (auto at = connection->received.find(marker); at != std::string::npos;
+           at = connection->received.find(marker, at + 1))
         ++count;
     return count;
   }
@@ -56,7 +59,8 @@
   }
   std::vector<ConnectionPtr> connections;
   Script script;
-  std::function<void(const ConnectionPtr&)> onPiece;
+  /// Called after each read, before complete requests are passed to the script.
+  std::function<void(const ConnectionPtr&)> onRead;
 
  private:
   asio::ip::tcp::acceptor acceptor;
@@ -72,16 +76,16 @@
     });
   }
   void read(const ConnectionPtr& connection) {
-    connection->socket.async_read_some(asio::buffer(connection->piece),
+    connection->socket.async_read_some(asio::buffer(connection->readBuffer),
                                        [this, connection](const asio::error_code& error, std::size_t bytes) {
                                          if (error) {
                                            connection->ended = true;
                                            connection->wasReset = error == asio::error::connection_reset;
                                            return;
                                          }
-                                         connection->got.append(connection->piece.data(), bytes);
-                                         connection->unread.append(connection->piece.data(), bytes);
-                                         if (onPiece) onPiece(connection);
+                                         connection->received.append(connection->readBuffer.data(), bytes);
+                                         connection->unread.append(connection->readBuffer.data(), bytes);
+                                         if (onRead) onRead(connection);
                                          while (auto request = takeCompleteRequest(*connection)) {
                                            ++connection->requests;
                                            script(connection, *request);
