--- a/tests/drain.cpp
+++ b/tests/drain.cpp
@@ -44,7 +44,7 @@
 
 /// A client with one request on a connection of its own.
 struct Client {
-  std::unique_ptr<RawClient> caller;
+  std::unique_ptr<RawClient> connection;
   std::string attempt;
 };
 
@@ -83,7 +83,7 @@
   std::unique_ptr<RoleProcess> process;
   bool listens() const {
     asio::error_code error;
-    RawClient caller(control(), error);
+    RawClient client(control(), error);
     return !error;
   }
 };
@@ -99,17 +99,17 @@
   for (bool ended = false; !ended; ended = proxy.hasEnded(10ms)) {
     worker.step();
     asio::error_code error;
-    auto caller = std::make_unique<RawClient>(proxy.front(), error);
+    auto connection = std::make_unique<RawClient>(proxy.front(), error);
     if (error) {
       ++rejected;
       continue;
     }
-    clients.push_back(Client{std::move(caller), "a" + std::to_string(clients.size() + 1)});
-    clients.back().caller->send(getRequest("/once/x", clients.back().attempt));
+    clients.push_back(Client{std::move(connection), "a" + std::to_string(clients.size() + 1)});
+    clients.back().connection->send(getRequest("/once/x", clients.back().attempt));
   }
   std::size_t served = 0;
   for (auto& client : clients) {
-    auto response = client.caller->readAll();
+    auto response = client.connection->readAll();
     if (!response.empty() || worker.attempts.count(client.attempt))
       cr_expect(isCompleteResponse(response), "%s got \"%s\"", client.attempt.c_str(), response.c_str());
     served += statusOf(response) == 200;
--- a/tests/gate.cpp
+++ b/tests/gate.cpp
@@ -123,28 +123,28 @@
     echo(std::move(request), std::move(response));
   });
   for (const auto& row : rows) {
-    RawClient caller(server.port);
-    auto got = caller.sendAndReadAll(row.input);
+    RawClient client(server.port);
+    auto got = client.sendAndReadAll(row.input);
     cr_expect_eq(statusOf(got), row.status, "%s: expected %d, got \"%s\"", row.name, row.status, got.c_str());
     cr_expect_eq(count(got, "HTTP/1.1 "), 1u, "%s: exactly one response", row.name);
     cr_expect(has(got, "\r\nConnection: close\r\n"), "%s: must announce the close", row.name);
-    cr_expect(!caller.timedOut && !caller.reset, "%s: the connection must end without a timeout or reset", row.name);
+    cr_expect(!client.timedOut && !client.reset, "%s: the connection must end without a timeout or reset", row.name);
     cr_expect_eq(handled.load(), 0, "%s: must not reach the handler", row.name);
     handled = 0;
   }
   cr_expect(eventually([&] { return server.connections() == 0; }));
-  RawClient caller(server.port);
-  cr_assert_eq(statusOf(caller.sendAndReadAll(getClose)), 200, "a valid request must be served afterwards");
+  RawClient client(server.port);
+  cr_assert_eq(statusOf(client.sendAndReadAll(getClose)), 200, "a valid request must be served afterwards");
 }
 
 Test(gate, error_response_arrives_while_the_client_keeps_sending) {
   HttpServerFixture server(echo);
-  RawClient caller(server.port);
-  caller.send(post("Content-Length: 99999999\r\n"));
-  for (int part = 0; part < 8; ++part) caller.send(std::string(65536, 'x'));
-  auto got = caller.readAll();
+  RawClient client(server.port);
+  client.send(post("Content-Length: 99999999\r\n"));
+  for (int part = 0; part < 8; ++part) client.send(std::string(65536, 'x'));
+  auto got = client.readAll();
   cr_assert_eq(statusOf(got), 413, "got \"%s\"", got.c_str());
-  cr_assert(!caller.reset && !caller.timedOut, "a reset could have destroyed the response");
+  cr_assert(!client.reset && !client.timedOut, "a reset could have destroyed the response");
 }
 
 Test(gate, requests_reach_the_handler_unchanged) {
@@ -153,8 +153,8 @@
     seen = request;
     sendResponse(response, "ok");
   });
-  RawClient caller(server.port);
-  auto got = caller.sendAndReadAll(
+  RawClient client(server.port);
+  auto got = client.sendAndReadAll(
       "\r\nPOST /a/b?c=d%20e HTTP/1.1\r\nhOST: a:80\r\nX-Empty:\r\nX-Spaced: \t b c \t\r\nX-Two: 1\r\nx-two: 2\r\n"
       "X-High: \xc3\xa9\r\nUpgrade: h2c\r\nConnection: Upgrade, close\r\nContent-Length: 3\r\n\r\nxyz");
   cr_assert_eq(statusOf(got), 200, "got \"%s\"", got.c_str());
@@ -175,9 +175,9 @@
   for (const auto& input : {post("Content-Length: 5\r\nConnection: close\r\n", "hello"),
                             post("Transfer-Encoding: chunked\r\nConnection: close\r\n",
                                  "2;x=y\r\nhe\r\n03\r\nllo\r\n0\r\nTrailer: t\r\n\r\n")}) {
-    RawClient caller(server.port);
-    for (char letter : input) caller.send(std::string_view(&letter, 1));
-    auto got = caller.readAll();
+    RawClient client(server.port);
+    for (char letter : input) client.send(std::string_view(&letter, 1));
+    auto got = client.readAll();
     cr_assert(has(got, "\r\n\r\nPOST /v1 [hello]"), "got \"%s\"", got.c_str());
   }
 }
@@ -191,15 +191,15 @@
   for (const auto& input : {post("Content-Length: 5\r\n", "hello"),
                             post("Transfer-Encoding: chunked\r\n", "2\r\nhe\r\n3\r\nllo\r\n0\r\n\r\n")}) {
     for (std::size_t size = 1; size < input.size(); ++size) {
-      RawClient caller(server.port);
-      caller.send(std::string_view(input).substr(0, size));
-      caller.socket.shutdown(asio::ip::tcp::socket::shutdown_send);
-      cr_assert_eq(caller.readAll(), "", "cut at %zu", size);
+      RawClient client(server.port);
+      client.send(std::string_view(input).substr(0, size));
+      client.socket.shutdown(asio::ip::tcp::socket::shutdown_send);
+      cr_assert_eq(client.readAll(), "", "cut at %zu", size);
       cr_assert_eq(handled.load(), 0, "cut at %zu", size);
     }
-    RawClient caller(server.port);
-    caller.send(input);
-    cr_assert_eq(statusOf(caller.readUntil("ok")), 200);
+    RawClient client(server.port);
+    client.send(input);
+    cr_assert_eq(statusOf(client.readUntil("ok")), 200);
     handled = 0;
   }
 }
@@ -218,9 +218,9 @@
     seen = request.body;
     sendResponse(response, "ok");
   });
-  RawClient caller(server.port);
-  caller.send(post("Transfer-Encoding: chunked\r\n", framed + "0\r\n\r\n"));
-  cr_assert_eq(statusOf(caller.readUntil("ok")), 200);
+  RawClient client(server.port);
+  client.send(post("Transfer-Encoding: chunked\r\n", framed + "0\r\n\r\n"));
+  cr_assert_eq(statusOf(client.readUntil("ok")), 200);
   cr_assert(seen == body);
 }
 
@@ -228,8 +228,8 @@
   HttpServerFixture server(echo);
   std::string framed;
   for (int number = 0; number < 400; ++number) framed += "1;" + std::string(200, 'a') + "\r\nx\r\n";
-  RawClient caller(server.port);
-  cr_assert_eq(statusOf(caller.sendAndReadAll(post("Transfer-Encoding: chunked\r\n", framed + "0\r\n\r\n"))), 400);
+  RawClient client(server.port);
+  cr_assert_eq(statusOf(client.sendAndReadAll(post("Transfer-Encoding: chunked\r\n", framed + "0\r\n\r\n"))), 400);
   std::string fair;
   for (int number = 0; number < 20000; ++number) fair += "1\r\nx\r\n";
   RawClient other(server.port);
@@ -241,35 +241,35 @@
 Test(gate, pipelined_requests_are_answered_one_at_a_time_and_in_order) {
   ResponseCollector collector;
   HttpServerFixture server(collector.handler());
-  RawClient caller(server.port);
-  caller.send(post("Content-Length: 3\r\n", "one") + get + "GET /z HTTP/1.1\r\nHost:");
+  RawClient client(server.port);
+  client.send(post("Content-Length: 3\r\n", "one") + get + "GET /z HTTP/1.1\r\nHost:");
   cr_assert(eventually([&] { return collector.received == 1; }));
-  cr_assert_eq(caller.receive(30ms).value(), "");
+  cr_assert_eq(client.receive(30ms).value(), "");
   cr_assert_eq(collector.received.load(), 1, "the second request must wait for the response to the first");
   server.run([&] { sendResponse(collector.responses[0], "first"); });
-  cr_assert(has(caller.readUntil("first"), "Content-Length: 5\r\n"));
+  cr_assert(has(client.readUntil("first"), "Content-Length: 5\r\n"));
   cr_assert(eventually([&] { return collector.received == 2; }));
   server.run([&] { sendResponse(collector.responses[1], "second"); });
-  cr_assert(has(caller.readUntil("second"), "Content-Length: 6\r\n"));
-  caller.send(" a\r\nConnection: close\r\n\r\n");
+  cr_assert(has(client.readUntil("second"), "Content-Length: 6\r\n"));
+  client.send(" a\r\nConnection: close\r\n\r\n");
   cr_assert(eventually([&] { return collector.received == 3; }));
   server.run([&] { sendResponse(collector.responses[2], "third"); });
-  auto last = caller.readAll();
+  auto last = client.readAll();
   cr_assert(has(last, "Connection: close\r\n") && has(last, "third"));
   cr_assert_eq(collector.disconnects.load(), 0);
 }
 
 Test(gate, many_pipelined_requests_beyond_the_buffer_are_all_answered) {
   HttpServerFixture server(echo);
-  RawClient caller(server.port);
+  RawClient client(server.port);
   const int requests = 3000;
   std::thread sender([&] {
     std::string text;
     for (int number = 0; number < requests; ++number)
       text += "GET /" + std::to_string(number) + " HTTP/1.1\r\nHost: a\r\n\r\n";
-    caller.send(text + getClose);
+    client.send(text + getClose);
   });
-  auto got = caller.readAll();
+  auto got = client.readAll();
   sender.join();
   cr_assert_eq(count(got, "HTTP/1.1 200 OK\r\n"), static_cast<std::size_t>(requests) + 1);
   std::size_t at = 0;
@@ -283,10 +283,10 @@
   HttpServerLimits limits;
   limits.idleTimeout = 2500ms;
   HttpServerFixture server(echo, limits);
-  RawClient caller(server.port);
+  RawClient client(server.port);
   for (int time = 0; time < 5; ++time) {
-    caller.send(get);
-    auto got = caller.readUntil("[]");
+    client.send(get);
+    auto got = client.readUntil("[]");
     cr_assert(has(got, "\r\nConnection: keep-alive\r\n") && has(got, "\r\nKeep-Alive: timeout=2\r\n"), "got \"%s\"",
               got.c_str());
   }
@@ -331,8 +331,8 @@
       limits);
   for (const auto& input : {std::string("G"), std::string("GET /x HTTP/1.1\r\nHost: a\r\n"),
                             post("Content-Length: 5\r\n", "hell"), post("Transfer-Encoding: chunked\r\n", "2\r\nhe")}) {
-    RawClient caller(server.port);
-    auto got = caller.sendAndReadAll(input);
+    RawClient client(server.port);
+    auto got = client.sendAndReadAll(input);
     cr_assert_eq(statusOf(got), 408, "got \"%s\"", got.c_str());
   }
   RawClient slowHead(server.port);
@@ -357,13 +357,13 @@
   HttpServerLimits limits;
   limits.maxBodyBytes = 4;
   limits.maxHeaderBytes = 100;
-  RawClient caller(server.port);
-  caller.send(post("Expect: 100-continue\r\nContent-Length: 5\r\n"));
-  cr_assert_eq(statusOf(caller.readUntil("\r\n\r\n")), 100, "the first request must have begun under the old limits");
+  RawClient client(server.port);
+  client.send(post("Expect: 100-continue\r\nContent-Length: 5\r\n"));
+  cr_assert_eq(statusOf(client.readUntil("\r\n\r\n")), 100, "the first request must have begun under the old limits");
   server.run([&] { server.httpServer.setLimits(limits); });
-  caller.send("hello");
-  cr_assert_eq(statusOf(caller.readUntil("[hello]")), 200);
-  cr_assert_eq(statusOf(caller.sendAndReadAll(post("Content-Length: 5\r\n", "hello"))), 413);
+  client.send("hello");
+  cr_assert_eq(statusOf(client.readUntil("[hello]")), 200);
+  cr_assert_eq(statusOf(client.sendAndReadAll(post("Content-Length: 5\r\n", "hello"))), 413);
   std::string head = "GET /x HTTP/1.1\r\nHost: a\r\nConnection: close\r\nOdd: ";
   RawClient fits(server.port), tooLong(server.port);
   cr_assert_eq(statusOf(fits.sendAndReadAll(head + std::string(96 - head.size(), 'b') + "\r\n\r\n")), 200);
@@ -372,28 +372,28 @@
 
 Test(gate, expect_100_continue_is_answered) {
   HttpServerFixture server(echo);
-  RawClient caller(server.port);
-  caller.send(post("Expect: 100-continue\r\nContent-Length: 5\r\n"));
-  cr_assert_eq(caller.readUntil("\r\n\r\n"), "HTTP/1.1 100 Continue\r\n\r\n");
-  caller.send("hello");
-  cr_assert_eq(statusOf(caller.readUntil("[hello]")), 200);
-  caller.send(post("Expect: 100-continue\r\nContent-Length: 5\r\n", "hello"));
-  cr_assert_eq(statusOf(caller.readUntil("[hello]")), 200,
+  RawClient client(server.port);
+  client.send(post("Expect: 100-continue\r\nContent-Length: 5\r\n"));
+  cr_assert_eq(client.readUntil("\r\n\r\n"), "HTTP/1.1 100 Continue\r\n\r\n");
+  client.send("hello");
+  cr_assert_eq(statusOf(client.readUntil("[hello]")), 200);
+  client.send(post("Expect: 100-continue\r\nContent-Length: 5\r\n", "hello"));
+  cr_assert_eq(statusOf(client.readUntil("[hello]")), 200,
                "100 Continue must not be sent if the body has already arrived");
-  caller.send(post("Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n"));
-  cr_assert_eq(caller.readUntil("\r\n\r\n"), "HTTP/1.1 100 Continue\r\n\r\n");
-  caller.send("5\r\n");
-  cr_assert_eq(caller.receive(30ms).value(), "", "100 Continue must be sent only once");
-  caller.send("hello\r\n0\r\n\r\n");
-  cr_assert_eq(statusOf(caller.readUntil("[hello]")), 200);
-  cr_assert_eq(statusOf(caller.sendAndReadAll(post("Expect: 100-continue\r\nContent-Length: 5000000\r\n"))), 413);
+  client.send(post("Expect: 100-continue\r\nTransfer-Encoding: chunked\r\n"));
+  cr_assert_eq(client.readUntil("\r\n\r\n"), "HTTP/1.1 100 Continue\r\n\r\n");
+  client.send("5\r\n");
+  cr_assert_eq(client.receive(30ms).value(), "", "100 Continue must be sent only once");
+  client.send("hello\r\n0\r\n\r\n");
+  cr_assert_eq(statusOf(client.readUntil("[hello]")), 200);
+  cr_assert_eq(statusOf(client.sendAndReadAll(post("Expect: 100-continue\r\nContent-Length: 5000000\r\n"))), 413);
 }
 
 Test(gate, streamed_response_arrives_piece_by_piece) {
   ResponseCollector collector;
   HttpServerFixture server(collector.handler());
-  RawClient caller(server.port);
-  caller.send(get);
+  RawClient client(server.port);
+  client.send(get);
   cr_assert(eventually([&] { return collector.received == 1; }));
   cr_assert_eq(server.exchanges(), 1u);
   auto response = collector.responses[0];
@@ -414,7 +414,7 @@
                     {"X-Two", "2"}},
                    std::nullopt);
   });
-  cr_assert_eq(caller.readUntil("\r\n\r\n"),
+  cr_assert_eq(client.readUntil("\r\n\r\n"),
                "HTTP/1.1 200 OK\r\nX-odd-Case: One\r\nX-Two: 1\r\nX-Two: 2\r\nTransfer-Encoding: chunked\r\n"
                "Connection: keep-alive\r\nKeep-Alive: timeout=15\r\n\r\n");
   for (int number = 0; number < 3; ++number) {
@@ -422,7 +422,7 @@
       response->bytes("piece " + std::to_string(number));
       response->bytes("");
     });
-    cr_assert_eq(caller.readUntil("\r\npiece " + std::to_string(number) + "\r\n"),
+    cr_assert_eq(client.readUntil("\r\npiece " + std::to_string(number) + "\r\n"),
                  "7\r\npiece " + std::to_string(number) + "\r\n");
   }
   server.run([&] {
@@ -433,9 +433,9 @@
     response->end();
     response->abort();
   });
-  cr_assert_eq(caller.readUntil("\r\n0\r\n\r\n"), "1\r\na\r\n14\r\n" + std::string(20, 'b') + "\r\n0\r\n\r\n");
+  cr_assert_eq(client.readUntil("\r\n0\r\n\r\n"), "1\r\na\r\n14\r\n" + std::string(20, 'b') + "\r\n0\r\n\r\n");
   cr_assert(eventually([&] { return server.exchanges() == 0; }));
-  caller.send(get);
+  client.send(get);
   cr_assert(eventually([&] { return collector.received == 2; }), "the connection must stay open");
 }
 
@@ -446,10 +446,10 @@
     response->bytes("body");
     response->end();
   });
-  RawClient caller(server.port);
+  RawClient client(server.port);
   auto exchange = [&](const std::string& line) {
-    caller.send(line + " HTTP/1.1\r\nHost: a\r\n\r\nGET /299 HTTP/1.1\r\nHost: a\r\n\r\n");
-    return caller.readUntil("body");
+    client.send(line + " HTTP/1.1\r\nHost: a\r\n\r\nGET /299 HTTP/1.1\r\nHost: a\r\n\r\n");
+    return client.readUntil("body");
   };
   for (const auto& line : {"HEAD /200", "HEAD /201", "GET /204", "GET /304", "HEAD /304"}) {
     auto got = exchange(line);
@@ -465,29 +465,29 @@
 Test(gate, http_1_0_streams_end_with_the_connection) {
   ResponseCollector collector;
   HttpServerFixture server(collector.handler());
-  RawClient caller(server.port);
-  caller.send("GET /x HTTP/1.0\r\nConnection: keep-alive\r\n\r\n");
+  RawClient client(server.port);
+  client.send("GET /x HTTP/1.0\r\nConnection: keep-alive\r\n\r\n");
   cr_assert(eventually([&] { return collector.received == 1; }));
   server.run([&] {
     collector.responses[0]->head(200, {}, std::nullopt);
     collector.responses[0]->bytes("one ");
   });
-  cr_assert_eq(caller.readUntil("one "), "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\none ");
+  cr_assert_eq(client.readUntil("one "), "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\none ");
   server.run([&] {
     collector.responses[0]->bytes("two");
     collector.responses[0]->end();
   });
-  cr_assert_eq(caller.readAll(), "two");
-  cr_assert(!caller.reset && !caller.timedOut);
+  cr_assert_eq(client.readAll(), "two");
+  cr_assert(!client.reset && !client.timedOut);
 }
 
 Test(gate, aborted_response_never_looks_complete) {
   ResponseCollector collector;
   HttpServerFixture server(collector.handler());
-  auto abortAfter = [&](const std::string& request, RawClient& caller,
+  auto abortAfter = [&](const std::string& request, RawClient& client,
                         const std::function<void(ResponseWriter&)>& action, bool inOneTurn) {
     int before = collector.received;
-    caller.send(request);
+    client.send(request);
     cr_assert(eventually([&] { return collector.received > before; }));
     auto response = collector.responses.back();
     server.run([&] {
@@ -497,14 +497,14 @@
     std::string got;
     if (!inOneTurn) {
       while (true) {
-        auto part = caller.receive(30ms);
+        auto part = client.receive(30ms);
         if (!part || part->empty()) break;
         got += *part;
       }
       server.run([&] { response->abort(); });
     }
-    got += caller.readAll();
-    cr_assert(!caller.timedOut);
+    got += client.readAll();
+    cr_assert(!client.timedOut);
     server.run([&] {
       response->bytes("late");
       response->end();
@@ -579,9 +579,9 @@
   });
   for (const auto& [target, minimum] : std::vector<std::pair<std::string, std::string>>{
            {"/short", "abcd"}, {"/long", "ab"}, {"/silent", ""}, {"/dropped", "2\r\nab\r\n"}, {"/untouched", ""}}) {
-    RawClient caller(server.port);
-    auto got = caller.sendAndReadAll("GET " + target + " HTTP/1.1\r\nHost: a\r\n\r\n");
-    cr_assert(!caller.timedOut, "%s must end", target.c_str());
+    RawClient client(server.port);
+    auto got = client.sendAndReadAll("GET " + target + " HTTP/1.1\r\nHost: a\r\n\r\n");
+    cr_assert(!client.timedOut, "%s must end", target.c_str());
     if (minimum.empty())
       cr_assert_eq(got, "", "%s: got \"%s\"", target.c_str(), got.c_str());
     else
@@ -598,8 +598,8 @@
       for (bool pipelined : {false, true}) {
         ResponseCollector collector;
         HttpServerFixture server(collector.handler());
-        RawClient caller(server.port);
-        caller.send(pipelined ? get + get : get);
+        RawClient client(server.port);
+        client.send(pipelined ? get + get : get);
         cr_assert(eventually([&] { return collector.received == 1; }));
         auto response = collector.responses[0];
         if (midStream) {
@@ -607,16 +607,16 @@
             response->head(200, {}, std::nullopt);
             response->bytes("abc");
           });
-          cr_assert(has(caller.readUntil("abc\r\n"), "abc"));
+          cr_assert(has(client.readUntil("abc\r\n"), "abc"));
         }
         cr_assert_eq(collector.disconnects.load(), 0);
         TimePoint left = Clock::now();
         if (disconnect == closing)
-          caller.close();
+          client.close();
         else if (disconnect == resetting)
-          caller.resetConnection();
+          client.resetConnection();
         else
-          caller.socket.shutdown(asio::ip::tcp::socket::shutdown_send);
+          client.socket.shutdown(asio::ip::tcp::socket::shutdown_send);
         cr_assert(eventually([&] { return collector.disconnects == 1; }), "disconnect %d, mid-stream %d", disconnect,
                   midStream);
         cr_assert_lt(toMilliseconds(Clock::now() - left), 200);
@@ -644,35 +644,35 @@
 Test(gate, client_disconnect_is_reported_with_a_full_read_buffer) {
   ResponseCollector collector;
   HttpServerFixture server(collector.handler());
-  RawClient caller(server.port);
-  caller.send(get);
-  for (int part = 0; part < 20; ++part) caller.send(std::string(4096, 'x'));
+  RawClient client(server.port);
+  client.send(get);
+  for (int part = 0; part < 20; ++part) client.send(std::string(4096, 'x'));
   cr_assert(eventually([&] { return collector.received == 1; }));
-  cr_assert_eq(caller.receive(50ms).value(), "");
-  caller.resetConnection();
+  cr_assert_eq(client.receive(50ms).value(), "");
+  client.resetConnection();
   cr_assert(eventually([&] { return collector.disconnects == 1; }));
 }
 
 Test(gate, ended_response_is_written_to_a_half_closed_client) {
   ResponseCollector collector;
   HttpServerFixture server(collector.handler());
-  RawClient caller(server.port);
-  caller.send(get);
+  RawClient client(server.port);
+  client.send(get);
   cr_assert(eventually([&] { return collector.received == 1; }));
   const std::string body(16 << 20, 'x');
   server.run([&] { sendResponse(collector.responses[0], body); });
-  caller.socket.shutdown(asio::ip::tcp::socket::shutdown_send);
-  cr_assert_eq(caller.receive(30ms)->substr(0, 12), "HTTP/1.1 200");
-  cr_assert_gt(caller.readAll().size(), body.size() - 16384);
-  cr_assert(!caller.reset && !caller.timedOut);
+  client.socket.shutdown(asio::ip::tcp::socket::shutdown_send);
+  cr_assert_eq(client.receive(30ms)->substr(0, 12), "HTTP/1.1 200");
+  cr_assert_gt(client.readAll().size(), body.size() - 16384);
+  cr_assert(!client.reset && !client.timedOut);
   cr_assert_eq(collector.disconnects.load(), 0);
 }
 
 Test(gate, unwritten_bytes_are_counted) {
   ResponseCollector collector;
   HttpServerFixture server(collector.handler());
-  RawClient caller(server.port);
-  caller.send(get);
+  RawClient client(server.port);
+  client.send(get);
   cr_assert(eventually([&] { return collector.received == 1; }));
   auto response = collector.responses[0];
   const std::string part(1 << 20, 'x');
@@ -685,12 +685,12 @@
   cr_assert_gt(left, 1u << 20);
   cr_assert_lt(left, 32 * part.size());
   std::size_t got = 0;
-  auto head = caller.readUntil("\r\n\r\n");
+  auto head = client.readUntil("\r\n\r\n");
   got += head.size() - head.find("\r\n\r\n") - 4;
-  while (got < 32 * part.size() - 1) got += caller.receive()->size();
+  while (got < 32 * part.size() - 1) got += client.receive()->size();
   cr_assert_eq(server.run([&] { return response->unwritten(); }), 1u, "the last byte must be withheld until the end");
   server.run([&] { response->end(); });
-  cr_assert_eq(caller.receive()->size(), 1u);
+  cr_assert_eq(client.receive()->size(), 1u);
   cr_assert_eq(collector.disconnects.load(), 0);
 }
 
@@ -709,15 +709,15 @@
 Test(gate, open_connections_are_served_after_accepting_stopped) {
   ResponseCollector collector;
   HttpServerFixture server(collector.handler());
-  RawClient caller(server.port);
-  caller.send(get);
+  RawClient client(server.port);
+  client.send(get);
   cr_assert(eventually([&] { return collector.received == 1; }));
   server.run([&] { server.httpServer.stopAccepting(); });
   asio::error_code error;
   RawClient late(server.port, error);
   cr_assert(error, "new connections must be refused");
   server.run([&] { sendResponse(collector.responses[0], "well"); });
-  cr_assert(has(caller.readUntil("well"), "well"));
+  cr_assert(has(client.readUntil("well"), "well"));
 }
 
 Test(gate, draining_closes_idle_connections_and_serves_the_others) {
--- a/tests/gate_faults.cpp
+++ b/tests/gate_faults.cpp
@@ -68,13 +68,13 @@
 };
 
 /// Sends up to maxBytes, until the server accepts nothing for 200 ms. Returns how many bytes were accepted.
-std::size_t sendUntilBlocked(RawClient& caller, std::size_t maxBytes) {
+std::size_t sendUntilBlocked(RawClient& client, std::size_t maxBytes) {
   const std::string part(64 * 1024, 'x');
   std::size_t sentBytes = 0;
   while (sentBytes < maxBytes) {
-    pollfd descriptor{caller.socket.native_handle(), POLLOUT, 0};
+    pollfd descriptor{client.socket.native_handle(), POLLOUT, 0};
     if (::poll(&descriptor, 1, 200) <= 0) break;
-    auto size = ::send(caller.socket.native_handle(), part.data(), part.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
+    auto size = ::send(client.socket.native_handle(), part.data(), part.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
     if (size <= 0) break;
     sentBytes += static_cast<std::size_t>(size);
   }
@@ -239,22 +239,22 @@
   HttpServerLimits limits;
   limits.idleTimeout = 2s;
   HttpServerFixture server(collector.handler(), limits);
-  RawClient caller(server.port);
-  caller.send(get);
+  RawClient client(server.port);
+  client.send(get);
   cr_assert(eventually([&] { return collector.received == 1; }));
   server.run([&] {
     collector.responses[0]->head(200, {}, std::nullopt);
     collector.responses[0]->bytes("a");
   });
-  cr_assert(has(caller.readUntil("\r\na\r\n"), "Keep-Alive: timeout=2\r\n"));
+  cr_assert(has(client.readUntil("\r\na\r\n"), "Keep-Alive: timeout=2\r\n"));
   limits.idleTimeout = 100ms;
   server.run([&] {
     server.httpServer.setLimits(limits);
     collector.responses[0]->end();
   });
-  cr_assert(has(caller.readUntil("0\r\n\r\n"), "0\r\n\r\n"));
-  cr_assert_eq(caller.receive(700ms).value_or("end"), "", "the connection must stay open for the announced 2 s");
-  caller.send(get);
+  cr_assert(has(client.readUntil("0\r\n\r\n"), "0\r\n\r\n"));
+  cr_assert_eq(client.receive(700ms).value_or("end"), "", "the connection must stay open for the announced 2 s");
+  client.send(get);
   cr_assert(eventually([&] { return collector.received == 2; }));
 }
 
@@ -262,19 +262,19 @@
   HttpServerLimits limits;
   limits.idleTimeout = 400ms;
   HttpServerFixture server(echo, limits);
-  RawClient caller(server.port);
-  caller.send(get);
-  auto got = caller.readUntil("[]");
+  RawClient client(server.port);
+  client.send(get);
+  auto got = client.readUntil("[]");
   cr_assert(has(got, "Connection: keep-alive\r\n") && !has(got, "Keep-Alive: "), "got \"%s\"", got.c_str());
 }
 
 Test(gate_faults, pipelined_requests_read_before_draining_are_all_answered) {
   ResponseCollector collector;
   HttpServerFixture server(collector.handler());
-  RawClient caller(server.port);
-  caller.send(get + get + get);
+  RawClient client(server.port);
+  client.send(get + get + get);
   cr_assert(eventually([&] { return collector.received == 1; }));
-  cr_assert_eq(caller.receive(30ms).value(), "");
+  cr_assert_eq(client.receive(30ms).value(), "");
   server.run([&] { server.httpServer.startDraining(); });
   for (int number = 0; number < 3; ++number) {
     cr_assert(eventually([&] { return collector.received == number + 1; }), "request %d must be served", number);
@@ -282,10 +282,10 @@
       sendResponse(collector.responses[static_cast<std::size_t>(number)], "answer" + std::to_string(number));
     });
   }
-  auto got = caller.readAll();
+  auto got = client.readAll();
   cr_assert_eq(count(got, "HTTP/1.1 200"), 3u, "got \"%s\"", got.c_str());
   cr_assert_eq(count(got, "Connection: close\r\n"), 1u, "only the last response may announce the close");
-  cr_assert(has(got, "answer2") && !caller.reset && !caller.timedOut);
+  cr_assert(has(got, "answer2") && !client.reset && !client.timedOut);
 }
 
 Test(gate_faults, client_that_does_not_read_is_reset_at_the_queue_limit_and_delays_no_other) {
@@ -329,13 +329,13 @@
 Test(gate_faults, client_that_keeps_sending_during_its_response_is_held_back_by_flow_control) {
   ResponseCollector collector;
   HttpServerFixture server(collector.handler());
-  RawClient caller(server.port);
-  caller.send(get);
+  RawClient client(server.port);
+  client.send(get);
   cr_assert(eventually([&] { return collector.received == 1; }));
-  auto sentBytes = sendUntilBlocked(caller, 256u << 20);
+  auto sentBytes = sendUntilBlocked(client, 256u << 20);
   cr_assert_lt(sentBytes, 64u << 20, "no more must be accepted than the buffers of the kernel hold");
   server.run([&] { sendResponse(collector.responses[0], "ok"); });
-  auto got = caller.readAll();
+  auto got = client.readAll();
   cr_assert_eq(count(got, "HTTP/1.1 "), 2u, "one response, and one rejection of the bytes that are not a request");
   cr_assert(has(got, "HTTP/1.1 200") && has(got, "HTTP/1.1 4"));
   cr_assert_eq(collector.received.load(), 1);
@@ -380,15 +380,15 @@
   for (const auto& input : {get, post("Content-Length: 5\r\n", "hello"),
                             post("Transfer-Encoding: chunked\r\n", "5\r\nhello\r\n0\r\n\r\n")}) {
     for (std::size_t size : {std::size_t(0), std::size_t(1), input.size() / 2, input.size() - 1}) {
-      RawClient caller(server.port);
-      caller.send(std::string_view(input).substr(0, size));
+      RawClient client(server.port);
+      client.send(std::string_view(input).substr(0, size));
       cr_assert(eventually([&] { return server.connections() > 0; }));
       {
         BlockedThread frozen(server.io);
-        caller.send(std::string_view(input).substr(size));
+        client.send(std::string_view(input).substr(size));
         std::this_thread::sleep_for(70ms);
       }
-      cr_assert_eq(statusOf(caller.readUntil("]")), 200, "sent %zu before the freeze", size);
+      cr_assert_eq(statusOf(client.readUntil("]")), 200, "sent %zu before the freeze", size);
     }
   }
 }
@@ -400,11 +400,11 @@
     echo(std::move(request), std::move(response));
   });
   for (const char* framing : {"Content-Length: 5\r\n", "Transfer-Encoding: chunked\r\n"}) {
-    RawClient caller(server.port);
-    caller.send(post(std::string("Expect: 100-continue\r\n") + framing));
-    cr_assert_eq(statusOf(caller.readUntil("\r\n\r\n")), 100);
-    caller.send(framing[0] == 'C' ? "hell" : "5\r\nhell");
-    caller.resetConnection();
+    RawClient client(server.port);
+    client.send(post(std::string("Expect: 100-continue\r\n") + framing));
+    cr_assert_eq(statusOf(client.readUntil("\r\n\r\n")), 100);
+    client.send(framing[0] == 'C' ? "hell" : "5\r\nhell");
+    client.resetConnection();
     cr_assert(eventually([&] { return server.connections() == 0; }));
     cr_assert_eq(handled.load(), 0);
   }
@@ -412,22 +412,22 @@
 
 Test(gate_faults, body_of_a_get_is_not_parsed_as_the_next_request) {
   HttpServerFixture server(echo);
-  RawClient caller(server.port);
+  RawClient client(server.port);
   const std::string inner = "GET /inner HTTP/1.1\r\nHost: a\r\n\r\n";
-  caller.send("GET /outer HTTP/1.1\r\nHost: a\r\nContent-Length: " + std::to_string(inner.size()) + "\r\n\r\n" + inner +
+  client.send("GET /outer HTTP/1.1\r\nHost: a\r\nContent-Length: " + std::to_string(inner.size()) + "\r\n\r\n" + inner +
               "HEAD /head HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n" + getClose);
-  auto got = caller.readAll();
+  auto got = client.readAll();
   cr_assert_eq(count(got, "HTTP/1.1 200"), 3u, "got \"%s\"", got.c_str());
   cr_assert(has(got, "GET /outer [" + inner + "]") && has(got, "GET /x []"));
 }
 
 Test(gate_faults, field_whose_name_begins_like_a_framing_field_is_not_one) {
   HttpServerFixture server(echo);
-  RawClient caller(server.port);
+  RawClient client(server.port);
   for (const char* name :
        {"Transfer-EncodingX: chunked\r\n", "Content-LengthX: 9\r\n", "X-Transfer-Encoding: chunked\r\n"}) {
-    caller.send(post(std::string(name) + "Content-Length: 5\r\n", "hello"));
-    auto got = caller.readUntil("]");
+    client.send(post(std::string(name) + "Content-Length: 5\r\n", "hello"));
+    auto got = client.readUntil("]");
     cr_assert_eq(statusOf(got), 200, "%s: got \"%s\"", name, got.c_str());
     cr_assert(has(got, "[hello]"));
   }
@@ -443,8 +443,8 @@
        {post("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n", "0\r\n\r\n"),
         post("Content-Length: 2\r\nContent-Length: 3\r\n", "abc"), post("Transfer-Encoding : chunked\r\n", "0\r\n\r\n"),
         post("Transfer-Encoding: chunked\r\n", "0x0\r\n\r\n"), post("Odd: a\r\n Content-Length: 3\r\n", "abc")}) {
-    RawClient caller(server.port);
-    auto got = caller.sendAndReadAll(refused + get + get);
+    RawClient client(server.port);
+    auto got = client.sendAndReadAll(refused + get + get);
     cr_assert_eq(count(got, "HTTP/1.1 "), 1u, "got \"%s\"", got.c_str());
     cr_assert_eq(statusOf(got), 400);
     cr_assert_eq(handled.load(), 0);
--- a/tests/proxy_faults.cpp
+++ b/tests/proxy_faults.cpp
@@ -13,8 +13,8 @@
 
 Test(proxy_faults, the_response_of_a_second_worker_has_no_headers_of_the_first) {
   Proxy proxy(2);
-  RawClient caller(proxy.front());
-  caller.send(getRequest("/x", "a1"));
+  RawClient client(proxy.front());
+  client.send(getRequest("/x", "a1"));
   auto first = proxy.accept();
   auto request = first.request();
   cr_assert_eq(headerOf(request, "X-Attempt-Id"), "a1");
@@ -22,7 +22,7 @@
   first.close();
   auto second = proxy.accept();
   second.send(responseTo(second.request(), "second", "hello"));
-  auto response = caller.readUntil("hello");
+  auto response = client.readUntil("hello");
   cr_assert(has(response, "hello"), "got \"%s\"", response.c_str());
   cr_assert_eq(headerOf(response, "X-Server-Seal"), "second", "got \"%s\"", response.c_str());
   cr_assert_eq(headerOf(response, "Content-Length"), "5");
@@ -30,18 +30,18 @@
 
 Test(proxy_faults, pipelined_requests_get_their_own_responses_in_order) {
   Proxy proxy;
-  RawClient caller(proxy.front());
-  caller.send(getRequest("/one", "a1") + getRequest("/two", "a2"));
+  RawClient client(proxy.front());
+  client.send(getRequest("/one", "a1") + getRequest("/two", "a2"));
   auto worker = proxy.accept();
   auto first = worker.request();
   cr_assert_eq(headerOf(first, "X-Attempt-Id"), "a1");
   cr_assert_not(proxy.isCalled(), "the second request must wait for the first response");
   worker.send(responseTo(first, "s1", "for one"));
-  cr_assert(has(caller.readUntil("for one"), "X-Server-Seal: s1"));
+  cr_assert(has(client.readUntil("for one"), "X-Server-Seal: s1"));
   auto second = worker.request();
   cr_assert_eq(headerOf(second, "X-Attempt-Id"), "a2");
   worker.send(responseTo(second, "s2", "for two"));
-  cr_assert(has(caller.readUntil("for two"), "X-Server-Seal: s2"));
+  cr_assert(has(client.readUntil("for two"), "X-Server-Seal: s2"));
 }
 
 Test(proxy_faults, a_late_answer_for_a_client_that_has_gone_reaches_nobody) {
@@ -74,20 +74,20 @@
   Proxy proxy(8);
   for (const char* framing : {"Content-Length: 40\r\n", "Transfer-Encoding: chunked\r\n"}) {
     for (bool old : {false, true}) {
-      RawClient caller(proxy.front());
-      caller.send(old ? "GET /once/x HTTP/1.0\r\nHost: a\r\nX-Attempt-Id: a1\r\nX-Deadline-Ms: 8000\r\n\r\n"
+      RawClient client(proxy.front());
+      client.send(old ? "GET /once/x HTTP/1.0\r\nHost: a\r\nX-Attempt-Id: a1\r\nX-Deadline-Ms: 8000\r\n\r\n"
                       : getRequest("/once/x", "a1"));
       auto worker = proxy.accept();
       auto request = worker.request();
       bool chunked = framing[0] == 'T';
       worker.send(responseHead(request, "cut", framing) + (chunked ? "5\r\nhello\r\n" : "hello"));
-      auto response = caller.readUntil("hello");
+      auto response = client.readUntil("hello");
       cr_assert(has(response, "hello"));
       worker.reset();
-      response += caller.readAll();
-      cr_assert(!caller.timedOut);
+      response += client.readAll();
+      cr_assert(!client.timedOut);
       if (chunked && old)
-        cr_assert(caller.reset, "the end of the connection must not look like the end of the response");
+        cr_assert(client.reset, "the end of the connection must not look like the end of the response");
       else if (chunked)
         cr_assert_not(has(response, "0\r\n\r\n"));
       else
@@ -119,17 +119,17 @@
         getRequest("/x", "a1", "Content-Length: 4\r\nContent-Length: 5\r\n") + "abcde" + inner,
         getRequest("/x", "a1", "Odd: a\r\n folded\r\n") + inner, getRequest("/x", "a1", "Odd : a\r\n") + inner,
         getRequest("/x", "a1", "Transfer-Encoding: chunked\r\n") + "5\n\nabc" + inner}) {
-    RawClient caller(proxy.front());
-    auto response = caller.sendAndReadAll(input);
+    RawClient client(proxy.front());
+    auto response = client.sendAndReadAll(input);
     cr_assert_eq(statusOf(response), 400, "got \"%s\"", response.c_str());
     cr_assert_eq(count(response, "HTTP/1.1 "), 1u);
-    cr_assert_not(caller.timedOut);
+    cr_assert_not(client.timedOut);
   }
   for (const auto& half : {inner.substr(0, inner.size() - 2), getRequest("/x", "a1", "Content-Length: 5\r\n") + "hell",
                            getRequest("/x", "a1", "Transfer-Encoding: chunked\r\n") + "5\r\nhello\r\n0\r\n"}) {
-    RawClient caller(proxy.front());
-    caller.send(half);
-    caller.resetConnection();
+    RawClient client(proxy.front());
+    client.send(half);
+    client.resetConnection();
   }
   cr_assert_not(proxy.isCalled(200ms), "no worker may be called");
 }
@@ -166,12 +166,12 @@
 Test(proxy_faults, a_request_has_the_weights_version_of_its_worker_with_or_without_a_model) {
   Proxy proxy(2);
   auto versionAtWorker = [&](const std::string& headers) {
-    RawClient caller(proxy.front());
-    caller.send(getRequest("/x", "a1", headers));
+    RawClient client(proxy.front());
+    client.send(getRequest("/x", "a1", headers));
     auto worker = proxy.accept();
     auto request = worker.request();
     worker.send(responseTo(request, "s1", "well"));
-    cr_assert(has(caller.readUntil("well"), "well"));
+    cr_assert(has(client.readUntil("well"), "well"));
     cr_expect_leq(count(request, "X-Expect-Version"), 1u);
     return headerOf(request, "X-Expect-Version");
   };
--- a/tests/proxy_fixture.hpp
+++ b/tests/proxy_fixture.hpp
@@ -221,9 +221,9 @@
     asio::error_code error;
     socket.connect({asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(firstPort + 4)}, error);
     if (error) return false;
-    RawClient caller(static_cast<unsigned short>(firstPort + 4));
-    caller.send("GET /ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-    return has(caller.readUntil("\r\n\r\n"), " 200 ");
+    RawClient client(static_cast<unsigned short>(firstPort + 4));
+    client.send("GET /ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+    return has(client.readUntil("\r\n\r\n"), " 200 ");
   }
   void signal(int number) { process->signal(number); }
   bool hasEnded(Duration wait) { return process->hasEnded(wait); }
