--- a/tests/fleet_harness.hpp
+++ b/tests/fleet_harness.hpp
@@ -220,7 +220,7 @@
     return askWith(name, changeName, R"({"weights":{")" + changeName + R"(":{"model":"moss"}}})");
   }
   std::string askWith(const std::string& name, const std::string& changeName, const std::string& body) {
-    std::string requestId = "change-" + std::to_string(++requestCount);
+    std::string requestId = "ask-" + std::to_string(++requestCount);
     OperatorRequest change;
     change.requestId = requestId;
     change.body = body;
