--- a/src/base/wire.cpp
+++ b/src/base/wire.cpp
@@ -26,9 +26,9 @@
   std::string bytes;
 
  protected:
-  int overflow(int letter) override {
-    bytes.push_back(static_cast<char>(letter));
-    return letter;
+  int overflow(int character) override {
+    bytes.push_back(static_cast<char>(character));
+    return character;
   }
   std::streamsize xsputn(const char* start, std::streamsize count) override {
     bytes.append(start, static_cast<std::size_t>(count));
--- a/tests/gate.cpp
+++ b/tests/gate.cpp
@@ -176,7 +176,7 @@
                             post("Transfer-Encoding: chunked\r\nConnection: close\r\n",
                                  "2;x=y\r\nhe\r\n03\r\nllo\r\n0\r\nTrailer: t\r\n\r\n")}) {
     RawClient client(server.port);
-    for (char letter : input) client.send(std::string_view(&letter, 1));
+    for (char character : input) client.send(std::string_view(&character, 1));
     auto got = client.readAll();
     cr_assert(has(got, "\r\n\r\nPOST /v1 [hello]"), "got \"%s\"", got.c_str());
   }
@@ -337,8 +337,8 @@
   }
   RawClient slowHead(server.port);
   TimePoint began = Clock::now();
-  for (char letter : get) {
-    slowHead.send(std::string_view(&letter, 1));
+  for (char character : get) {
+    slowHead.send(std::string_view(&character, 1));
     if (slowHead.receive(20ms) != "") break;
   }
   cr_assert_lt(toMilliseconds(Clock::now() - began), 450, "the timeout must cover the complete head");
