--- a/src/config/configuration.cpp
+++ b/src/config/configuration.cpp
@@ -7,8 +7,8 @@
 
 namespace tt {
 namespace {
-/// Bounds on what is remembered to recognize repeated requests. They are part of the replicated state: all members must
-/// evict alike.
+/// How many changes and rejections are kept to recognize repeated requests. They are part of the replicated state, so
+/// all members must use the same limits.
 constexpr std::size_t maxRecentChanges = 4096;
 constexpr std::size_t maxRecentRefusals = 1024;
 }  // namespace
@@ -22,7 +22,7 @@
     if (auto resolved = resolveEdits(patch, sections); !resolved) return resolved.error();
   auto normalized = normalizeShape(patch, sections, changeFormat == ChangeFormat::complete);
   if (!normalized) return normalized.error();
-  if (changeFormat == ChangeFormat::complete) reduceWhole(patch, sections);
+  if (changeFormat == ChangeFormat::complete) reduceCompleteConfig(patch, sections);
   if (changeFormat == ChangeFormat::sections || changeFormat == ChangeFormat::items ||
       changeFormat == ChangeFormat::edits)
     reduceItems(patch, sections, changeFormat == ChangeFormat::sections);
@@ -59,7 +59,7 @@
   if (sectionName == "routes") updateRoute(name, value);
   if (sectionName == "services") updateService(name, value);
   if (sectionName == "limits" && name == "callers")
-    currentCallerLimits = value ? readClientLimits(*value) : ClientLimits();
+    currentClientLimits = value ? readClientLimits(*value) : ClientLimits();
 }
 
 void Configuration::updateTenantSecrets(const std::string& name, const Json* old, const Json* value) {
@@ -262,7 +262,7 @@
   return tenant;
 }
 
-/// Cuts the path back from slash to slash, so the longest prefix is found first.
+/// Shortens the path slash by slash, so that the longest matching prefix is found first.
 const RouteView* Configuration::routeFor(const std::string& host, const std::string& path) const {
   auto prefixes = routeByPrefix.find(host);
   if (prefixes == routeByPrefix.end()) return nullptr;
--- a/src/net/http_server_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -9,14 +9,14 @@
 using Tcp = asio::ip::tcp;
 
 constexpr std::size_t smallReadSize = 4096, largeReadSize = 64 * 1024;
-/// While an exchange is in progress, at most about this much of the following requests is read ahead. TCP flow control
-/// then holds the client back.
+/// While an exchange is in progress, about this many bytes of pipelined requests are read ahead. Then TCP flow control
+/// stops the client.
 constexpr std::size_t maxPipelinedBytes = 64 * 1024;
-/// Larger write buffers are freed after use.
+/// Write buffers with a larger capacity are freed after use.
 constexpr std::size_t maxRetainedCapacity = 64 * 1024;
 constexpr Duration lingerTimeout = 500ms, deadlineExtension = 100ms;
 constexpr int requestTimeout = 408;
-/// TCP keep-alive probes find a vanished client on an idle connection after about 16 s. While sent data stays
+/// TCP keep-alive probes detect a vanished client on an idle connection after about 16 s. If sent data remains
 /// unacknowledged, the connection fails after 2 s.
 constexpr int keepIdleSeconds = 10, keepIntervalSeconds = 2, keepProbes = 3, userTimeoutMs = 2000;
 
@@ -53,14 +53,14 @@
 void HttpServer::Connection::read() {
   if (reading || phase == Phase::closed) return;
   if (phase == Phase::exchange && reader.unreadBytes() >= maxPipelinedBytes) return watchForErrors();
-  std::size_t room = phase == Phase::body || phase == Phase::lingering ? largeReadSize : smallReadSize;
-  if (readRoom < room || (phase == Phase::idle && readRoom > room)) {
-    readSpace.reset(new char[room]);
-    readRoom = room;
+  std::size_t size = phase == Phase::body || phase == Phase::lingering ? largeReadSize : smallReadSize;
+  if (readBufferSize < size || (phase == Phase::idle && readBufferSize > size)) {
+    readBuffer.reset(new char[size]);
+    readBufferSize = size;
   }
   reading = true;
   socket.async_read_some(
-      asio::buffer(readSpace.get(), readRoom),
+      asio::buffer(readBuffer.get(), readBufferSize),
       [self = shared_from_this()](asio::error_code error, std::size_t size) { self->onRead(error, size); });
 }
 
@@ -83,7 +83,7 @@
   if (phase == Phase::closed) return;
   if (error) return onReadEnd(error);
   bool acceptsBytes = phase == Phase::idle || phase == Phase::head || phase == Phase::body || phase == Phase::exchange;
-  if (acceptsBytes) reader.append(readSpace.get(), size);
+  if (acceptsBytes) reader.append(readBuffer.get(), size);
   if (acceptsBytes && phase != Phase::exchange) return parse();
   read();
 }
@@ -278,8 +278,9 @@
   return std::max(Clock::now() + server->limits.idleTimeout, keepAliveUntil);
 }
 
-/// Enabled while a response is written whose end is marked by the end of the connection: whatever closes the connection
-/// early, even a kill of the process, must then reset it, or the client would take a truncated body for a complete one.
+/// Enabled while a response is written whose end is marked by the end of the connection. Any early close of the
+/// connection, even by a kill of the process, must then reset it, or the client would mistake a truncated body for a
+/// complete one.
 void HttpServer::Connection::resetOnClose(bool enabled) {
   asio::error_code ignored;
   socket.set_option(asio::socket_base::linger(enabled, 0), ignored);
@@ -357,19 +358,19 @@
 }
 
 void HttpServer::Response::head(int status, const HttpHeaders& headers, std::optional<std::size_t> length) {
-  if (auto held = connection) held->head(status, headers, length);
+  if (auto active = connection) active->head(status, headers, length);
 }
 
 void HttpServer::Response::bytes(std::string_view bytes) {
-  if (auto held = connection) held->bytes(bytes);
+  if (auto active = connection) active->bytes(bytes);
 }
 
 void HttpServer::Response::end() {
-  if (auto held = connection) held->end();
+  if (auto active = connection) active->end();
 }
 
 void HttpServer::Response::abort() {
-  if (auto held = connection) held->abort();
+  if (auto active = connection) active->abort();
 }
 
 void HttpServer::Response::onDisconnect(std::function<void()> handler) {
--- a/src/net/json_bodies.cpp
+++ b/src/net/json_bodies.cpp
@@ -16,7 +16,7 @@
   return Json(array);
 }
 Json number(double value) { return Json(value); }
-/// Reads an integer field as an int. Values out of range are clamped.
+/// Reads an integer field as an int. Values outside its range are clamped.
 int intOr(const Json& object, const std::string& name, int fallback) {
   constexpr std::int64_t minInt = std::numeric_limits<int>::min(), maxInt = std::numeric_limits<int>::max();
   return static_cast<int>(std::clamp(integerOr(object, name, fallback), minInt, maxInt));
@@ -320,8 +320,8 @@
 }
 
 Result<CallerOrder> readCallerOrder(const std::string& text) {
-  if (text.size() > maxCallerBodyBytes)
-    return makeError(Code::tooLarge, "body", "the body exceeds " + std::to_string(maxCallerBodyBytes) + " bytes");
+  if (text.size() > maxClientBodyBytes)
+    return makeError(Code::tooLarge, "body", "the body exceeds " + std::to_string(maxClientBodyBytes) + " bytes");
   auto parsed =
       parseObject(text, {"route", "model", "parts", "repeatable", "maxTokens", "tenant", "kv_transfer_params"});
   if (!parsed) return parsed.error();
--- a/tests/proxy_fixture.hpp
+++ b/tests/proxy_fixture.hpp
@@ -8,26 +8,38 @@
 #include "http_server_fixture.hpp"
 #include "roles.hpp"
 
-/// Fixture for tests of a proxy process: a proxy in a process of its own, an agent that sends it updates, and workers
-/// on raw sockets for which the test writes every byte.
+/// Fixture for tests of a proxy process: a proxy in a process of its own, a simulated agent that sends it updates, and
+/// workers on raw sockets, for which the test writes every byte.
 namespace tt::proxytest {
-using namespace tt::gatetest;
+using namespace tt::servertest;
 
-/// Returns the first of count consecutive free ports. The range depends on the process id, as tests run in parallel.
+/// Ports that the fixture gives out. They end below 32768, where the range begins that Linux uses for outgoing
+/// connections by default (net.ipv4.ip_local_port_range): such a connection of another test could take a port after it
+/// was found free and before the process listens on it.
+constexpr int firstFixturePort = 12000, endOfFixturePorts = 32768;
+
+/// Returns the first of count consecutive free ports. The search starts at a port that depends on the process id, as
+/// tests run in parallel, and continues at the beginning of the range after its end.
 inline unsigned short freePorts(int count) {
-  for (int firstPort = 21000 + ::getpid() % 2000 * 10; firstPort < 60000; firstPort += count) {
+  constexpr int portsPerProcess = 10;
+  cr_assert_leq(count, portsPerProcess);
+  int blocks = (endOfFixturePorts - firstFixturePort) / portsPerProcess;
+  int firstBlock = ::getpid() % blocks;
+  for (int searched = 0; searched < blocks; ++searched) {
+    int firstPort = firstFixturePort + (firstBlock + searched) % blocks * portsPerProcess;
     asio::io_context io;
-    std::vector<asio::ip::tcp::acceptor> held;
+    std::vector<asio::ip::tcp::acceptor> acceptors;
     asio::error_code error;
-    for (int at = 0; at < count && !error; ++at) {
-      held.emplace_back(io);
-      held.back().open(asio::ip::tcp::v4(), error);
+    for (int offset = 0; offset < count && !error; ++offset) {
+      acceptors.emplace_back(io);
+      acceptors.back().open(asio::ip::tcp::v4(), error);
       if (!error)
-        held.back().bind({asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(firstPort + at)}, error);
+        acceptors.back().bind({asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(firstPort + offset)},
+                              error);
     }
     if (!error) return static_cast<unsigned short>(firstPort);
   }
-  cr_assert_fail("no free ports");
+  cr_assert_fail("no %d consecutive free ports below %d", count, endOfFixturePorts);
   return 0;
 }
 
@@ -43,7 +55,7 @@
     return *this;
   }
   ~WorkerConnection() { close(); }
-  /// The next request with its body; empty if none arrives in time or the connection ends.
+  /// Reads the next request with its body. Empty if none arrives in time or the connection ends.
   std::string request(Duration wait = 5s) {
     while (true) {
       auto end = unread.find("\r\n\r\n");
@@ -59,13 +71,13 @@
       if (!fill(wait)) return {};
     }
   }
-  /// Whether the proxy closes the connection within the time.
+  /// Waits until the proxy closes the connection. Returns false if it does not do so in time.
   bool ended(Duration wait = 5s) {
     while (fill(wait)) {
     }
-    return over;
+    return closed;
   }
-  void say(std::string_view text) { (void)!::send(handle, text.data(), text.size(), MSG_NOSIGNAL); }
+  void send(std::string_view text) { (void)!::send(handle, text.data(), text.size(), MSG_NOSIGNAL); }
   void close() {
     if (handle >= 0) ::close(handle);
     handle = -1;
@@ -79,19 +91,19 @@
  private:
   int handle{-1};
   std::string unread;
-  bool over{false};
+  bool closed{false};
   bool fill(Duration wait) {
     pollfd descriptors{handle, POLLIN, 0};
     if (::poll(&descriptors, 1, static_cast<int>(toMilliseconds(wait))) <= 0) return false;
     char bytes[16384];
     auto size = ::recv(handle, bytes, sizeof bytes, 0);
-    over = size <= 0;
-    if (!over) unread.append(bytes, static_cast<std::size_t>(size));
-    return !over;
+    closed = size <= 0;
+    if (!closed) unread.append(bytes, static_cast<std::size_t>(size));
+    return !closed;
   }
 };
 
-/// Listening socket of a worker.
+/// The listening socket of a worker.
 class WorkerListener {
  public:
   WorkerListener() : acceptor(io, asio::ip::tcp::endpoint(asio::ip::address_v4::loopback(), 0)) {}
@@ -120,11 +132,11 @@
     ::waitpid(id, nullptr, 0);
   }
   void signal(int number) { ::kill(id, number); }
-  /// Whether the process exits within the time.
+  /// Waits until the process exits. Returns false if it does not do so in time.
   bool hasEnded(Duration wait) {
-    bool over = eventually([this] { return ::waitpid(id, nullptr, WNOHANG) == id; }, wait);
-    if (over) id = 0;
-    return over;
+    bool exited = eventually([this] { return ::waitpid(id, nullptr, WNOHANG) == id; }, wait);
+    if (exited) id = 0;
+    return exited;
   }
 
  private:
@@ -142,13 +154,14 @@
     settings.zone = "north-a";
     settings.internalPortFirst = firstPort;
     settings.internalPortLast = firstPort + 2;
-    settings.frontAddress = at(3);
-    settings.readinessAddress = at(4);
+    settings.frontAddress = addressOf(3);
+    settings.readinessAddress = addressOf(4);
     settings.bounds.grace = grace;
     process = std::make_unique<RoleProcess>(settings, runProxy);
-    transport = std::make_unique<PeerTransport>(context, at(1), [this](const std::string& from, Message message) {
-      if (auto* ask = std::get_if<FeedAsk>(&message)) feed(from, *ask);
-    });
+    transport =
+        std::make_unique<PeerTransport>(context, addressOf(1), [this](const std::string& from, Message message) {
+          if (auto* poll = std::get_if<FeedAsk>(&message)) respondToPoll(from, *poll);
+        });
     cr_assert(bool(transport->listen()));
     thread = std::thread([this] { context.run(); });
     applyPatch(R"({"services":{"mill":{}},"routes":{
@@ -175,7 +188,7 @@
     cr_assert(eventually([&] { return applied >= index; }, 10s));
   }
   /// Announces a model's weights version, which all workers report from now on, and waits until the proxy has both.
-  void name(const std::string& model, const std::string& weights) {
+  void announceWeights(const std::string& model, const std::string& weights) {
     {
       std::lock_guard<std::mutex> guard(lock);
       workersModel = model;
@@ -183,8 +196,8 @@
     }
     applyPatch(R"({"weights":{")" + weights + R"(":{"model":")" + model + R"("}},"models":{")" + model +
                R"(":{"weights":")" + weights + R"("}}})");
-    auto enough = fed + 2;
-    cr_assert(eventually([&] { return fed >= enough; }, 10s));
+    auto awaitedCount = pollCount + 2;
+    cr_assert(eventually([&] { return pollCount >= awaitedCount; }, 10s));
   }
   /// Accepts the next connection from the proxy to any worker.
   WorkerConnection accept(Duration wait = 5s) {
@@ -208,9 +221,9 @@
     asio::error_code error;
     socket.connect({asio::ip::make_address("127.0.0.1"), static_cast<unsigned short>(firstPort + 4)}, error);
     if (error) return false;
-    RawClient caller(static_cast<unsigned short>(firstPort + 4));
-    caller.send("GET /ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-    return has(caller.until("\r\n\r\n"), " 200 ");
+    RawClient client(static_cast<unsigned short>(firstPort + 4));
+    client.send("GET /ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
+    return has(client.readUntil("\r\n\r\n"), " 200 ");
   }
   void signal(int number) { process->signal(number); }
   bool hasEnded(Duration wait) { return process->hasEnded(wait); }
@@ -224,20 +237,20 @@
   std::thread thread;
   std::mutex lock;
   Configuration view;
-  std::atomic<std::uint64_t> applied{0}, fed{0};
+  std::atomic<std::uint64_t> applied{0}, pollCount{0};
   std::uint64_t sequence{0};
   std::string workersModel, workersWeights;
   std::unique_ptr<RoleProcess> process;
 
-  std::string at(int port) const { return "127.0.0.1:" + std::to_string(firstPort + port); }
-  void feed(const std::string& to, const FeedAsk& ask) {
+  std::string addressOf(int portOffset) const { return "127.0.0.1:" + std::to_string(firstPort + portOffset); }
+  void respondToPoll(const std::string& to, const FeedAsk& poll) {
     std::lock_guard<std::mutex> guard(lock);
-    applied = ask.applied;
-    if (ask.applied < view.index()) {
-      NewsMsg news;
-      news.commit = view.index();
-      news.snapshots.push_back(view.snapshot());
-      transport->send(to, news);
+    applied = poll.applied;
+    if (poll.applied < view.index()) {
+      NewsMsg update;
+      update.commit = view.index();
+      update.snapshots.push_back(view.snapshot());
+      transport->send(to, update);
     }
     CellNews cell;
     cell.zone = "north-a";
@@ -266,25 +279,25 @@
     }
     transport->send(to, cell);
     transport->send(to, marks);
-    transport->send(to, FeedReply{ask.sentAt, 0, view.index(), true});
-    ++fed;
+    transport->send(to, FeedReply{poll.sentAt, 0, view.index(), true});
+    ++pollCount;
   }
 };
 
-/// The value of a header; empty if it is absent.
+/// Returns the value of a header; empty if it is absent.
 inline std::string headerOf(const std::string& text, const std::string& name) {
   auto at = text.find("\r\n" + name + ": ");
   if (at == std::string::npos) return {};
   at += name.size() + 4;
   return text.substr(at, text.find("\r\n", at) - at);
 }
-/// A worker's complete response to a request, with the attempt id of the request.
+/// Returns a worker's complete response to a request, with the attempt id of the request.
 inline std::string responseTo(const std::string& request, const std::string& seal, const std::string& body) {
   return "HTTP/1.1 200 OK\r\nX-Attempt-Id: " + headerOf(request, "X-Attempt-Id") + "\r\nX-Server-Seal: " + seal +
          "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
-/// A GET request with an attempt id.
-inline std::string ask(const std::string& path, const std::string& attempt, const std::string& more = {}) {
+/// Returns a GET request with an attempt id.
+inline std::string getRequest(const std::string& path, const std::string& attempt, const std::string& more = {}) {
   return "GET " + path + " HTTP/1.1\r\nHost: a\r\nX-Attempt-Id: " + attempt + "\r\nX-Deadline-Ms: 8000\r\n" + more +
          "\r\n";
 }
--- a/tests/proxy_harness.hpp
+++ b/tests/proxy_harness.hpp
@@ -3,16 +3,16 @@
 #include "proxy_router.hpp"
 #include "raw_server.hpp"
 
-/// Test harness for a proxy's path between clients and workers over real sockets: HTTP server, router, calls, and
-/// workers that respond with scripted raw bytes. The agent is simulated.
+/// Test harness for the complete path between clients and workers through a proxy, on real sockets: HTTP server,
+/// router, HTTP client, and workers that respond with scripted raw bytes. The agent is simulated.
 namespace raw {
 
-/// The response that a client received.
+/// A response as a client received it.
 struct ClientResponse {
   int status{0};
   HttpHeaders headers;
   std::string body, text;
-  /// Whether the body ended as its framing requires.
+  /// Whether the body is complete according to its framing.
   bool complete{false};
   std::string header(const std::string& name) const {
     const auto* found = findHeader(headers, name);
@@ -53,22 +53,22 @@
   }
 }
 
-/// The value of a request's header; empty if it is absent.
+/// Returns the value of a header of a request; empty if it is absent.
 inline std::string headerIn(const std::string& request, const std::string& name) {
   auto at = request.find("\r\n" + name + ": ");
   if (at == std::string::npos) return {};
   at += name.size() + 4;
   return request.substr(at, request.find("\r\n", at) - at);
 }
-/// The two headers that a worker sets in each response to this request.
+/// Returns the two headers that a worker must set in a response to a request.
 inline std::string workerHeaders(const std::string& request, const std::string& seal = "seal-1") {
   return "X-Attempt-Id: " + headerIn(request, "X-Attempt-Id") + "\r\nX-Server-Seal: " + seal + "\r\n";
 }
 
-/// A proxy with scripted workers on one event loop, which the test runs.
+/// A proxy with scripted workers on an event loop that the test runs.
 class ProxyHarness {
  public:
-  using Script = std::function<void(const RawServer::ConnectionPtr& held, const std::string& request)>;
+  using Script = std::function<void(const RawServer::ConnectionPtr& connection, const std::string& request)>;
 
   explicit ProxyHarness(std::size_t workers = 2, Duration pendingTimeout = 1500ms) {
     ProxyRouterSettings settings;
@@ -92,29 +92,29 @@
                                           });
     host->sendMessage = [this](const std::string& to, Message&& message) {
       if (exchanges->sendMessage(to, message)) return;
-      if (auto* ask = std::get_if<FeedAsk>(&message); ask && feedEnabled)
-        asio::post(io, [this, sentAt = ask->sentAt] {
+      if (auto* poll = std::get_if<FeedAsk>(&message); poll && feedEnabled)
+        asio::post(io, [this, sentAt = poll->sentAt] {
           host->handle("agent:1", FeedReply{sentAt, 0, router->configuration().index(), true});
         });
     };
     for (std::size_t number = 0; number < workers; ++number)
-      servers.push_back(
-          std::make_unique<RawServer>(io, [this](const RawServer::ConnectionPtr& held, const std::string& request) {
+      servers.push_back(std::make_unique<RawServer>(
+          io, [this](const RawServer::ConnectionPtr& connection, const std::string& request) {
             ++arrivals;
-            script(held, request);
+            script(connection, request);
           }));
     cr_assert(bool(server->open()));
     host->start();
     declare();
     publishWorkers();
-    cr_assert(until([&] { return router->ready(Clock::now()); }));
+    cr_assert(waitUntil([&] { return router->ready(Clock::now()); }));
   }
   ~ProxyHarness() {
     host->stop();
     server->close();
     calls.reset();
   }
-  bool until(const std::function<bool()>& done, Duration maxWait = 5s) {
+  bool waitUntil(const std::function<bool()>& done, Duration maxWait = 5s) {
     auto limit = Clock::now() + maxWait;
     while (!done() && Clock::now() < limit) {
       io.restart();
@@ -122,15 +122,15 @@
     }
     return done();
   }
-  void pass(Duration duration) {
-    until([] { return false; }, duration);
+  void runFor(Duration duration) {
+    waitUntil([] { return false; }, duration);
   }
 
   struct Client {
     explicit Client(asio::io_context& context) : socket(context) {}
     asio::ip::tcp::socket socket;
     std::string text;
-    std::array<char, 16384> piece{};
+    std::array<char, 16384> readBuffer{};
     bool ended{false};
   };
   std::shared_ptr<Client> begin(const std::string& target, const std::string& headers = {},
@@ -148,15 +148,15 @@
     return client;
   }
   ClientResponse finish(const std::shared_ptr<Client>& client) {
-    cr_assert(until([&] { return client->ended; }), "the client's connection must end");
+    cr_assert(waitUntil([&] { return client->ended; }), "the client's connection must end");
     return parseResponse(client->text);
   }
-  ClientResponse ask(const std::string& target, const std::string& headers = {}, const std::string& body = "body") {
+  ClientResponse request(const std::string& target, const std::string& headers = {}, const std::string& body = "body") {
     return finish(begin(target, headers, body));
   }
-  std::size_t copies(const std::string& marker) const {
+  std::size_t timesReceived(const std::string& marker) const {
     std::size_t count = 0;
-    for (const auto& server : servers) count += server->copies(marker);
+    for (const auto& server : servers) count += server->timesReceived(marker);
     return count;
   }
   void publishWorkers() {
@@ -220,9 +220,9 @@
     host->handle("agent:1", update);
   }
   void read(const std::shared_ptr<Client>& client) {
-    client->socket.async_read_some(asio::buffer(client->piece),
+    client->socket.async_read_some(asio::buffer(client->readBuffer),
                                    [this, client](const asio::error_code& error, std::size_t bytes) {
-                                     client->text.append(client->piece.data(), bytes);
+                                     client->text.append(client->readBuffer.data(), bytes);
                                      if (error) {
                                        client->ended = true;
                                        return;
