--- a/src/sim/scale/counting_ring_files.hpp
+++ b/src/sim/scale/counting_ring_files.hpp
@@ -6,21 +6,22 @@
 /// A ring's files in memory, which never fail; they count the bytes written.
 class CountingRingFiles : public RingFiles {
  public:
-  CountingRingFiles(int files, std::size_t bytes) : rows(static_cast<std::size_t>(files), std::string(bytes, '\0')) {}
-  Result<std::string> readAll(int file) override { return rows[static_cast<std::size_t>(file)]; }
+  CountingRingFiles(int files, std::size_t bytes)
+      : contents(static_cast<std::size_t>(files), std::string(bytes, '\0')) {}
+  Result<std::string> readAll(int file) override { return contents[static_cast<std::size_t>(file)]; }
   Result<void> write(int file, std::size_t offset, std::string_view bytes) override {
-    rows[static_cast<std::size_t>(file)].replace(offset, bytes.size(), bytes);
-    written += static_cast<std::int64_t>(bytes.size());
+    contents[static_cast<std::size_t>(file)].replace(offset, bytes.size(), bytes);
+    bytesWritten += static_cast<std::int64_t>(bytes.size());
     return boost::outcome_v2::success();
   }
   Result<void> sync(int) override { return boost::outcome_v2::success(); }
-  int count() const override { return static_cast<int>(rows.size()); }
-  std::size_t size() const override { return rows[0].size(); }
-  std::int64_t writtenBytes() const { return written; }
+  int count() const override { return static_cast<int>(contents.size()); }
+  std::size_t size() const override { return contents[0].size(); }
+  std::int64_t writtenBytes() const { return bytesWritten; }
 
  private:
-  std::vector<std::string> rows;
-  std::int64_t written{0};
+  std::vector<std::string> contents;
+  std::int64_t bytesWritten{0};
 };
 
 }  // namespace tt
--- a/src/sim/scale/event_queue.cpp
+++ b/src/sim/scale/event_queue.cpp
@@ -5,17 +5,17 @@
 namespace tt {
 namespace {
 bool isLater(const ScheduledEvent& one, const ScheduledEvent& other) {
-  return one.at != other.at ? one.at > other.at : one.number > other.number;
+  return one.at != other.at ? one.at > other.at : one.sequence > other.sequence;
 }
 }  // namespace
 
 void EventQueue::push(ScheduledEvent event) {
-  event.number = ++count;
+  event.sequence = ++lastSequence;
   heap.push_back(std::move(event));
   std::push_heap(heap.begin(), heap.end(), isLater);
 }
 
-std::optional<ScheduledEvent> EventQueue::popUntil(TimePoint until) {
+std::optional<ScheduledEvent> EventQueue::popDue(TimePoint until) {
   if (heap.empty() || heap.front().at > until) return std::nullopt;
   std::pop_heap(heap.begin(), heap.end(), isLater);
   ScheduledEvent event = std::move(heap.back());
--- a/src/sim/scale/event_queue.hpp
+++ b/src/sim/scale/event_queue.hpp
@@ -12,7 +12,7 @@
   std::size_t to{0};
   std::string from, frame;
   std::shared_ptr<Message> message;
-  std::uint64_t number{0};
+  std::uint64_t sequence{0};
 };
 
 /// Events in the order of their times; those of one time in the order in which they were scheduled.
@@ -20,11 +20,11 @@
  public:
   void push(ScheduledEvent event);
   /// The next event, if it happens until then.
-  std::optional<ScheduledEvent> popUntil(TimePoint until);
+  std::optional<ScheduledEvent> popDue(TimePoint until);
 
  private:
   std::vector<ScheduledEvent> heap;
-  std::uint64_t count{0};
+  std::uint64_t lastSequence{0};
 };
 
 }  // namespace tt
--- a/src/sim/scale/fleet_fixtures.cpp
+++ b/src/sim/scale/fleet_fixtures.cpp
@@ -12,13 +12,13 @@
   return value ^ (value >> 31);
 }
 
-BlockHash blockOf(std::uint64_t worker, std::uint64_t number) {
+BlockHash makeBlockHash(std::uint64_t worker, std::uint64_t number) {
   return BlockHash{mixBits(worker << 40 ^ number), mixBits(number << 20 ^ worker)};
 }
 
 namespace {
 
-std::string secretOf(int tenant) { return fmt::format("sk-{:040x}", mixBits(static_cast<std::uint64_t>(tenant))); }
+std::string tenantSecret(int tenant) { return fmt::format("sk-{:040x}", mixBits(static_cast<std::uint64_t>(tenant))); }
 
 std::string modelName(int model) { return fmt::format("model-{}", model + 1); }
 
@@ -26,7 +26,7 @@
 
 Json tenantItem(int tenant) {
   JsonObject item;
-  item["secrets"] = Json(JsonArray{Json(secretOf(tenant))});
+  item["secrets"] = Json(JsonArray{Json(tenantSecret(tenant))});
   item["priority"] = jsonNumber(tenant % 10);
   item["isolated"] = Json(tenant % 4 == 0);
   return Json(item);
@@ -52,21 +52,21 @@
   return fmt::format("region-{}-zone-{}", zone % size.regions + 1, zone / size.regions + 1);
 }
 
-std::string firstSections(int tenants, int models) {
-  JsonObject whole, tenantRows, routeRows, serviceRows;
+std::string initialSections(int tenants, int models) {
+  JsonObject sections, tenantRows, routeRows, serviceRows;
   for (int tenant = 0; tenant < tenants; ++tenant) {
     tenantRows[fmt::format("tenant-{}", tenant)] = tenantItem(tenant);
     routeRows[fmt::format("route-{}", tenant)] = routeItem(tenant, models);
   }
   for (int model = 0; model < models; ++model) serviceRows[serviceName(model)] = Json(JsonObject());
-  whole["tenants"] = Json(tenantRows);
-  whole["routes"] = Json(routeRows);
-  whole["services"] = Json(serviceRows);
-  return Json(whole).serialize();
+  sections["tenants"] = Json(tenantRows);
+  sections["routes"] = Json(routeRows);
+  sections["services"] = Json(serviceRows);
+  return Json(sections).serialize();
 }
 
 std::string modelSections(int models) {
-  JsonObject whole, modelRows, weightRows;
+  JsonObject sections, modelRows, weightRows;
   for (int model = 0; model < models; ++model) {
     JsonObject modelRow, weightRow;
     std::string weights = modelName(model) + "/1";
@@ -75,22 +75,22 @@
     modelRows[modelName(model)] = Json(modelRow);
     weightRows[weights] = Json(weightRow);
   }
-  whole["models"] = Json(modelRows);
-  whole["weights"] = Json(weightRows);
-  return Json(whole).serialize();
+  sections["models"] = Json(modelRows);
+  sections["weights"] = Json(weightRows);
+  return Json(sections).serialize();
 }
 
-std::string tenantChange(int tenant, int turn) {
-  JsonObject whole, rows;
+std::string tenantChange(int tenant, int changeNumber) {
+  JsonObject sections, rows;
   Json item = tenantItem(tenant);
-  item.get<JsonObject>()["priority"] = jsonNumber(turn % 10);
-  item.get<JsonObject>()["at"] = Json(fmt::format("desk-{}", turn));
+  item.get<JsonObject>()["priority"] = jsonNumber(changeNumber % 10);
+  item.get<JsonObject>()["at"] = Json(fmt::format("desk-{}", changeNumber));
   rows[fmt::format("tenant-{}", tenant)] = item;
-  whole["tenants"] = Json(rows);
-  return Json(whole).serialize();
+  sections["tenants"] = Json(rows);
+  return Json(sections).serialize();
 }
 
-Machine machineOf(const FleetSize& size, int worker) {
+Machine makeMachine(const FleetSize& size, int worker) {
   int zone = worker % size.zones, model = (worker + worker / size.zones) % size.models;
   return Machine{fmt::format("worker-{:04}", worker),
                  fmt::format("10.{}.{}.{}:8000", 100 + zone, worker / 250 % 250, worker % 250),
@@ -103,7 +103,7 @@
                  4};
 }
 
-CellSettings platformCell() {
+CellSettings platformCellSettings() {
   CellSettings settings;
   settings.separateStatus = settings.singleLoadCommand = settings.onlySeedsBootstrap = true;
   settings.publishSummaries = false;
@@ -117,8 +117,8 @@
   return settings;
 }
 
-ProxyRouterSettings platformEdge(const std::string& name, const std::string& address, const std::string& zone,
-                                 const std::string& agentAddress) {
+ProxyRouterSettings platformProxySettings(const std::string& name, const std::string& address, const std::string& zone,
+                                          const std::string& agentAddress) {
   ProxyRouterSettings settings;
   settings.name = name;
   settings.address = address;
@@ -150,20 +150,20 @@
   (void)done;
 }
 
-CallerOrder requestOf(const FleetSize& size, std::uint64_t number) {
+CallerOrder makeRequest(const FleetSize& size, std::uint64_t number) {
   int tenant = static_cast<int>(mixBits(number) % static_cast<std::uint64_t>(std::max(1, size.tenants)));
-  CallerOrder order;
-  order.requestId = fmt::format("order-{}", number);
-  order.key = secretOf(tenant);
-  order.host = fmt::format("tenant-{}.example", tenant);
-  order.path = "/v1/chat";
-  order.model = modelName(tenant % size.models);
-  order.parts = {fmt::format("system-{}", tenant), fmt::format("document-{}", number % 64),
-                 fmt::format("turn-{}", number)};
-  order.partTokens = {600, 1200, 200};
-  order.maxTokens = 470;
-  order.deadlineMs = 60000;
-  return order;
+  CallerOrder request;
+  request.requestId = fmt::format("order-{}", number);
+  request.key = tenantSecret(tenant);
+  request.host = fmt::format("tenant-{}.example", tenant);
+  request.path = "/v1/chat";
+  request.model = modelName(tenant % size.models);
+  request.parts = {fmt::format("system-{}", tenant), fmt::format("document-{}", number % 64),
+                   fmt::format("turn-{}", number)};
+  request.partTokens = {600, 1200, 200};
+  request.maxTokens = 470;
+  request.deadlineMs = 60000;
+  return request;
 }
 
 }  // namespace tt
--- a/src/sim/scale/fleet_fixtures.hpp
+++ b/src/sim/scale/fleet_fixtures.hpp
@@ -10,22 +10,22 @@
 
 /// A well-spread number of another.
 std::uint64_t mixBits(std::uint64_t value);
-BlockHash blockOf(std::uint64_t worker, std::uint64_t number);
+BlockHash makeBlockHash(std::uint64_t worker, std::uint64_t number);
 std::string zoneName(const FleetSize& size, int zone);
-Machine machineOf(const FleetSize& size, int worker);
+Machine makeMachine(const FleetSize& size, int worker);
 
 /// The first configuration: tenants, a route for each, and a service for each model.
-std::string firstSections(int tenants, int models);
+std::string initialSections(int tenants, int models);
 /// Models and the first version of each one's weights.
 std::string modelSections(int models);
 /// A change of one tenant's item.
-std::string tenantChange(int tenant, int turn);
-CallerOrder requestOf(const FleetSize& size, std::uint64_t number);
+std::string tenantChange(int tenant, int changeNumber);
+CallerOrder makeRequest(const FleetSize& size, std::uint64_t number);
 
 /// Settings and timing as the platform's roles have them.
-CellSettings platformCell();
-ProxyRouterSettings platformEdge(const std::string& name, const std::string& address, const std::string& zone,
-                                 const std::string& agentAddress);
+CellSettings platformCellSettings();
+ProxyRouterSettings platformProxySettings(const std::string& name, const std::string& address, const std::string& zone,
+                                          const std::string& agentAddress);
 void setPlatformTiming();
 
 }  // namespace tt
--- a/src/sim/scale/fleet_samples.cpp
+++ b/src/sim/scale/fleet_metrics.cpp
@@ -1,4 +1,4 @@
-#include "fleet_samples.hpp"
+#include "fleet_metrics.hpp"
 
 #include <numeric>
 
@@ -9,37 +9,37 @@
 
 constexpr double nsPerMs = 1e6;
 
-class FigureList {
+class MetricList {
  public:
-  explicit FigureList(const FleetCost& measured) : cost(measured) {}
+  explicit MetricList(const FleetCost& measured) : cost(measured) {}
 
-  std::vector<FleetFigure> list() {
-    for (const auto& [role, daemons] : cost.daemonsByRole) {
+  std::vector<FleetMetric> list() {
+    for (const auto& [role, daemons] : cost.processesByRole) {
       addDaemons(role, daemons);
       addMessages(role, daemons);
     }
     addSpread("ms to acknowledge", cost.ackMs);
     addSpread("ms to last agent", cost.agentsMs);
     addSpread("ms to last proxy", cost.proxiesMs);
-    add("fleet", "cells held", static_cast<double>(cost.cellsHeld));
-    add("fleet", "blocks indexed", static_cast<double>(cost.blocksIndexed));
-    add("fleet", "events taken per s", perSecond(cost.eventsTaken));
+    add("fleet", "cells held", static_cast<double>(cost.cellsWithLease));
+    add("fleet", "blocks indexed", static_cast<double>(cost.indexedBlocks));
+    add("fleet", "events taken per s", perSecond(cost.eventsReceived));
     add("fleet", "requests done per s", perSecond(cost.requestsDone));
     add("fleet", "blueprint bytes", static_cast<double>(cost.configurationBytes));
-    return std::move(figures);
+    return std::move(metrics);
   }
 
  private:
   const FleetCost& cost;
-  std::vector<FleetFigure> figures;
+  std::vector<FleetMetric> metrics;
 
   double perSecond(std::int64_t count) const { return static_cast<double>(count) / cost.seconds; }
   double msPerSecond(std::int64_t ns) const { return static_cast<double>(ns) / nsPerMs / cost.seconds; }
   void add(const std::string& subject, const std::string& name, double value) {
-    figures.push_back({subject, name, value});
+    metrics.push_back({subject, name, value});
   }
 
-  std::map<std::string, std::vector<double>> rowsOf(const std::vector<DaemonCost>& daemons) const {
+  std::map<std::string, std::vector<double>> rowsOf(const std::vector<ProcessCost>& daemons) const {
     std::map<std::string, std::vector<double>> rows;
     for (const auto& daemon : daemons) {
       rows["cpu ms per s"].push_back(msPerSecond(daemon.fleet.cpuNs));
@@ -55,7 +55,7 @@
     return rows;
   }
 
-  void addDaemons(const std::string& role, const std::vector<DaemonCost>& daemons) {
+  void addDaemons(const std::string& role, const std::vector<ProcessCost>& daemons) {
     for (const auto& [name, values] : rowsOf(daemons)) {
       double sum = std::accumulate(values.begin(), values.end(), 0.0);
       add(role, name + ", mean", sum / static_cast<double>(values.size()));
@@ -63,7 +63,7 @@
     }
   }
 
-  static std::map<std::string, Cost> sumByMessage(const std::vector<DaemonCost>& daemons) {
+  static std::map<std::string, Cost> sumByMessage(const std::vector<ProcessCost>& daemons) {
     std::map<std::string, Cost> sums;
     for (const auto& daemon : daemons)
       for (const auto& [kind, row] : daemon.byMessage) {
@@ -76,7 +76,7 @@
     return sums;
   }
 
-  void addMessages(const std::string& role, const std::vector<DaemonCost>& daemons) {
+  void addMessages(const std::string& role, const std::vector<ProcessCost>& daemons) {
     auto count = static_cast<double>(daemons.size());
     for (const auto& [kind, row] : sumByMessage(daemons)) {
       if (row.cpuNs) add(role, kind + ": cpu ms per s", msPerSecond(row.cpuNs) / count);
@@ -96,6 +96,6 @@
 
 }  // namespace
 
-std::vector<FleetFigure> figuresOf(const FleetCost& cost) { return FigureList(cost).list(); }
+std::vector<FleetMetric> fleetMetrics(const FleetCost& cost) { return MetricList(cost).list(); }
 
 }  // namespace tt
--- a/src/sim/scale/fleet_samples.hpp
+++ b/src/sim/scale/fleet_metrics.hpp
@@ -4,12 +4,12 @@
 namespace tt {
 
 /// One figure of a measured fleet: of a role, or of the whole fleet.
-struct FleetFigure {
+struct FleetMetric {
   std::string subject, name;
   double value{0};
 };
 /// A fleet's costs as figures: for each role the mean and the most, and each message's share; for the fleet its counts
 /// and how long changes took.
-std::vector<FleetFigure> figuresOf(const FleetCost& cost);
+std::vector<FleetMetric> fleetMetrics(const FleetCost& cost);
 
 }  // namespace tt
--- a/src/sim/scale/fleet_size.cpp
+++ b/src/sim/scale/fleet_size.cpp
@@ -2,16 +2,19 @@
 
 namespace tt {
 namespace {
-constexpr std::int64_t bytesPerTenant = 3000, bytesPerWorker = 600, bytesPerView = 1000000;
-constexpr std::int64_t bytesPerCore = 40 << 20, bytesPerCoreAndDaemon = 2000, bytesPerZone = 4000;
-constexpr std::int64_t bytesPerBlock = 90, bytesUnderWay = 8000;
+constexpr std::int64_t bytesPerTenant = 3000, bytesPerWorker = 600, bytesPerConfiguration = 1000000;
+constexpr std::int64_t bytesPerCore = 40 << 20, bytesPerDaemonInCore = 2000, bytesPerZone = 4000;
+constexpr std::int64_t bytesPerBlock = 90, inFlightBytesPerConnection = 8000;
 }  // namespace
 
 std::int64_t estimatedBytes(const FleetSize& size) {
   std::int64_t daemons = size.daemons, cores = size.cores;
-  std::int64_t viewBytes = bytesPerTenant * size.tenants + bytesPerWorker * size.workers + bytesPerView;
-  std::int64_t coreBytes = viewBytes * 3 + bytesPerCore + daemons * bytesPerCoreAndDaemon + size.zones * bytesPerZone;
-  return daemons * 2 * viewBytes + cores * coreBytes + size.blocks * bytesPerBlock + daemons * cores * bytesUnderWay;
+  std::int64_t configurationBytes =
+      bytesPerTenant * size.tenants + bytesPerWorker * size.workers + bytesPerConfiguration;
+  std::int64_t coreBytes =
+      configurationBytes * 3 + bytesPerCore + daemons * bytesPerDaemonInCore + size.zones * bytesPerZone;
+  return daemons * 2 * configurationBytes + cores * coreBytes + size.blocks * bytesPerBlock +
+         daemons * cores * inFlightBytesPerConnection;
 }
 
 }  // namespace tt
--- a/src/sim/scale/fleet_size.hpp
+++ b/src/sim/scale/fleet_size.hpp
@@ -7,8 +7,8 @@
 struct FleetSize {
   int daemons{9}, cores{4}, workers{18}, regions{4}, zones{40}, tenants{8}, models{3};
   std::int64_t blocks{0};
-  double eventsPerSecond{0}, changesPerHour{0}, requestsPerSecond{0}, markChangesPerHour{0};
-  Duration measured{3s}, link{1ms};
+  double eventsPerSecond{0}, changesPerHour{0}, requestsPerSecond{0}, machineListChangesPerHour{0};
+  Duration measuredDuration{3s}, linkDelay{1ms};
 };
 
 /// How many bytes of memory a fleet of this size takes, about, in the process that measures it.
--- a/src/sim/scale/fleet_trial.cpp
+++ b/src/sim/scale/fleet_trial.cpp
@@ -3,39 +3,39 @@
 #include <fmt/format.h>
 #include <algorithm>
 
-#include "hollow_fleet.hpp"
+#include "simulated_fleet.hpp"
 
 namespace tt {
 namespace {
 
-constexpr Duration formMost = 60s;
-constexpr Duration settleSpan = 3s;
-constexpr Duration requestWarmth = 3s;
-constexpr Duration changePollEvery = 1ms;
+constexpr Duration formationTimeout = 60s;
+constexpr Duration settleTime = 3s;
+constexpr Duration requestWarmUp = 3s;
+constexpr Duration changePollInterval = 1ms;
 constexpr double secondsPerHour = 3600;
 
 /// Something that happens at a steady rate; never, where the rate is 0.
-class Recurrence {
+class RecurringEvent {
  public:
-  explicit Recurrence(double perSecond) : every(perSecond > 0 ? interval(perSecond) : Duration::max()) {}
+  explicit RecurringEvent(double perSecond) : interval(perSecond > 0 ? toInterval(perSecond) : Duration::max()) {}
   /// The first time is half an interval after the beginning.
-  void startHalfwayAfter(TimePoint begin) { startAt(begin + every / 2); }
+  void startHalfAnIntervalAfter(TimePoint begin) { startAt(begin + interval / 2); }
   void startAt(TimePoint first) {
-    if (every != Duration::max()) next = first;
+    if (interval != Duration::max()) next = first;
   }
   TimePoint nextAt() const { return next; }
   /// Whether the next time has come; if so, the one after it is waited for.
-  bool takeDue(TimePoint now) {
+  bool advanceIfDue(TimePoint now) {
     if (now < next) return false;
-    next += every;
+    next += interval;
     return true;
   }
 
  private:
-  const Duration every;
+  const Duration interval;
   TimePoint next{TimePoint::max()};
 
-  static Duration interval(double perSecond) {
+  static Duration toInterval(double perSecond) {
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(1 / perSecond));
   }
 };
@@ -48,29 +48,29 @@
 
   Result<FleetCost> run() {
     if (auto formed = formCores(); !formed) return formed.error();
-    fleet.requestChange("first", firstSections(size.tenants, size.models), ChangeFormat::sections, 1);
+    fleet.requestChange("first", initialSections(size.tenants, size.models), ChangeFormat::sections, 1);
     fleet.runUntil(fleet.now() + 1s);
     fleet.requestChange("models", modelSections(size.models), ChangeFormat::items, -1);
     fleet.startDaemons();
     if (auto settled = waitUntilFresh(); !settled) return settled.error();
-    fleet.forgetChanges();
+    fleet.clearChanges();
     runLoad();
     return collect();
   }
 
  private:
   const FleetSize size;
-  HollowFleet fleet;
-  Recurrence changes{size.changesPerHour / secondsPerHour}, requests{size.requestsPerSecond},
-      listChanges{size.markChangesPerHour / secondsPerHour};
-  int changeCount{0}, listChangeCount{0};
+  SimulatedFleet fleet;
+  RecurringEvent changes{size.changesPerHour / secondsPerHour}, requests{size.requestsPerSecond},
+      machineListChanges{size.machineListChangesPerHour / secondsPerHour};
+  int changeCount{0}, machineListChangeCount{0};
   std::int64_t voters{0}, freshAgents{0};
   double seconds{0};
 
   Result<void> formCores() {
     TimePoint startedAt = fleet.now();
     fleet.startCores();
-    while (fleet.countVoters() < static_cast<std::size_t>(size.cores) && fleet.now() - startedAt < formMost)
+    while (fleet.countVoters() < static_cast<std::size_t>(size.cores) && fleet.now() - startedAt < formationTimeout)
       fleet.runUntil(fleet.now() + 200ms);
     voters = static_cast<std::int64_t>(fleet.countVoters());
     if (voters == size.cores) return boost::outcome_v2::success();
@@ -79,8 +79,9 @@
 
   Result<void> waitUntilFresh() {
     TimePoint startedAt = fleet.now();
-    fleet.runUntil(fleet.now() + settleSpan);
-    while (fleet.countFreshDaemons() < static_cast<std::size_t>(size.daemons) && fleet.now() - startedAt < formMost)
+    fleet.runUntil(fleet.now() + settleTime);
+    while (fleet.countFreshDaemons() < static_cast<std::size_t>(size.daemons) &&
+           fleet.now() - startedAt < formationTimeout)
       fleet.runUntil(fleet.now() + 500ms);
     freshAgents = static_cast<std::int64_t>(fleet.countFreshDaemons());
     int first = fleet.changes().at("first").code, models = fleet.changes().at("models").code;
@@ -94,30 +95,31 @@
 
   /// Requests warm the fleet up before it is measured; changes come only while it is.
   void runLoad() {
-    TimePoint begin = fleet.now() + (size.requestsPerSecond > 0 ? requestWarmth : Duration(0));
-    TimePoint end = begin + size.measured;
-    changes.startHalfwayAfter(begin);
-    listChanges.startHalfwayAfter(begin);
+    TimePoint begin = fleet.now() + (size.requestsPerSecond > 0 ? requestWarmUp : Duration(0));
+    TimePoint end = begin + size.measuredDuration;
+    changes.startHalfAnIntervalAfter(begin);
+    machineListChanges.startHalfAnIntervalAfter(begin);
     requests.startAt(fleet.now());
     while (fleet.now() < end) {
       if (fleet.now() >= begin && !fleet.isMeasuring()) fleet.startMeasuring();
-      fleet.runUntil(nextStop(fleet.isMeasuring() ? end : begin));
-      causeDue();
-      if (!fleet.changes().empty()) fleet.noteAppliedChanges();
+      fleet.runUntil(nextStopTime(fleet.isMeasuring() ? end : begin));
+      runDueEvents();
+      if (!fleet.changes().empty()) fleet.recordAppliedChanges();
     }
     seconds = std::chrono::duration<double>(end - begin).count();
     fleet.stopMeasuring();
   }
 
-  TimePoint nextStop(TimePoint last) const {
-    TimePoint next = std::min({last, changes.nextAt(), requests.nextAt(), listChanges.nextAt()});
-    return fleet.changes().empty() ? next : std::min(next, fleet.now() + changePollEvery);
+  TimePoint nextStopTime(TimePoint last) const {
+    TimePoint next = std::min({last, changes.nextAt(), requests.nextAt(), machineListChanges.nextAt()});
+    return fleet.changes().empty() ? next : std::min(next, fleet.now() + changePollInterval);
   }
 
-  void causeDue() {
-    if (changes.takeDue(fleet.now())) requestNextChange();
-    if (listChanges.takeDue(fleet.now())) fleet.toggleLeaving(mixBits(static_cast<std::uint64_t>(listChangeCount++)));
-    if (requests.takeDue(fleet.now())) fleet.sendRequest();
+  void runDueEvents() {
+    if (changes.advanceIfDue(fleet.now())) requestNextChange();
+    if (machineListChanges.advanceIfDue(fleet.now()))
+      fleet.toggleLeaving(mixBits(static_cast<std::uint64_t>(machineListChangeCount++)));
+    if (requests.advanceIfDue(fleet.now())) fleet.sendRequest();
   }
 
   void requestNextChange() {
--- a/src/sim/scale/index_trial.cpp
+++ b/src/sim/scale/index_trial.cpp
@@ -1,24 +1,24 @@
 #include <fmt/format.h>
 #include <algorithm>
 
-#include "hollow_workers.hpp"
 #include "resource_meters.hpp"
+#include "stub_workers.hpp"
 #include "trials.hpp"
 
 namespace tt {
 namespace {
 
 constexpr std::int64_t blocksPerWorker = 45800;
-constexpr std::int64_t eventReports = 20000, eventsPerReport = 12;
-constexpr std::int64_t lookups = 20000;
+constexpr std::int64_t eventReportCount = 20000, eventsPerReport = 12;
+constexpr std::int64_t lookupCount = 20000;
 constexpr std::uint64_t partsPerLookup = 4;
-constexpr std::int64_t ticks = 50;
-constexpr std::int64_t hashedParts = 20000;
-constexpr Duration tickEvery = 20ms;
-constexpr int electionTicks = 400;
-constexpr const char* readerAddress = "10.2.0.1:7001";
+constexpr std::int64_t tickCount = 50;
+constexpr std::int64_t hashedPartCount = 20000;
+constexpr Duration tickInterval = 20ms;
+constexpr int maxElectionTicks = 400;
+constexpr const char* agentAddress = "10.2.0.1:7001";
 
-FleetSize oneZone(std::int64_t blocks) {
+FleetSize singleZoneFleet(std::int64_t blocks) {
   FleetSize size;
   size.zones = 1;
   size.regions = 1;
@@ -26,27 +26,27 @@
   return size;
 }
 
-double perEach(std::int64_t sum, std::int64_t count) { return static_cast<double>(sum) / static_cast<double>(count); }
+double mean(std::int64_t sum, std::int64_t count) { return static_cast<double>(sum) / static_cast<double>(count); }
 
 class IndexTrial {
  public:
   IndexTrial(std::int64_t blocks, std::uint64_t seed)
-      : size(oneZone(blocks)), blocksEach(blocks / size.workers), randomSource(seed) {
-    for (int worker = 0; worker < size.workers; ++worker) machines.push_back(machineOf(size, worker));
+      : size(singleZoneFleet(blocks)), blocksOfEachWorker(blocks / size.workers), randomSource(seed) {
+    for (int worker = 0; worker < size.workers; ++worker) machines.push_back(makeMachine(size, worker));
   }
 
-  std::vector<Figure> run() {
+  std::vector<Metric> run() {
     winElection();
-    measureWholeLists();
+    measureFullReports();
     measureEvents();
     measureLookups();
     measureTicks();
-    return std::move(figures);
+    return std::move(metrics);
   }
 
  private:
   const FleetSize size;
-  const std::int64_t blocksEach;
+  const std::int64_t blocksOfEachWorker;
   std::mt19937_64 randomSource;
   Journal journal;
   Configuration configuration;
@@ -54,10 +54,10 @@
   std::int64_t heapBytes{0};
   TimePoint now{std::chrono::hours(1)};
   std::unique_ptr<Cell> cell;
-  std::vector<Figure> figures;
+  std::vector<Metric> metrics;
 
-  void act(const std::function<void(Effects&)>& action) {
-    HeapScope counted(&heapBytes);
+  void callCell(const std::function<void(Effects&)>& action) {
+    HeapCountingScope counted(&heapBytes);
     Effects effects{now, randomSource, journal, {}, {}};
     action(effects);
     for (std::size_t done = 0; done < effects.saves.size(); ++done)
@@ -65,19 +65,19 @@
   }
 
   void tick() {
-    now += tickEvery;
-    act([&](Effects& effects) { cell->tick(effects, configuration); });
+    now += tickInterval;
+    callCell([&](Effects& effects) { cell->tick(effects, configuration); });
   }
 
   void winElection() {
     Member self{"core-0-1", "core-0", "10.1.0.1:7000", zoneName(size, 0), true};
     {
-      HeapScope counted(&heapBytes);
-      cell = std::make_unique<Cell>(zoneName(size, 0), self, true, Defences{}, platformCell());
+      HeapCountingScope counted(&heapBytes);
+      cell = std::make_unique<Cell>(zoneName(size, 0), self, true, Defences{}, platformCellSettings());
       cell->election.setVoters({self});
       cell->setMachines(machines);
     }
-    for (int turn = 0; turn < electionTicks && !cell->election.holdsLease(now); ++turn) tick();
+    for (int iteration = 0; iteration < maxElectionTicks && !cell->election.holdsLease(now); ++iteration) tick();
     tick();
   }
 
@@ -92,90 +92,91 @@
 
   std::int64_t timeReport(const Report& report) {
     std::int64_t start = threadCpuNs();
-    act([&](Effects& effects) { cell->handle(effects, report.worker, report); });
+    callCell([&](Effects& effects) { cell->handle(effects, report.worker, report); });
     return threadCpuNs() - start;
   }
 
-  void measureWholeLists() {
+  void measureFullReports() {
     std::int64_t before = heapBytes, spentNs = 0;
     for (std::size_t worker = 0; worker < machines.size(); ++worker) {
       Report report = emptyReport(worker);
       report.complete = true;
-      for (std::int64_t block = 0; block < blocksEach; ++block)
-        report.cachedBlocks.push_back(blockOf(worker, static_cast<std::uint64_t>(block)));
+      for (std::int64_t block = 0; block < blocksOfEachWorker; ++block)
+        report.cachedBlocks.push_back(makeBlockHash(worker, static_cast<std::uint64_t>(block)));
       spentNs += timeReport(report);
     }
-    std::int64_t blocks = blocksEach * size.workers;
-    figures.push_back({"bytes per block", perEach(heapBytes - before, blocks)});
-    figures.push_back({"ns per block of a whole list", perEach(spentNs, blocks)});
+    std::int64_t blocks = blocksOfEachWorker * size.workers;
+    metrics.push_back({"bytes per block", mean(heapBytes - before, blocks)});
+    metrics.push_back({"ns per block of a whole list", mean(spentNs, blocks)});
   }
 
   void measureEvents() {
     std::int64_t spentNs = 0;
     std::vector<std::int64_t> lastEvents(machines.size(), 0);
-    for (std::int64_t turn = 0; turn < eventReports; ++turn) {
-      std::size_t worker = static_cast<std::size_t>(turn) % machines.size();
+    for (std::int64_t iteration = 0; iteration < eventReportCount; ++iteration) {
+      std::size_t worker = static_cast<std::size_t>(iteration) % machines.size();
       Report report = emptyReport(worker);
       for (std::int64_t number = 0; number < eventsPerReport; ++number)
-        report.events.push_back(eventOf(worker, ++lastEvents[worker], blocksEach));
+        report.events.push_back(makeCacheEvent(worker, ++lastEvents[worker], blocksOfEachWorker));
       report.sequence = static_cast<Uint64>(lastEvents[worker]);
       spentNs += timeReport(report) - clockCostNs();
     }
-    figures.push_back({"ns per event", perEach(spentNs, eventReports * eventsPerReport)});
+    metrics.push_back({"ns per event", mean(spentNs, eventReportCount * eventsPerReport)});
   }
 
-  LookupMsg lookupOf(std::int64_t turn) const {
-    std::size_t worker = static_cast<std::size_t>(turn) % machines.size();
+  LookupMsg makeLookup(std::int64_t iteration) const {
+    std::size_t worker = static_cast<std::size_t>(iteration) % machines.size();
     const auto& machine = machines[worker];
-    LookupMsg lookup{fmt::format("l{}", turn), zoneName(size, 0), machine.name, machine.weights, {}, readerAddress};
+    LookupMsg lookup{fmt::format("l{}", iteration), zoneName(size, 0), machine.name, machine.weights, {}, agentAddress};
     for (std::uint64_t part = 0; part < partsPerLookup; ++part) {
       std::uint64_t block =
-          mixBits(static_cast<std::uint64_t>(turn) + part) % static_cast<std::uint64_t>(2 * blocksEach);
-      lookup.hashes.push_back(blockOf(worker, block));
+          mixBits(static_cast<std::uint64_t>(iteration) + part) % static_cast<std::uint64_t>(2 * blocksOfEachWorker);
+      lookup.hashes.push_back(makeBlockHash(worker, block));
     }
     return lookup;
   }
 
   void measureLookups() {
     std::int64_t spentNs = 0;
-    for (std::int64_t turn = 0; turn < lookups; ++turn) {
-      std::string frame = encodeMessage(lookupOf(turn));
+    for (std::int64_t iteration = 0; iteration < lookupCount; ++iteration) {
+      std::string frame = encodeMessage(makeLookup(iteration));
       std::int64_t start = threadCpuNs();
-      act([&](Effects& effects) {
+      callCell([&](Effects& effects) {
         auto message = decodeMessage(frame);
-        cell->handle(effects, readerAddress, message.value());
+        cell->handle(effects, agentAddress, message.value());
         for (const auto& [to, reply] : effects.sends) (void)encodeMessage(reply);
       });
       spentNs += threadCpuNs() - start - clockCostNs();
     }
-    figures.push_back({"ns per lookup of 4 parts", perEach(spentNs, lookups)});
+    metrics.push_back({"ns per lookup of 4 parts", mean(spentNs, lookupCount)});
   }
 
   void measureTicks() {
     std::int64_t spentNs = 0;
-    for (std::int64_t turn = 0; turn < ticks; ++turn) {
+    for (std::int64_t iteration = 0; iteration < tickCount; ++iteration) {
       std::int64_t start = threadCpuNs();
       tick();
       spentNs += threadCpuNs() - start;
     }
-    figures.push_back({"us per tick", perEach(spentNs, ticks) / 1000});
+    metrics.push_back({"us per tick", mean(spentNs, tickCount) / 1000});
   }
 };
 
-Figure measureHashing() {
+Metric measureHashing() {
   std::string salt = cacheSalt("model-1", "model-1/1", "shared");
   std::int64_t start = threadCpuNs();
-  for (std::int64_t turn = 0; turn < hashedParts; ++turn) (void)hashPromptPart(salt, "part-" + std::to_string(turn));
-  return {"ns per part hashed", perEach(threadCpuNs() - start, hashedParts)};
+  for (std::int64_t iteration = 0; iteration < hashedPartCount; ++iteration)
+    (void)hashPromptPart(salt, "part-" + std::to_string(iteration));
+  return {"ns per part hashed", mean(threadCpuNs() - start, hashedPartCount)};
 }
 
 }  // namespace
 
-std::vector<Figure> measureIndex(std::int64_t blocks, std::uint64_t seed) {
+std::vector<Metric> measureIndex(std::int64_t blocks, std::uint64_t seed) {
   setPlatformTiming();
-  auto figures = IndexTrial(blocks, seed).run();
-  figures.push_back(measureHashing());
-  return figures;
+  auto metrics = IndexTrial(blocks, seed).run();
+  metrics.push_back(measureHashing());
+  return metrics;
 }
 
 }  // namespace tt
--- a/src/sim/scale/link_trial.cpp
+++ b/src/sim/scale/link_trial.cpp
@@ -11,23 +11,23 @@
 namespace tt {
 namespace {
 
-constexpr Duration arriveWithin = 60s;
-constexpr int lostFramesCode = 3;
-constexpr int framesPerTurn = 20;
-constexpr std::size_t bytesUnderWay = 4u << 20, fewestUnderWay = 8, mostUnderWay = 200;
-constexpr std::size_t messageHeadBytes = 64, frameHeadBytes = 4;
+constexpr Duration arrivalTimeout = 60s;
+constexpr int framesLostExitCode = 3;
+constexpr int maxFramesPerTurn = 20;
+constexpr std::size_t maxBytesInFlight = 4u << 20, minFramesInFlight = 8, maxFramesInFlight = 200;
+constexpr std::size_t messageHeaderBytes = 64, frameHeaderBytes = 4;
 
 class LinkTrial {
  public:
   LinkTrial(int frameCount, std::size_t frameBytes)
       : frames(frameCount),
-        underWay(static_cast<int>(
-            std::clamp(bytesUnderWay / (frameBytes + messageHeadBytes), fewestUnderWay, mostUnderWay))),
+        inFlightLimit(static_cast<int>(
+            std::clamp(maxBytesInFlight / (frameBytes + messageHeaderBytes), minFramesInFlight, maxFramesInFlight))),
         message{1, {LogEntry{1, 1, 1, std::string(frameBytes, 'x'), "change", 1}}, {}} {}
 
-  std::vector<Figure> run() {
+  std::vector<Metric> run() {
     std::string address = freeAddress();
-    PeerTransport target(receiving, address, [this](const std::string&, Message) { ++taken; });
+    PeerTransport target(receiving, address, [this](const std::string&, Message) { ++receivedFrames; });
     if (auto listening = target.listen(); !listening) return {};
     PeerTransport source(sending, "127.0.0.1:1", [](const std::string&, Message) {});
     std::thread receiver([&] { receive(target); });
@@ -35,16 +35,16 @@
     sender.join();
     receiver.join();
     return {{"us per frame sent", static_cast<double>(sendNs) / frames / 1000},
-            {"us per frame taken", static_cast<double>(takeNs) / frames / 1000},
-            {"bytes per frame", static_cast<double>(encodeMessage(message).size() + frameHeadBytes)}};
+            {"us per frame taken", static_cast<double>(receiveNs) / frames / 1000},
+            {"bytes per frame", static_cast<double>(encodeMessage(message).size() + frameHeaderBytes)}};
   }
 
  private:
-  const int frames, underWay;
+  const int frames, inFlightLimit;
   const NewsMsg message;
   asio::io_context sending, receiving;
-  std::atomic<int> taken{0};
-  std::atomic<std::int64_t> sendNs{0}, takeNs{0};
+  std::atomic<int> receivedFrames{0};
+  std::atomic<std::int64_t> sendNs{0}, receiveNs{0};
 
   std::string freeAddress() {
     asio::ip::tcp::acceptor probe(receiving, asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
@@ -53,28 +53,29 @@
 
   void receive(PeerTransport& target) {
     std::int64_t start = threadCpuNs();
-    while (taken < frames) receiving.run_for(5ms);
-    takeNs = threadCpuNs() - start;
+    while (receivedFrames < frames) receiving.run_for(5ms);
+    receiveNs = threadCpuNs() - start;
     target.stop();
   }
 
   void send(PeerTransport& source, const std::string& address) {
     std::int64_t start = threadCpuNs();
-    int sent = 0;
-    TimePoint by = Clock::now() + arriveWithin;
-    while (taken < frames && Clock::now() < by) {
-      for (int turn = 0; turn < framesPerTurn && sent < frames && sent - taken < underWay; ++turn, ++sent)
+    int sentFrames = 0;
+    TimePoint deadline = Clock::now() + arrivalTimeout;
+    while (receivedFrames < frames && Clock::now() < deadline) {
+      for (int turn = 0; turn < maxFramesPerTurn && sentFrames < frames && sentFrames - receivedFrames < inFlightLimit;
+           ++turn, ++sentFrames)
         source.send(address, message);
       sending.run_for(1ms);
       sending.restart();
     }
     sendNs = threadCpuNs() - start;
-    if (taken < frames) std::_Exit(lostFramesCode);
+    if (receivedFrames < frames) std::_Exit(framesLostExitCode);
   }
 };
 
 }  // namespace
 
-std::vector<Figure> measureLinks(int frames, std::size_t bytes) { return LinkTrial(frames, bytes).run(); }
+std::vector<Metric> measureLinks(int frames, std::size_t bytes) { return LinkTrial(frames, bytes).run(); }
 
 }  // namespace tt
--- a/src/sim/scale/plot.cpp
+++ b/src/sim/scale/plot.cpp
@@ -8,7 +8,7 @@
 
 constexpr double width = 480, height = 300;
 constexpr double left = 70, right = 20, top = 30, bottom = 45;
-constexpr int axisMarks = 4;
+constexpr int axisTicks = 4;
 
 /// The range of both axes and where their values lie on the page. Both start at 0.
 class Axes {
@@ -39,8 +39,8 @@
 
 std::string drawAxes(const Axes& axes, const std::string& xName, const std::string& yName) {
   std::string svg;
-  for (int mark = 0; mark <= axisMarks; ++mark) {
-    double x = axes.maxX * mark / axisMarks, y = axes.maxY * mark / axisMarks;
+  for (int tick = 0; tick <= axisTicks; ++tick) {
+    double x = axes.maxX * tick / axisTicks, y = axes.maxY * tick / axisTicks;
     svg += fmt::format("<text x=\"{:.1f}\" y=\"{}\" text-anchor=\"middle\">{:.4g}</text>\n", axes.placeX(x),
                        height - bottom + 15, x);
     svg +=
@@ -54,8 +54,8 @@
 }
 
 std::string drawLine(const Axes& axes, const Line& line) {
-  double start = std::clamp(line.base, 0.0, axes.maxY);
-  double end = std::clamp(line.base + line.slope * axes.maxX, 0.0, axes.maxY);
+  double start = std::clamp(line.intercept, 0.0, axes.maxY);
+  double end = std::clamp(line.intercept + line.slope * axes.maxX, 0.0, axes.maxY);
   return fmt::format("<path d=\"M{:.1f} {:.1f} L{:.1f} {:.1f}\" stroke=\"steelblue\"/>\n", axes.placeX(0),
                      axes.placeY(start), axes.placeX(axes.maxX), axes.placeY(end));
 }
--- a/src/sim/scale/resource_meters.hpp
+++ b/src/sim/scale/resource_meters.hpp
@@ -8,12 +8,12 @@
 extern thread_local std::int64_t* heapAccount;
 
 /// Counts this thread's allocations on one account until the scope ends.
-class HeapScope {
+class HeapCountingScope {
  public:
-  explicit HeapScope(std::int64_t* account) : before(heapAccount) { heapAccount = account; }
-  ~HeapScope() { heapAccount = before; }
-  HeapScope(const HeapScope&) = delete;
-  HeapScope& operator=(const HeapScope&) = delete;
+  explicit HeapCountingScope(std::int64_t* account) : before(heapAccount) { heapAccount = account; }
+  ~HeapCountingScope() { heapAccount = before; }
+  HeapCountingScope(const HeapCountingScope&) = delete;
+  HeapCountingScope& operator=(const HeapCountingScope&) = delete;
 
  private:
   std::int64_t* before;
--- a/src/sim/scale/sample_report.cpp
+++ b/src/sim/scale/sample_report.cpp
@@ -20,10 +20,10 @@
 
 /// The spread, over the repeats, of the lines fitted through each one's points.
 struct Fit {
-  Spread slope, base;
+  Spread slope, intercept;
 };
 
-std::vector<Series> groupByFigure(const std::vector<Sample>& samples) {
+std::vector<Series> groupByMetric(const std::vector<Sample>& samples) {
   std::map<std::pair<std::string, std::string>, Series> rows;
   for (const auto& sample : samples) {
     auto& series = rows[{sample.subject, sample.name}];
@@ -39,17 +39,17 @@
 }
 
 std::optional<Fit> fitSeries(const Series& series) {
-  std::vector<double> slopes, bases;
+  std::vector<double> slopes, intercepts;
   for (const auto& [repeat, points] : series.pointsByRepeat)
     if (auto line = fitLine(points)) {
       slopes.push_back(line->slope);
-      bases.push_back(line->base);
+      intercepts.push_back(line->intercept);
     }
   if (slopes.empty()) return std::nullopt;
-  return Fit{spreadOf(slopes), spreadOf(bases)};
+  return Fit{spreadOf(slopes), spreadOf(intercepts)};
 }
 
-Json spreadsOf(const Series& series) {
+Json spreadsToJson(const Series& series) {
   JsonArray rows;
   for (const auto& [size, values] : series.valuesBySize) {
     auto spread = spreadOf(values);
@@ -63,22 +63,22 @@
   return Json(rows);
 }
 
-Json jsonOf(const Fit& fit) {
+Json toJson(const Fit& fit) {
   JsonObject row;
   row["slopeMin"] = jsonNumber(fit.slope.min);
   row["slopeMedian"] = jsonNumber(fit.slope.median);
   row["slopeMax"] = jsonNumber(fit.slope.max);
-  row["baseMedian"] = jsonNumber(fit.base.median);
+  row["baseMedian"] = jsonNumber(fit.intercept.median);
   return Json(row);
 }
 
-Json jsonOf(const Series& series, const std::optional<Fit>& fit, const std::string& axis) {
+Json toJson(const Series& series, const std::optional<Fit>& fit, const std::string& axis) {
   JsonObject row;
   row["subject"] = Json(series.subject);
   row["name"] = Json(series.name);
   row["against"] = Json(axis);
-  row["values"] = spreadsOf(series);
-  if (fit) row["fit"] = jsonOf(*fit);
+  row["values"] = spreadsToJson(series);
+  if (fit) row["fit"] = toJson(*fit);
   return Json(row);
 }
 
@@ -90,7 +90,7 @@
   }
   if (fit)
     line += fmt::format(" || slope {:.4g} ({:.4g}-{:.4g}) base {:.4g}", fit->slope.median, fit->slope.min,
-                        fit->slope.max, fit->base.median);
+                        fit->slope.max, fit->intercept.median);
   return line;
 }
 
@@ -100,7 +100,7 @@
 void writePlot(const ReportTarget& target, const Series& series) {
   std::string file = target.label + "-" + series.subject + "-" + series.name;
   std::replace_if(
-      file.begin(), file.end(), [](char letter) { return letter == ' ' || letter == ','; }, '-');
+      file.begin(), file.end(), [](char character) { return character == ' ' || character == ','; }, '-');
   std::ofstream(target.folder + "/" + file + ".svg")
       << plotSvg(series.subject + ": " + series.name, target.axis, series.name, series.points);
 }
@@ -109,7 +109,7 @@
   std::ofstream csv(file);
   csv << "trial,about,x,repeat,subject,name,value\n";
   for (const auto& sample : samples)
-    csv << fmt::format("{},{},{:g},{},{},\"{}\",{:.6g}\n", sample.trial, sample.about, sample.x, sample.repeat,
+    csv << fmt::format("{},{},{:g},{},{},\"{}\",{:.6g}\n", sample.trial, sample.parameters, sample.x, sample.repeat,
                        sample.subject, sample.name, sample.value);
 }
 
@@ -120,9 +120,9 @@
   writeCsv(stem + ".csv", samples);
   JsonArray rows;
   std::ofstream table(stem + ".txt");
-  for (const auto& series : groupByFigure(samples)) {
+  for (const auto& series : groupByMetric(samples)) {
     auto fit = fitSeries(series);
-    rows.push_back(jsonOf(series, fit, target.axis));
+    rows.push_back(toJson(series, fit, target.axis));
     table << tableLine(series, fit) << "\n";
     if (fit && isPlotted(series)) writePlot(target, series);
   }
--- a/src/sim/scale/sample_report.hpp
+++ b/src/sim/scale/sample_report.hpp
@@ -6,7 +6,7 @@
 
 /// One figure as measured in one run.
 struct Sample {
-  std::string trial, about;
+  std::string trial, parameters;
   /// The size that was swept.
   double x{0};
   int repeat{0};
--- a/src/sim/scale/hollow_fleet.cpp
+++ b/src/sim/scale/simulated_fleet.cpp
@@ -1,4 +1,4 @@
-#include "hollow_fleet.hpp"
+#include "simulated_fleet.hpp"
 
 #include <fmt/format.h>
 #include <algorithm>
@@ -8,14 +8,14 @@
 namespace tt {
 namespace {
 
-constexpr Duration tickEvery = 20ms;
-constexpr Duration syncSpan = 2ms;
-constexpr Duration localLink = 50us;
-constexpr Duration daemonsStartWithin = 2s;
+constexpr Duration tickInterval = 20ms;
+constexpr Duration syncDuration = 2ms;
+constexpr Duration localLinkDelay = 50us;
+constexpr Duration daemonStartPeriod = 2s;
 constexpr int seedCount = 3;
 constexpr int ringFiles = 4;
 constexpr std::size_t ringFileBytes = 4u << 20;
-constexpr std::size_t frameHeadBytes = 4;
+constexpr std::size_t frameHeaderBytes = 4;
 constexpr int addressesPerNetwork = 250;
 constexpr const char* platformAddress = "10.0.0.1:80";
 
@@ -37,13 +37,13 @@
   return messageNameAt(static_cast<std::size_t>(low | high << 8));
 }
 
-std::int64_t wireBytes(const std::string& frame) { return static_cast<std::int64_t>(frame.size() + frameHeadBytes); }
+std::int64_t wireBytes(const std::string& frame) { return static_cast<std::int64_t>(frame.size() + frameHeaderBytes); }
 
 std::string coreAddress(int number) { return fmt::format("10.1.{}.1:7000", number); }
 
 }  // namespace
 
-HollowFleet::HollowFleet(const FleetSize& fleetSize, std::uint64_t seed)
+SimulatedFleet::SimulatedFleet(const FleetSize& fleetSize, std::uint64_t seed)
     : size(fleetSize),
       randomSource(seed),
       clock(std::chrono::hours(1)),
@@ -52,8 +52,8 @@
   setPlatformTiming();
 }
 
-std::size_t HollowFleet::startProcess(const std::string& role, const std::string& name, const std::string& address,
-                                      const std::function<void(Process&)>& make) {
+std::size_t SimulatedFleet::startProcess(const std::string& role, const std::string& name, const std::string& address,
+                                         const std::function<void(Process&)>& make) {
   std::size_t at = processes.size();
   processes.push_back(std::make_unique<Process>());
   auto& process = *processes.back();
@@ -62,25 +62,26 @@
   process.address = address;
   processByAddress[address] = at;
   {
-    HeapScope counted(&process.heapBytes);
+    HeapCountingScope counted(&process.heapBytes);
     make(process);
   }
-  Duration phase(static_cast<std::int64_t>(randomSource() % static_cast<std::uint64_t>(Duration(tickEvery).count())));
+  Duration phase(
+      static_cast<std::int64_t>(randomSource() % static_cast<std::uint64_t>(Duration(tickInterval).count())));
   events.push({clock + phase, EventKind::tick, at, {}, {}, {}});
   return at;
 }
 
-void HollowFleet::startCores() {
+void SimulatedFleet::startCores() {
   Strings seeds, zones;
   for (int number = 0; number < std::min(seedCount, size.cores); ++number) seeds.push_back(coreAddress(number));
   for (int zone = 0; zone < size.zones; ++zone) zones.push_back(zoneName(size, zone));
   for (int number = 0; number < size.cores; ++number) cores.push_back(startCore(number, seeds, zones));
 }
 
-std::size_t HollowFleet::startCore(int number, const Strings& seeds, const Strings& zones) {
+std::size_t SimulatedFleet::startCore(int number, const Strings& seeds, const Strings& zones) {
   return startProcess("core", fmt::format("core-{}", number), coreAddress(number), [&](Process& process) {
     {
-      HeapScope uncounted(nullptr);
+      HeapCountingScope uncounted(nullptr);
       process.files = std::make_unique<CountingRingFiles>(ringFiles, ringFileBytes);
     }
     auto ring = Ring::open(*process.files);
@@ -92,21 +93,21 @@
     settings.platformAddress = platformAddress;
     settings.seeds = seeds;
     settings.zones = zones;
-    settings.cell = platformCell();
+    settings.cell = platformCellSettings();
     process.node = std::make_unique<Core>(settings, process.ring->held(), randomSource, clock);
   });
 }
 
-void HollowFleet::startDaemons() {
+void SimulatedFleet::startDaemons() {
   Strings seeds;
   for (int number = 0; number < std::min(seedCount, size.cores); ++number) seeds.push_back(coreAddress(number));
   for (int number = 0; number < size.daemons; ++number) {
     startDaemon(number, seeds);
-    runUntil(clock + Duration(daemonsStartWithin) / size.daemons);
+    runUntil(clock + Duration(daemonStartPeriod) / size.daemons);
   }
 }
 
-void HollowFleet::startDaemon(int number, const Strings& seeds) {
+void SimulatedFleet::startDaemon(int number, const Strings& seeds) {
   std::string host = fmt::format("10.2.{}.{}", number / addressesPerNetwork, number % addressesPerNetwork);
   std::string name = fmt::format("edge-{:04}", number), zone = zoneName(size, number % size.zones);
   std::string agentAddress = host + ":7001", proxyAddress = host + ":7002";
@@ -117,62 +118,62 @@
     settings.zone = zone;
     settings.seeds = seeds;
     process.node = std::make_unique<Agent>(settings);
-    process.beside = proxyAddress;
+    process.localPeer = proxyAddress;
   }));
   proxies.push_back(startProcess("proxy", name, proxyAddress, [&](Process& process) {
-    process.node = std::make_unique<ProxyRouter>(platformEdge(name, proxyAddress, zone, agentAddress));
-    process.beside = agentAddress;
+    process.node = std::make_unique<ProxyRouter>(platformProxySettings(name, proxyAddress, zone, agentAddress));
+    process.localPeer = agentAddress;
   }));
 }
 
-void HollowFleet::runUntil(TimePoint until) {
-  while (auto event = events.popUntil(until)) {
+void SimulatedFleet::runUntil(TimePoint until) {
+  while (auto event = events.popDue(until)) {
     clock = std::max(clock, event->at);
     handle(std::move(*event));
   }
   clock = until;
 }
 
-void HollowFleet::handle(ScheduledEvent event) {
+void SimulatedFleet::handle(ScheduledEvent event) {
   switch (event.kind) {
     case EventKind::tick:
-      return takeTick(event.to);
+      return handleTick(event.to);
     case EventKind::frame:
-      return takeFrame(event);
+      return handleFrame(event);
     case EventKind::message:
-      return takeMessage(event);
+      return handleMessage(event);
     case EventKind::sync:
       return finishSync(event.to);
   }
 }
 
-void HollowFleet::takeTick(std::size_t at) {
+void SimulatedFleet::handleTick(std::size_t at) {
   auto& process = *processes[at];
   runStep(at, {"tick", 0, false}, [&](Effects& effects) { process.node->tick(effects); });
-  events.push({clock + tickEvery, EventKind::tick, at, {}, {}, {}});
+  events.push({clock + tickInterval, EventKind::tick, at, {}, {}, {}});
 }
 
-void HollowFleet::takeFrame(const ScheduledEvent& event) {
+void SimulatedFleet::handleFrame(const ScheduledEvent& event) {
   auto& process = *processes[event.to];
-  Cause cause{"takes " + messageNameOf(event.frame), wireBytes(event.frame), event.from == process.beside};
+  Cause cause{"takes " + messageNameOf(event.frame), wireBytes(event.frame), event.from == process.localPeer};
   runStep(event.to, cause, [&](Effects& effects) {
     auto message = decodeMessage(event.frame);
     if (message) process.node->handle(effects, event.from, message.value());
   });
 }
 
-void HollowFleet::takeMessage(const ScheduledEvent& event) {
+void SimulatedFleet::handleMessage(const ScheduledEvent& event) {
   auto& process = *processes[event.to];
   Message message = std::move(*event.message);
   if (auto* waiting = std::get_if<ReportAsk>(&message))
     message = workers.eventsReport(workers.find(event.from).value(), static_cast<std::int64_t>(waiting->after), clock);
   if (auto* report = std::get_if<Report>(&message); report && measuring)
-    eventsTaken += static_cast<std::int64_t>(report->events.size());
+    eventsReceived += static_cast<std::int64_t>(report->events.size());
   runStep(event.to, {"takes " + messageNameAt(message.index()), 0, false},
           [&](Effects& effects) { process.node->handle(effects, event.from, message); });
 }
 
-void HollowFleet::finishSync(std::size_t at) {
+void SimulatedFleet::finishSync(std::size_t at) {
   auto& process = *processes[at];
   std::vector<Effects::Save> batch;
   batch.swap(process.saves);
@@ -184,27 +185,27 @@
     for (auto& save : batch)
       if (save.onSynced) save.onSynced(effects);
   });
-  HeapScope counted(&process.heapBytes);
+  HeapCountingScope counted(&process.heapBytes);
   batch.clear();
   batch.shrink_to_fit();
 }
 
-void HollowFleet::runStep(std::size_t at, const Cause& cause, const Action& action) {
+void SimulatedFleet::runStep(std::size_t at, const Cause& cause, const Action& action) {
   auto& process = *processes[at];
-  Sends sends = act(process, action);
+  Sends sends = runLogic(process, action);
   if (measuring) countStep(process, cause, sends.cpuNs);
   for (auto& frame : sends.frames) sendFrame(process, std::move(frame));
   for (auto& sent : sends.direct) sendDirect(at, std::move(sent));
   if (process.saves.empty() || process.syncing) return;
   process.syncing = true;
-  events.push({clock + syncSpan, EventKind::sync, at, {}, {}, {}});
+  events.push({clock + syncDuration, EventKind::sync, at, {}, {}, {}});
 }
 
 /// Runs the real logic. Only what it allocates itself is counted on its heap, and only it and the wire form on its
 /// processor time.
-HollowFleet::Sends HollowFleet::act(Process& process, const Action& action) {
+SimulatedFleet::Sends SimulatedFleet::runLogic(Process& process, const Action& action) {
   Sends sends;
-  HeapScope counted(&process.heapBytes);
+  HeapCountingScope counted(&process.heapBytes);
   std::vector<Frame> frames;
   std::int64_t start = threadCpuNs();
   Effects effects{clock, randomSource, process.node->journal, {}, {}};
@@ -213,14 +214,14 @@
     if (to != process.address && processByAddress.count(to)) frames.push_back({to, encodeMessage(message)});
   sends.cpuNs = std::max<std::int64_t>(0, threadCpuNs() - start - clockCost);
   for (auto& save : effects.saves) process.saves.push_back(std::move(save));
-  HeapScope uncounted(nullptr);
+  HeapCountingScope uncounted(nullptr);
   sends.frames = frames;
   for (const auto& [to, message] : effects.sends)
     if (to == process.address || !processByAddress.count(to)) sends.direct.push_back({to, message});
   return sends;
 }
 
-void HollowFleet::countStep(Process& process, const Cause& cause, std::int64_t cpuNs) {
+void SimulatedFleet::countStep(Process& process, const Cause& cause, std::int64_t cpuNs) {
   auto& kind = process.cost.byMessage[cause.name];
   ++kind.count;
   kind.cpuNs += cpuNs;
@@ -230,82 +231,83 @@
   (cause.local ? process.cost.localBytes : process.cost.fleet.bytesIn) += cause.bytesIn;
 }
 
-void HollowFleet::countFrame(Process& process, const Frame& frame) {
+void SimulatedFleet::countFrame(Process& process, const Frame& frame) {
   std::int64_t bytes = wireBytes(frame.bytes);
   auto& kind = process.cost.byMessage["sends " + messageNameOf(frame.bytes)];
   ++kind.count;
   kind.bytesOut += bytes;
-  (frame.to == process.beside ? process.cost.localBytes : process.cost.fleet.bytesOut) += bytes;
+  (frame.to == process.localPeer ? process.cost.localBytes : process.cost.fleet.bytesOut) += bytes;
 }
 
-void HollowFleet::sendFrame(Process& process, Frame frame) {
+void SimulatedFleet::sendFrame(Process& process, Frame frame) {
   if (measuring) countFrame(process, frame);
-  Duration link = frame.to == process.beside ? Duration(localLink) : size.link;
+  Duration linkDelay = frame.to == process.localPeer ? Duration(localLinkDelay) : size.linkDelay;
   std::size_t to = processByAddress.at(frame.to);
-  events.push({clock + link, EventKind::frame, to, process.address, std::move(frame.bytes), {}});
+  events.push({clock + linkDelay, EventKind::frame, to, process.address, std::move(frame.bytes), {}});
 }
 
-void HollowFleet::sendDirect(std::size_t at, DirectMessage sent) {
+void SimulatedFleet::sendDirect(std::size_t at, DirectMessage sent) {
   auto& process = *processes[at];
   if (sent.to == process.address) return schedule(clock, at, process.address, std::move(sent.message));
   if (sent.to == platformAddress) {
-    if (auto* asked = std::get_if<MachinesAsk>(&sent.message)) answerFromPlatform(at, *asked);
+    if (auto* request = std::get_if<MachinesAsk>(&sent.message)) respondAsPlatform(at, *request);
     return;
   }
-  if (auto worker = workers.find(sent.to)) return answerFromWorker(at, *worker, sent.message);
-  if (auto* response = std::get_if<OperatorResponse>(&sent.message)) {
+  if (auto worker = workers.find(sent.to)) return respondAsWorker(at, *worker, sent.message);
+  if (auto* operatorResponse = std::get_if<OperatorResponse>(&sent.message)) {
     auto change = changeById.find(sent.to);
     if (change == changeById.end()) return;
-    change->second.code = response->code;
+    change->second.code = operatorResponse->code;
     change->second.ackedAt = clock;
-  } else if (auto* verdict = std::get_if<CallerVerdict>(&sent.message)) {
-    if (measuring) requestsDone += verdict->verdict == "done";
+  } else if (auto* finalStatus = std::get_if<CallerVerdict>(&sent.message)) {
+    if (measuring) requestsDone += finalStatus->verdict == "done";
   }
 }
 
-void HollowFleet::answerFromWorker(std::size_t at, int worker, const Message& message) {
+void SimulatedFleet::respondAsWorker(std::size_t at, int worker, const Message& message) {
   if (measuring) ++processes[at]->cost.workerMessages;
-  if (auto* order = std::get_if<WorkerOrder>(&message))
-    for (auto& [when, piece] : workers.answer(*order, clock)) schedule(when, at, order->worker, std::move(piece));
-  if (auto* asked = std::get_if<ReportAsk>(&message)) {
-    auto answer = workers.answer(worker, *asked, clock);
-    schedule(answer.at, at, workers.addressOf(worker), std::move(answer.message));
+  if (auto* workerRequest = std::get_if<WorkerOrder>(&message))
+    for (auto& [when, chunk] : workers.respond(*workerRequest, clock))
+      schedule(when, at, workerRequest->worker, std::move(chunk));
+  if (auto* request = std::get_if<ReportAsk>(&message)) {
+    auto response = workers.respond(worker, *request, clock);
+    schedule(response.at, at, workers.addressOf(worker), std::move(response.message));
   }
 }
 
-void HollowFleet::answerFromPlatform(std::size_t at, const MachinesAsk& asked) {
+void SimulatedFleet::respondAsPlatform(std::size_t at, const MachinesAsk& request) {
   constexpr int linksToPlatform = 10;
   MachinesReply reply;
-  reply.askedAt = asked.askedAt;
+  reply.askedAt = request.askedAt;
   reply.machines = workers.machines();
-  schedule(clock + linksToPlatform * size.link, at, platformAddress, std::move(reply));
+  schedule(clock + linksToPlatform * size.linkDelay, at, platformAddress, std::move(reply));
 }
 
-void HollowFleet::schedule(TimePoint when, std::size_t to, const std::string& from, Message message) {
+void SimulatedFleet::schedule(TimePoint when, std::size_t to, const std::string& from, Message message) {
   events.push({when, EventKind::message, to, from, {}, std::make_shared<Message>(std::move(message))});
 }
 
-std::size_t HollowFleet::leader() {
+std::size_t SimulatedFleet::leader() {
   for (std::size_t number = 0; number < cores.size(); ++number)
     if (core(number).consensusLog().leads(clock)) return number;
   return 0;
 }
 
-std::size_t HollowFleet::countVoters() {
+std::size_t SimulatedFleet::countVoters() {
   std::size_t count = 0;
   for (const auto& member : core(leader()).consensusLog().members()) count += member.votes;
   return count;
 }
 
-std::size_t HollowFleet::countFreshDaemons() {
+std::size_t SimulatedFleet::countFreshDaemons() {
   std::size_t count = 0;
   for (std::size_t number = 0; number < agents.size(); ++number)
     count += agent(number).fresh(clock) && proxy(number).fresh(clock) && proxy(number).configuration().revision() > 0;
   return count;
 }
 
-void HollowFleet::requestChange(const std::string& changeId, const std::string& body, ChangeFormat changeFormat,
-                                std::int64_t toRevision) {
+void SimulatedFleet::requestChange(const std::string& changeId, const std::string& body, ChangeFormat changeFormat,
+                                   std::int64_t toRevision) {
   changeById[changeId].askedAt = clock;
   OperatorRequest change;
   change.requestId = changeId;
@@ -317,11 +319,11 @@
   schedule(clock, cores[(leader() + 1) % cores.size()], changeId, std::move(change));
 }
 
-void HollowFleet::noteAppliedChanges() {
-  for (auto& [changeId, change] : changeById) noteAppliedChange(changeId, change);
+void SimulatedFleet::recordAppliedChanges() {
+  for (auto& [changeId, change] : changeById) recordAppliedChange(changeId, change);
 }
 
-void HollowFleet::noteAppliedChange(const std::string& changeId, Change& change) {
+void SimulatedFleet::recordAppliedChange(const std::string& changeId, Change& change) {
   if (change.proxiesAt != TimePoint{} && change.agentsAt != TimePoint{}) return;
   if (change.index == 0)
     for (const auto& entry : core(leader()).consensusLog().entries())
@@ -336,44 +338,44 @@
   if (allProxies && change.proxiesAt == TimePoint{}) change.proxiesAt = clock;
 }
 
-void HollowFleet::sendRequest() {
+void SimulatedFleet::sendRequest() {
   std::size_t at = proxies[requestCount % proxies.size()];
-  schedule(clock, at, "caller", requestOf(size, ++requestCount));
+  schedule(clock, at, "caller", makeRequest(size, ++requestCount));
 }
 
-void HollowFleet::startMeasuring() {
+void SimulatedFleet::startMeasuring() {
   measuring = true;
-  for (std::size_t at : cores) processes[at]->writtenBefore = processes[at]->files->writtenBytes();
+  for (std::size_t at : cores) processes[at]->bytesWrittenBefore = processes[at]->files->writtenBytes();
 }
 
-FleetCost HollowFleet::collectCosts() {
+FleetCost SimulatedFleet::collectCosts() {
   FleetCost total;
-  total.eventsTaken = eventsTaken;
+  total.eventsReceived = eventsReceived;
   total.requestsDone = requestsDone;
   total.configurationBytes = static_cast<std::int64_t>(core(0).consensusLog().configuration().bytes());
   collectCells(total);
   std::map<std::string, int> followersByAddress;
   for (std::size_t number = 0; number < agents.size(); ++number) ++followersByAddress[agent(number).upstreamAddress()];
   for (const auto& process : processes)
-    total.daemonsByRole[process->role].push_back(costOf(*process, followersByAddress));
+    total.processesByRole[process->role].push_back(costOf(*process, followersByAddress));
   return total;
 }
 
-void HollowFleet::collectCells(FleetCost& total) {
+void SimulatedFleet::collectCells(FleetCost& total) {
   for (std::size_t number = 0; number < cores.size(); ++number)
     for (const auto& [zone, cell] : core(number).cellsByZone()) {
       if (!cell->election.holdsLease(clock)) continue;
-      ++total.cellsHeld;
+      ++total.cellsWithLease;
       ++processes[cores[number]]->cost.cells;
-      for (const auto& [name, keeper] : cell->cacheNodes())
-        total.blocksIndexed += static_cast<std::int64_t>(keeper.cachedBlocks.size());
+      for (const auto& [name, cacheNode] : cell->cacheNodes())
+        total.indexedBlocks += static_cast<std::int64_t>(cacheNode.cachedBlocks.size());
     }
 }
 
-DaemonCost HollowFleet::costOf(const Process& process, const std::map<std::string, int>& followersByAddress) const {
-  DaemonCost cost = process.cost;
+ProcessCost SimulatedFleet::costOf(const Process& process, const std::map<std::string, int>& followersByAddress) const {
+  ProcessCost cost = process.cost;
   cost.heapBytes = process.heapBytes;
-  if (process.files) cost.diskBytes = process.files->writtenBytes() - process.writtenBefore;
+  if (process.files) cost.diskBytes = process.files->writtenBytes() - process.bytesWrittenBefore;
   if (auto followers = followersByAddress.find(process.address); followers != followersByAddress.end())
     cost.followers = followers->second;
   return cost;
--- a/src/sim/scale/hollow_fleet.hpp
+++ b/src/sim/scale/simulated_fleet.hpp
@@ -4,17 +4,17 @@
 #include "counting_ring_files.hpp"
 #include "event_queue.hpp"
 #include "fleet_cost.hpp"
-#include "hollow_workers.hpp"
 #include "proxy_router.hpp"
+#include "stub_workers.hpp"
 
 namespace tt {
 
 /// The real daemons of a fleet on simulated time, before hollow workers and a hollow platform. Every message between
 /// daemons passes through its wire form, and each daemon's costs are counted while the fleet is measured. Used by one
 /// thread; nothing in it waits.
-class HollowFleet {
+class SimulatedFleet {
  public:
-  HollowFleet(const FleetSize& size, std::uint64_t seed);
+  SimulatedFleet(const FleetSize& size, std::uint64_t seed);
 
   /// Starts all control processes at once.
   void startCores();
@@ -37,9 +37,9 @@
   void requestChange(const std::string& changeId, const std::string& body, ChangeFormat changeFormat,
                      std::int64_t toRevision);
   const std::map<std::string, Change>& changes() const { return changeById; }
-  void forgetChanges() { changeById.clear(); }
+  void clearChanges() { changeById.clear(); }
   /// Notes which changes have reached all agents or all proxies.
-  void noteAppliedChanges();
+  void recordAppliedChanges();
 
   /// Sends the next request to the next proxy.
   void sendRequest();
@@ -60,9 +60,9 @@
     std::vector<Effects::Save> saves;
     bool syncing{false};
     /// The address of the proxy beside an agent, and of the agent beside a proxy.
-    std::string beside;
-    DaemonCost cost;
-    std::int64_t heapBytes{0}, writtenBefore{0};
+    std::string localPeer;
+    ProcessCost cost;
+    std::int64_t heapBytes{0}, bytesWrittenBefore{0};
   };
   struct Frame {
     std::string to, bytes;
@@ -90,14 +90,14 @@
   TimePoint clock;
   const std::int64_t clockCost;
   EventQueue events;
-  HollowWorkers workers;
+  StubWorkers workers;
   std::vector<std::unique_ptr<Process>> processes;
   std::unordered_map<std::string, std::size_t> processByAddress;
   std::vector<std::size_t> cores, agents, proxies;
   std::map<std::string, Change> changeById;
   std::uint64_t requestCount{0};
   bool measuring{false};
-  std::int64_t eventsTaken{0}, requestsDone{0};
+  std::int64_t eventsReceived{0}, requestsDone{0};
 
   Core& core(std::size_t number) { return static_cast<Core&>(*processes[cores[number]]->node); }
   Agent& agent(std::size_t number) { return static_cast<Agent&>(*processes[agents[number]]->node); }
@@ -110,24 +110,24 @@
   void startDaemon(int number, const Strings& seeds);
 
   void handle(ScheduledEvent event);
-  void takeTick(std::size_t at);
-  void takeFrame(const ScheduledEvent& event);
-  void takeMessage(const ScheduledEvent& event);
+  void handleTick(std::size_t at);
+  void handleFrame(const ScheduledEvent& event);
+  void handleMessage(const ScheduledEvent& event);
   void finishSync(std::size_t at);
 
   void runStep(std::size_t at, const Cause& cause, const Action& action);
-  Sends act(Process& process, const Action& action);
+  Sends runLogic(Process& process, const Action& action);
   void countStep(Process& process, const Cause& cause, std::int64_t cpuNs);
   void countFrame(Process& process, const Frame& frame);
   void sendFrame(Process& process, Frame frame);
   void sendDirect(std::size_t at, DirectMessage sent);
-  void answerFromWorker(std::size_t at, int worker, const Message& message);
-  void answerFromPlatform(std::size_t at, const MachinesAsk& asked);
+  void respondAsWorker(std::size_t at, int worker, const Message& message);
+  void respondAsPlatform(std::size_t at, const MachinesAsk& request);
   void schedule(TimePoint when, std::size_t to, const std::string& from, Message message);
 
-  void noteAppliedChange(const std::string& changeId, Change& change);
+  void recordAppliedChange(const std::string& changeId, Change& change);
   void collectCells(FleetCost& total);
-  DaemonCost costOf(const Process& process, const std::map<std::string, int>& followersByAddress) const;
+  ProcessCost costOf(const Process& process, const std::map<std::string, int>& followersByAddress) const;
 };
 
 }  // namespace tt
--- a/src/sim/scale/statistics.hpp
+++ b/src/sim/scale/statistics.hpp
@@ -10,7 +10,7 @@
 
 /// A straight line through points.
 struct Line {
-  double base{0}, slope{0};
+  double intercept{0}, slope{0};
 };
 /// Fits a line by least squares; none through points of fewer than two sizes.
 std::optional<Line> fitLine(const Points& points);
--- a/src/sim/scale/sweep.cpp
+++ b/src/sim/scale/sweep.cpp
@@ -8,7 +8,7 @@
 #include <iostream>
 #include <thread>
 
-#include "fleet_samples.hpp"
+#include "fleet_metrics.hpp"
 #include "fleet_trial.hpp"
 #include "link_trial.hpp"
 
@@ -37,7 +37,7 @@
       {"events per second", options.events, [](FleetSize& s, double value) { s.eventsPerSecond = value; }},
       {"changes per hour", options.changes, [](FleetSize& s, double value) { s.changesPerHour = value; }},
       {"requests per second", options.requests, [](FleetSize& s, double value) { s.requestsPerSecond = value; }},
-      {"list changes per hour", options.marks, [](FleetSize& s, double value) { s.markChangesPerHour = value; }},
+      {"list changes per hour", options.marks, [](FleetSize& s, double value) { s.machineListChangesPerHour = value; }},
   };
 }
 
@@ -85,15 +85,15 @@
   return fmt::format(
       "daemons={} cores={} workers={} zones={} tenants={} blocks={} events={} changes={} requests={} marks={}",
       size.daemons, size.cores, size.workers, size.zones, size.tenants, size.blocks, size.eventsPerSecond,
-      size.changesPerHour, size.requestsPerSecond, size.markChangesPerHour);
+      size.changesPerHour, size.requestsPerSecond, size.machineListChangesPerHour);
 }
 
 /// Whether so many bytes are at most half of the machine's memory; if not, says so.
-bool fitsMemory(std::int64_t bytes, const std::string& about) {
-  auto half = static_cast<std::int64_t>(::sysconf(_SC_PHYS_PAGES)) * ::sysconf(_SC_PAGESIZE) / 2;
-  if (bytes <= half) return true;
+bool fitsMemory(std::int64_t bytes, const std::string& parameters) {
+  auto maxBytesAllowed = static_cast<std::int64_t>(::sysconf(_SC_PHYS_PAGES)) * ::sysconf(_SC_PAGESIZE) / 2;
+  if (bytes <= maxBytesAllowed) return true;
   std::cerr << fmt::format("Not started: {} would take about {} MB, and half of this machine's memory is {} MB.\n",
-                           about, bytes >> 20, half >> 20);
+                           parameters, bytes >> 20, maxBytesAllowed >> 20);
   return false;
 }
 
@@ -112,12 +112,13 @@
 
 bool Sweep::runFleets() {
   auto jobs = fleetJobs();
-  std::int64_t most = 0;
-  for (const auto& job : jobs) most = std::max(most, estimatedBytes(job.size));
-  if (!fitsMemory(most * options.threads, fmt::format("{} fleet(s) at a time, the largest", options.threads)))
+  std::int64_t maxBytes = 0;
+  for (const auto& job : jobs) maxBytes = std::max(maxBytes, estimatedBytes(job.size));
+  if (!fitsMemory(maxBytes * options.threads, fmt::format("{} fleet(s) at a time, the largest", options.threads)))
     return false;
-  std::sort(jobs.begin(), jobs.end(),
-            [](const Job& one, const Job& other) { return estimatedBytes(one.size) > estimatedBytes(other.size); });
+  std::sort(jobs.begin(), jobs.end(), [](const Job& first, const Job& second) {
+    return estimatedBytes(first.size) > estimatedBytes(second.size);
+  });
   measureFleets(jobs);
   return true;
 }
@@ -126,8 +127,8 @@
   FleetSize size;
   size.zones = options.zones;
   size.regions = options.regions;
-  size.measured = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(options.seconds));
-  size.link = std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(options.linkMs));
+  size.measuredDuration = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(options.seconds));
+  size.linkDelay = std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(options.linkMs));
   return size;
 }
 
@@ -153,19 +154,19 @@
 void Sweep::measureJob(const Job& job) {
   TimePoint start = Clock::now();
   auto result = measureFleet(job.size, static_cast<std::uint64_t>(options.seed + job.repeat));
-  double took = std::chrono::duration<double>(Clock::now() - start).count();
-  std::string about = describe(job.size);
-  std::lock_guard<std::mutex> guard(lock);
+  double elapsedSeconds = std::chrono::duration<double>(Clock::now() - start).count();
+  std::string parameters = describe(job.size);
+  std::lock_guard<std::mutex> guard(samplesMutex);
   if (!result) {
     failed = true;
-    std::cerr << fmt::format("{}: {} ({})\n", about, result.error().text, result.error().subject);
+    std::cerr << fmt::format("{}: {} ({})\n", parameters, result.error().text, result.error().subject);
     return;
   }
-  auto figures = figuresOf(result.value());
-  figures.push_back({"fleet", "real seconds", took});
-  for (const auto& figure : figures)
-    samples.push_back(Sample{options.trial, about, job.x, job.repeat, figure.subject, figure.name, figure.value});
-  std::cerr << fmt::format("{}: took {:.1f} s\n", about, took);
+  auto metrics = fleetMetrics(result.value());
+  metrics.push_back({"fleet", "real seconds", elapsedSeconds});
+  for (const auto& metric : metrics)
+    samples.push_back(Sample{options.trial, parameters, job.x, job.repeat, metric.subject, metric.name, metric.value});
+  std::cerr << fmt::format("{}: took {:.1f} s\n", parameters, elapsedSeconds);
 }
 
 std::vector<double> Sweep::trialSizes() const {
@@ -175,9 +176,9 @@
   return linkBodyBytes;
 }
 
-std::vector<Figure> Sweep::runTrial(double size, std::uint64_t seed) const {
+std::vector<Metric> Sweep::runTrial(double size, std::uint64_t seed) const {
   if (options.trial == "index") return measureIndex(static_cast<std::int64_t>(size), seed);
-  if (options.trial == "draw") return measureDraw(static_cast<int>(size), seed);
+  if (options.trial == "draw") return measureWorkerSelection(static_cast<int>(size), seed);
   if (options.trial == "blueprint") return measureConfiguration(static_cast<int>(size), seed);
   return measureLinks(options.frames, static_cast<std::size_t>(size));
 }
@@ -191,11 +192,11 @@
         !fitsMemory(static_cast<std::int64_t>(size) * bytesPerBlock, fmt::format("an index of {} blocks", size)))
       return false;
     for (int repeat = 0; repeat < options.repeats; ++repeat) {
-      auto figures = runTrial(size, static_cast<std::uint64_t>(options.seed + repeat));
-      if (figures.empty()) failed = true;
-      for (const auto& figure : figures)
+      auto metrics = runTrial(size, static_cast<std::uint64_t>(options.seed + repeat));
+      if (metrics.empty()) failed = true;
+      for (const auto& metric : metrics)
         samples.push_back(Sample{options.trial, fmt::format("{}={}", axis, size), size, repeat, options.trial,
-                                 figure.name, figure.value});
+                                 metric.name, metric.value});
     }
   }
   return true;
--- a/src/sim/scale/sweep.hpp
+++ b/src/sim/scale/sweep.hpp
@@ -23,7 +23,7 @@
 /// machine's memory is refused before anything starts.
 class Sweep {
  public:
-  explicit Sweep(SweepOptions given) : options(std::move(given)) {}
+  explicit Sweep(SweepOptions sweepOptions) : options(std::move(sweepOptions)) {}
   /// The program's exit code: 0, 1 if a trial failed, 2 if the sizes were refused.
   int run();
 
@@ -36,7 +36,7 @@
   const SweepOptions options;
   std::vector<Sample> samples;
   /// Guards the samples and the mark of failure while fleets are measured side by side.
-  std::mutex lock;
+  std::mutex samplesMutex;
   std::string axis{"size"};
   bool failed{false};
 
@@ -48,7 +48,7 @@
 
   bool runTrials();
   std::vector<double> trialSizes() const;
-  std::vector<Figure> runTrial(double size, std::uint64_t seed) const;
+  std::vector<Metric> runTrial(double size, std::uint64_t seed) const;
 };
 
 }  // namespace tt
--- a/tests/scale.cpp
+++ b/tests/scale.cpp
@@ -11,7 +11,7 @@
   auto line = fitLine({{0, 3}, {10, 23}, {20, 43}});
   cr_assert(line.has_value());
   cr_assert_float_eq(line->slope, 2, 1e-9);
-  cr_assert_float_eq(line->base, 3, 1e-9);
+  cr_assert_float_eq(line->intercept, 3, 1e-9);
   cr_assert(!fitLine({{5, 1}}).has_value());
   cr_assert(!fitLine({{5, 1}, {5, 9}}).has_value(), "points of one size have no slope");
 }
@@ -52,24 +52,24 @@
   const auto& cost = result.value();
   cr_assert_eq(cost.voters, size.cores);
   cr_assert_eq(cost.freshAgents, size.daemons);
-  cr_assert_eq(cost.cellsHeld, size.zones);
+  cr_assert_eq(cost.cellsWithLease, size.zones);
   cr_assert_eq(cost.ackMs.size(), 3u);
   cr_assert_eq(cost.proxiesMs.size(), 3u);
-  cr_assert_float_eq(static_cast<double>(cost.eventsTaken), 720, 72);
-  cr_assert_geq(cost.blocksIndexed, 2400);
+  cr_assert_float_eq(static_cast<double>(cost.eventsReceived), 720, 72);
+  cr_assert_geq(cost.indexedBlocks, 2400);
   cr_assert_geq(cost.requestsDone, 25);
   for (const char* role : {"agent", "proxy", "core"}) {
-    cr_assert_eq(cost.daemonsByRole.count(role), 1u);
-    for (const auto& daemon : cost.daemonsByRole.at(role)) cr_assert_gt(daemon.fleet.cpuNs, 0);
+    cr_assert_eq(cost.processesByRole.count(role), 1u);
+    for (const auto& daemon : cost.processesByRole.at(role)) cr_assert_gt(daemon.fleet.cpuNs, 0);
   }
-  cr_assert_eq(cost.daemonsByRole.at("agent").size(), 5u);
+  cr_assert_eq(cost.processesByRole.at("agent").size(), 5u);
 }
 
 Test(scale, an_index_and_a_draw_are_measured) {
-  for (const auto& figure : measureIndex(20000, 1)) cr_assert_geq(figure.value, 0, "%s", figure.name.c_str());
+  for (const auto& metric : measureIndex(20000, 1)) cr_assert_geq(metric.value, 0, "%s", metric.name.c_str());
   bool done = false;
-  for (const auto& figure : measureDraw(60, 1))
-    if (figure.name == "requests done") done = figure.value == 1;
+  for (const auto& metric : measureWorkerSelection(60, 1))
+    if (metric.name == "requests done") done = metric.value == 1;
   cr_assert(done, "every request must come to its end");
   cr_assert_geq(measureConfiguration(8, 1).size(), 8u);
 }
