--- a/src/sim/scale/configuration_trial.cpp
+++ b/src/sim/scale/configuration_trial.cpp
@@ -7,18 +7,20 @@
 namespace tt {
 namespace {
 
+constexpr double nsPerMs = 1e6, nsPerUs = 1e3;
 constexpr int modelCount = 3;
 constexpr int itemChangeCount = 100;
 
-LogEntry changeEntry(Uint64 index, const std::string& patch, const std::string& changeId) {
+LogEntry makeChangeEntry(Uint64 index, const std::string& patch, const std::string& changeId) {
   return LogEntry{index, 1, static_cast<int>(EntryKind::change), patch, changeId, index};
 }
 
+/// Applies configuration changes to one `Configuration` object and measures its processor time and memory.
 class ConfigurationTrial {
  public:
   explicit ConfigurationTrial(int tenantCount)
       : tenants(tenantCount), initialChange(initialSections(tenantCount, modelCount)) {
-    HeapCountingScope counted(&heapBytes);
+    HeapCountingScope countHeap(&heapBytes);
     configuration = std::make_unique<Configuration>();
   }
 
@@ -39,17 +41,17 @@
   std::unique_ptr<Configuration> configuration;
   std::vector<Metric> metrics;
 
-  void addMs(const std::string& name, std::int64_t ns) { metrics.push_back({name, static_cast<double>(ns) / 1e6}); }
+  void addMs(const std::string& name, std::int64_t ns) { metrics.push_back({name, static_cast<double>(ns) / nsPerMs}); }
   void add(const std::string& name, double value) { metrics.push_back({name, value}); }
 
   void measureInitialChange() {
     std::int64_t start = threadCpuNs();
     auto patch = configuration->preparePatch(initialChange, ChangeFormat::sections);
     addMs("ms to prepare the whole", threadCpuNs() - start);
-    LogEntry entry = changeEntry(1, patch.value(), "first");
+    LogEntry entry = makeChangeEntry(1, patch.value(), "first");
     start = threadCpuNs();
     {
-      HeapCountingScope counted(&heapBytes);
+      HeapCountingScope countHeap(&heapBytes);
       configuration->apply(entry);
     }
     addMs("ms to apply the whole", threadCpuNs() - start);
@@ -64,14 +66,15 @@
       std::int64_t start = threadCpuNs();
       auto patch = configuration->preparePatch(body, ChangeFormat::items);
       prepareNs += threadCpuNs() - start;
-      LogEntry change = changeEntry(static_cast<Uint64>(number + 2), patch.value(), fmt::format("change-{}", number));
+      LogEntry change =
+          makeChangeEntry(static_cast<Uint64>(number + 2), patch.value(), fmt::format("change-{}", number));
       entryBytes += static_cast<std::int64_t>(encodeEntry(change).size());
       start = threadCpuNs();
       configuration->apply(change);
       applyNs += threadCpuNs() - start;
     }
-    add("us to prepare a change of one item", static_cast<double>(prepareNs) / itemChangeCount / 1000);
-    add("us to apply a change of one item", static_cast<double>(applyNs) / itemChangeCount / 1000);
+    add("us to prepare a change of one item", static_cast<double>(prepareNs) / itemChangeCount / nsPerUs);
+    add("us to apply a change of one item", static_cast<double>(applyNs) / itemChangeCount / nsPerUs);
     add("bytes of its entry", static_cast<double>(entryBytes) / itemChangeCount);
   }
 
--- a/src/sim/scale/counting_ring_files.hpp
+++ b/src/sim/scale/counting_ring_files.hpp
@@ -3,11 +3,11 @@
 
 namespace tt {
 
-/// A ring's files in memory, which never fail; they count the bytes written.
+/// Ring log files in memory that count the written bytes. Reads, writes and syncs always succeed.
 class CountingRingFiles : public RingFiles {
  public:
-  CountingRingFiles(int files, std::size_t bytes)
-      : contents(static_cast<std::size_t>(files), std::string(bytes, '\0')) {}
+  CountingRingFiles(int fileCount, std::size_t fileBytes)
+      : contents(static_cast<std::size_t>(fileCount), std::string(fileBytes, '\0')) {}
   Result<std::string> readAll(int file) override { return contents[static_cast<std::size_t>(file)]; }
   Result<void> write(int file, std::size_t offset, std::string_view bytes) override {
     contents[static_cast<std::size_t>(file)].replace(offset, bytes.size(), bytes);
--- a/src/sim/scale/event_queue.cpp
+++ b/src/sim/scale/event_queue.cpp
@@ -4,8 +4,8 @@
 
 namespace tt {
 namespace {
-bool isLater(const ScheduledEvent& one, const ScheduledEvent& other) {
-  return one.at != other.at ? one.at > other.at : one.sequence > other.sequence;
+bool isLater(const ScheduledEvent& left, const ScheduledEvent& right) {
+  return left.at != right.at ? left.at > right.at : left.sequence > right.sequence;
 }
 }  // namespace
 
--- a/src/sim/scale/fleet_fixtures.cpp
+++ b/src/sim/scale/fleet_fixtures.cpp
@@ -93,14 +93,15 @@
 Machine makeMachine(const FleetSize& size, int worker) {
   int zone = worker % size.zones, model = (worker + worker / size.zones) % size.models;
   return Machine{fmt::format("worker-{:04}", worker),
-                 fmt::format("10.{}.{}.{}:8000", 100 + zone, worker / 250 % 250, worker % 250),
+                 fmt::format("10.{}.{}.{}:8000", 100 + zone, worker / addressesPerNetwork % addressesPerNetwork,
+                             worker % addressesPerNetwork),
                  zoneName(size, zone),
                  "language",
                  false,
                  serviceName(model),
                  modelName(model),
                  modelName(model) + "/1",
-                 4};
+                 slotsPerWorker};
 }
 
 CellSettings platformCellSettings() {
--- a/src/sim/scale/fleet_metrics.cpp
+++ b/src/sim/scale/fleet_metrics.cpp
@@ -9,14 +9,15 @@
 
 constexpr double nsPerMs = 1e6;
 
+/// Builds the list of metrics from the costs of a fleet.
 class MetricList {
  public:
   explicit MetricList(const FleetCost& measured) : cost(measured) {}
 
   std::vector<FleetMetric> list() {
-    for (const auto& [role, daemons] : cost.processesByRole) {
-      addDaemons(role, daemons);
-      addMessages(role, daemons);
+    for (const auto& [role, processes] : cost.processesByRole) {
+      addProcesses(role, processes);
+      addMessages(role, processes);
     }
     addSpread("ms to acknowledge", cost.ackMs);
     addSpread("ms to last agent", cost.agentsMs);
@@ -39,50 +40,50 @@
     metrics.push_back({subject, name, value});
   }
 
-  std::map<std::string, std::vector<double>> rowsOf(const std::vector<ProcessCost>& daemons) const {
-    std::map<std::string, std::vector<double>> rows;
-    for (const auto& daemon : daemons) {
-      rows["cpu ms per s"].push_back(msPerSecond(daemon.fleet.cpuNs));
-      rows["bytes in per s"].push_back(perSecond(daemon.fleet.bytesIn));
-      rows["bytes out per s"].push_back(perSecond(daemon.fleet.bytesOut));
-      rows["local bytes per s"].push_back(perSecond(daemon.localBytes));
-      rows["worker messages per s"].push_back(perSecond(daemon.workerMessages));
-      rows["heap bytes"].push_back(static_cast<double>(daemon.heapBytes));
-      rows["disk bytes per s"].push_back(perSecond(daemon.diskBytes));
-      rows["cells"].push_back(static_cast<double>(daemon.cells));
-      rows["followers"].push_back(static_cast<double>(daemon.followers));
+  std::map<std::string, std::vector<double>> valuesByMetric(const std::vector<ProcessCost>& processes) const {
+    std::map<std::string, std::vector<double>> values;
+    for (const auto& process : processes) {
+      values["cpu ms per s"].push_back(msPerSecond(process.total.cpuNs));
+      values["bytes in per s"].push_back(perSecond(process.total.bytesIn));
+      values["bytes out per s"].push_back(perSecond(process.total.bytesOut));
+      values["local bytes per s"].push_back(perSecond(process.localBytes));
+      values["worker messages per s"].push_back(perSecond(process.workerMessages));
+      values["heap bytes"].push_back(static_cast<double>(process.heapBytes));
+      values["disk bytes per s"].push_back(perSecond(process.diskBytes));
+      values["cells"].push_back(static_cast<double>(process.cells));
+      values["followers"].push_back(static_cast<double>(process.followers));
     }
-    return rows;
+    return values;
   }
 
-  void addDaemons(const std::string& role, const std::vector<ProcessCost>& daemons) {
-    for (const auto& [name, values] : rowsOf(daemons)) {
+  void addProcesses(const std::string& role, const std::vector<ProcessCost>& processes) {
+    for (const auto& [name, values] : valuesByMetric(processes)) {
       double sum = std::accumulate(values.begin(), values.end(), 0.0);
       add(role, name + ", mean", sum / static_cast<double>(values.size()));
       add(role, name + ", max", spreadOf(values).max);
     }
   }
 
-  static std::map<std::string, Cost> sumByMessage(const std::vector<ProcessCost>& daemons) {
+  static std::map<std::string, Cost> sumByMessage(const std::vector<ProcessCost>& processes) {
     std::map<std::string, Cost> sums;
-    for (const auto& daemon : daemons)
-      for (const auto& [kind, row] : daemon.byMessage) {
+    for (const auto& process : processes)
+      for (const auto& [kind, messageCost] : process.byMessage) {
         auto& sum = sums[kind];
-        sum.count += row.count;
-        sum.cpuNs += row.cpuNs;
-        sum.bytesIn += row.bytesIn;
-        sum.bytesOut += row.bytesOut;
+        sum.count += messageCost.count;
+        sum.cpuNs += messageCost.cpuNs;
+        sum.bytesIn += messageCost.bytesIn;
+        sum.bytesOut += messageCost.bytesOut;
       }
     return sums;
   }
 
-  void addMessages(const std::string& role, const std::vector<ProcessCost>& daemons) {
-    auto count = static_cast<double>(daemons.size());
-    for (const auto& [kind, row] : sumByMessage(daemons)) {
-      if (row.cpuNs) add(role, kind + ": cpu ms per s", msPerSecond(row.cpuNs) / count);
-      if (row.bytesIn) add(role, kind + ": bytes in per s", perSecond(row.bytesIn) / count);
-      if (row.bytesOut) add(role, kind + ": bytes out per s", perSecond(row.bytesOut) / count);
-      add(role, kind + ": count per s", perSecond(row.count) / count);
+  void addMessages(const std::string& role, const std::vector<ProcessCost>& processes) {
+    auto count = static_cast<double>(processes.size());
+    for (const auto& [kind, messageCost] : sumByMessage(processes)) {
+      if (messageCost.cpuNs) add(role, kind + ": cpu ms per s", msPerSecond(messageCost.cpuNs) / count);
+      if (messageCost.bytesIn) add(role, kind + ": bytes in per s", perSecond(messageCost.bytesIn) / count);
+      if (messageCost.bytesOut) add(role, kind + ": bytes out per s", perSecond(messageCost.bytesOut) / count);
+      add(role, kind + ": count per s", perSecond(messageCost.count) / count);
     }
   }
 
--- a/src/sim/scale/fleet_metrics.hpp
+++ b/src/sim/scale/fleet_metrics.hpp
@@ -3,13 +3,14 @@
 
 namespace tt {
 
-/// One figure of a measured fleet: of a role, or of the whole fleet.
+/// One metric of a measured fleet.
 struct FleetMetric {
+  /// `subject`: a role, or "fleet" for the entire fleet.
   std::string subject, name;
   double value{0};
 };
-/// A fleet's costs as figures: for each role the mean and the most, and each message's share; for the fleet its counts
-/// and how long changes took.
+/// Converts costs to metrics: for each role the mean and maximum over its processes and the cost by message type; for
+/// the fleet its counts and the latencies of configuration changes.
 std::vector<FleetMetric> fleetMetrics(const FleetCost& cost);
 
 }  // namespace tt
--- a/src/sim/scale/fleet_trial.hpp
+++ b/src/sim/scale/fleet_trial.hpp
@@ -4,8 +4,8 @@
 
 namespace tt {
 
-/// Runs a fleet on simulated time and takes the processor time that its real logic and wire form cost. A fault says
-/// which part of the fleet did not form, or which change was refused.
+/// Runs a fleet in simulated time and measures the processor time of the real logic and of message encoding. The error
+/// names the part of the fleet that did not form, or the change that was refused.
 Result<FleetCost> measureFleet(const FleetSize& size, std::uint64_t seed);
 
 }  // namespace tt
--- a/src/sim/scale/index_trial.cpp
+++ b/src/sim/scale/index_trial.cpp
@@ -8,6 +8,7 @@
 namespace tt {
 namespace {
 
+constexpr double nsPerUs = 1e3;
 constexpr std::int64_t blocksPerWorker = 45800;
 constexpr std::int64_t eventReportCount = 20000, eventsPerReport = 12;
 constexpr std::int64_t lookupCount = 20000;
@@ -28,6 +29,7 @@
 
 double mean(std::int64_t sum, std::int64_t count) { return static_cast<double>(sum) / static_cast<double>(count); }
 
+/// Drives one real cell with reports, lookups and ticks, and measures its memory and processor time.
 class IndexTrial {
  public:
   IndexTrial(std::int64_t blocks, std::uint64_t seed)
@@ -56,12 +58,13 @@
   std::unique_ptr<Cell> cell;
   std::vector<Metric> metrics;
 
+  /// Runs an action on the cell, with its allocations counted, and completes its disk syncs at once.
   void callCell(const std::function<void(Effects&)>& action) {
-    HeapCountingScope counted(&heapBytes);
+    HeapCountingScope countHeap(&heapBytes);
     Effects effects{now, randomSource, journal, {}, {}};
     action(effects);
-    for (std::size_t done = 0; done < effects.saves.size(); ++done)
-      if (effects.saves[done].onSynced) effects.saves[done].onSynced(effects);
+    for (std::size_t saveIndex = 0; saveIndex < effects.saves.size(); ++saveIndex)
+      if (effects.saves[saveIndex].onSynced) effects.saves[saveIndex].onSynced(effects);
   }
 
   void tick() {
@@ -72,7 +75,7 @@
   void winElection() {
     Member self{"core-0-1", "core-0", "10.1.0.1:7000", zoneName(size, 0), true};
     {
-      HeapCountingScope counted(&heapBytes);
+      HeapCountingScope countHeap(&heapBytes);
       cell = std::make_unique<Cell>(zoneName(size, 0), self, true, Defences{}, platformCellSettings());
       cell->election.setVoters({self});
       cell->setMachines(machines);
@@ -97,31 +100,31 @@
   }
 
   void measureFullReports() {
-    std::int64_t before = heapBytes, spentNs = 0;
+    std::int64_t heapBytesBefore = heapBytes, cpuNs = 0;
     for (std::size_t worker = 0; worker < machines.size(); ++worker) {
       Report report = emptyReport(worker);
       report.complete = true;
       for (std::int64_t block = 0; block < blocksOfEachWorker; ++block)
         report.cachedBlocks.push_back(makeBlockHash(worker, static_cast<std::uint64_t>(block)));
-      spentNs += timeReport(report);
+      cpuNs += timeReport(report);
     }
     std::int64_t blocks = blocksOfEachWorker * size.workers;
-    metrics.push_back({"bytes per block", mean(heapBytes - before, blocks)});
-    metrics.push_back({"ns per block of a whole list", mean(spentNs, blocks)});
+    metrics.push_back({"bytes per block", mean(heapBytes - heapBytesBefore, blocks)});
+    metrics.push_back({"ns per block of a whole list", mean(cpuNs, blocks)});
   }
 
   void measureEvents() {
-    std::int64_t spentNs = 0;
-    std::vector<std::int64_t> lastEvents(machines.size(), 0);
+    std::int64_t cpuNs = 0;
+    std::vector<std::int64_t> lastSequences(machines.size(), 0);
     for (std::int64_t iteration = 0; iteration < eventReportCount; ++iteration) {
       std::size_t worker = static_cast<std::size_t>(iteration) % machines.size();
       Report report = emptyReport(worker);
       for (std::int64_t number = 0; number < eventsPerReport; ++number)
-        report.events.push_back(makeCacheEvent(worker, ++lastEvents[worker], blocksOfEachWorker));
-      report.sequence = static_cast<Uint64>(lastEvents[worker]);
-      spentNs += timeReport(report) - clockCostNs();
+        report.events.push_back(makeCacheEvent(worker, ++lastSequences[worker], blocksOfEachWorker));
+      report.sequence = static_cast<Uint64>(lastSequences[worker]);
+      cpuNs += timeReport(report) - clockReadCostNs();
     }
-    metrics.push_back({"ns per event", mean(spentNs, eventReportCount * eventsPerReport)});
+    metrics.push_back({"ns per event", mean(cpuNs, eventReportCount * eventsPerReport)});
   }
 
   LookupMsg makeLookup(std::int64_t iteration) const {
@@ -137,7 +140,7 @@
   }
 
   void measureLookups() {
-    std::int64_t spentNs = 0;
+    std::int64_t cpuNs = 0;
     for (std::int64_t iteration = 0; iteration < lookupCount; ++iteration) {
       std::string frame = encodeMessage(makeLookup(iteration));
       std::int64_t start = threadCpuNs();
@@ -146,19 +149,19 @@
         cell->handle(effects, agentAddress, message.value());
         for (const auto& [to, reply] : effects.sends) (void)encodeMessage(reply);
       });
-      spentNs += threadCpuNs() - start - clockCostNs();
+      cpuNs += threadCpuNs() - start - clockReadCostNs();
     }
-    metrics.push_back({"ns per lookup of 4 parts", mean(spentNs, lookupCount)});
+    metrics.push_back({"ns per lookup of 4 parts", mean(cpuNs, lookupCount)});
   }
 
   void measureTicks() {
-    std::int64_t spentNs = 0;
+    std::int64_t cpuNs = 0;
     for (std::int64_t iteration = 0; iteration < tickCount; ++iteration) {
       std::int64_t start = threadCpuNs();
       tick();
-      spentNs += threadCpuNs() - start;
+      cpuNs += threadCpuNs() - start;
     }
-    metrics.push_back({"us per tick", mean(spentNs, tickCount) / 1000});
+    metrics.push_back({"us per tick", mean(cpuNs, tickCount) / nsPerUs});
   }
 };
 
--- a/src/sim/scale/link_trial.cpp
+++ b/src/sim/scale/link_trial.cpp
@@ -12,11 +12,14 @@
 namespace {
 
 constexpr Duration arrivalTimeout = 60s;
+constexpr int receiveRunMs = 5, sendRunMs = 1;
+constexpr double nsPerUs = 1e3;
 constexpr int framesLostExitCode = 3;
-constexpr int maxFramesPerTurn = 20;
+constexpr int maxFramesPerRun = 20;
 constexpr std::size_t maxBytesInFlight = 4u << 20, minFramesInFlight = 8, maxFramesInFlight = 200;
 constexpr std::size_t messageHeaderBytes = 64, frameHeaderBytes = 4;
 
+/// Sends frames from one thread to another. The bytes in flight are limited, within bounds on the number of frames.
 class LinkTrial {
  public:
   LinkTrial(int frameCount, std::size_t frameBytes)
@@ -29,13 +32,14 @@
     std::string address = freeAddress();
     PeerTransport target(receiving, address, [this](const std::string&, Message) { ++receivedFrames; });
     if (auto listening = target.listen(); !listening) return {};
+    /// The sender never listens on its address.
     PeerTransport source(sending, "127.0.0.1:1", [](const std::string&, Message) {});
     std::thread receiver([&] { receive(target); });
     std::thread sender([&] { send(source, address); });
     sender.join();
     receiver.join();
-    return {{"us per frame sent", static_cast<double>(sendNs) / frames / 1000},
-            {"us per frame taken", static_cast<double>(receiveNs) / frames / 1000},
+    return {{"us per frame sent", static_cast<double>(sendNs) / frames / nsPerUs},
+            {"us per frame taken", static_cast<double>(receiveNs) / frames / nsPerUs},
             {"bytes per frame", static_cast<double>(encodeMessage(message).size() + frameHeaderBytes)}};
   }
 
@@ -46,6 +50,7 @@
   std::atomic<int> receivedFrames{0};
   std::atomic<std::int64_t> sendNs{0}, receiveNs{0};
 
+  /// Returns a loopback address with a port that is free at the moment.
   std::string freeAddress() {
     asio::ip::tcp::acceptor probe(receiving, asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
     return "127.0.0.1:" + std::to_string(probe.local_endpoint().port());
@@ -53,7 +58,7 @@
 
   void receive(PeerTransport& target) {
     std::int64_t start = threadCpuNs();
-    while (receivedFrames < frames) receiving.run_for(5ms);
+    while (receivedFrames < frames) receiving.run_for(std::chrono::milliseconds(receiveRunMs));
     receiveNs = threadCpuNs() - start;
     target.stop();
   }
@@ -63,10 +68,10 @@
     int sentFrames = 0;
     TimePoint deadline = Clock::now() + arrivalTimeout;
     while (receivedFrames < frames && Clock::now() < deadline) {
-      for (int turn = 0; turn < maxFramesPerTurn && sentFrames < frames && sentFrames - receivedFrames < inFlightLimit;
-           ++turn, ++sentFrames)
+      for (int frame = 0; frame < maxFramesPerRun && sentFrames < frames && sentFrames - receivedFrames < inFlightLimit;
+           ++frame, ++sentFrames)
         source.send(address, message);
-      sending.run_for(1ms);
+      sending.run_for(std::chrono::milliseconds(sendRunMs));
       sending.restart();
     }
     sendNs = threadCpuNs() - start;
--- a/src/sim/scale/link_trial.hpp
+++ b/src/sim/scale/link_trial.hpp
@@ -3,8 +3,9 @@
 
 namespace tt {
 
-/// Two real ends of a link over loopback: processor time to send and to take a frame of so many bytes. The process ends
-/// with code 3 if the frames don't arrive within a minute.
+/// Measures the processor time to send and to receive a frame with a payload of `bytes` over a real loopback
+/// connection. The process exits with code 3 if not all frames arrive within a minute. Returns nothing if it cannot
+/// listen.
 std::vector<Metric> measureLinks(int frames, std::size_t bytes);
 
 }  // namespace tt
--- a/src/sim/scale/plot.cpp
+++ b/src/sim/scale/plot.cpp
@@ -6,11 +6,14 @@
 namespace tt {
 namespace {
 
+/// All lengths are in pixels. `left` to `bottom` are the margins around the plot.
 constexpr double width = 480, height = 300;
 constexpr double left = 70, right = 20, top = 30, bottom = 45;
+constexpr double xLabelOffset = 15, yLabelOffset = 5, yLabelBaselineOffset = 4, xTitleMargin = 10;
+/// Intervals between the labels of an axis.
 constexpr int axisTicks = 4;
 
-/// The range of both axes and where their values lie on the page. Both start at 0.
+/// The ranges of both axes, which start at 0, and the mapping from their values to positions in the image.
 class Axes {
  public:
   explicit Axes(const Points& points) {
@@ -42,12 +45,12 @@
   for (int tick = 0; tick <= axisTicks; ++tick) {
     double x = axes.maxX * tick / axisTicks, y = axes.maxY * tick / axisTicks;
     svg += fmt::format("<text x=\"{:.1f}\" y=\"{}\" text-anchor=\"middle\">{:.4g}</text>\n", axes.placeX(x),
-                       height - bottom + 15, x);
-    svg +=
-        fmt::format("<text x=\"{}\" y=\"{:.1f}\" text-anchor=\"end\">{:.4g}</text>\n", left - 5, axes.placeY(y) + 4, y);
+                       height - bottom + xLabelOffset, x);
+    svg += fmt::format("<text x=\"{}\" y=\"{:.1f}\" text-anchor=\"end\">{:.4g}</text>\n", left - yLabelOffset,
+                       axes.placeY(y) + yLabelBaselineOffset, y);
   }
   svg += fmt::format("<text x=\"{}\" y=\"{}\" text-anchor=\"middle\">{}</text>\n", (left + width - right) / 2,
-                     height - 10, xName);
+                     height - xTitleMargin, xName);
   svg += fmt::format("<text x=\"14\" y=\"{0}\" text-anchor=\"middle\" transform=\"rotate(-90 14 {0})\">{1}</text>\n",
                      height / 2, yName);
   return svg;
--- a/src/sim/scale/plot.hpp
+++ b/src/sim/scale/plot.hpp
@@ -5,7 +5,7 @@
 
 namespace tt {
 
-/// A plot of points and the line through them, as SVG.
+/// Draws points and the line fitted through them as an SVG image.
 std::string plotSvg(const std::string& title, const std::string& xName, const std::string& yName, const Points& points);
 
 }  // namespace tt
--- a/src/sim/scale/resource_meters.cpp
+++ b/src/sim/scale/resource_meters.cpp
@@ -16,7 +16,7 @@
   return static_cast<std::int64_t>(time.tv_sec) * nsPerSecond + time.tv_nsec;
 }
 
-std::int64_t clockCostNs() {
+std::int64_t clockReadCostNs() {
   static const std::int64_t cost = [] {
     constexpr int readings = 2001;
     std::vector<double> costs;
--- a/src/sim/scale/resource_meters.hpp
+++ b/src/sim/scale/resource_meters.hpp
@@ -3,25 +3,25 @@
 
 namespace tt {
 
-/// Where this thread's allocations are counted at present; null counts nowhere. The program that measures brings an
-/// allocator that counts; without it nothing is.
+/// The counter to which this thread's allocated bytes are added, and from which freed ones are subtracted; null counts
+/// none. The counting is done by the allocator of trouttally-scale; programs without it count nothing.
 extern thread_local std::int64_t* heapAccount;
 
-/// Counts this thread's allocations on one account until the scope ends.
+/// Makes `counter` this thread's heap counter until the end of the scope.
 class HeapCountingScope {
  public:
-  explicit HeapCountingScope(std::int64_t* account) : before(heapAccount) { heapAccount = account; }
-  ~HeapCountingScope() { heapAccount = before; }
+  explicit HeapCountingScope(std::int64_t* counter) : previous(heapAccount) { heapAccount = counter; }
+  ~HeapCountingScope() { heapAccount = previous; }
   HeapCountingScope(const HeapCountingScope&) = delete;
   HeapCountingScope& operator=(const HeapCountingScope&) = delete;
 
  private:
-  std::int64_t* before;
+  std::int64_t* previous;
 };
 
-/// Processor time of this thread.
+/// Processor time of this thread so far, in nanoseconds.
 std::int64_t threadCpuNs();
-/// What reading the thread's clock twice costs, to be taken off each measured span.
-std::int64_t clockCostNs();
+/// The median difference between two successive `threadCpuNs()` calls, to be subtracted from each measurement.
+std::int64_t clockReadCostNs();
 
 }  // namespace tt
--- a/src/sim/scale/sample_report.cpp
+++ b/src/sim/scale/sample_report.cpp
@@ -10,7 +10,7 @@
 namespace tt {
 namespace {
 
-/// The samples of one figure.
+/// All samples of one metric.
 struct Series {
   std::string subject, name;
   Points points;
@@ -18,7 +18,7 @@
   std::map<int, Points> pointsByRepeat;
 };
 
-/// The spread, over the repeats, of the lines fitted through each one's points.
+/// The spread of slope and intercept over the lines that were fitted to each repeat.
 struct Fit {
   Spread slope, intercept;
 };
@@ -94,7 +94,7 @@
   return line;
 }
 
-/// Figures of single messages have a colon in their names; they are too many to be plotted.
+/// Metrics of single message types have a colon in their names. They are too many to plot.
 bool isPlotted(const Series& series) { return series.name.find(':') == std::string::npos; }
 
 void writePlot(const ReportTarget& target, const Series& series) {
--- a/src/sim/scale/simulated_fleet.cpp
+++ b/src/sim/scale/simulated_fleet.cpp
@@ -12,14 +12,14 @@
 constexpr Duration syncDuration = 2ms;
 constexpr Duration localLinkDelay = 50us;
 constexpr Duration daemonStartPeriod = 2s;
-constexpr int seedCount = 3;
-constexpr int ringFiles = 4;
+constexpr int maxSeeds = 3;
+constexpr int ringFileCount = 4;
 constexpr std::size_t ringFileBytes = 4u << 20;
+/// The length that precedes an encoded message on a connection.
 constexpr std::size_t frameHeaderBytes = 4;
-constexpr int addressesPerNetwork = 250;
 constexpr const char* platformAddress = "10.0.0.1:80";
 
-/// The name of a message by its number in the wire form.
+/// Returns the name of a message type by its number in the encoded message; 0 stands for no message.
 const std::string& messageNameAt(std::size_t number) {
   static const Strings names = [] {
     Strings rows{"none"};
@@ -31,12 +31,13 @@
   return names.at(number);
 }
 
-/// The name of a frame's message: its number stands first, the lower byte before the higher.
+/// Returns the name of an encoded message's type, whose number is in the first two bytes in little-endian order.
 const std::string& messageNameOf(const std::string& frame) {
   auto low = static_cast<unsigned char>(frame[0]), high = static_cast<unsigned char>(frame[1]);
   return messageNameAt(static_cast<std::size_t>(low | high << 8));
 }
 
+/// Bytes of a frame on the connection, with the length that precedes it.
 std::int64_t wireBytes(const std::string& frame) { return static_cast<std::int64_t>(frame.size() + frameHeaderBytes); }
 
 std::string coreAddress(int number) { return fmt::format("10.1.{}.1:7000", number); }
@@ -46,34 +47,34 @@
 SimulatedFleet::SimulatedFleet(const FleetSize& fleetSize, std::uint64_t seed)
     : size(fleetSize),
       randomSource(seed),
-      clock(std::chrono::hours(1)),
-      clockCost(clockCostNs()),
-      workers(fleetSize, clock) {
+      simulatedTime(std::chrono::hours(1)),
+      clockReadCost(clockReadCostNs()),
+      workers(fleetSize, simulatedTime) {
   setPlatformTiming();
 }
 
 std::size_t SimulatedFleet::startProcess(const std::string& role, const std::string& name, const std::string& address,
-                                         const std::function<void(Process&)>& make) {
-  std::size_t at = processes.size();
+                                         const std::function<void(Process&)>& construct) {
+  std::size_t processIndex = processes.size();
   processes.push_back(std::make_unique<Process>());
   auto& process = *processes.back();
   process.role = role;
   process.name = name;
   process.address = address;
-  processByAddress[address] = at;
+  processByAddress[address] = processIndex;
   {
-    HeapCountingScope counted(&process.heapBytes);
-    make(process);
+    HeapCountingScope countHeap(&process.heapBytes);
+    construct(process);
   }
   Duration phase(
       static_cast<std::int64_t>(randomSource() % static_cast<std::uint64_t>(Duration(tickInterval).count())));
-  events.push({clock + phase, EventKind::tick, at, {}, {}, {}});
-  return at;
+  events.push({simulatedTime + phase, EventKind::tick, processIndex, {}, {}, {}});
+  return processIndex;
 }
 
 void SimulatedFleet::startCores() {
   Strings seeds, zones;
-  for (int number = 0; number < std::min(seedCount, size.cores); ++number) seeds.push_back(coreAddress(number));
+  for (int number = 0; number < std::min(maxSeeds, size.cores); ++number) seeds.push_back(coreAddress(number));
   for (int zone = 0; zone < size.zones; ++zone) zones.push_back(zoneName(size, zone));
   for (int number = 0; number < size.cores; ++number) cores.push_back(startCore(number, seeds, zones));
 }
@@ -81,8 +82,8 @@
 std::size_t SimulatedFleet::startCore(int number, const Strings& seeds, const Strings& zones) {
   return startProcess("core", fmt::format("core-{}", number), coreAddress(number), [&](Process& process) {
     {
-      HeapCountingScope uncounted(nullptr);
-      process.files = std::make_unique<CountingRingFiles>(ringFiles, ringFileBytes);
+      HeapCountingScope pauseCounting(nullptr);
+      process.files = std::make_unique<CountingRingFiles>(ringFileCount, ringFileBytes);
     }
     auto ring = Ring::open(*process.files);
     process.ring = std::move(ring.value());
@@ -94,16 +95,16 @@
     settings.seeds = seeds;
     settings.zones = zones;
     settings.cell = platformCellSettings();
-    process.node = std::make_unique<Core>(settings, process.ring->held(), randomSource, clock);
+    process.node = std::make_unique<Core>(settings, process.ring->held(), randomSource, simulatedTime);
   });
 }
 
 void SimulatedFleet::startDaemons() {
   Strings seeds;
-  for (int number = 0; number < std::min(seedCount, size.cores); ++number) seeds.push_back(coreAddress(number));
+  for (int number = 0; number < std::min(maxSeeds, size.cores); ++number) seeds.push_back(coreAddress(number));
   for (int number = 0; number < size.daemons; ++number) {
     startDaemon(number, seeds);
-    runUntil(clock + Duration(daemonStartPeriod) / size.daemons);
+    runUntil(simulatedTime + Duration(daemonStartPeriod) / size.daemons);
   }
 }
 
@@ -128,10 +129,10 @@
 
 void SimulatedFleet::runUntil(TimePoint until) {
   while (auto event = events.popDue(until)) {
-    clock = std::max(clock, event->at);
+    simulatedTime = std::max(simulatedTime, event->at);
     handle(std::move(*event));
   }
-  clock = until;
+  simulatedTime = until;
 }
 
 void SimulatedFleet::handle(ScheduledEvent event) {
@@ -147,10 +148,10 @@
   }
 }
 
-void SimulatedFleet::handleTick(std::size_t at) {
-  auto& process = *processes[at];
-  runStep(at, {"tick", 0, false}, [&](Effects& effects) { process.node->tick(effects); });
-  events.push({clock + tickInterval, EventKind::tick, at, {}, {}, {}});
+void SimulatedFleet::handleTick(std::size_t processIndex) {
+  auto& process = *processes[processIndex];
+  runStep(processIndex, {"tick", 0, false}, [&](Effects& effects) { process.node->tick(effects); });
+  events.push({simulatedTime + tickInterval, EventKind::tick, processIndex, {}, {}, {}});
 }
 
 void SimulatedFleet::handleFrame(const ScheduledEvent& event) {
@@ -165,60 +166,62 @@
 void SimulatedFleet::handleMessage(const ScheduledEvent& event) {
   auto& process = *processes[event.to];
   Message message = std::move(*event.message);
-  if (auto* waiting = std::get_if<ReportAsk>(&message))
-    message = workers.eventsReport(workers.find(event.from).value(), static_cast<std::int64_t>(waiting->after), clock);
+  /// A request for events that the worker stub sent back at the end of a long poll.
+  if (auto* longPoll = std::get_if<ReportAsk>(&message))
+    message = workers.eventsReport(workers.find(event.from).value(), static_cast<std::int64_t>(longPoll->after),
+                                   simulatedTime);
   if (auto* report = std::get_if<Report>(&message); report && measuring)
     eventsReceived += static_cast<std::int64_t>(report->events.size());
   runStep(event.to, {"takes " + messageNameAt(message.index()), 0, false},
           [&](Effects& effects) { process.node->handle(effects, event.from, message); });
 }
 
-void SimulatedFleet::finishSync(std::size_t at) {
-  auto& process = *processes[at];
+void SimulatedFleet::finishSync(std::size_t processIndex) {
+  auto& process = *processes[processIndex];
   std::vector<Effects::Save> batch;
   batch.swap(process.saves);
   process.syncing = false;
-  runStep(at, {"sync", 0, false}, [&](Effects& effects) {
+  runStep(processIndex, {"sync", 0, false}, [&](Effects& effects) {
     std::vector<Record> records;
     for (const auto& save : batch) records.push_back(save.record);
     if (process.ring) (void)process.ring->append(records);
     for (auto& save : batch)
       if (save.onSynced) save.onSynced(effects);
   });
-  HeapCountingScope counted(&process.heapBytes);
+  HeapCountingScope countHeap(&process.heapBytes);
   batch.clear();
   batch.shrink_to_fit();
 }
 
-void SimulatedFleet::runStep(std::size_t at, const Cause& cause, const Action& action) {
-  auto& process = *processes[at];
-  Sends sends = runLogic(process, action);
-  if (measuring) countStep(process, cause, sends.cpuNs);
-  for (auto& frame : sends.frames) sendFrame(process, std::move(frame));
-  for (auto& sent : sends.direct) sendDirect(at, std::move(sent));
+void SimulatedFleet::runStep(std::size_t processIndex, const Cause& cause, const Action& action) {
+  auto& process = *processes[processIndex];
+  StepOutput output = runLogic(process, action);
+  if (measuring) countStep(process, cause, output.cpuNs);
+  for (auto& frame : output.frames) sendFrame(process, std::move(frame));
+  for (auto& sent : output.directMessages) sendDirect(processIndex, std::move(sent));
   if (process.saves.empty() || process.syncing) return;
   process.syncing = true;
-  events.push({clock + syncDuration, EventKind::sync, at, {}, {}, {}});
+  events.push({simulatedTime + syncDuration, EventKind::sync, processIndex, {}, {}, {}});
 }
 
-/// Runs the real logic. Only what it allocates itself is counted on its heap, and only it and the wire form on its
-/// processor time.
-SimulatedFleet::Sends SimulatedFleet::runLogic(Process& process, const Action& action) {
-  Sends sends;
-  HeapCountingScope counted(&process.heapBytes);
+/// Runs the real logic and encodes what it sends. Only the allocations of the process itself are added to its heap
+/// bytes, and only its logic and the encoding to its processor time.
+SimulatedFleet::StepOutput SimulatedFleet::runLogic(Process& process, const Action& action) {
+  StepOutput output;
+  HeapCountingScope countHeap(&process.heapBytes);
   std::vector<Frame> frames;
   std::int64_t start = threadCpuNs();
-  Effects effects{clock, randomSource, process.node->journal, {}, {}};
+  Effects effects{simulatedTime, randomSource, process.node->journal, {}, {}};
   action(effects);
   for (const auto& [to, message] : effects.sends)
     if (to != process.address && processByAddress.count(to)) frames.push_back({to, encodeMessage(message)});
-  sends.cpuNs = std::max<std::int64_t>(0, threadCpuNs() - start - clockCost);
+  output.cpuNs = std::max<std::int64_t>(0, threadCpuNs() - start - clockReadCost);
   for (auto& save : effects.saves) process.saves.push_back(std::move(save));
-  HeapCountingScope uncounted(nullptr);
-  sends.frames = frames;
+  HeapCountingScope pauseCounting(nullptr);
+  output.frames = frames;
   for (const auto& [to, message] : effects.sends)
-    if (to == process.address || !processByAddress.count(to)) sends.direct.push_back({to, message});
-  return sends;
+    if (to == process.address || !processByAddress.count(to)) output.directMessages.push_back({to, message});
+  return output;
 }
 
 void SimulatedFleet::countStep(Process& process, const Cause& cause, std::int64_t cpuNs) {
@@ -226,9 +229,9 @@
   ++kind.count;
   kind.cpuNs += cpuNs;
   kind.bytesIn += cause.bytesIn;
-  ++process.cost.fleet.count;
-  process.cost.fleet.cpuNs += cpuNs;
-  (cause.local ? process.cost.localBytes : process.cost.fleet.bytesIn) += cause.bytesIn;
+  ++process.cost.total.count;
+  process.cost.total.cpuNs += cpuNs;
+  (cause.local ? process.cost.localBytes : process.cost.total.bytesIn) += cause.bytesIn;
 }
 
 void SimulatedFleet::countFrame(Process& process, const Frame& frame) {
@@ -236,79 +239,82 @@
   auto& kind = process.cost.byMessage["sends " + messageNameOf(frame.bytes)];
   ++kind.count;
   kind.bytesOut += bytes;
-  (frame.to == process.localPeer ? process.cost.localBytes : process.cost.fleet.bytesOut) += bytes;
+  (frame.to == process.localPeer ? process.cost.localBytes : process.cost.total.bytesOut) += bytes;
 }
 
 void SimulatedFleet::sendFrame(Process& process, Frame frame) {
   if (measuring) countFrame(process, frame);
   Duration linkDelay = frame.to == process.localPeer ? Duration(localLinkDelay) : size.linkDelay;
   std::size_t to = processByAddress.at(frame.to);
-  events.push({clock + linkDelay, EventKind::frame, to, process.address, std::move(frame.bytes), {}});
+  events.push({simulatedTime + linkDelay, EventKind::frame, to, process.address, std::move(frame.bytes), {}});
 }
 
-void SimulatedFleet::sendDirect(std::size_t at, DirectMessage sent) {
-  auto& process = *processes[at];
-  if (sent.to == process.address) return schedule(clock, at, process.address, std::move(sent.message));
+void SimulatedFleet::sendDirect(std::size_t processIndex, DirectMessage sent) {
+  auto& process = *processes[processIndex];
+  if (sent.to == process.address)
+    return schedule(simulatedTime, processIndex, process.address, std::move(sent.message));
   if (sent.to == platformAddress) {
-    if (auto* request = std::get_if<MachinesAsk>(&sent.message)) respondAsPlatform(at, *request);
+    if (auto* request = std::get_if<MachinesAsk>(&sent.message)) respondAsPlatform(processIndex, *request);
     return;
   }
-  if (auto worker = workers.find(sent.to)) return respondAsWorker(at, *worker, sent.message);
+  if (auto worker = workers.find(sent.to)) return respondAsWorker(processIndex, *worker, sent.message);
   if (auto* operatorResponse = std::get_if<OperatorResponse>(&sent.message)) {
     auto change = changeById.find(sent.to);
     if (change == changeById.end()) return;
     change->second.code = operatorResponse->code;
-    change->second.ackedAt = clock;
+    change->second.ackedAt = simulatedTime;
   } else if (auto* finalStatus = std::get_if<CallerVerdict>(&sent.message)) {
     if (measuring) requestsDone += finalStatus->verdict == "done";
   }
 }
 
-void SimulatedFleet::respondAsWorker(std::size_t at, int worker, const Message& message) {
-  if (measuring) ++processes[at]->cost.workerMessages;
+void SimulatedFleet::respondAsWorker(std::size_t processIndex, int worker, const Message& message) {
+  if (measuring) ++processes[processIndex]->cost.workerMessages;
   if (auto* workerRequest = std::get_if<WorkerOrder>(&message))
-    for (auto& [when, chunk] : workers.respond(*workerRequest, clock))
-      schedule(when, at, workerRequest->worker, std::move(chunk));
+    for (auto& [when, chunk] : workers.respond(*workerRequest, simulatedTime))
+      schedule(when, processIndex, workerRequest->worker, std::move(chunk));
   if (auto* request = std::get_if<ReportAsk>(&message)) {
-    auto response = workers.respond(worker, *request, clock);
-    schedule(response.at, at, workers.addressOf(worker), std::move(response.message));
+    auto response = workers.respond(worker, *request, simulatedTime);
+    schedule(response.at, processIndex, workers.addressOf(worker), std::move(response.message));
   }
 }
 
-void SimulatedFleet::respondAsPlatform(std::size_t at, const MachinesAsk& request) {
-  constexpr int linksToPlatform = 10;
+void SimulatedFleet::respondAsPlatform(std::size_t processIndex, const MachinesAsk& request) {
+  /// Time from the request for the machine list to the reply, in link delays.
+  constexpr int platformReplyLinkDelays = 10;
   MachinesReply reply;
   reply.askedAt = request.askedAt;
   reply.machines = workers.machines();
-  schedule(clock + linksToPlatform * size.linkDelay, at, platformAddress, std::move(reply));
+  schedule(simulatedTime + platformReplyLinkDelays * size.linkDelay, processIndex, platformAddress, std::move(reply));
 }
 
 void SimulatedFleet::schedule(TimePoint when, std::size_t to, const std::string& from, Message message) {
   events.push({when, EventKind::message, to, from, {}, std::make_shared<Message>(std::move(message))});
 }
 
-std::size_t SimulatedFleet::leader() {
+std::size_t SimulatedFleet::leaderNumber() {
   for (std::size_t number = 0; number < cores.size(); ++number)
-    if (core(number).consensusLog().leads(clock)) return number;
+    if (core(number).consensusLog().leads(simulatedTime)) return number;
   return 0;
 }
 
 std::size_t SimulatedFleet::countVoters() {
   std::size_t count = 0;
-  for (const auto& member : core(leader()).consensusLog().members()) count += member.votes;
+  for (const auto& member : core(leaderNumber()).consensusLog().members()) count += member.votes;
   return count;
 }
 
 std::size_t SimulatedFleet::countFreshDaemons() {
   std::size_t count = 0;
   for (std::size_t number = 0; number < agents.size(); ++number)
-    count += agent(number).fresh(clock) && proxy(number).fresh(clock) && proxy(number).configuration().revision() > 0;
+    count += agent(number).fresh(simulatedTime) && proxy(number).fresh(simulatedTime) &&
+             proxy(number).configuration().revision() > 0;
   return count;
 }
 
 void SimulatedFleet::requestChange(const std::string& changeId, const std::string& body, ChangeFormat changeFormat,
                                    std::int64_t toRevision) {
-  changeById[changeId].askedAt = clock;
+  changeById[changeId].requestedAt = simulatedTime;
   OperatorRequest change;
   change.requestId = changeId;
   change.body = body;
@@ -316,7 +322,7 @@
   change.changeFormat = static_cast<int>(changeFormat);
   change.changeId = changeId;
   change.toRevision = toRevision;
-  schedule(clock, cores[(leader() + 1) % cores.size()], changeId, std::move(change));
+  schedule(simulatedTime, cores[(leaderNumber() + 1) % cores.size()], changeId, std::move(change));
 }
 
 void SimulatedFleet::recordAppliedChanges() {
@@ -326,7 +332,7 @@
 void SimulatedFleet::recordAppliedChange(const std::string& changeId, Change& change) {
   if (change.proxiesAt != TimePoint{} && change.agentsAt != TimePoint{}) return;
   if (change.index == 0)
-    for (const auto& entry : core(leader()).consensusLog().entries())
+    for (const auto& entry : core(leaderNumber()).consensusLog().entries())
       if (entry.changeId == changeId) change.index = entry.index;
   if (change.index == 0) return;
   bool allAgents = true, allProxies = true;
@@ -334,18 +340,19 @@
     allAgents = allAgents && agent(number).configuration().index() >= change.index;
     allProxies = allProxies && proxy(number).configuration().index() >= change.index;
   }
-  if (allAgents && change.agentsAt == TimePoint{}) change.agentsAt = clock;
-  if (allProxies && change.proxiesAt == TimePoint{}) change.proxiesAt = clock;
+  if (allAgents && change.agentsAt == TimePoint{}) change.agentsAt = simulatedTime;
+  if (allProxies && change.proxiesAt == TimePoint{}) change.proxiesAt = simulatedTime;
 }
 
 void SimulatedFleet::sendRequest() {
-  std::size_t at = proxies[requestCount % proxies.size()];
-  schedule(clock, at, "caller", makeRequest(size, ++requestCount));
+  std::size_t processIndex = proxies[requestCount % proxies.size()];
+  schedule(simulatedTime, processIndex, "caller", makeRequest(size, ++requestCount));
 }
 
 void SimulatedFleet::startMeasuring() {
   measuring = true;
-  for (std::size_t at : cores) processes[at]->bytesWrittenBefore = processes[at]->files->writtenBytes();
+  for (std::size_t processIndex : cores)
+    processes[processIndex]->bytesWrittenBefore = processes[processIndex]->files->writtenBytes();
 }
 
 FleetCost SimulatedFleet::collectCosts() {
@@ -364,7 +371,7 @@
 void SimulatedFleet::collectCells(FleetCost& total) {
   for (std::size_t number = 0; number < cores.size(); ++number)
     for (const auto& [zone, cell] : core(number).cellsByZone()) {
-      if (!cell->election.holdsLease(clock)) continue;
+      if (!cell->election.holdsLease(simulatedTime)) continue;
       ++total.cellsWithLease;
       ++processes[cores[number]]->cost.cells;
       for (const auto& [name, cacheNode] : cell->cacheNodes())
--- a/src/sim/scale/statistics.cpp
+++ b/src/sim/scale/statistics.cpp
@@ -3,6 +3,10 @@
 #include <algorithm>
 
 namespace tt {
+namespace {
+/// Below this share of the sum of squares the x values count as equal.
+constexpr double minRelativeDeterminant = 1e-9;
+}  // namespace
 
 std::optional<Line> fitLine(const Points& points) {
   double count = 0, sumX = 0, sumY = 0, sumXX = 0, sumXY = 0;
@@ -13,9 +17,9 @@
     sumXX += x * x;
     sumXY += x * y;
   }
-  double spread = count * sumXX - sumX * sumX;
-  if (count < 2 || spread <= 1e-9 * std::max(1.0, count * sumXX)) return std::nullopt;
-  double slope = (count * sumXY - sumX * sumY) / spread;
+  double determinant = count * sumXX - sumX * sumX;
+  if (count < 2 || determinant <= minRelativeDeterminant * std::max(1.0, count * sumXX)) return std::nullopt;
+  double slope = (count * sumXY - sumX * sumY) / determinant;
   return Line{(sumY - slope * sumX) / count, slope};
 }
 
--- a/src/sim/scale/statistics.hpp
+++ b/src/sim/scale/statistics.hpp
@@ -5,20 +5,20 @@
 
 namespace tt {
 
-/// A measured point: the size that was swept, and the figure found there.
+/// Pairs of the swept parameter and the value measured for it.
 using Points = std::vector<std::pair<double, double>>;
 
-/// A straight line through points.
+/// The line y = intercept + slope * x.
 struct Line {
   double intercept{0}, slope{0};
 };
-/// Fits a line by least squares; none through points of fewer than two sizes.
+/// Fits a line by least squares. Returns nothing unless the points have at least two different x values.
 std::optional<Line> fitLine(const Points& points);
 
 struct Spread {
   double min{0}, median{0}, max{0};
 };
-/// The spread of some values; zeros if there are none.
+/// Returns zeros if there are no values.
 Spread spreadOf(std::vector<double> values);
 
 }  // namespace tt
--- a/src/sim/scale/stub_workers.cpp
+++ b/src/sim/scale/stub_workers.cpp
@@ -8,19 +8,20 @@
 constexpr Duration longPollTimeout = 400ms;
 constexpr Duration firstChunkDelay = 300ms;
 constexpr Duration responseDuration = 2s;
-constexpr int runningRequests = 2;
+/// The load that every worker reports.
+constexpr int runningRequests = 2, waitingRequests = 0;
 constexpr const char* incarnation = "1";
 
 }  // namespace
 
-CacheEvent makeCacheEvent(std::uint64_t worker, std::int64_t event, std::int64_t keptBlocks) {
-  bool stored = event % 2 == 1;
-  auto block = static_cast<std::uint64_t>(stored ? keptBlocks + (event - 1) / 2 : event / 2 - 1);
+CacheEvent makeCacheEvent(std::uint64_t worker, std::int64_t sequence, std::int64_t cachedBlocks) {
+  bool stored = sequence % 2 == 1;
+  auto block = static_cast<std::uint64_t>(stored ? cachedBlocks + (sequence - 1) / 2 : sequence / 2 - 1);
   auto kind = static_cast<int>(stored ? CacheEventKind::stored : CacheEventKind::removed);
-  return CacheEvent{static_cast<Uint64>(event), kind, {makeBlockHash(worker, block)}};
+  return CacheEvent{static_cast<Uint64>(sequence), kind, {makeBlockHash(worker, block)}};
 }
 
-StubWorkers::StubWorkers(const FleetSize& fleetSize, TimePoint since) : size(fleetSize), startedAt(since) {
+StubWorkers::StubWorkers(const FleetSize& fleetSize, TimePoint startTime) : size(fleetSize), startedAt(startTime) {
   for (int number = 0; number < size.workers; ++number) {
     machineList.push_back(makeMachine(size, number));
     numberByAddress[machineList.back().address] = number;
@@ -33,8 +34,8 @@
   return found->second;
 }
 
-void StubWorkers::toggleLeaving(std::uint64_t random) {
-  auto& machine = machineList[random % machineList.size()];
+void StubWorkers::toggleLeaving(std::uint64_t randomNumber) {
+  auto& machine = machineList[randomNumber % machineList.size()];
   machine.leaving = !machine.leaving;
 }
 
@@ -57,7 +58,7 @@
   return report;
 }
 
-Report StubWorkers::conditionReport(int number) const {
+Report StubWorkers::statusReport(int number) const {
   const auto& machine = machineList[static_cast<std::size_t>(number)];
   Report report;
   report.worker = machine.name;
@@ -83,15 +84,15 @@
   std::int64_t last = lastEventSequence(now), cachedBlocks = size.blocks / std::max(1, size.workers);
   Report report = emptyReport(number);
   report.sequence = static_cast<Uint64>(last);
-  for (std::int64_t event = after + 1; event <= last; ++event)
-    report.events.push_back(makeCacheEvent(static_cast<std::uint64_t>(number), event, cachedBlocks));
+  for (std::int64_t sequence = after + 1; sequence <= last; ++sequence)
+    report.events.push_back(makeCacheEvent(static_cast<std::uint64_t>(number), sequence, cachedBlocks));
   return report;
 }
 
 StubWorkers::TimedMessage StubWorkers::respond(int number, const ReportAsk& request, TimePoint now) const {
   TimePoint arrival = now + 2 * size.linkDelay;
   auto after = static_cast<std::int64_t>(request.after);
-  if (request.scope == static_cast<int>(ReportScope::condition)) return {arrival, conditionReport(number)};
+  if (request.scope == static_cast<int>(ReportScope::condition)) return {arrival, statusReport(number)};
   if (request.complete) return {arrival, fullReport(number, now)};
   if (lastEventSequence(now) > after) return {arrival, eventsReport(number, after, now)};
   return {arrival + longPollWait(), request};
@@ -100,7 +101,7 @@
 std::vector<StubWorkers::TimedMessage> StubWorkers::respond(const WorkerOrder& request, TimePoint now) const {
   std::vector<TimedMessage> messages;
   TimePoint when = now + firstChunkDelay;
-  messages.push_back({when, WorkerLoad{request.requestId, 2, 0, 4}});
+  messages.push_back({when, WorkerLoad{request.requestId, runningRequests, waitingRequests, slotsPerWorker}});
   for (int chunk = 0; chunk < responseChunks; ++chunk) {
     messages.push_back(
         {when, WorkerChunk{request.requestId, std::string(responseChunkBytes, 'x'), std::to_string(chunk)}});
--- a/src/sim/scale/sweep.cpp
+++ b/src/sim/scale/sweep.cpp
@@ -15,10 +15,12 @@
 namespace tt {
 namespace {
 
+/// Approximate memory of a block in an index.
 constexpr std::int64_t bytesPerBlock = 90;
-const std::vector<double> linkBodyBytes{100, 1000, 10000, 100000};
+/// Payload sizes of the link trial.
+const std::vector<double> linkPayloadBytes{100, 1000, 10000, 100000};
 
-/// One size of a fleet that may be swept.
+/// A parameter of the fleet that can be swept, its values, and how one is set.
 struct Dimension {
   const char* name;
   std::vector<double> values;
@@ -41,7 +43,7 @@
   };
 }
 
-/// Where several dimensions have more than one value, the first of these is the axis of the plots.
+/// The x axis of the plots is the first of these dimensions that has more than one value.
 const std::vector<std::string> axisPrecedence{
     "daemons",           "cores",  "workers", "list changes per hour", "changes per hour", "requests per second",
     "events per second", "blocks", "tenants"};
@@ -53,14 +55,14 @@
   return fallback;
 }
 
-/// A size, and its value on the axis.
+/// A fleet size and its value on the x axis.
 struct SizedPoint {
   FleetSize size;
   double x{0};
 };
 
-/// Every combination of the dimensions' values; those of the last dimension change fastest. Where no dimension is the
-/// axis, the number of daemons is.
+/// Returns every combination of the dimensions' values; the last dimension varies fastest. If no dimension is called
+/// `axis`, x is the number of daemons.
 std::vector<SizedPoint> combine(const FleetSize& base, const std::vector<Dimension>& dimensions,
                                 const std::string& axis) {
   std::vector<SizedPoint> points{{base, 0}};
@@ -81,19 +83,19 @@
   return points;
 }
 
-std::string describe(const FleetSize& size) {
+std::string describeParameters(const FleetSize& size) {
   return fmt::format(
       "daemons={} cores={} workers={} zones={} tenants={} blocks={} events={} changes={} requests={} marks={}",
       size.daemons, size.cores, size.workers, size.zones, size.tenants, size.blocks, size.eventsPerSecond,
       size.changesPerHour, size.requestsPerSecond, size.machineListChangesPerHour);
 }
 
-/// Whether so many bytes are at most half of the machine's memory; if not, says so.
-bool fitsMemory(std::int64_t bytes, const std::string& parameters) {
+/// Returns whether `bytes` are jobIndex most half of the machine's memory, and prints an error if they are more.
+bool fitsMemory(std::int64_t bytes, const std::string& subject) {
   auto maxBytesAllowed = static_cast<std::int64_t>(::sysconf(_SC_PHYS_PAGES)) * ::sysconf(_SC_PAGESIZE) / 2;
   if (bytes <= maxBytesAllowed) return true;
   std::cerr << fmt::format("Not started: {} would take about {} MB, and half of this machine's memory is {} MB.\n",
-                           parameters, bytes >> 20, maxBytesAllowed >> 20);
+                           subject, bytes >> 20, maxBytesAllowed >> 20);
   return false;
 }
 
@@ -146,7 +148,7 @@
   std::vector<std::thread> pool;
   for (int number = 0; number < options.threads; ++number)
     pool.emplace_back([&] {
-      for (std::size_t at = next++; at < jobs.size(); at = next++) measureJob(jobs[at]);
+      for (std::size_t jobIndex = next++; jobIndex < jobs.size(); jobIndex = next++) measureJob(jobs[jobIndex]);
     });
   for (auto& thread : pool) thread.join();
 }
@@ -155,7 +157,7 @@
   TimePoint start = Clock::now();
   auto result = measureFleet(job.size, static_cast<std::uint64_t>(options.seed + job.repeat));
   double elapsedSeconds = std::chrono::duration<double>(Clock::now() - start).count();
-  std::string parameters = describe(job.size);
+  std::string parameters = describeParameters(job.size);
   std::lock_guard<std::mutex> guard(samplesMutex);
   if (!result) {
     failed = true;
@@ -173,7 +175,7 @@
   if (options.trial == "index") return options.blocks;
   if (options.trial == "draw") return toDoubles(options.workers);
   if (options.trial == "blueprint") return toDoubles(options.tenants);
-  return linkBodyBytes;
+  return linkPayloadBytes;
 }
 
 std::vector<Metric> Sweep::runTrial(double size, std::uint64_t seed) const {
--- a/src/sim/scale/sweep.hpp
+++ b/src/sim/scale/sweep.hpp
@@ -10,24 +10,29 @@
 
 namespace tt {
 
-/// What is measured, at which sizes, and where the report goes.
+/// What is measured, at which sizes, and where the report is written. Each combination of the listed sizes is measured.
 struct SweepOptions {
+  /// `trial`: fleet, index, draw (worker selection), blueprint (configuration) or links. `out`: the folder of the
+  /// report. `label`: the start of its file names; the name of the trial if empty.
   std::string trial{"fleet"}, out{"capacity"}, label;
   std::vector<int> daemons{36}, cores{16}, workers{600}, tenants{200};
+  /// Cached blocks, and the rates of cache events, configuration changes, requests and machine list changes.
   std::vector<double> blocks{0}, events{0}, changes{0}, requests{0}, marks{0};
+  /// `threads`: fleets measured at a time. `frames`: frames that the link trial sends.
   int zones{40}, regions{4}, repeats{3}, threads{1}, frames{20000}, seed{1};
   double seconds{3}, linkMs{1};
 };
 
-/// Runs one trial at every size that is asked, and writes the report. A size that would take more than half of the
-/// machine's memory is refused before anything starts.
+/// Runs one trial at all requested sizes and writes the report. It refuses sizes that would take more than half of the
+/// machine's memory: all fleets before the first one starts, an index before its own run.
 class Sweep {
  public:
   explicit Sweep(SweepOptions sweepOptions) : options(std::move(sweepOptions)) {}
-  /// The program's exit code: 0, 1 if a trial failed, 2 if the sizes were refused.
+  /// Returns the exit code of the program: 0 on success, 1 if a trial failed, 2 if a size was refused.
   int run();
 
  private:
+  /// One run of a fleet. `x` is the value of the swept parameter.
   struct Job {
     FleetSize size;
     double x{0};
@@ -35,7 +40,7 @@
   };
   const SweepOptions options;
   std::vector<Sample> samples;
-  /// Guards the samples and the mark of failure while fleets are measured side by side.
+  /// Guards `samples` and `failed` while fleets are measured in parallel.
   std::mutex samplesMutex;
   std::string axis{"size"};
   bool failed{false};
--- a/src/sim/scale/trials.hpp
+++ b/src/sim/scale/trials.hpp
@@ -3,18 +3,19 @@
 
 namespace tt {
 
-/// Trials of one piece of the logic that need no fleet.
+/// Trials of a single component, without a fleet.
 
-/// One figure of a trial.
+/// One result of a trial. The name includes the unit.
 struct Metric {
   std::string name;
   double value{0};
 };
-/// An index of kept blocks in a real cell: memory for each block, time for each event and lookup.
+/// Measures the index of cached blocks in a cell: memory per block, and time per cache event, lookup and tick.
 std::vector<Metric> measureIndex(std::int64_t blocks, std::uint64_t seed);
-/// A proxy's draw among so many workers, and its time for each piece of an answer.
+/// Measures how long a proxy takes to select one of `workers` workers and to forward each chunk of a response.
 std::vector<Metric> measureWorkerSelection(int workers, std::uint64_t seed);
-/// A change in a configuration of so many tenants: time to prepare and apply, and bytes in the log and in a snapshot.
+/// Measures configuration changes with `tenants` tenants: time to prepare and apply them, and the bytes of a log entry
+/// and of a snapshot.
 std::vector<Metric> measureConfiguration(int tenants, std::uint64_t seed);
 
 }  // namespace tt
--- a/src/sim/scale/worker_selection_trial.cpp
+++ b/src/sim/scale/worker_selection_trial.cpp
@@ -5,10 +5,13 @@
 namespace tt {
 namespace {
 
-constexpr int tenants = 200;
+constexpr double nsPerUs = 1e3;
+constexpr int tenantCount = 200;
 constexpr std::uint64_t requestCount = 600;
 constexpr std::uint64_t requestsPerFreshnessUpdate = 50;
 constexpr int idleTickCount = 200;
+constexpr auto requestInterval = 1ms;
+constexpr auto tickInterval = 20ms;
 constexpr std::uint64_t configurationIndex = 2;
 constexpr const char* agentAddress = "10.2.0.1:7001";
 constexpr const char* proxyAddress = "10.2.0.1:7002";
@@ -17,15 +20,15 @@
 FleetSize singleProxyFleet(int workers) {
   FleetSize size;
   size.workers = workers;
-  size.tenants = tenants;
+  size.tenants = tenantCount;
   size.daemons = 1;
   return size;
 }
 
-/// Time spent on so many steps of one kind.
+/// Processor time spent on all steps of one kind, and how many there were.
 struct StepTime {
   std::int64_t ns{0}, count{0};
-  double meanUs() const { return count ? static_cast<double>(ns) / static_cast<double>(count) / 1000 : 0.0; }
+  double meanUs() const { return count ? static_cast<double>(ns) / static_cast<double>(count) / nsPerUs : 0.0; }
 };
 
 double perRequest(std::int64_t count) { return static_cast<double>(count) / static_cast<double>(requestCount); }
@@ -44,6 +47,8 @@
   return view;
 }
 
+/// Drives the router of one proxy with requests and with the messages of the agent and workers, and measures the
+/// processor time of each step.
 class WorkerSelectionTrial {
  public:
   WorkerSelectionTrial(int workers, std::uint64_t seed)
@@ -56,7 +61,7 @@
     sendWorkers();
     sendFreshness();
     for (std::uint64_t number = 1; number <= requestCount; ++number) {
-      now += 1ms;
+      now += requestInterval;
       if (number % requestsPerFreshnessUpdate == 0) sendFreshness();
       serve(number);
     }
@@ -73,16 +78,17 @@
   std::vector<std::pair<std::string, Message>> sends;
   StepTime selections, replies, chunks, ends, idle;
 
-  /// Has the proxy act, and keeps what it sends; only its own allocations are counted.
+  /// Runs an action on the proxy, stores the messages that it sends in `sends` and returns the processor time in
+  /// nanoseconds. Only allocations made by the proxy are counted.
   std::int64_t callProxy(const std::function<void(Effects&)>& action) {
-    HeapCountingScope counted(&heapBytes);
+    HeapCountingScope countHeap(&heapBytes);
     Effects effects{now, randomSource, proxy.journal, {}, {}};
     std::int64_t start = threadCpuNs();
     action(effects);
-    std::int64_t spentNs = threadCpuNs() - start;
-    HeapCountingScope uncounted(nullptr);
+    std::int64_t cpuNs = threadCpuNs() - start;
+    HeapCountingScope pauseCounting(nullptr);
     sends = effects.sends;
-    return spentNs;
+    return cpuNs;
   }
 
   void deliver(const std::string& from, const Message& message) {
@@ -90,7 +96,7 @@
   }
 
   void timeStep(StepTime& stepTime, const std::string& from, const Message& message) {
-    stepTime.ns += callProxy([&](Effects& effects) { proxy.handle(effects, from, message); }) - clockCostNs();
+    stepTime.ns += callProxy([&](Effects& effects) { proxy.handle(effects, from, message); }) - clockReadCostNs();
     ++stepTime.count;
   }
 
@@ -126,7 +132,7 @@
 
   void serve(std::uint64_t number) {
     timeStep(selections, "caller", makeRequest(size, number));
-    auto workerRequest = answerLookups();
+    auto workerRequest = replyToLookups();
     if (!workerRequest) return;
     for (int chunk = 0; chunk < responseChunks; ++chunk)
       timeStep(chunks, "worker",
@@ -136,8 +142,9 @@
                        0, 0, 0});
   }
 
-  /// Answers the lookups of the request just drawn, each with no kept block, until it is sent to a worker.
-  std::optional<WorkerOrder> answerLookups() {
+  /// Replies to all lookups that the proxy made for its latest request, each time without hits. Returns the request
+  /// that the proxy then sent to a worker, if any.
+  std::optional<WorkerOrder> replyToLookups() {
     std::optional<WorkerOrder> workerRequest;
     auto firstSends = sends;
     for (const auto& [to, message] : firstSends) {
@@ -146,14 +153,14 @@
       if (!lookup) continue;
       std::vector<int> noHits(lookup->hashes.size(), 0);
       timeStep(replies, agentAddress, LookupReply{lookup->lookupId, lookup->cacheNode, noHits});
-      for (const auto& [address, later] : sends)
-        if (auto* sent = std::get_if<WorkerOrder>(&later)) workerRequest = *sent;
+      for (const auto& [address, nextMessage] : sends)
+        if (auto* sent = std::get_if<WorkerOrder>(&nextMessage)) workerRequest = *sent;
     }
     return workerRequest;
   }
 
   void tick() {
-    now += 20ms;
+    now += tickInterval;
     idle.ns += callProxy([&](Effects& effects) { proxy.tick(effects); });
     ++idle.count;
   }
--- a/tests/scale.cpp
+++ b/tests/scale.cpp
@@ -13,10 +13,10 @@
   cr_assert_float_eq(line->slope, 2, 1e-9);
   cr_assert_float_eq(line->intercept, 3, 1e-9);
   cr_assert(!fitLine({{5, 1}}).has_value());
-  cr_assert(!fitLine({{5, 1}, {5, 9}}).has_value(), "points of one size have no slope");
+  cr_assert(!fitLine({{5, 1}, {5, 9}}).has_value(), "points with the same x have no slope");
 }
 
-Test(scale, the_spread_is_least_middle_most) {
+Test(scale, a_spread_holds_minimum_median_and_maximum) {
   auto odd = spreadOf({9, 1, 4});
   cr_assert_eq(odd.min, 1);
   cr_assert_eq(odd.median, 4);
@@ -25,20 +25,20 @@
   cr_assert_eq(spreadOf({}).max, 0);
 }
 
-Test(scale, the_estimate_grows_with_each_count) {
+Test(scale, the_memory_estimate_grows_with_every_size) {
   FleetSize size;
-  auto least = estimatedBytes(size);
+  auto smallest = estimatedBytes(size);
   for (auto count : {&FleetSize::daemons, &FleetSize::cores, &FleetSize::workers, &FleetSize::tenants}) {
     FleetSize larger = size;
     larger.*count *= 10;
-    cr_assert_gt(estimatedBytes(larger), least);
+    cr_assert_gt(estimatedBytes(larger), smallest);
   }
   FleetSize larger = size;
   larger.blocks = 1000000;
-  cr_assert_geq(estimatedBytes(larger) - least, 60000000);
+  cr_assert_geq(estimatedBytes(larger) - smallest, 60000000);
 }
 
-Test(scale, a_hollow_fleet_forms_takes_changes_and_serves_requests, .timeout = 60) {
+Test(scale, a_simulated_fleet_forms_applies_changes_and_serves_requests, .timeout = 60) {
   FleetSize size;
   size.daemons = 5;
   size.workers = 24;
@@ -51,7 +51,7 @@
   cr_assert(bool(result), "%s", result ? "" : result.error().text.c_str());
   const auto& cost = result.value();
   cr_assert_eq(cost.voters, size.cores);
-  cr_assert_eq(cost.freshAgents, size.daemons);
+  cr_assert_eq(cost.freshDaemons, size.daemons);
   cr_assert_eq(cost.cellsWithLease, size.zones);
   cr_assert_eq(cost.ackMs.size(), 3u);
   cr_assert_eq(cost.proxiesMs.size(), 3u);
@@ -60,21 +60,21 @@
   cr_assert_geq(cost.requestsDone, 25);
   for (const char* role : {"agent", "proxy", "core"}) {
     cr_assert_eq(cost.processesByRole.count(role), 1u);
-    for (const auto& daemon : cost.processesByRole.at(role)) cr_assert_gt(daemon.fleet.cpuNs, 0);
+    for (const auto& process : cost.processesByRole.at(role)) cr_assert_gt(process.total.cpuNs, 0);
   }
   cr_assert_eq(cost.processesByRole.at("agent").size(), 5u);
 }
 
-Test(scale, an_index_and_a_draw_are_measured) {
+Test(scale, index_worker_selection_and_configuration_are_measured) {
   for (const auto& metric : measureIndex(20000, 1)) cr_assert_geq(metric.value, 0, "%s", metric.name.c_str());
   bool done = false;
   for (const auto& metric : measureWorkerSelection(60, 1))
     if (metric.name == "requests done") done = metric.value == 1;
-  cr_assert(done, "every request must come to its end");
+  cr_assert(done, "every request must complete");
   cr_assert_geq(measureConfiguration(8, 1).size(), 8u);
 }
 
-Test(scale, a_plot_holds_every_point) {
+Test(scale, a_plot_contains_every_point) {
   auto svg = plotSvg("agent", "daemons", "ms", {{1, 2}, {3, 4}});
   cr_assert_eq(svg.rfind("<svg", 0), 0u);
   std::size_t circles = 0;
