--- a/src/sim/scale/sweep.cpp
+++ b/src/sim/scale/sweep.cpp
@@ -8,17 +8,19 @@
 #include <iostream>
 #include <thread>
 
-#include "fleet_samples.hpp"
+#include "fleet_metrics.hpp"
 #include "fleet_trial.hpp"
 #include "link_trial.hpp"
 
 namespace tt {
 namespace {
 
+/// Approximate memory of a block in an index.
 constexpr std::int64_t bytesPerBlock = 90;
-const std::vector<double> linkBodyBytes{100, 1000, 10000, 100000};
+/// Payload sizes of the link trial.
+const std::vector<double> linkPayloadBytes{100, 1000, 10000, 100000};
 
-/// One size of a fleet that may be swept.
+/// A parameter of the fleet that can be swept, its values, and how one is set.
 struct Dimension {
   const char* name;
   std::vector<double> values;
@@ -37,11 +39,11 @@
       {"events per second", options.events, [](FleetSize& s, double value) { s.eventsPerSecond = value; }},
       {"changes per hour", options.changes, [](FleetSize& s, double value) { s.changesPerHour = value; }},
       {"requests per second", options.requests, [](FleetSize& s, double value) { s.requestsPerSecond = value; }},
-      {"list changes per hour", options.marks, [](FleetSize& s, double value) { s.markChangesPerHour = value; }},
+      {"list changes per hour", options.marks, [](FleetSize& s, double value) { s.machineListChangesPerHour = value; }},
   };
 }
 
-/// Where several dimensions have more than one value, the first of these is the axis of the plots.
+/// The x axis of the plots is the first of these dimensions that has more than one value.
 const std::vector<std::string> axisPrecedence{
     "daemons",           "cores",  "workers", "list changes per hour", "changes per hour", "requests per second",
     "events per second", "blocks", "tenants"};
@@ -53,14 +55,14 @@
   return fallback;
 }
 
-/// A size, and its value on the axis.
+/// A fleet size and its value on the x axis.
 struct SizedPoint {
   FleetSize size;
   double x{0};
 };
 
-/// Every combination of the dimensions' values; those of the last dimension change fastest. Where no dimension is the
-/// axis, the number of daemons is.
+/// Returns every combination of the dimensions' values; the last dimension varies fastest. If no dimension is called
+/// `axis`, x is the number of daemons.
 std::vector<SizedPoint> combine(const FleetSize& base, const std::vector<Dimension>& dimensions,
                                 const std::string& axis) {
   std::vector<SizedPoint> points{{base, 0}};
@@ -81,19 +83,19 @@
   return points;
 }
 
-std::string describe(const FleetSize& size) {
+std::string describeParameters(const FleetSize& size) {
   return fmt::format(
       "daemons={} cores={} workers={} zones={} tenants={} blocks={} events={} changes={} requests={} marks={}",
       size.daemons, size.cores, size.workers, size.zones, size.tenants, size.blocks, size.eventsPerSecond,
-      size.changesPerHour, size.requestsPerSecond, size.markChangesPerHour);
+      size.changesPerHour, size.requestsPerSecond, size.machineListChangesPerHour);
 }
 
-/// Whether so many bytes are at most half of the machine's memory; if not, says so.
-bool fitsMemory(std::int64_t bytes, const std::string& about) {
-  auto half = static_cast<std::int64_t>(::sysconf(_SC_PHYS_PAGES)) * ::sysconf(_SC_PAGESIZE) / 2;
-  if (bytes <= half) return true;
+/// Returns whether `bytes` are jobIndex most half of the machine's memory, and prints an error if they are more.
+bool fitsMemory(std::int64_t bytes, const std::string& subject) {
+  auto maxBytesAllowed = static_cast<std::int64_t>(::sysconf(_SC_PHYS_PAGES)) * ::sysconf(_SC_PAGESIZE) / 2;
+  if (bytes <= maxBytesAllowed) return true;
   std::cerr << fmt::format("Not started: {} would take about {} MB, and half of this machine's memory is {} MB.\n",
-                           about, bytes >> 20, half >> 20);
+                           subject, bytes >> 20, maxBytesAllowed >> 20);
   return false;
 }
 
@@ -112,12 +114,13 @@
 
 bool Sweep::runFleets() {
   auto jobs = fleetJobs();
-  std::int64_t most = 0;
-  for (const auto& job : jobs) most = std::max(most, estimatedBytes(job.size));
-  if (!fitsMemory(most * options.threads, fmt::format("{} fleet(s) at a time, the largest", options.threads)))
+  std::int64_t maxBytes = 0;
+  for (const auto& job : jobs) maxBytes = std::max(maxBytes, estimatedBytes(job.size));
+  if (!fitsMemory(maxBytes * options.threads, fmt::format("{} fleet(s) at a time, the largest", options.threads)))
     return false;
-  std::sort(jobs.begin(), jobs.end(),
-            [](const Job& one, const Job& other) { return estimatedBytes(one.size) > estimatedBytes(other.size); });
+  std::sort(jobs.begin(), jobs.end(), [](const Job& first, const Job& second) {
+    return estimatedBytes(first.size) > estimatedBytes(second.size);
+  });
   measureFleets(jobs);
   return true;
 }
@@ -126,8 +129,8 @@
   FleetSize size;
   size.zones = options.zones;
   size.regions = options.regions;
-  size.measured = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(options.seconds));
-  size.link = std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(options.linkMs));
+  size.measuredDuration = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(options.seconds));
+  size.linkDelay = std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(options.linkMs));
   return size;
 }
 
@@ -145,7 +148,7 @@
   std::vector<std::thread> pool;
   for (int number = 0; number < options.threads; ++number)
     pool.emplace_back([&] {
-      for (std::size_t at = next++; at < jobs.size(); at = next++) measureJob(jobs[at]);
+      for (std::size_t jobIndex = next++; jobIndex < jobs.size(); jobIndex = next++) measureJob(jobs[jobIndex]);
     });
   for (auto& thread : pool) thread.join();
 }
@@ -153,31 +156,31 @@
 void Sweep::measureJob(const Job& job) {
   TimePoint start = Clock::now();
   auto result = measureFleet(job.size, static_cast<std::uint64_t>(options.seed + job.repeat));
-  double took = std::chrono::duration<double>(Clock::now() - start).count();
-  std::string about = describe(job.size);
-  std::lock_guard<std::mutex> guard(lock);
+  double elapsedSeconds = std::chrono::duration<double>(Clock::now() - start).count();
+  std::string parameters = describeParameters(job.size);
+  std::lock_guard<std::mutex> guard(samplesMutex);
   if (!result) {
     failed = true;
-    std::cerr << fmt::format("{}: {} ({})\n", about, result.error().text, result.error().subject);
+    std::cerr << fmt::format("{}: {} ({})\n", parameters, result.error().text, result.error().subject);
     return;
   }
-  auto figures = figuresOf(result.value());
-  figures.push_back({"fleet", "real seconds", took});
-  for (const auto& figure : figures)
-    samples.push_back(Sample{options.trial, about, job.x, job.repeat, figure.subject, figure.name, figure.value});
-  std::cerr << fmt::format("{}: took {:.1f} s\n", about, took);
+  auto metrics = fleetMetrics(result.value());
+  metrics.push_back({"fleet", "real seconds", elapsedSeconds});
+  for (const auto& metric : metrics)
+    samples.push_back(Sample{options.trial, parameters, job.x, job.repeat, metric.subject, metric.name, metric.value});
+  std::cerr << fmt::format("{}: took {:.1f} s\n", parameters, elapsedSeconds);
 }
 
 std::vector<double> Sweep::trialSizes() const {
   if (options.trial == "index") return options.blocks;
   if (options.trial == "draw") return toDoubles(options.workers);
   if (options.trial == "blueprint") return toDoubles(options.tenants);
-  return linkBodyBytes;
+  return linkPayloadBytes;
 }
 
-std::vector<Figure> Sweep::runTrial(double size, std::uint64_t seed) const {
+std::vector<Metric> Sweep::runTrial(double size, std::uint64_t seed) const {
   if (options.trial == "index") return measureIndex(static_cast<std::int64_t>(size), seed);
-  if (options.trial == "draw") return measureDraw(static_cast<int>(size), seed);
+  if (options.trial == "draw") return measureWorkerSelection(static_cast<int>(size), seed);
   if (options.trial == "blueprint") return measureConfiguration(static_cast<int>(size), seed);
   return measureLinks(options.frames, static_cast<std::size_t>(size));
 }
@@ -191,11 +194,11 @@
         !fitsMemory(static_cast<std::int64_t>(size) * bytesPerBlock, fmt::format("an index of {} blocks", size)))
       return false;
     for (int repeat = 0; repeat < options.repeats; ++repeat) {
-      auto figures = runTrial(size, static_cast<std::uint64_t>(options.seed + repeat));
-      if (figures.empty()) failed = true;
-      for (const auto& figure : figures)
+      auto metrics = runTrial(size, static_cast<std::uint64_t>(options.seed + repeat));
+      if (metrics.empty()) failed = true;
+      for (const auto& metric : metrics)
         samples.push_back(Sample{options.trial, fmt::format("{}={}", axis, size), size, repeat, options.trial,
-                                 figure.name, figure.value});
+                                 metric.name, metric.value});
     }
   }
   return true;
