--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -3,6 +3,12 @@
 #include <algorithm>
 
 namespace tt {
+namespace {
+/// The largest number of open requests to a core that are remembered; responses to older ones are ignored.
+constexpr std::size_t maxOpenRequests = 16;
+/// How old a core's newest response may be for the core to count as reachable.
+constexpr Duration maxResponseAge = 1s;
+}  // namespace
 
 ClusterView::ClusterView(ReaderSettings readerSettings) : settings(std::move(readerSettings)) {}
 
@@ -24,7 +30,7 @@
                                                                                        : std::next(row);
   for (const auto& address : addresses) {
     auto& core = cores[address];
-    while (core.requestTimes.size() > 16) core.requestTimes.erase(core.requestTimes.begin());
+    while (core.requestTimes.size() > maxOpenRequests) core.requestTimes.erase(core.requestTimes.begin());
     core.requestTimes[++requestCount] = effects.now;
     effects.send(address, LogEndRequest{requestCount, settings.name, settings.zone, applied, cells, fresh(effects.now),
                                         settings.relays, listDigest});
@@ -36,10 +42,10 @@
   auto found = cores.find(from);
   if (found == cores.end()) return;
   auto& core = found->second;
-  auto asked = core.requestTimes.find(reply.requestId);
-  if (asked == core.requestTimes.end()) return;
-  TimePoint requestedAt = asked->second;
-  core.requestTimes.erase(core.requestTimes.begin(), std::next(asked));
+  auto openRequest = core.requestTimes.find(reply.requestId);
+  if (openRequest == core.requestTimes.end()) return;
+  TimePoint requestedAt = openRequest->second;
+  core.requestTimes.erase(core.requestTimes.begin(), std::next(openRequest));
   if (reply.machineListKnown && reply.machineListAgeNs >= 0) {
     TimePoint listTime = requestedAt - Duration(reply.machineListAgeNs);
     if (reply.machineListDigest == listDigest && machineListKnown())
@@ -82,7 +88,7 @@
   std::string best;
   Uint64 maxCommit = beyond;
   for (const auto& [address, core] : cores)
-    if (core.responded && now - core.requestedAt < 1s && core.reply.commit > maxCommit) {
+    if (core.responded && now - core.requestedAt < maxResponseAge && core.reply.commit > maxCommit) {
       maxCommit = core.reply.commit;
       best = address;
     }
@@ -100,8 +106,8 @@
   std::vector<Uint64> ends;
   for (auto* core : replies) ends.push_back(core->reply.lastIndex);
   std::sort(ends.rbegin(), ends.rend());
-  /// Without a leader's commit index: the highest index that may be committed, if all voters that did not respond have
-  /// it.
+  /// No leader's commit index is known. An index may be committed if a quorum has it, counting every voter that did not
+  /// respond.
   std::size_t silent = voters - replies.size();
   return ends[quorum - silent - 1];
 }
@@ -123,8 +129,8 @@
 
 TimePoint ClusterView::completenessTime(const std::vector<const CoreState*>& replies, std::size_t minReplies,
                                         std::size_t voters, Uint64 applied) const {
-  for (std::size_t used = minReplies; used <= replies.size(); ++used) {
-    std::vector<const CoreState*> newest(replies.begin(), replies.begin() + static_cast<std::ptrdiff_t>(used));
+  for (std::size_t count = minReplies; count <= replies.size(); ++count) {
+    std::vector<const CoreState*> newest(replies.begin(), replies.begin() + static_cast<std::ptrdiff_t>(count));
     auto required = requiredIndex(newest, voters);
     if (required && *required <= applied) return newest.back()->requestedAt;
   }
--- a/src/cluster/cluster_view.hpp
+++ b/src/cluster/cluster_view.hpp
@@ -17,12 +17,13 @@
 };
 
 /// What a reader knows about the cores: who they are, their log ends, the time up to which the reader's own view is
-/// known to be complete, and the newest machine list. Times are those at which a request was sent, on the reader's own
-/// steady clock; as a response cannot be older than its request, they never make a view look fresher than it is.
+/// known to be complete, and the newest machine list. All times are send times of requests, on the reader's own steady
+/// clock. What a response reports is never older than its request, so these times never make a view look fresher than
+/// it is.
 class ClusterView {
  public:
   explicit ClusterView(ReaderSettings readerSettings);
-  /// Requests the log end of every known core. `applied` and `cells` report what this reader has.
+  /// Requests the log end of every known core. `applied` and `cells` tell the cores what this reader has applied.
   void ask(Effects& effects, Uint64 applied, const std::vector<CellVersion>& cells, const Configuration& view);
   /// Handles a core's response; responses to unknown requests are ignored.
   void handle(Effects& effects, const std::string& from, const LogEndResponse& reply, const Configuration& view);
@@ -42,7 +43,7 @@
   Strings coreAddresses(const Configuration& view) const;
   /// The address of the core that recently reported the highest commit index above `beyond`; empty if there is none.
   std::string furthestCore(TimePoint now, Uint64 beyond) const;
-  /// The highest commit index that this reader has heard of.
+  /// The highest commit index that this reader has learned of.
   Uint64 knownCommit() const { return highestCommit; }
   /// The upstreams that a core assigned to this reader.
   const Strings& watch() const { return upstreams; }
@@ -62,13 +63,14 @@
   void resolveAnnouncementTimes(TimePoint ownStart, TimePoint now) {
     timeline.resolveUnknownTimes(ownStart, now, timing.oldWeightsTimeout);
   }
-  /// Records a commit index that was learned otherwise than from a log end response.
+  /// Records a commit index that was learned from a message other than a log end response.
   void observeCommit(Uint64 commit) { highestCommit = std::max(highestCommit, commit); }
 
  private:
-  /// What this reader has heard from one core.
+  /// What this reader knows about one core.
   struct CoreState {
-    /// Open requests by id and when each was sent; when the request of `reply` was sent; the newest response.
+    /// `requestTimes`: when each open request was sent, by request id. `reply`: the newest response. `requestedAt`:
+    /// when the request for it was sent.
     std::map<Uint64, TimePoint> requestTimes;
     TimePoint requestedAt{};
     LogEndResponse reply;
@@ -90,12 +92,12 @@
   void mergeAnnouncementsFrom(Effects& effects, const std::string& from, const LogEndResponse& reply,
                               TimePoint requestedAt);
   static bool hasForgotten(const LogEndResponse& reply, const WeightsAnnouncement& newest);
-  /// The index that a reader must have applied to be complete according to these responses of voters; no value if there
-  /// are too few.
+  /// The index up to which a reader must have applied the log to be complete, according to these responses of voters;
+  /// no value if there are too few responses.
   std::optional<Uint64> requiredIndex(const std::vector<const CoreState*>& replies, std::size_t voters) const;
-  /// The latest time at which an applied index is known to have been complete. Uses the fewest newest responses (but at
-  /// least `least`) that prove it, and returns when the oldest of their requests was sent; TimePoint{} if they prove
-  /// nothing.
+  /// The latest time at which a view up to `applied` is known to have been complete; TimePoint{} if the replies do not
+  /// prove it. It is proved with as few of the newest replies as possible, but at least `minReplies`, and is the time
+  /// at which the oldest of their requests was sent.
   TimePoint completenessTime(const std::vector<const CoreState*>& replies, std::size_t minReplies, std::size_t voters,
                              Uint64 applied) const;
 };
--- a/src/cluster/core.cpp
+++ b/src/cluster/core.cpp
@@ -21,6 +21,12 @@
 constexpr Duration syncStallTimeout = 800ms;
 /// The number of lowest-ranked peers that have no upstreams among the agents and get updates from the cores.
 constexpr std::size_t rootCount = 4;
+/// The largest number of upstreams that an agent is assigned.
+constexpr std::size_t maxUpstreams = 3;
+/// How long an agent that sends no more requests is remembered; checkTiming() relies on this value.
+constexpr Duration agentRetention = 10s;
+/// Messages of other cores create no further cells once there are this many.
+constexpr std::size_t maxCells = 256;
 }  // namespace
 
 Strings selectUpstreams(const std::string& agent, const Strings& peers, std::size_t maxCount) {
@@ -65,7 +71,7 @@
     if (entry.kind == static_cast<int>(EntryKind::whole)) return;
     broadcast(effects, NewsMsg{replicatedLog->commit(), {entry}, {}});
   };
-  replicatedLog->membersChanged = [this](Effects& effects) {
+  replicatedLog->onMembersChanged = [this](Effects& effects) {
     membershipChangedAt = effects.now;
     for (auto& [zone, cell] : cells)
       cell->election.setVoters(replicatedLog->members(), replicatedLog->outgoingMembers());
@@ -114,8 +120,8 @@
 Strings Core::selectUpstreamsFor(const std::string& agent, TimePoint now) const {
   Strings peers;
   for (const auto& [address, row] : agents)
-    if (row.relays && now - row.at < agentTimeout) peers.push_back(address);
-  return selectUpstreams(agent, peers, 3);
+    if (row.relays && now - row.lastRequestAt < agentTimeout) peers.push_back(address);
+  return selectUpstreams(agent, peers, maxUpstreams);
 }
 
 void Core::onLogEndRequest(Effects& effects, const std::string& from, const LogEndRequest& request) {
@@ -125,7 +131,7 @@
   row.applied = request.applied;
   row.fresh = request.fresh;
   row.relays = request.relays;
-  row.at = effects.now;
+  row.lastRequestAt = effects.now;
   for (const auto& cellVersion : request.cells)
     if (auto cell = cells.find(cellVersion.zone); cell != cells.end())
       cell->second->recordAgentVersion(from, cellVersion, effects.now);
@@ -234,7 +240,7 @@
   requestReaders(effects);
   requestReplicaCheck(effects);
   for (auto row = agents.begin(); row != agents.end();)
-    row = effects.now - row->second.at > 10s ? agents.erase(row) : std::next(row);
+    row = effects.now - row->second.lastRequestAt > agentRetention ? agents.erase(row) : std::next(row);
   for (auto row = subscribers.begin(); row != subscribers.end();)
     row = effects.now - row->second > subscriberTimeout ? subscribers.erase(row) : std::next(row);
 }
@@ -252,8 +258,8 @@
     onLogEndRequest(effects, from, *request);
   } else if (auto* update = std::get_if<NewsAsk>(&message)) {
     onUpdateRequest(effects, from, *update);
-  } else if (auto* cellNews = std::get_if<CellNews>(&message)) {
-    handleCellUpdate(effects, *cellNews, false);
+  } else if (auto* cellUpdate = std::get_if<CellNews>(&message)) {
+    handleCellUpdate(effects, *cellUpdate, false);
   } else if (std::holds_alternative<HelloRequest>(message)) {
     if (idSynced || replicatedLog->formed())
       effects.send(from, HelloResponse{self, replicatedLog->formed(), replicatedLog->members()});
@@ -278,25 +284,25 @@
     applyMachineList(effects);
   } else if (auto* announcements = std::get_if<NamingsMsg>(&message)) {
     clusterView->mergeAnnouncements(announcements->namings, effects.now);
-  } else if (auto* logEnds = std::get_if<LogEndResponse>(&message)) {
-    clusterView->handle(effects, from, *logEnds, replicatedLog->configuration());
+  } else if (auto* logEndResponse = std::get_if<LogEndResponse>(&message)) {
+    clusterView->handle(effects, from, *logEndResponse, replicatedLog->configuration());
     applyMachineList(effects);
     completeReads(effects);
-  } else if (auto* readersAsk = std::get_if<ReadersRequest>(&message)) {
-    onReadersRequest(effects, from, *readersAsk);
-  } else if (auto* readersReply = std::get_if<ReadersResponse>(&message)) {
-    if (readersReply->roundId == replicaCheckRound)
-      onReplicaCheckResponse(*readersReply);
+  } else if (auto* readersRequest = std::get_if<ReadersRequest>(&message)) {
+    onReadersRequest(effects, from, *readersRequest);
+  } else if (auto* readersResponse = std::get_if<ReadersResponse>(&message)) {
+    if (readersResponse->roundId == replicaCheckRound)
+      onReplicaCheckResponse(*readersResponse);
     else
-      onReadersResponse(effects, from, *readersReply);
-  } else if (auto* operatorAsk = std::get_if<OperatorRequest>(&message)) {
-    onOperatorRequest(effects, from, *operatorAsk);
+      onReadersResponse(effects, from, *readersResponse);
+  } else if (auto* operatorRequest = std::get_if<OperatorRequest>(&message)) {
+    onOperatorRequest(effects, from, *operatorRequest);
   } else if (auto* read = std::get_if<ReadRequest>(&message)) {
     onReadRequest(effects, from, *read);
   } else if (auto* change = std::get_if<ChangeRequest>(&message)) {
     replicatedLog->proposeChange(effects, from, *change);
-  } else if (auto* changeReply = std::get_if<ChangeResponse>(&message)) {
-    onChangeResponse(effects, from, *changeReply);
+  } else if (auto* changeResponse = std::get_if<ChangeResponse>(&message)) {
+    onChangeResponse(effects, from, *changeResponse);
   } else if (auto* lookup = std::get_if<LookupMsg>(&message)) {
     forwardToCell(effects, from, lookup->zone, message);
   } else if (auto* started = std::get_if<PrefillStarted>(&message)) {
@@ -324,7 +330,7 @@
         message);
     if (duty == "accord")
       replicatedLog->handle(effects, from, message);
-    else if (duty.rfind("cell/", 0) == 0 && (cells.size() < 256 || cells.count(duty.substr(5))))
+    else if (duty.rfind("cell/", 0) == 0 && (cells.size() < maxCells || cells.count(duty.substr(5))))
       cellFor(duty.substr(5)).handle(effects, from, message);
   }
 }
--- a/src/cluster/core.hpp
+++ b/src/cluster/core.hpp
@@ -20,7 +20,7 @@
 };
 
 /// A core of the control plane: a replica of the log, one cell for each zone, the root of the update relays, and the
-/// entry point of the operators.
+/// entry point for operators.
 class Core : public Node {
  public:
   /// The round id with which a core that shuts down asks the others whether they have its log.
@@ -56,19 +56,19 @@
     TimePoint upstreamsSelectedAt{};
     std::uint64_t applied{0};
     bool fresh{false}, relays{true};
-    TimePoint at{};
+    TimePoint lastRequestAt{};
   };
-  /// An operator's configuration change for which the response is open.
+  /// An operator's configuration change that has not been answered yet.
   struct OpenChange {
     /// `from`, `requestId`: the operator's request. `leaderAddress`: the leader that committed the change.
     std::string from, requestId, leaderAddress;
-    /// When the request arrived, and when this core learned that the change was committed.
-    TimePoint at{}, committedAt{};
+    /// When the operator's request arrived, and when this core learned that the change was committed.
+    TimePoint receivedAt{}, committedAt{};
     /// The revision that the change made, and the commit index and term at which it was known to be committed.
     std::uint64_t revision{0}, index{0}, term{0};
     OperatorRequest request;
-    /// The commit index that this core knew before any copy of this change can have been sent.
-    Uint64 seen{0};
+    /// A commit index that this core knew before any copy of this change can have been sent.
+    Uint64 commitBeforeCopies{0};
     bool committed{false};
     /// When it was last sent to the leader; TimePoint{} if it was not.
     TimePoint sentAt{};
@@ -76,7 +76,7 @@
   /// An operator's read that waits until this core knows all entries that were committed before it arrived.
   struct PendingRead {
     std::string from, requestId;
-    TimePoint at{};
+    TimePoint receivedAt{};
   };
   CoreSettings settings;
   Member self;
@@ -88,10 +88,10 @@
   /// The newest update of each zone's cell.
   std::map<std::string, CellNews> cellUpdates;
   std::unique_ptr<ClusterView> clusterView;
-  /// One round of requests to all cores for the readers that they know, for all open acknowledgements.
+  /// A round in which all cores are asked which readers they know. One round serves all acknowledgements that are open.
   struct ReadersRound {
     std::uint64_t id{0}, index{0}, term{0};
-    TimePoint at{};
+    TimePoint startedAt{};
     /// Ids of the cores that have the entry; addresses of the cores that responded.
     std::set<std::string> coresWithEntry, respondedAddresses;
     std::map<std::string, std::uint64_t> appliedByReader;
@@ -111,7 +111,7 @@
   bool idSynced{false}, diskStalled{false}, platformResponded{false};
   Duration syncWait{};
   std::uint64_t requestCount{0};
-  /// Times since which commit indexes have been known, as far back as a copy of a change may be unread.
+  /// The commit indexes that this core knew within the last maxCopyAge, each with the time since when it was known.
   std::deque<std::pair<TimePoint, Uint64>> commitHistory;
 
   /// The cell of a zone; created if it does not exist.
@@ -134,7 +134,8 @@
   std::string newRequestId();
   /// Records the present commit index in the history.
   void recordCommit(TimePoint now);
-  /// The commit index that this core knew before any copy of a change that it reads now can have been sent.
+  /// The commit index that this core knew maxCopyAge ago, which is before any copy of a change that it reads now can
+  /// have been sent.
   Uint64 commitBeforeOldestCopy(TimePoint now);
   /// Whether every reader whose view may still be fresh is known to have applied a change. This is sound only if this
   /// core's members are those under which the change was committed, and if readers that know only earlier members have
@@ -143,13 +144,13 @@
   void requestReaders(Effects& effects);
   void requestReplicaCheck(Effects& effects);
   void onReplicaCheckResponse(const ReadersResponse& reply);
-  /// Responds with the readers heard recently. A core that started less than readerAckTimeout ago no longer knows whom
-  /// it answered before, so it does not count among those that have the entry.
+  /// Responds with the readers that requested the log end here recently. A core that started less than readerAckTimeout
+  /// ago does not know which readers it served before, so it does not report that it has the entry.
   void onReadersRequest(Effects& effects, const std::string& from, const ReadersRequest& request);
   void onReadersResponse(Effects& effects, const std::string& from, const ReadersResponse& reply);
   void onReadRequest(Effects& effects, const std::string& from, const ReadRequest& request);
-  /// Responds to the reads for which a majority, asked after they arrived, proves the view complete; rejects those that
-  /// have waited too long.
+  /// Answers each read once a majority has responded to requests sent after the read arrived, and these responses prove
+  /// the view complete. Rejects reads that have waited too long.
   void completeReads(Effects& effects);
   void requestLogEnds(Effects& effects);
   void applyMachineList(Effects& effects);
@@ -160,15 +161,16 @@
   std::vector<Machine> machinesWithStores() const;
   /// Sends a message to all subscribers.
   void broadcast(Effects& effects, const Message& message);
-  /// Keeps a cell update that is newer, and passes it on; `own` marks one from this core's own cell.
+  /// Stores a cell update if it is newer and sends it to the subscribers. An update of this core's own cell (`own`)
+  /// also goes to the other cores.
   void handleCellUpdate(Effects& effects, const CellNews& update, bool own);
   /// Requests the full state from a cell's lease holder after an update that does not follow the last one.
   void requestMissedUpdates(Effects& effects, const CellNews& update);
   Strings selectUpstreamsFor(const std::string& agent, TimePoint now) const;
 };
 
-/// Selects up to `most` upstreams of an agent by rendezvous hashing, among the peers with a lower rank. As the rank
-/// depends on the name only, the upstreams cannot form a cycle, even if agents know different sets of peers.
+/// Selects up to `maxCount` upstreams of an agent by rendezvous hashing among the peers with a lower rank. The rank
+/// depends on the name only, so the upstreams cannot form a cycle, even if agents know different sets of peers.
 Strings selectUpstreams(const std::string& agent, const Strings& peers, std::size_t maxCount);
 
 }  // namespace tt
--- a/src/cluster/core_membership.cpp
+++ b/src/cluster/core_membership.cpp
@@ -4,7 +4,7 @@
 
 namespace tt {
 namespace {
-/// How often a core that seeks its fleet contacts the seeds.
+/// How often a core that is not yet a member contacts the seeds.
 constexpr Duration helloInterval = 300ms;
 /// How often a core that shuts down asks which cores have its log.
 constexpr Duration replicaCheckInterval = 50ms;
--- a/src/cluster/core_operators.cpp
+++ b/src/cluster/core_operators.cpp
@@ -4,21 +4,21 @@
 
 namespace tt {
 namespace {
-/// How long after its last request an agent counts among those that are reported to have a change.
+/// How long after its last request an agent is counted in the number of agents that a change has reached.
 constexpr Duration agentTimeout = 2s;
-/// How often all cores are asked for their readers while acknowledgements wait.
+/// How often all cores are asked for their readers while acknowledgements are pending.
 constexpr Duration readersRequestInterval = 50ms;
 /// How long a change may take to be committed before the operator gets a response without a result.
 constexpr Duration operatorTimeout = 6s;
 /// After how long without a response a change is sent to the leader again.
 constexpr Duration forwardRetryInterval = 700ms;
-/// How long a copy of a change may remain unread before it reaches a core, not counting the time during which the core
-/// itself is paused.
+/// The longest time between the sending of a copy of a change and its processing by a core, not counting time during
+/// which the core itself is paused.
 constexpr Duration maxCopyAge = operatorTimeout;
 constexpr std::size_t maxOpenChanges = 1024;
-}  // namespace
+/// After this many bytes the description of a change is cut off.
+constexpr std::size_t maxDescriptionBytes = 300;
 
-namespace {
 /// Lists the configuration items that a change sets, or removes (with `-`), for the journal.
 std::string describeTouchedItems(const std::string& body) {
   auto read = parseJson(body);
@@ -27,7 +27,7 @@
   for (const auto& [section, items] : read.value().get<JsonObject>()) {
     if (!items.is<JsonObject>()) continue;
     for (const auto& [name, item] : items.get<JsonObject>()) {
-      if (text.size() > 300) return text + " and more";
+      if (text.size() > maxDescriptionBytes) return text + " and more";
       text += " " + std::string(item.is<picojson::null>() ? "-" : "") + section + "." + name;
     }
   }
@@ -44,9 +44,9 @@
   OpenChange row;
   row.from = from;
   row.requestId = request.requestId;
-  row.at = effects.now;
+  row.receivedAt = effects.now;
   row.request = request;
-  row.seen = commitBeforeOldestCopy(effects.now);
+  row.commitBeforeCopies = commitBeforeOldestCopy(effects.now);
   if (row.request.changeId.empty()) row.request.changeId = newRequestId();
   openChanges[newRequestId()] = row;
   settleOpenChanges(effects);
@@ -90,7 +90,7 @@
 void Core::acknowledge(Effects& effects, const OpenChange& row) {
   std::uint64_t agentsReached = 0;
   for (const auto& [address, agent] : agents)
-    agentsReached += agent.relays && effects.now - agent.at < agentTimeout && agent.applied >= row.index;
+    agentsReached += agent.relays && effects.now - agent.lastRequestAt < agentTimeout && agent.applied >= row.index;
   effects.note("change acked", row.request.changeId, static_cast<std::int64_t>(row.index));
   effects.note("ack wait ms", row.request.changeId, toMilliseconds(effects.now - row.committedAt));
   effects.note("change in force", row.request.changeId + " touches" + describeTouchedItems(row.request.body),
@@ -109,7 +109,7 @@
   row.sentAt = effects.now;
   effects.send(leader, ChangeRequest{requestId, row.request.body, row.request.whole, row.request.ifRevision,
                                      row.request.changeId, row.request.sinceRevision, row.request.changeFormat,
-                                     row.request.toRevision, row.seen});
+                                     row.request.toRevision, row.commitBeforeCopies});
 }
 
 void Core::settleOpenChanges(Effects& effects) {
@@ -118,7 +118,7 @@
     bool settled = row.committed &&
                    (readersHaveApplied(row, effects.now) || effects.now - row.committedAt >= timing.readerAckTimeout ||
                     !settings.defences.isEnabled(Defence::ackWaits));
-    bool timedOut = !row.committed && effects.now - row.at >= operatorTimeout;
+    bool timedOut = !row.committed && effects.now - row.receivedAt >= operatorTimeout;
     if (settled) {
       acknowledge(effects, row);
     } else if (timedOut) {
@@ -145,7 +145,7 @@
 }
 
 void Core::requestReaders(Effects& effects) {
-  if (effects.now - readersRound.at < readersRequestInterval) return;
+  if (effects.now - readersRound.startedAt < readersRequestInterval) return;
   const OpenChange* latest = nullptr;
   for (const auto& [requestId, row] : openChanges)
     if (row.committed && (!latest || row.index > latest->index)) latest = &row;
@@ -160,8 +160,8 @@
   ReadersResponse reply{
       request.roundId, self.id, knowsReaders && replicatedLog->hasSynced(request.index, request.term), {}};
   for (const auto& [address, row] : agents)
-    if (effects.now - row.at < timing.readerAckTimeout)
-      reply.readers.push_back(Reader{address, row.applied, (effects.now - row.at).count()});
+    if (effects.now - row.lastRequestAt < timing.readerAckTimeout)
+      reply.readers.push_back(Reader{address, row.applied, (effects.now - row.lastRequestAt).count()});
   effects.send(from, reply);
 }
 
--- a/src/cluster/core_reads.cpp
+++ b/src/cluster/core_reads.cpp
@@ -30,8 +30,8 @@
   clusterView->updateCompleteness(effects.now, view);
   while (!pendingReads.empty()) {
     const auto& read = pendingReads.front();
-    bool confirmed = clusterView->majorityCompleteAsOf() >= read.at;
-    if (!confirmed && effects.now - read.at < readTimeout) break;
+    bool confirmed = clusterView->majorityCompleteAsOf() >= read.receivedAt;
+    if (!confirmed && effects.now - read.receivedAt < readTimeout) break;
     effects.send(read.from, ReadResponse{read.requestId, confirmed, view.revision(), view.index()});
     pendingReads.pop_front();
   }
--- a/src/cluster/core_report.cpp
+++ b/src/cluster/core_report.cpp
@@ -64,7 +64,7 @@
     row["locality"] = Json(agent.zone);
     row["applied"] = jsonNumber(static_cast<double>(agent.applied));
     row["fresh"] = Json(agent.fresh);
-    row["heardMs"] = jsonNumber(static_cast<double>(toMilliseconds(now - agent.at)));
+    row["heardMs"] = jsonNumber(static_cast<double>(toMilliseconds(now - agent.lastRequestAt)));
     agentRows[agent.id] = Json(row);
   }
   report["agents"] = Json(agentRows);
--- a/src/consensus/election.cpp
+++ b/src/consensus/election.cpp
@@ -7,6 +7,11 @@
 /// Values of a heartbeat's send time with which a holder that gives up its duty releases the voters: when no successor
 /// is named, for the named successor, and for the voters that must let the successor campaign first.
 constexpr std::int64_t releasedToAll = -1, releasedToSuccessor = -2, releasedToOther = -3;
+/// Bounds of the random delays, in milliseconds, that keep candidates from campaigning at the same time: at the start
+/// and after a heartbeat or a vote; after a release; after a lost election.
+constexpr std::uint64_t campaignJitterMs = 300, releaseJitterMs = 100, retryJitterMs = 400;
+/// The minimum delay after a lost election, in milliseconds.
+constexpr std::uint64_t minRetryDelayMs = 100;
 
 Strings voterIds(const std::vector<Member>& members) {
   Strings ids;
@@ -104,8 +109,8 @@
 void Election::tick(Effects& effects) {
   if (!started) {
     started = true;
-    campaignAt =
-        effects.now + timing.minElectionTimeout + campaignDelay + std::chrono::milliseconds(effects.randomBelow(300));
+    campaignAt = effects.now + timing.minElectionTimeout + campaignDelay +
+                 std::chrono::milliseconds(effects.randomBelow(campaignJitterMs));
   }
   if (stateMachine.isIn("holding")) {
     if (!voter() || !mayCampaign) {
@@ -136,12 +141,12 @@
   votesRequestedAt = effects.now;
   grants.clear();
   vote = Vote{vote.term + 1, selfId};
-  std::uint64_t askedTerm = vote.term;
+  std::uint64_t requestedTerm = vote.term;
   TimePoint savedAt = effects.now;
   votesRequestedAt = effects.now + timing.maxSyncAllowance;
-  effects.save(voteRecord(dutyName, vote), [this, askedTerm, savedAt](Effects& later) {
+  effects.save(voteRecord(dutyName, vote), [this, requestedTerm, savedAt](Effects& later) {
     lastSyncDuration = later.now - savedAt;
-    if (!stateMachine.isIn("asking") || vote.term != askedTerm) return;
+    if (!stateMachine.isIn("asking") || vote.term != requestedTerm) return;
     votesRequestedAt = later.now;
     grants.insert(selfId);
     auto end = logEnd ? logEnd() : std::make_pair<std::uint64_t, std::uint64_t>(0, 0);
@@ -155,13 +160,13 @@
   knownHolder = selfId;
   effects.note("duty won", dutyName, static_cast<std::int64_t>(vote.term));
   sendHeartbeats(effects);
-  if (changed) changed(effects, true);
+  if (onHolderChanged) onHolderChanged(effects, true);
 }
 
 void Election::loseDuty(Effects& effects) {
   if (knownHolder == selfId) knownHolder.clear();
   effects.note("duty lost", dutyName, static_cast<std::int64_t>(vote.term));
-  if (changed) changed(effects, false);
+  if (onHolderChanged) onHolderChanged(effects, false);
 }
 
 void Election::adoptTerm(Effects& effects) {
@@ -172,8 +177,8 @@
 
 void Election::waitAgain(Effects& effects) {
   /// Random, so that candidates do not split the vote again; longer if syncing a vote takes longer.
-  auto randomMs = 400 + 4 * static_cast<std::uint64_t>(toMilliseconds(syncAllowance()));
-  campaignAt = effects.now + campaignDelay + std::chrono::milliseconds(100 + effects.randomBelow(randomMs));
+  auto randomMs = retryJitterMs + 4 * static_cast<std::uint64_t>(toMilliseconds(syncAllowance()));
+  campaignAt = effects.now + campaignDelay + std::chrono::milliseconds(minRetryDelayMs + effects.randomBelow(randomMs));
 }
 
 void Election::sendHeartbeats(Effects& effects) {
@@ -216,7 +221,7 @@
   observeTerm(effects, request.term);
   vote = Vote{request.term, request.candidate};
   campaignAt = std::max(campaignAt, effects.now + 2 * timing.voteTimeout + syncAllowance() + campaignDelay +
-                                        std::chrono::milliseconds(effects.randomBelow(300)));
+                                        std::chrono::milliseconds(effects.randomBelow(campaignJitterMs)));
   if (!defences.isEnabled(Defence::syncBeforeVote)) {
     effects.send(from, VoteResponse{dutyName, request.term, selfId, false, true});
     effects.save(voteRecord(dutyName, vote));
@@ -232,7 +237,7 @@
 void Election::onRelease(Effects& effects, std::int64_t release) {
   voteBlockedUntil = effects.now;
   knownHolder.clear();
-  campaignAt = effects.now + campaignDelay + std::chrono::milliseconds(effects.randomBelow(100));
+  campaignAt = effects.now + campaignDelay + std::chrono::milliseconds(effects.randomBelow(releaseJitterMs));
   if (release == releasedToOther) campaignAt += 2 * timing.voteTimeout + syncAllowance();
   if (release == releasedToSuccessor && voter() && mayCampaign) stateMachine.dispatch(*this, "named", effects);
 }
@@ -249,7 +254,7 @@
   }
   knownHolder = heartbeat.holder;
   voteBlockedUntil = effects.now + timing.minElectionTimeout;
-  campaignAt = voteBlockedUntil + campaignDelay + std::chrono::milliseconds(effects.randomBelow(300));
+  campaignAt = voteBlockedUntil + campaignDelay + std::chrono::milliseconds(effects.randomBelow(campaignJitterMs));
   stateMachine.dispatch(*this, "held", effects);
   effects.send(from, HeartbeatResponse{dutyName, heartbeat.term, selfId, heartbeat.sentAt, true});
 }
--- a/src/consensus/election.hpp
+++ b/src/consensus/election.hpp
@@ -25,8 +25,8 @@
   /// How often the machine list is requested from the platform, and the age of the list from which on a core that is
   /// not the leader requests it too.
   Duration listPollInterval{300ms}, maxListAge{300ms};
-  /// How long a new lease holder of a cell sends no commands, so that a worker never gets commands from two holders in
-  /// turn.
+  /// How long a new lease holder of a cell sends no commands. Commands of the previous holder that are still in transit
+  /// then arrive before its own, so that the commands of two holders never alternate at a worker.
   Duration commandHoldoff{0};
   /// How long a command may take to reach a worker.
   Duration commandTimeout{2s};
@@ -37,12 +37,12 @@
   Duration oldWeightsTimeout{20s}, oldWeightsOrderTimeout{18s}, unstartedOrderTimeout{19500ms};
   /// Time after an announcement by which a worker must have started to load the newer weights.
   Duration rolloutStartTimeout() const { return oldWeightsOrderTimeout * 17 / 20; }
-  /// How long a voter must be silent before it is removed for good (0: never), and how many voters must remain.
+  /// How long a voter must be silent before it is removed permanently (0: never), and how many voters must remain.
   Duration memberRemovalTimeout{0};
   std::size_t minVoters{3};
   /// How long a voter must be silent before a new core with the same name, or with another name, replaces it. While a
   /// voter has been silent for longer than `suspectTimeout`, no learner becomes an additional voter: the silent voter
-  /// must be heard again or replaced first.
+  /// must first be heard again or be replaced.
   Duration sameNameReplaceTimeout{1s}, otherNameReplaceTimeout{2s}, suspectTimeout{500ms};
   /// How often a core that is not a member sends join requests.
   Duration joinInterval{250ms};
@@ -56,7 +56,7 @@
 };
 inline Timing timing;
 
-/// Reads the private state for the model checker.
+/// Gives the model checker access to the private state.
 class StateDump;
 
 /// The election of one duty (the leadership of the log, or the holding of a cell) as seen by one core. A candidate is
@@ -99,7 +99,7 @@
   /// Whether this core is a voter.
   bool voter() const { return addressById.count(selfId) > 0; }
   /// Called when this core is elected (true) or stops being the holder (false).
-  std::function<void(Effects&, bool)> changed;
+  std::function<void(Effects&, bool)> onHolderChanged;
 
  private:
   friend class StateDump;
--- a/src/consensus/membership.cpp
+++ b/src/consensus/membership.cpp
@@ -52,7 +52,7 @@
   if (newest > commitIndex && defences.isEnabled(Defence::jointMembers)) previousMembers = membersBefore(newest);
   if (sameVoters(previousMembers, currentMembers)) previousMembers.clear();
   election.setVoters(currentMembers, previousMembers);
-  if (effects && membersChanged) membersChanged(*effects);
+  if (effects && onMembersChanged) onMembersChanged(*effects);
 }
 
 std::vector<Member> ReplicatedLog::replicas() const {
@@ -75,8 +75,8 @@
 }
 
 TimePoint ReplicatedLog::lastContact(const Member& member) const {
-  auto heard = lastContactAt.find(member.id);
-  return heard == lastContactAt.end() ? TimePoint{} : heard->second;
+  auto contact = lastContactAt.find(member.id);
+  return contact == lastContactAt.end() ? TimePoint{} : contact->second;
 }
 
 void ReplicatedLog::proposeMembers(Effects& effects, std::vector<Member> rows) {
--- a/src/consensus/replicated_log.cpp
+++ b/src/consensus/replicated_log.cpp
@@ -22,7 +22,7 @@
     std::uint64_t end = std::max(syncedIndex, lastSnapshot.index);
     return std::make_pair(termAt(end), end);
   };
-  election.changed = [this](Effects& effects, bool won) { onLeadershipChanged(effects, won); };
+  election.onHolderChanged = [this](Effects& effects, bool won) { onLeadershipChanged(effects, won); };
 }
 
 void ReplicatedLog::restore(const RecoveredState& recovered, TimePoint now) {
@@ -111,9 +111,10 @@
 void ReplicatedLog::onLeadershipChanged(Effects& effects, bool won) {
   followers.clear();
   if (!won) {
-    for (const auto& waiter : pendingResponses)
-      effects.send(waiter.from, ChangeResponse{waiter.response.requestId, static_cast<int>(Code::changeUnsure),
-                                               "accord", codeText(Code::changeUnsure), 0, 0, 0});
+    for (const auto& pendingResponse : pendingResponses)
+      effects.send(pendingResponse.from,
+                   ChangeResponse{pendingResponse.response.requestId, static_cast<int>(Code::changeUnsure), "accord",
+                                  codeText(Code::changeUnsure), 0, 0, 0});
     pendingResponses.clear();
     return;
   }
@@ -128,10 +129,10 @@
   sendToAll(effects);
 }
 
-void ReplicatedLog::sendAppend(Effects& effects, const Member& member, bool again) {
+void ReplicatedLog::sendAppend(Effects& effects, const Member& member, bool isRetry) {
   auto& follower = followers[member.id];
   if (follower.next == 0) follower.next = logEnd() + 1;
-  if (follower.pending && !again) return;
+  if (follower.pending && !isRetry) return;
   if (sendSnapshot(effects, member, follower)) return;
   follower.sentAt = effects.now;
   AppendRequest message{election.term(), selfMember.id, follower.next - 1, termAt(follower.next - 1), commitIndex, {},
@@ -197,18 +198,19 @@
   }
   auto waiting = std::move(pendingResponses);
   pendingResponses.clear();
-  for (auto& waiter : waiting) respondOnceCommitted(effects, waiter.from, std::move(waiter.response), waiter.index);
+  for (auto& pendingResponse : waiting)
+    respondOnceCommitted(effects, pendingResponse.from, std::move(pendingResponse.response), pendingResponse.index);
   compactLog(effects);
 }
 
-NewsMsg ReplicatedLog::updateAfter(std::uint64_t index, std::size_t most) const {
+NewsMsg ReplicatedLog::updateAfter(std::uint64_t index, std::size_t maxEntries) const {
   NewsMsg update;
   update.commit = commitIndex;
   if (index < lastSnapshot.index) {
     update.snapshots.push_back(lastSnapshot);
     index = lastSnapshot.index;
   }
-  for (std::uint64_t at = index + 1; at <= commitIndex && update.entries.size() < most; ++at)
+  for (std::uint64_t at = index + 1; at <= commitIndex && update.entries.size() < maxEntries; ++at)
     if (auto* entry = entryAt(at)) update.entries.push_back(*entry);
   return update;
 }
@@ -224,7 +226,7 @@
   lastAppendRound = message.round;
   if (message.prevIndex > logEnd() ||
       (message.prevIndex >= lastSnapshot.index && termAt(message.prevIndex) != message.prevTerm)) {
-    /// From where the leader should send: this log's end or, if the log conflicts, its commit index.
+    /// The index after which the leader should send: this log's end or, if the log conflicts, its commit index.
     std::uint64_t hint = message.prevIndex > logEnd() ? logEnd() : commitIndex;
     effects.send(from, AppendResponse{election.term(), selfMember.id, false, hint});
     return;
--- a/src/consensus/replicated_log.hpp
+++ b/src/consensus/replicated_log.hpp
@@ -48,9 +48,9 @@
   /// The entries that are in memory: those after the last snapshot, and some before it that followers still need.
   const std::vector<LogEntry>& entries() const { return log; }
   std::size_t pendingChanges() const { return pendingResponses.size(); }
-  /// The committed entries after an index, at most `most`. If the last snapshot is newer than the index, the
-  /// update begins with that snapshot.
-  NewsMsg updateAfter(std::uint64_t index, std::size_t most = 256) const;
+  /// The committed entries after an index, at most `maxEntries` of them. If the last snapshot is newer than the index,
+  /// the update begins with that snapshot.
+  NewsMsg updateAfter(std::uint64_t index, std::size_t maxEntries = 256) const;
   /// Prepares a clean shutdown: hands the leadership to the reachable voter with the longest log, and acknowledges no
   /// further entries.
   void leave(Effects& effects);
@@ -58,7 +58,7 @@
   /// Called for each entry when it is applied; with an entry of kind `whole` when a snapshot was installed.
   std::function<void(Effects&, const LogEntry&)> onEntryApplied;
   /// Called when the members or the previous members may have changed.
-  std::function<void(Effects&)> membersChanged;
+  std::function<void(Effects&)> onMembersChanged;
 
  private:
   friend class StateDump;
@@ -70,8 +70,8 @@
     std::uint64_t matched{0};
     std::uint64_t sentCommit{0};
     TimePoint sentAt{};
-    /// Whether entries have been sent and not yet acknowledged, the index of the last of them, and the number of the
-    /// last append request.
+    /// `pending`: entries have been sent and not yet acknowledged. `sentEnd`: the index of the last of them. `round`:
+    /// the number of the last append request.
     bool pending{false};
     std::uint64_t sentEnd{0}, round{0};
     std::optional<SnapshotSender> transfer;
@@ -88,7 +88,7 @@
   std::vector<LogEntry> log;
   Snapshot lastSnapshot;
   std::vector<Member> currentMembers, previousMembers;
-  /// The configuration at the commit index and, on a leader, at the end of its log.
+  /// `applied`: the configuration at the commit index. `head`: on a leader, the configuration at the end of its log.
   Configuration applied, head;
   std::uint64_t commitIndex{0}, syncedIndex{0};
   std::map<std::string, Follower> followers;
@@ -138,15 +138,15 @@
   void reportSynced(Effects& effects);
   void sendAppendResponse(Effects& effects, const std::string& to, std::uint64_t index);
   /// Sends the follower an append request or the next part of a snapshot. While entries are unacknowledged, nothing is
-  /// sent unless `again` is set; the request then carries no entries.
-  void sendAppend(Effects& effects, const Member& member, bool again);
+  /// sent unless `isRetry` is set; the request then carries no entries.
+  void sendAppend(Effects& effects, const Member& member, bool isRetry);
   /// Whether the log holds the entries from this index on, and the term of the entry before them.
   bool reachesBackTo(std::uint64_t index) const;
   /// Sends the next message of a follower's snapshot transfer, if one is due. Returns false if the follower needs no
   /// snapshot.
   bool sendSnapshot(Effects& effects, const Member& member, Follower& follower);
-  /// The first index that a recently heard follower still needs. Entries from there on are kept in memory within a
-  /// limit of bytes.
+  /// The first index that a recently contacted follower still needs. Entries from there on stay in memory, up to a size
+  /// limit.
   std::uint64_t firstNeededIndex(TimePoint now) const;
   void dropEntriesBefore(std::uint64_t index);
   /// The size of all entries after an index, in bytes.
--- a/src/consensus/snapshot.cpp
+++ b/src/consensus/snapshot.cpp
@@ -6,8 +6,10 @@
 namespace {
 /// The number of committed entries after which a snapshot is taken.
 constexpr std::size_t snapshotEntryThreshold = 1024;
-/// How long a follower may be silent before entries are no longer kept for it.
+/// How long a follower may be silent before the leader no longer keeps entries in memory for it.
 constexpr Duration followerRetention = 5s;
+/// A snapshot that is larger than the capacity by more than this factor is rejected.
+constexpr std::size_t maxSnapshotFactor = 4;
 }  // namespace
 
 void ReplicatedLog::compactLog(Effects& effects) {
@@ -32,8 +34,8 @@
   std::uint64_t needed = lastSnapshot.index + 1;
   if (!election.won()) return needed;
   for (const auto& [id, follower] : followers) {
-    auto heard = lastContactAt.find(id);
-    if (heard == lastContactAt.end() || now - heard->second > followerRetention) continue;
+    auto contact = lastContactAt.find(id);
+    if (contact == lastContactAt.end() || now - contact->second > followerRetention) continue;
     if (follower.transfer)
       needed = std::min(needed, follower.transfer->image().index);
     else if (follower.matched > 0)
@@ -43,12 +45,12 @@
 }
 
 void ReplicatedLog::dropEntriesBefore(std::uint64_t index) {
-  std::size_t keptBytes = 0;
+  std::size_t retainedBytes = 0;
   std::uint64_t first = lastSnapshot.index + 1;
   for (auto entry = log.rbegin(); entry != log.rend() && entry->index >= index; ++entry) {
     if (entry->index > lastSnapshot.index) continue;
-    keptBytes += entry->body.size();
-    if (keptBytes > capacityBytes / 2) break;
+    retainedBytes += entry->body.size();
+    if (retainedBytes > capacityBytes / 2) break;
     first = entry->index;
   }
   log.erase(std::remove_if(log.begin(), log.end(), [&](const LogEntry& entry) { return entry.index < first; }),
@@ -102,9 +104,9 @@
     effects.send(from, AppendResponse{election.term(), selfMember.id, true, std::min(syncedIndex, commitIndex)});
     return;
   }
-  if (message.total > 4 * capacityBytes)
+  if (message.total > maxSnapshotFactor * capacityBytes)
     return effects.note("snapshot too large", selfMember.id, static_cast<std::int64_t>(message.total));
-  Uint64 received = snapshotReceiver.handle(message, 4 * capacityBytes);
+  Uint64 received = snapshotReceiver.handle(message, maxSnapshotFactor * capacityBytes);
   auto completeSnapshot = snapshotReceiver.takeCompleteSnapshot();
   if (received == message.total && !completeSnapshot) received = 0;
   effects.send(from,
--- a/src/consensus/snapshot_transfer.cpp
+++ b/src/consensus/snapshot_transfer.cpp
@@ -31,36 +31,37 @@
 
 void SnapshotSender::handle(const InstallSnapshotResponse& response, TimePoint now) {
   if (response.digest != image_->digest || response.offset > image_->bytes.size()) return;
-  bool further = response.offset > acknowledgedBytes;
-  if (!further && response.attempt != attempt) return;
-  if (further) retryDelay = std::clamp<Duration>(4 * (now - sentAt), minRetryDelay, maxRetryDelay);
+  bool hasProgress = response.offset > acknowledgedBytes;
+  if (!hasProgress && response.attempt != attempt) return;
+  if (hasProgress) retryDelay = std::clamp<Duration>(4 * (now - sentAt), minRetryDelay, maxRetryDelay);
   acknowledgedBytes = response.offset;
   awaitingResponse = allAcknowledged();
   if (allAcknowledged()) sentAt = now;
 }
 
 Uint64 SnapshotReceiver::handle(const InstallSnapshot& chunk, std::size_t maxBytes) {
-  bool same = chunk.index == index && chunk.snapshotTerm == term && chunk.digest == digest && chunk.total == total;
-  if (!same) {
+  bool sameSnapshot =
+      chunk.index == index && chunk.snapshotTerm == term && chunk.digest == digest && chunk.total == totalBytes;
+  if (!sameSnapshot) {
     *this = SnapshotReceiver();
     if (chunk.total > maxBytes) return 0;
     index = chunk.index;
     term = chunk.snapshotTerm;
     digest = chunk.digest;
-    total = chunk.total;
+    totalBytes = chunk.total;
   }
-  bool fits = chunk.offset == bytes.size() && chunk.bytes.size() <= total - bytes.size();
+  bool fits = chunk.offset == bytes.size() && chunk.bytes.size() <= totalBytes - bytes.size();
   if (fits) bytes += chunk.bytes;
   return bytes.size();
 }
 
 std::optional<Snapshot> SnapshotReceiver::takeCompleteSnapshot() {
-  if (total == 0 || bytes.size() < total) return std::nullopt;
+  if (totalBytes == 0 || bytes.size() < totalBytes) return std::nullopt;
   auto snapshot = decodeSnapshot(bytes);
-  bool sound =
+  bool valid =
       snapshot && sha256Hex(bytes) == digest && snapshot.value().index == index && snapshot.value().term == term;
   *this = SnapshotReceiver();
-  if (!sound) return std::nullopt;
+  if (!valid) return std::nullopt;
   return std::move(snapshot).value();
 }
 
--- a/src/consensus/snapshot_transfer.hpp
+++ b/src/consensus/snapshot_transfer.hpp
@@ -33,12 +33,12 @@
   bool allAcknowledged() const { return acknowledgedBytes == image_->bytes.size(); }
 };
 
-/// The follower's side of a snapshot transfer. It collects chunks; the snapshot counts only when it is complete and its
+/// The follower's side of a snapshot transfer. It collects chunks; the snapshot is used only if it is complete and its
 /// digest matches.
 class SnapshotReceiver {
  public:
-  /// Appends a chunk if it continues the received bytes; a chunk of another snapshot starts anew. Snapshots larger than
-  /// `maxBytes` are ignored. Returns the number of bytes received of this snapshot.
+  /// Appends a chunk if it continues the received bytes; a chunk of another snapshot discards them first. Snapshots
+  /// larger than `maxBytes` are ignored. Returns the number of bytes received of this snapshot.
   Uint64 handle(const InstallSnapshot& chunk, std::size_t maxBytes);
   /// Returns the snapshot once it is complete and valid, and discards the received bytes; an invalid snapshot is
   /// discarded too.
@@ -46,7 +46,7 @@
   std::size_t receivedBytes() const { return bytes.size(); }
 
  private:
-  Uint64 index{0}, term{0}, total{0};
+  Uint64 index{0}, term{0}, totalBytes{0};
   std::string digest, bytes;
 };
 
--- a/src/consensus/timing_check.cpp
+++ b/src/consensus/timing_check.cpp
@@ -2,16 +2,13 @@
 
 namespace tt {
 namespace {
-/// How long a core remembers a reader that it no longer hears (see Core::tick).
+/// How long a core remembers a reader that sends no more requests (agentRetention in core.cpp).
 constexpr Duration readerRetention = 10s;
-/// How long an agent waits for an update that it knows to exist before it requests it from a core (see Agent::tick).
+/// How long an agent waits for an update that it knows to exist before it requests it from a core (see Agent::tick()).
 constexpr Duration updateRequestDelay = 150ms;
 
-/// A condition, and the text that names it in the error. Capitalized names in the texts are settings. The others are
-/// limits in Timing: holdEvery is heartbeatInterval, promise is minElectionTimeout, voteWait is voteTimeout, roundEvery
-/// is logEndPollInterval, feedEvery is feedPollInterval, freshFor is maxStaleness, readersWait is readerAckTimeout,
-/// listEvery is listPollInterval, listOld is maxListAge, commandRest is commandHoldoff, memberGone is
-/// memberRemovalTimeout, and votersLeast is minVoters.
+/// A condition, and the text that names it in the error. In the texts, capitalized names are settings; the others are
+/// limits in Timing and the two constants above.
 struct Inequality {
   const char* text;
   bool holds;
@@ -19,33 +16,34 @@
 }  // namespace
 
 Result<void> checkTiming(const Timing& durations, const TimingBounds& bounds) {
-  /// The longest time from the commit of a change until a reader that is reachable has it.
+  /// The longest time from the commit of a change until a reachable reader has applied it.
   Duration maxUpdateDelay = durations.logEndPollInterval + updateRequestDelay + durations.feedPollInterval;
   bool revokes = bounds.revoke.has_value();
   const Inequality inequalities[] = {
-      {"holdEvery > 0 and 3 holdEvery < lease",
+      {"heartbeatInterval > 0 and 3 heartbeatInterval < lease",
        durations.heartbeatInterval > Duration(0) && 3 * durations.heartbeatInterval < durations.lease},
-      {"lease < promise", durations.lease < durations.minElectionTimeout},
-      {"voteWait < promise", durations.voteTimeout < durations.minElectionTimeout},
-      {"2 roundEvery + 2 feedEvery <= freshFor",
+      {"lease < minElectionTimeout", durations.lease < durations.minElectionTimeout},
+      {"voteTimeout < minElectionTimeout", durations.voteTimeout < durations.minElectionTimeout},
+      {"2 logEndPollInterval + 2 feedPollInterval <= maxStaleness",
        2 * durations.logEndPollInterval + 2 * durations.feedPollInterval <= durations.maxStaleness},
-      {"roundEvery < readersWait", durations.logEndPollInterval < durations.readerAckTimeout},
-      {"feedEvery < readersWait", durations.feedPollInterval < durations.readerAckTimeout},
-      {"readersWait < time for which readers are remembered", durations.readerAckTimeout < readerRetention},
-      {"2 readersWait <= AckMs", 2 * durations.readerAckTimeout <= bounds.acknowledge},
-      {"roundEvery + wait for news + feedEvery < ConfigApplyMs", maxUpdateDelay < bounds.configApply},
-      {"freshFor < RevokeMs", !revokes || durations.maxStaleness < *bounds.revoke},
-      {"listEvery <= listOld and listOld + listEvery < DrainMs",
+      {"logEndPollInterval < readerAckTimeout", durations.logEndPollInterval < durations.readerAckTimeout},
+      {"feedPollInterval < readerAckTimeout", durations.feedPollInterval < durations.readerAckTimeout},
+      {"readerAckTimeout < readerRetention", durations.readerAckTimeout < readerRetention},
+      {"2 readerAckTimeout <= AckMs", 2 * durations.readerAckTimeout <= bounds.acknowledge},
+      {"logEndPollInterval + updateRequestDelay + feedPollInterval < ConfigApplyMs",
+       maxUpdateDelay < bounds.configApply},
+      {"maxStaleness < RevokeMs", !revokes || durations.maxStaleness < *bounds.revoke},
+      {"listPollInterval <= maxListAge and maxListAge + listPollInterval < DrainMs",
        durations.listPollInterval <= durations.maxListAge &&
            durations.maxListAge + durations.listPollInterval < bounds.drain},
-      {"commandRest >= LeaseMs", durations.commandHoldoff >= bounds.commandLease},
-      {"memberGone > promise",
+      {"commandHoldoff >= LeaseMs", durations.commandHoldoff >= bounds.commandLease},
+      {"memberRemovalTimeout = 0 or memberRemovalTimeout > minElectionTimeout",
        durations.memberRemovalTimeout == Duration(0) || durations.memberRemovalTimeout > durations.minElectionTimeout},
-      {"last start of a roll-out < last use of old weights < unbegun orders dropped < VersionMs",
+      {"rolloutStartTimeout < oldWeightsSendTimeout < unstartedRequestTimeout < VersionMs",
        durations.rolloutStartTimeout() < durations.oldWeightsOrderTimeout &&
            durations.oldWeightsOrderTimeout < durations.unstartedOrderTimeout &&
            durations.unstartedOrderTimeout < durations.oldWeightsTimeout},
-      {"votersLeast >= 1", durations.minVoters >= 1},
+      {"minVoters >= 1", durations.minVoters >= 1},
   };
   for (const auto& inequality : inequalities)
     if (!inequality.holds) return makeError(Code::badProps, "Bounds", std::string("does not hold: ") + inequality.text);
--- a/src/index/cell.cpp
+++ b/src/index/cell.cpp
@@ -4,9 +4,9 @@
 
 namespace tt {
 namespace {
-/// How long the cell waits for a requested report, or for a first status, before it asks again.
+/// How long the cell waits for a requested report, or for a first status, before it requests it again.
 constexpr Duration reportRetryTimeout = 700ms;
-/// How long, and how many of, a store's evictions are remembered.
+/// How long a store's evictions are remembered, and at most how many of them.
 constexpr Duration evictedRetention = 30s;
 constexpr std::size_t maxEvictedEntries = 50000;
 /// How often the share of prefixes that are saved in a store is adjusted.
@@ -15,12 +15,19 @@
 constexpr Duration rolloutStatusInterval = 250ms;
 /// How often a cell update is published when nothing has changed.
 constexpr Duration idlePublishInterval = 500ms;
-/// How often a cell update carries the Bloom filters.
+/// How often a cell update includes the Bloom filters.
 constexpr Duration summaryInterval = 250ms;
 /// How long the speed of a transfer is published.
 constexpr Duration transferSpeedRetention = 30s;
 /// The largest Bloom filter of one node.
 constexpr std::size_t maxFilterBytes = 8192;
+/// How much later cores in other zones stand for election.
+constexpr Duration remoteCampaignDelay = 600ms;
+/// The most transfers that are watched at the same time, and the longest time for which one is watched.
+constexpr std::size_t maxTransfers = 4096;
+constexpr std::int64_t maxTransferMs = 10000;
+/// Bounds of the share of prefixes that are saved in a store, in thousandths.
+constexpr int minSavedPermille = 20, maxSavedPermille = 1000;
 }  // namespace
 
 std::string BloomFilter::make(const std::unordered_set<BlockHash, BlockHashHasher>& blocks) {
@@ -51,14 +58,14 @@
   return table;
 }
 
-Cell::Cell(std::string zone, const Member& self, bool local, Defences defencesGiven, CellSettings cellSettings)
-    : election("cell/" + zone, self.id, local ? Duration(0) : Duration(600ms), defencesGiven),
+Cell::Cell(std::string zone, const Member& self, bool local, Defences initialDefences, CellSettings cellSettings)
+    : election("cell/" + zone, self.id, local ? Duration(0) : remoteCampaignDelay, initialDefences),
       zoneName(std::move(zone)),
       selfId(self.id),
       selfAddress(self.address),
-      defences(defencesGiven),
+      defences(initialDefences),
       settings(cellSettings) {
-  election.changed = [this](Effects& effects, bool won) { onLeaseChange(effects, won); };
+  election.onHolderChanged = [this](Effects& effects, bool won) { onLeaseChange(effects, won); };
 }
 
 void Cell::onLeaseChange(Effects& effects, bool) {
@@ -271,9 +278,9 @@
   if (now - store.shareAdjustedAt < shareAdjustInterval) return;
   store.shareAdjustedAt = now;
   if (store.evictedLookups * 10 > store.lookupHits + store.evictedLookups)
-    store.savedPermille = std::max(20, store.savedPermille * 9 / 10);
+    store.savedPermille = std::max(minSavedPermille, store.savedPermille * 9 / 10);
   else
-    store.savedPermille = std::min(1000, store.savedPermille + store.savedPermille / 50 + 1);
+    store.savedPermille = std::min(maxSavedPermille, store.savedPermille + store.savedPermille / 50 + 1);
   store.lookupHits = store.evictedLookups = 0;
   updatePending = true;
 }
@@ -328,7 +335,7 @@
   speed = TransferSpeed{static_cast<double>(transfer.request.hashes.size()) / seconds / 2, effects.now};
   updatePending = true;
   if (auto source = nodes.find(transfer.request.source); source != nodes.end() && !settings.separateStatus)
-    markUnconfirmed(effects, source->second, "move came short");
+    markUnconfirmed(effects, source->second, "transfer incomplete");
   effects.note("transfer failed", transfer.request.moveId);
   effects.send(transfer.request.replyTo, TransferDone{transfer.request.moveId, false});
 }
@@ -445,10 +452,11 @@
     TransferWatch transfer;
     transfer.request = *watch;
     transfer.startedAt = effects.now;
-    transfer.deadline = effects.now + std::chrono::milliseconds(std::clamp<std::int64_t>(watch->deadlineMs, 1, 10000));
+    transfer.deadline =
+        effects.now + std::chrono::milliseconds(std::clamp<std::int64_t>(watch->deadlineMs, 1, maxTransferMs));
     transfer.stateMachine =
         std::make_unique<StateMachine<Cell, Effects&, TransferWatch&>>("transfer", transferActions(), "asked");
-    if (transfers.size() < 4096) transfers[watch->moveId] = std::move(transfer);
+    if (transfers.size() < maxTransfers) transfers[watch->moveId] = std::move(transfer);
   } else if (auto* reply = std::get_if<ControlReply>(&message)) {
     if (reply->code == static_cast<int>(Code::termOld)) election.observeTerm(effects, reply->term);
     auto rollout = rollouts.find(reply->worker);
--- a/src/index/cell.hpp
+++ b/src/index/cell.hpp
@@ -40,14 +40,14 @@
   TimePoint shareAdjustedAt{};
 };
 
-/// How a cell polls and commands its workers. The defaults are those for the project's own worker protocol.
+/// How a cell polls and commands its workers. The defaults suit the worker protocol of this project.
 struct CellSettings {
-  /// Block index and status are requested separately. Until the first status arrives, a worker's weights, model and
-  /// slots are taken from the machine list.
+  /// Whether block index and status are requested separately. If so, a worker's weights, model and slots are taken from
+  /// the machine list until its first status arrives.
   bool separateStatus{false};
-  /// One command makes a worker finish its runs, load the weights and admit requests again.
+  /// Whether a single command makes a worker finish its runs, load the weights and admit requests again.
   bool singleLoadCommand{false};
-  /// Only the seeds form a fleet; other cores join it.
+  /// Whether only the seeds may bootstrap a fleet; other cores then join it.
   bool onlySeedsBootstrap{false};
   /// Whether cell updates carry each node's Bloom filter. Without them an update carries only the changed workers.
   bool publishSummaries{true};
@@ -56,9 +56,9 @@
   Duration statusInterval{0};
   /// How often each node's cache events are requested.
   Duration reportInterval{50ms};
-  /// How often a full report is requested from one node, each in turn, to correct the index; 0 requests none.
+  /// How often a full report is requested from one of the nodes, in turn, to correct the index; 0 requests none.
   Duration fullReportInterval{1s};
-  /// After how long without a report a node's index entry no longer counts.
+  /// After how long without a report a node's index entry is no longer used.
   Duration reportTimeout{1s};
   /// After how long without a report a worker no longer counts as alive.
   Duration workerTimeout{1500ms};
@@ -66,11 +66,12 @@
   Duration publishInterval{60ms};
   /// How long a roll-out waits, at most, for the agents to apply the update that withholds a worker.
   Duration withholdTimeout{1s};
-  /// The part of a model's workers in this zone that may change weights at once: one in this many.
+  /// One in this many of a model's workers in this zone may change weights at the same time.
   int rolloutParts{3};
   /// How long a roll-out waits for further announcements before it starts its first worker.
   Duration rolloutSettleDelay{0};
-  /// The time over which the starts of a zone's workers are spread. At 0 as many start at once as may change at once.
+  /// The time over which the starts of a zone's workers are spread; 0 starts as many at once as may change at the same
+  /// time.
   Duration rolloutSpan{0};
 };
 
@@ -80,10 +81,10 @@
 class Cell {
  public:
   /// `local`: whether the core is in this zone. Cores elsewhere wait 600 ms longer before they stand for election.
-  Cell(std::string zone, const Member& self, bool local, Defences defencesGiven = {}, CellSettings cellSettings = {});
+  Cell(std::string zone, const Member& self, bool local, Defences initialDefences = {}, CellSettings cellSettings = {});
   Election election;
-  /// Takes over the machine list. Workers of this zone that are no longer listed are dropped; one whose address changed
-  /// starts without an index.
+  /// Applies a new machine list. Nodes of this zone that are no longer listed are dropped; the index entry of a node
+  /// whose address has changed starts empty.
   void setMachines(const std::vector<Machine>& machines);
   void tick(Effects& effects, const Configuration& configuration);
   void handle(Effects& effects, const std::string& from, const Message& message);
@@ -91,9 +92,9 @@
   void recordAgentVersion(const std::string& agent, const CellVersion& version, TimePoint now);
   /// Called with each new cell update, which goes to the other cores and to the agents that follow this core.
   std::function<void(Effects&, const CellNews&)> publish;
-  /// The newest update of every cell, so that zones with a single worker of a model can change one after the other.
+  /// The newest update of every cell, needed so that zones with a single worker of a model change one after the other.
   const std::map<std::string, CellNews>* latestUpdates{nullptr};
-  /// When weights versions were announced, as this core knows it.
+  /// When weights versions were announced, as far as this core knows.
   const VersionTimeline* versions{nullptr};
   const std::string& zone() const { return zoneName; }
   const std::map<std::string, CacheNode>& cacheNodes() const { return nodes; }
@@ -110,9 +111,9 @@
   /// The change of one worker to other weights.
   struct Rollout {
     std::string weights, model;
-    /// When the current state was entered, and when the last command was sent.
+    /// `stateSince`: when the current state was entered. `sentAt`: when the last command was sent.
     TimePoint stateSince{}, sentAt{}, readyAt{};
-    /// The sequence number of the first cell update that shows the worker as withheld.
+    /// The sequence number of the first cell update that reports the worker as withheld.
     std::uint64_t withheldSequence{0};
     /// The number of the last command; the worker's reply carries it.
     Uint64 commandNumber{0};
@@ -146,7 +147,7 @@
     double blocksPerSecond{0};
     TimePoint at{};
   };
-  /// The speed of the last transfer by source and target.
+  /// The speed of the last transfer, by source and target.
   std::map<std::pair<std::string, std::string>, TransferSpeed> transferSpeeds;
   /// The sequence number of the last cell update under this lease.
   std::uint64_t sequence{0};
@@ -154,14 +155,14 @@
   /// The workers as last published, so that the next update need only carry what has changed.
   std::map<std::string, WorkerView> lastPublished;
   TimePoint publishedAt{}, summariesPublishedAt{}, fullReportRequestedAt{};
-  /// The node that was last asked for a full report; the next one follows it in the order of names.
+  /// The node from which a full report was last requested; the next one follows it in the order of names.
   std::string lastFullReportNode;
   bool updatePending{true};
   using RolloutActions = RolloutMachine::Actions;
   using TransferActions = StateMachine<Cell, Effects&, TransferWatch&>::Actions;
   static const RolloutActions& rolloutActions();
   static const TransferActions& transferActions();
-  /// Withholds a worker, so that it gets no new requests, and publishes that at once.
+  /// Withholds a worker, so that it gets no new requests, and publishes that without waiting for the publish interval.
   void withholdWorker(Effects& effects, const std::string& worker);
   void sendDrain(Effects& effects, const std::string& worker);
   void sendLoad(Effects& effects, const std::string& worker);
@@ -170,16 +171,16 @@
   void markFailed(Effects& effects, const std::string& worker);
   void reportTransferDone(Effects& effects, TransferWatch& transfer);
   void reportTransferFailed(Effects& effects, TransferWatch& transfer);
-  /// Sends a command to a worker, but not during the hold-off after the lease was won: a command of the previous holder
-  /// may still be on its way.
+  /// Sends a command to a worker, except during the hold-off after the lease was won, when a command of the previous
+  /// holder may still be in transit.
   void sendCommand(Effects& effects, const std::string& worker, const std::string& action);
   void onReport(Effects& effects, const Report& report);
   void onLookup(Effects& effects, const LookupMsg& request);
   /// Counts a lookup at a store and adjusts the share of prefixes to be saved there: down if more than a tenth of the
   /// lookups asked for a prefix that had been evicted, else slowly up.
   void adjustStoreShare(CacheNode& store, const BlockHash& prefix, TimePoint now);
-  /// Whether a worker sends reports. A plain one ("app") behind the separate status protocol has none and counts as
-  /// alive for as long as it is listed.
+  /// Whether a worker sends reports. With separate status requests, a worker of a plain service ("app") sends none and
+  /// counts as alive for as long as it is listed.
   bool sendsReports(const CacheNode& node) const;
   void requestReports(Effects& effects);
   void requestStatus(Effects& effects, CacheNode& node);
@@ -187,7 +188,7 @@
   void updateRollouts(Effects& effects, const Configuration& configuration);
   Rollout& rolloutFor(const std::string& worker);
   void advance(Effects& effects, const std::string& worker, Rollout& rollout, const char* event);
-  /// Whether a worker was heard recently, so that it counts among those that change to other weights.
+  /// Whether a worker has reported recently, so that it takes part in roll-outs.
   bool takesPartInRollout(const CacheNode& node, TimePoint now) const;
   /// When the weights that a worker reports were superseded: TimePoint::max() if they are the wanted ones,
   /// TimePoint::min() if it is unknown.
@@ -201,18 +202,19 @@
   /// workers do not all change at once.
   bool waitsForEarlierZones(const std::string& model, TimePoint superseded, TimePoint now) const;
   void startRollout(Effects& effects, const CacheNode& node, Rollout& rollout, const std::string& wanted, bool due);
-  /// Continues a change that has begun. A load that a worker has accepted is finished even if newer weights were
-  /// announced in the meantime: the worker accepts no other command before, and would never serve if each announcement
-  /// sent it on to the next version.
+  /// Continues a change that has begun. A load that a worker has accepted is finished even if newer weights have been
+  /// announced in the meantime: until then the worker accepts no other command, and it would never serve if each
+  /// announcement made it load another version.
   void continueRollout(Effects& effects, const CacheNode& node, Rollout& rollout, const std::string& wanted);
   void updateTransfers(Effects& effects);
   void publishUpdate(Effects& effects);
   /// Reduces an update to the workers that have changed since the last one, and rounds the counts of running requests
   /// so that small changes need not be sent.
   void reduceToChanges(CellNews& update);
-  /// Starts afresh when the lease is won or lost: what another holder did meanwhile is not known here.
+  /// Resets the state when the lease is won or lost, since what another holder has done in the meantime is unknown
+  /// here.
   void onLeaseChange(Effects& effects, bool won);
-  /// Whether all agents that were heard recently have applied this update or a later one.
+  /// Whether all agents that have reported recently have applied this update or a later one.
   bool agentsHaveApplied(std::uint64_t updateSequence, TimePoint now) const;
   /// Drops a node's index entry until its next full report.
   void markUnconfirmed(Effects& effects, CacheNode& node, const char* why);
--- a/src/index/cell_rollouts.cpp
+++ b/src/index/cell_rollouts.cpp
@@ -6,10 +6,10 @@
 /// The part of a cell that changes its workers to the announced weights.
 namespace tt {
 namespace {
-/// A worker's status may be this old: it counts as idle again only by a status that comes so long after it accepted a
-/// command.
+/// How old a worker's status may be on arrival. A status counts as later than the acceptance of a command only if it
+/// arrives at least this long after it.
 constexpr Duration statusLag = 800ms;
-/// How long a worker may drain before it is told to load even if requests still run on it.
+/// How long a worker may drain before it is commanded to load even if requests are still running there.
 constexpr Duration drainTimeout = 3s;
 /// After how long a load counts as failed.
 constexpr Duration loadTimeout = 8s;
@@ -17,10 +17,11 @@
 constexpr Duration commandRetryInterval = 500ms;
 /// How long after a failed load the next one is tried.
 constexpr Duration retryDelay = 3s;
-/// How long a zone with a single worker waits for each zone before it, at most, and for how many zones.
-constexpr Duration maxTurn = 4500ms;
-constexpr int maxTurns = 3;
-/// An agent that was not heard for this long is not waited for.
+/// The longest time that a zone with a single worker waits for each zone that precedes it, and for how many zones at
+/// most.
+constexpr Duration maxWaitPerZone = 4500ms;
+constexpr int maxZonesAwaited = 3;
+/// A roll-out no longer waits for an agent that has not reported for this long.
 constexpr Duration agentTimeout = 2s;
 }  // namespace
 
@@ -161,8 +162,8 @@
     ++earlierZones;
     unfinished = unfinished || sole->held || !versions || !versions->isNewest(model, sole->weights);
   }
-  Duration turn = std::min<Duration>(maxTurn, timing.rolloutStartTimeout() / maxTurns);
-  return unfinished && now < endOfUse(superseded, std::min(earlierZones, maxTurns) * turn);
+  Duration waitPerZone = std::min<Duration>(maxWaitPerZone, timing.rolloutStartTimeout() / maxZonesAwaited);
+  return unfinished && now < endOfUse(superseded, std::min(earlierZones, maxZonesAwaited) * waitPerZone);
 }
 
 void Cell::updateRollouts(Effects& effects, const Configuration& configuration) {
--- a/src/index/prefill_ledger.cpp
+++ b/src/index/prefill_ledger.cpp
@@ -13,10 +13,10 @@
 /// The weight of a new observation in the moving averages of one worker's rate and of the mean rate.
 constexpr double rateSmoothing = 0.3, meanRateSmoothing = 0.05;
 constexpr double minTokensPerMs = 0.1, maxTokensPerMs = 100000;
-/// An observation counts as at most this factor above or below the estimate, because messages that were delayed and
-/// arrive together make a worker look too fast.
+/// An observation is limited to this factor above or below the estimate: messages that were delayed and arrive together
+/// make a worker look too fast.
 constexpr double maxChangeFactor = 2;
-/// From this many pending blocks of a worker on, those whose time is over are removed.
+/// Once a worker has this many pending blocks, the expired ones are removed.
 constexpr std::size_t pendingCleanupThreshold = 4096;
 
 /// Moves an estimate towards an observation; the first observation is taken as it is.
--- a/src/index/prefill_ledger.hpp
+++ b/src/index/prefill_ledger.hpp
@@ -1,5 +1,5 @@
 #pragma once
-/// The queues of prompts that wait for prefill at a zone's workers.
+/// The queues of prompts that wait for their prefill at the workers of a zone.
 #include <map>
 
 #include "messages.hpp"
@@ -10,12 +10,12 @@
 struct PrefillLoad {
   /// Prompt tokens that were sent to the worker and are not yet prefilled.
   double tokens{0};
-  /// Prompt tokens that the worker prefills in a millisecond; 0 as long as nothing was observed.
+  /// Prompt tokens that the worker prefills per millisecond; 0 until a rate has been observed.
   double tokensPerMs{0};
 };
 
 /// The prompts that proxies have placed at the workers of one zone and that are not yet prefilled. Proxies report each
-/// placement and each first token. From these the ledger tells how long a worker's queue is, how fast the worker
+/// placement and each first token. From these the ledger computes how long a worker's queue is, how fast the worker
 /// prefills, and which blocks will soon be cached there. It is kept in memory only: a new lease holder starts with an
 /// empty ledger, and a prompt whose end is not reported in time is dropped.
 class PrefillLedger {
@@ -25,12 +25,12 @@
   /// Removes a prompt. One that was prefilled counts towards the worker's rate; one that was given up does not. Unknown
   /// prompts are ignored.
   void end(const PrefillEnded& prompt, TimePoint now);
-  /// The worker's queue and rate. Where the worker's own rate is unknown it is the mean of all workers.
+  /// The worker's queue and rate. If the worker's own rate is unknown, the mean rate of all workers is used.
   PrefillLoad loadOf(const std::string& worker, TimePoint now) const;
   /// How many of a prompt's leading blocks the worker is prefilling, or has prefilled too recently for its cache events
   /// to report them.
   int pendingHits(const std::string& worker, const Hashes& hashes, TimePoint now) const;
-  /// Drops all workers but these.
+  /// Drops the records of all other workers.
   void keepOnly(const std::set<std::string>& workers);
   void clear() { recordsByWorker.clear(); }
 
@@ -46,17 +46,17 @@
     /// The tokens prefilled since the last estimate of the rate, and how long the worker had a queue in that time.
     double prefilledTokens{0}, busyMs{0};
     TimePoint busyCountedAt{};
-    /// Until when each block counts as about to be cached.
+    /// The time until which each block counts as about to be cached.
     std::unordered_map<BlockHash, TimePoint, BlockHashHasher> pendingUntil;
   };
   std::map<std::string, WorkerRecord> recordsByWorker;
-  /// The mean rate of all workers, for those of which nothing was observed yet.
+  /// The mean rate of all workers, used for workers whose rate has not been observed yet.
   double meanTokensPerMs{0};
 
   void removeExpired(WorkerRecord& record, TimePoint now);
   /// Counts the time since the last event as busy if the worker had a queue.
   static void addBusyTime(WorkerRecord& record, TimePoint now);
-  /// Makes a new estimate of the rate once enough tokens were observed.
+  /// Updates the estimated rate once enough tokens have been observed.
   void updateRate(WorkerRecord& record);
 };
 
--- a/src/rollout/rollout_plan.cpp
+++ b/src/rollout/rollout_plan.cpp
@@ -7,17 +7,17 @@
 
 namespace tt {
 namespace {
-/// From this many failed loads on, with none that succeeded, the weights may be bad.
+/// The weights are suspect after at least this many failed loads and no successful one.
 constexpr int minSuspectFailures = 2;
 
 /// The factor by which more workers may change at once while some are overdue.
 constexpr int overdueFactor = 2;
 
-using Waiting = std::vector<const RolloutWorker*>;
+using WaitingWorkers = std::vector<const RolloutWorker*>;
 
-/// The workers that wait for their start, those superseded first coming first.
-Waiting waitingWorkers(const std::vector<RolloutWorker>& workers) {
-  Waiting waiting;
+/// The workers that wait for their start, ordered by when their weights were superseded.
+WaitingWorkers waitingWorkers(const std::vector<RolloutWorker>& workers) {
+  WaitingWorkers waiting;
   for (const auto& worker : workers)
     if (worker.step == RolloutStep::serving && worker.supersededAt != TimePoint::max()) waiting.push_back(&worker);
   std::sort(waiting.begin(), waiting.end(), [](const RolloutWorker* left, const RolloutWorker* right) {
@@ -26,8 +26,9 @@
   return waiting;
 }
 
-/// When the next of the waiting workers from `first` on is due.
-TimePoint nextDue(const Waiting& waiting, std::size_t first, std::size_t workerCount, const RolloutLimits& limits) {
+/// When the next of the waiting workers, not counting those before `first`, is due.
+TimePoint nextDue(const WaitingWorkers& waiting, std::size_t first, std::size_t workerCount,
+                  const RolloutLimits& limits) {
   TimePoint due = TimePoint::max();
   for (std::size_t index = first; index < waiting.size(); ++index) {
     auto waitingSoFar = static_cast<std::int64_t>(index - first + 1);
--- a/src/rollout/version_timeline.cpp
+++ b/src/rollout/version_timeline.cpp
@@ -4,7 +4,7 @@
 
 namespace tt {
 namespace {
-/// The age of an announcement of unknown time, as it is sent.
+/// The age that is sent for an announcement of unknown time.
 constexpr std::int64_t unknownAge = -1;
 }  // namespace
 
--- a/src/routing/drain_plan.cpp
+++ b/src/routing/drain_plan.cpp
@@ -4,14 +4,14 @@
 
 namespace tt {
 namespace {
-/// How long clients are still sent to a process that is not ready: load balancers probe each second and stop after two
-/// failed probes; half a second is added for late probe responses.
+/// How long load balancers may still send clients to a process that reports that it is not ready: they probe every
+/// second and stop after two failed probes; half a second is added for late probe responses.
 constexpr Duration propagationDelay = 2500ms;
-/// The end of the grace period that is left for a process that is slow to exit.
+/// The last part of the grace period, reserved for a process that is slow to exit.
 constexpr Duration exitReserve = 700ms;
-/// How long the final responses have to leave the process.
+/// The time reserved for sending the final responses.
 constexpr Duration responseFlushTime = 200ms;
-/// For a short grace period the three above are these fractions of it instead.
+/// In a short grace period each of the three times above is limited to the grace period divided by this.
 constexpr int propagationDivisor = 3, reserveDivisor = 8, flushDivisor = 40;
 }  // namespace
 
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -9,9 +9,10 @@
 constexpr Duration ejectionPeriod = 2s, denialHoldoff = 200ms;
 /// How long a proxy may be stale before it ends its open requests.
 constexpr Duration maxStaleTime = 2500ms;
-/// How many saved prefixes are remembered. If there are more, all are forgotten; at worst some are saved again.
+/// How many saved prefixes are remembered. If there are more, all are forgotten; at worst, some prefixes are saved
+/// again.
 constexpr std::size_t maxRememberedSaves = 20000;
-/// A worker ends a request at its deadline by itself. Its final status is waited for a little longer.
+/// A worker ends a request at its deadline by itself; the proxy waits this much longer for its final status.
 constexpr Duration deadlineGrace = 300ms;
 }  // namespace
 
@@ -66,7 +67,7 @@
     request.stateMachine->dispatch(*this, request.retryRequested ? "retry" : "giveUp", effects, request);
   if (!request.stateMachine->isIn("ended")) return;
   freeWorker(effects, request);
-  orderIdByAttempt.erase(request.attemptId);
+  requestIdByAttempt.erase(request.attemptId);
   requests.erase(orderId);
 }
 
@@ -95,7 +96,7 @@
   ++request.attempts;
   request.attemptId = request.submitted.orderId + "." + std::to_string(request.attempts);
   request.lastActivityAt = effects.now;
-  orderIdByAttempt[request.attemptId] = request.submitted.orderId;
+  requestIdByAttempt[request.attemptId] = request.submitted.orderId;
   effects.note("order sent", request.attemptId + " " + request.plan.worker);
   WorkerOrder sent{request.attemptId,
                    request.plan.model,
@@ -241,8 +242,8 @@
 }
 
 ProxyRouter::Request* ProxyRouter::requestOfAttempt(const std::string& attemptId) {
-  auto sent = orderIdByAttempt.find(attemptId);
-  return sent == orderIdByAttempt.end() ? nullptr : requests.at(sent->second).get();
+  auto sent = requestIdByAttempt.find(attemptId);
+  return sent == requestIdByAttempt.end() ? nullptr : requests.at(sent->second).get();
 }
 
 void ProxyRouter::onWorkerChunk(Effects& effects, const WorkerChunk& chunk) {
@@ -371,10 +372,10 @@
 }
 
 void ProxyRouter::onLookupReply(Effects& effects, const LookupReply& reply) {
-  auto row = orderIdByLookup.find(reply.lookupId);
-  if (row == orderIdByLookup.end()) return;
+  auto row = requestIdByLookup.find(reply.lookupId);
+  if (row == requestIdByLookup.end()) return;
   std::string orderId = row->second;
-  orderIdByLookup.erase(row);
+  requestIdByLookup.erase(row);
   auto found = requests.find(orderId);
   if (found == requests.end() || !found->second->stateMachine->isIn("lookup")) return;
   auto& request = *found->second;
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -22,47 +22,48 @@
   /// deadline instead.
   Duration firstByteTimeout{10s};
   Duration chunkTimeout{5s};
-  /// Milliseconds that a worker takes to compute one block that it has not cached, about.
+  /// The approximate time, in milliseconds, that a worker takes to compute one block that it has not cached.
   double blockMs{4};
-  /// Retries that are allowed for each admitted request within the retry windows.
+  /// The number of retries allowed per admitted request within the retry windows.
   double retryBudgetRatio{0.1};
   /// How long a cell may take to answer a lookup; a later reply is a miss.
   Duration lookupTimeout{200ms};
-  /// The worker fetches a prefix itself, from the source that the request to it names. Otherwise the blocks are copied
-  /// by a separate transfer command before the request is sent.
+  /// Whether the worker fetches a prefix itself, from the source named in the request. Otherwise a separate transfer
+  /// command copies the blocks before the request is sent.
   bool fetchWithinRequest{false};
-  /// Open requests go on when their key is revoked or this proxy loses its updates; only new ones are denied.
+  /// Whether open requests continue when their key is revoked or this proxy becomes stale, so that only new ones are
+  /// denied.
   bool letOpenRequestsFinish{false};
   /// The fetch policy of path routes that name none.
   std::string routePolicy;
-  /// Prompt tokens that a worker prefills in a millisecond, about.
+  /// The approximate number of prompt tokens that a worker prefills per millisecond.
   double tokensPerMs{100};
   /// The largest share of requests that is shed while responses start later than the target latency; 0 sheds none.
   double maxShedRatio{0};
-  /// Retries that a proxy may always make within a retry window, however few requests it has admitted.
+  /// The number of retries that a proxy may always make within a retry window, however few requests it has admitted.
   double minRetriesPerWindow{1};
   /// The retry budget must hold within each of these two windows; the shorter one limits bursts.
   Duration retryBudgetWindow{5s}, retryBurstWindow{1s};
   Defences defences;
 };
 
-/// What a proxy has decided for one attempt of a request: the worker, and where a cached prefix is fetched from.
+/// The routing decision for one attempt of a request: the worker, and the source from which a cached prefix is fetched.
 struct RoutingPlan {
   std::string worker, address, zone, model, weights, salt;
   /// One hash for each block of the prompt; on path routes a block is a part of the prompt, and the last part, which no
   /// other request shares, has no hash once a lookup is planned.
   Hashes hashes;
-  /// Leading blocks that the worker has, by its Bloom filter.
+  /// The number of leading blocks that the worker has, according to its Bloom filter.
   std::size_t localHits{0};
   /// A worker or store whose cell is asked what it has of the prompt.
   struct Candidate {
     std::string name, address, zone;
     bool store{false};
-    /// Leading blocks that it has, by its Bloom filter.
+    /// The number of leading blocks that it has, according to its Bloom filter.
     std::size_t estimatedHits{0};
-    /// Requests there for each slot, and the measured speed of the link to the target.
+    /// `busyness`: requests per slot there. `blocksPerSecond`: the measured speed of the link to the target.
     double busyness{0}, blocksPerSecond{0};
-    /// Its place among the workers that may be selected for the prompt; the first is the preferred one.
+    /// Its position among the workers that may be selected for the prompt; 0 is the preferred one.
     int rank{0};
     std::string service{};
   };
@@ -74,8 +75,8 @@
   std::string sinkAddress;
   /// Prompt tokens that the worker has neither cached nor fetches.
   int tokensToPrefill{0};
-  /// Leading blocks that a transfer would bring, and how many of them the exact index has confirmed. They differ only
-  /// in negative controls.
+  /// `plannedHits`: leading blocks that a transfer would bring. `confirmedHits`: how many of them the exact index has
+  /// confirmed. They differ only if a test turns off the defence `hitsConfirmed`.
   std::size_t plannedHits{0}, confirmedHits{0};
 };
 
@@ -87,15 +88,15 @@
   void tick(Effects& effects) override;
   /// The state of this proxy as JSON, for operators.
   std::string condition(TimePoint now) const;
-  /// Whether the configuration is known to be complete up to a time not older than the freshness bound.
+  /// Whether the configuration is known to be complete up to a time within the staleness bound.
   bool fresh(TimePoint now) const;
-  /// Whether requests can be served: the configuration is fresh and not empty, and some worker is alive. Where there
-  /// are engine workers, one of these must be alive.
+  /// Whether requests can be served: the configuration is fresh and not empty, and a worker is alive. If there are
+  /// engine workers, at least one of them must be alive.
   bool ready(TimePoint now) const;
   const Configuration& configuration() const { return config; }
   std::size_t openRequests() const { return requests.size(); }
-  /// Starts a drain: from now on only the requests that the plan accepts are admitted, and what is open at the plan's
-  /// end is ended.
+  /// Starts a drain: from now on only requests that the plan accepts are admitted, and requests still open at
+  /// `plan.endsAt` are ended.
   void drain(const DrainPlan& plan) { drainPlan = plan; }
 
  private:
@@ -109,22 +110,25 @@
     std::string attemptId, transferId;
     /// Workers that are not selected again for this request.
     std::set<std::string> triedWorkers;
-    /// Attempts so far, and blocks that a separate transfer brought to the worker.
+    /// `attempts`: the number of attempts so far. `transferredBlocks`: blocks that a separate transfer has copied to
+    /// the worker.
     int attempts{0}, transferredBlocks{0};
-    /// A worker may have run the request; it is counted as open at its worker; the last action asked for a retry.
+    /// `mayHaveRun`: a worker may have run the request. `countedOpen`: it counts as open at its worker.
+    /// `retryRequested`: the last action of the state chart decided on a retry.
     bool mayHaveRun{false}, countedOpen{false}, retryRequested{false};
     TimePoint pendingSince{}, lastActivityAt{}, lookupStartedAt{}, deadline{};
-    /// The service drawn from the route's split, and the id of the last event that the client got, from which another
-    /// worker can resume the stream.
+    /// `service`: the one drawn from the route's traffic split. `lastPiece`: the last event that the client received,
+    /// after which another worker can resume the stream.
     std::string service, lastPiece;
-    /// `unsentAttempts` counts the attempts whose connection broke before the request was sent.
+    /// `unsentAttempts`: the number of attempts whose connection broke before the request was sent.
     int priority{5}, urgency{5}, unsentAttempts{0};
-    /// Its tokens are counted as not yet prefilled at its worker; the client has a chunk of the response.
+    /// `prefillCounted`: its tokens count as not yet prefilled at its worker. `responseStarted`: the client has
+    /// received a chunk.
     bool prefillCounted{false}, responseStarted{false};
     TimePoint sentAt{};
-    /// Replies to the lookup under way, by worker or store.
+    /// Replies to the open lookups, by the name of the worker or store.
     std::map<std::string, LookupReply> replies;
-    /// Why the request is not served yet: the code that the client gets if it ends now.
+    /// The reason why the request has not been served yet: the code that the client gets if the request ends now.
     Code lastCode{Code::noWorker};
     WorkerEnd attemptEnd;
     std::string chunk;
@@ -133,21 +137,21 @@
   /// Blocks that are being copied to a worker, and the requests that wait for them.
   struct Transfer {
     std::string target, commandId;
-    std::set<std::string> orderIds;
+    std::set<std::string> requestIds;
     TimePoint deadline{};
   };
-  /// What this proxy knows of a worker from its own traffic and from the load reported to it.
+  /// What this proxy knows about a worker from its own traffic and from reported load.
   struct WorkerStats {
-    /// Requests that this proxy has open there, and those sent since the cell's last update.
+    /// `open`: requests that this proxy has open there. `sentSinceUpdate`: those sent since the cell's last update.
     int open{0};
     int sentSinceUpdate{0};
     /// The worker is not selected before this time.
     TimePoint ejectedUntil{};
-    /// Prompt tokens sent from here and not yet prefilled, and the requests running and waiting there by the worker's
-    /// own last report.
+    /// `tokensToPrefill`: prompt tokens sent by this proxy and not yet prefilled. `running`, `waiting`: requests there,
+    /// according to the worker's last report.
     int tokensToPrefill{0}, running{0}, waiting{0};
     TimePoint loadReportedAt{};
-    /// Used for workers of plain services only: a worker that goes on failing is ejected for longer each time.
+    /// Used only for workers of plain services: a worker that fails repeatedly is ejected for longer each time.
     OutlierRecord outliers;
   };
   ProxyRouterSettings settings;
@@ -162,32 +166,33 @@
   std::map<std::string, std::unique_ptr<Request>> requests;
   /// Ids of the requests that wait for a worker.
   std::deque<std::string> pending;
-  std::map<std::string, std::string> orderIdByAttempt, orderIdByLookup;
+  std::map<std::string, std::string> requestIdByAttempt, requestIdByLookup;
   std::map<std::string, Transfer> transfers;
   std::map<std::string, std::string> transferIdByCommand;
   std::map<std::string, WorkerStats> workerStats;
-  /// The configuration index without which this proxy is not fresh, and the counter from which ids are made.
+  /// `requiredIndex`: the configuration index that this proxy must have applied to be fresh. `lastId`: the counter for
+  /// generated ids.
   std::uint64_t requiredIndex{0}, lastId{0};
   TimePoint freshUntil{}, lastFeedPollAt{}, lastFeedReplyAt{};
   /// When requests were admitted and retried within the longer window of the retry budget.
   std::deque<TimePoint> admissionTimes, retryTimes;
-  /// When requests were completed within that window. The delay told to a denied client is estimated from their rate.
+  /// When requests were completed within that window. The retry delay for denied clients is estimated from their rate.
   std::deque<TimePoint> completionTimes;
   std::map<std::string, int> openByTenant;
-  /// The priorities of the requests so far.
+  /// The priorities of all requests so far.
   std::set<int> knownPriorities;
   /// The shortest target latency of any prompt so far; 0 before the first.
   double minLatencyTargetMs{0};
-  /// When each weights version was announced, and so until when requests may start on older ones.
+  /// When each weights version was announced; this determines until when requests may start on older versions.
   VersionTimeline weightsTimeline;
   Policy routePolicy;
-  /// Zones whose cell did not answer a lookup: they are not asked again before this time.
+  /// Zones whose cell did not answer a lookup, and the time before which they are not asked again.
   std::map<std::string, TimePoint> lookupHoldoffUntil;
-  /// Prefixes that a worker was told to save to a store. They are not saved again before the store's index can show
-  /// them.
+  /// When a worker was last told to save a prefix to a store. The prefix is not saved again before the store's index
+  /// can show it.
   std::unordered_map<BlockHash, TimePoint, BlockHashHasher> prefixSavedAt;
-  /// Moving averages: how much later than its own prefill takes a response starts, and the tokens to prefill of a
-  /// request.
+  /// Moving averages: the time from sending a request to its first chunk, less its own prefill time; and the number of
+  /// tokens to prefill per request.
   double queueingDelayMs{0}, meanTokensToPrefill{0};
   TimePoint queueingDelayAt{};
   bool wasFresh{false};
@@ -198,7 +203,7 @@
   static const Actions& actions();
   void sendOrder(Effects& effects, Request& request);
   void sendLookup(Effects& effects, Request& request);
-  /// Starts a transfer of the confirmed prefix to the selected worker, or joins one that is under way.
+  /// Starts a transfer of the confirmed prefix to the selected worker, or waits for one that is already running.
   void sendMove(Effects& effects, Request& request);
   void dropMove(Effects& effects, Request& request);
   void freeWorker(Effects& effects, Request& request);
@@ -217,9 +222,9 @@
   void weighBroken(Effects& effects, Request& request);
   /// Decides whether a stream that broke is resumed at another worker.
   void weighResume(Effects& effects, Request& request);
-  /// Queues a request for a retry; its time in the queue begins anew.
+  /// Queues a request for a retry and restarts its pending timeout.
   void redraw(Effects& effects, Request& request);
-  /// Queues a request whose plan is no longer valid; its time in the queue goes on.
+  /// Queues a request whose plan is no longer valid; its pending timeout continues.
   void drawAgain(Effects& effects, Request& request);
 
   void handleFromAgent(Effects& effects, const Message& message);
@@ -231,7 +236,8 @@
   void onCellUpdate(Effects& effects, const CellNews& update);
   void onMachineList(const MarksMsg& list, TimePoint now);
   void onLookupReply(Effects& effects, const LookupReply& reply);
-  /// The request whose current attempt has this id; null if the request is over or has another attempt since.
+  /// The request whose current attempt has this id; null if the request has ended or has been sent in another attempt
+  /// since.
   Request* requestOfAttempt(const std::string& attemptId);
   /// The event of the chart "order" that stands for the end of an attempt.
   const char* chartEventFor(const Request& request, OrderOutcome outcome) const;
@@ -239,44 +245,46 @@
   /// Denies a new request or accepts it.
   void admit(Effects& effects, const CallerOrder& submitted);
   void accept(Effects& effects, std::unique_ptr<Request> request);
-  /// Gives an event to a request's state machine, and removes the request if that ended it.
+  /// Dispatches an event to a request's state machine, and removes the request if that ended it.
   void dispatch(Effects& effects, const std::string& orderId, const std::string& event);
-  /// Makes a plan with a worker for the request. False if there is none now; `lastCode` then says why.
+  /// Selects a worker and makes a plan for the request. Returns false if no worker can take it now; `lastCode` then
+  /// holds the reason.
   bool selectWorker(Effects& effects, Request& request);
-  /// Fills the plan's candidates: those whose cells are asked what they have of the prompt.
+  /// Fills in the plan's candidates, whose cells are then asked which blocks of the prompt they have.
   void selectSources(Request& request, TimePoint now);
   /// selectWorker for engine workers on a path route: the preferred worker for the prompt's prefix, unless its load
   /// makes another one cheaper.
   bool selectByPrefix(Effects& effects, Request& request);
-  /// Whether the service's workers cache no blocks and have no weights.
+  /// Whether this is a plain service, whose workers cache no blocks and have no weights.
   bool isPlainService(const std::string& service) const;
   /// Whether the platform lists the worker and does not mark it as leaving.
   bool isSchedulable(const WorkerView& worker) const;
   bool selectPlainWorker(Effects& effects, Request& request);
   PlainCandidate plainCandidate(const WorkerView& worker, TimePoint now) const;
-  /// Ejects a worker for a time if the end of an attempt there calls for it.
+  /// Ejects a worker temporarily if the outcome of an attempt there is a failure.
   void eject(const Request& request, OrderOutcome outcome, TimePoint now);
   /// selectSources on a path route: adds one store to the candidates and removes those whose cell does not answer.
   void selectFetchCandidates(Request& request, TimePoint now);
-  /// Places a request of a path route by the replies to its lookup: worker, source, store to save to, urgency. True if
-  /// a prefix is fetched. If the request is shed, `lastCode` is pendingFull.
+  /// Completes the plan for a request on a path route by the replies to its lookups: worker, source, store to save to,
+  /// and urgency. Returns whether a prefix is fetched. If the request is shed, sets `lastCode` to pendingFull.
   bool finishFetchLookup(Effects& effects, Request& request);
   /// Tokens of the leading parts of a prompt.
   static int countTokens(const RoutingPlan& plan, std::size_t parts);
-  /// Leading tokens that the candidate has by its cell's reply; the second counts also those being prefilled there.
+  /// The number of leading tokens that a candidate has according to its cell's reply; cachedOrPendingTokens() also
+  /// counts those being prefilled there.
   static int cachedTokens(const Request& request, const RoutingPlan::Candidate& candidate);
   static int cachedOrPendingTokens(const Request& request, const RoutingPlan::Candidate& candidate);
   double transferMsBetween(const Request& request, const RoutingPlan::Candidate& source,
                            const RoutingPlan::Candidate& target, int tokens) const;
-  /// The candidate from which the target would fetch a prefix, and the confirmed tokens that it has; null where no
-  /// candidate has enough more than the target.
+  /// The candidate from which the target would fetch a prefix, and the number of confirmed tokens that it has.
+  /// `candidate` is null if none has sufficiently more tokens than the target.
   struct Source {
     const RoutingPlan::Candidate* candidate{nullptr};
     int tokens{0};
   };
   Source bestSourceFor(const Request& request, const RoutingPlan::Candidate& target, int targetTokens,
                        TimePoint now) const;
-  /// One way to place a request: a worker, a source for it, and what the cost is computed from.
+  /// A possible placement of a request: a worker, a source for its prefix, and the inputs of the cost.
   struct Placement {
     const RoutingPlan::Candidate* target{nullptr};
     Source source;
@@ -284,13 +292,14 @@
   };
   Placement evaluatePlacement(const Request& request, const RoutingPlan::Candidate& target, int bestCachedTokens,
                               TimePoint now) const;
-  /// Nothing if no worker is among the candidates.
+  /// No value if there is no worker among the candidates.
   std::optional<Placement> cheapestPlacement(const Request& request, TimePoint now) const;
   void applyPlacement(Effects& effects, Request& request, const Placement& placement);
-  /// Milliseconds that a new request would wait at a worker, from this proxy's own traffic and the reported load.
+  /// Estimates how many milliseconds a new request would wait at a worker, from this proxy's own traffic and the
+  /// reported load.
   double estimateLoadMs(const std::string& worker, TimePoint now) const;
   void countAsOpen(Request& request);
-  /// Whether a prefix is within the share of prefixes that the store takes, and was not sent to it just now.
+  /// Whether a prefix is within the share of prefixes to be saved in the store and has not been sent there recently.
   bool shouldSaveTo(const std::string& store, const BlockHash& prefix, TimePoint now);
   void recordQueueingDelay(const Request& request, TimePoint now);
   bool shouldShed(Effects& effects, const Request& request);
@@ -302,51 +311,50 @@
   static bool endedByProxy(const Request& request) {
     return request.lastCode == Code::staleEdge || request.lastCode == Code::stopping;
   }
-  /// Ends the count of a request's tokens as not yet prefilled. `completed` is false if the worker will not prefill
-  /// them any more.
+  /// Stops counting a request's tokens as not yet prefilled. `completed` is false if the worker will not prefill them.
   void finishPrefill(Effects& effects, Request& request, bool completed);
   int maxAttemptsFor(const Request& request) const;
   Duration pendingTimeoutFor(const Request& request) const;
-  /// Decides with the replies that came, and sends the request or starts a transfer.
+  /// Decides by the replies received so far, and sends the request or starts a transfer.
   void finishLookup(Effects& effects, Request& request);
-  /// Lets all requests that wait for a transfer go on, with or without the blocks.
+  /// Continues all requests that wait for a transfer, with or without the blocks.
   void finishTransfer(Effects& effects, const std::string& transferId, bool success);
   /// Selects workers for the pending requests, those of the tenant with the fewest open requests first.
   void servePending(Effects& effects);
   void sendFinalStatus(Effects& effects, Request& request, const std::string& outcome, Code code,
                        const std::string& subject = {});
-  /// Reports "unknown" if a worker may have run the request and "not run" otherwise.
+  /// Sends the final status "unknown" if a worker may have run the request, "not run" otherwise.
   void endNotRunOrUnknown(Effects& effects, Request& request, Code code, const std::string& subject = {});
-  /// Ends the open requests whose key is gone, unless open requests may finish.
+  /// Ends the open requests whose key has been revoked, unless open requests may finish.
   void revokeOpenRequests(Effects& effects);
   void onConfigurationChanged(Effects& effects);
   /// Null if no cell knows the worker.
   const WorkerView* findWorker(const std::string& name) const;
-  /// Requests at a worker: its cell's count plus what was sent since, or this proxy's own count if the cell is not
-  /// heard.
+  /// Estimates the number of requests at a worker: its cell's count plus those sent since, or this proxy's own count if
+  /// the cell's last update is too old.
   int estimateRunning(const WorkerView& worker, TimePoint now) const;
   bool retryBudgetAllows(TimePoint now) const;
-  /// When the use of a weights version ends that may go on for `period` after a newer one was announced.
+  /// When the use of a weights version ends, given that it may last for `period` after a newer one was announced.
   TimePoint weightsUseEndsAt(const std::string& model, const std::string& weights, Duration period) const;
   /// Whether a request may still be sent to a worker with this weights version.
   bool mayStartOn(const std::string& model, const std::string& weights, TimePoint now) const;
-  /// Whether a request was sent and has no response yet, while the use of its worker's weights is over: it must not
-  /// start there any more.
+  /// Whether a request was sent and has no response yet although the use of its worker's weights has ended. Such a
+  /// request must not start there any more.
   bool isUnstartedPastWeightsEnd(const Request& request, TimePoint now) const;
   void recordCurrentWeights();
-  /// After how many milliseconds a denied client should come back. Part of it is random, so that clients that were
-  /// denied together do not come back together.
+  /// The retry delay for a denied client, in milliseconds. Part of it is random, so that clients that were denied
+  /// together do not retry together.
   int retryDelayMs(Effects& effects, Code code) const;
-  /// Makes room in a full queue for a tenant that has less than its even share of it: ends the newest pending request
-  /// of the tenant that has the most. False if there is no such request.
+  /// Frees a place in a full queue for a tenant that has less than an equal share of it, by ending the newest pending
+  /// request of the tenant that has the most. Returns false if there is no such request.
   bool displacePending(Effects& effects, const std::string& tenant);
   /// Whether the planned worker can still take the request.
   bool isPlanValid(const Request& request, TimePoint now) const;
-  /// Whether this proxy has been stale for so long that it ends its streams.
+  /// Whether this proxy has been stale for so long that it ends its open requests.
   bool isCutOff(TimePoint now) const;
-  /// Whether this process may stop before a request with this deadline is over.
+  /// Whether this process may stop before the deadline of a request.
   bool mayStopBefore(TimePoint deadline, TimePoint now) const;
-  /// Why all open requests have to end now; nothing if they may go on.
+  /// Why all open requests have to end now; no value if they may continue.
   std::optional<Code> endReasonForAll(TimePoint now) const;
   /// Dispatches the event, which sends the request or starts a transfer, if the plan is still valid; otherwise queues
   /// the request again.
@@ -357,7 +365,7 @@
 
 /// Checks that the transfer modes of a request are known and may be combined.
 Result<void> checkTransferModes(const Strings& modes);
-/// How many of a lookup's hits are set before the first that is not.
+/// The number of leading hits in the reply to a lookup.
 std::size_t prefixHits(const std::vector<int>& hits);
 
 }  // namespace tt
--- a/src/routing/edge_admission.cpp
+++ b/src/routing/edge_admission.cpp
@@ -1,36 +1,51 @@
-/// Admits or denies requests, decides which pending request is served next, and when a denied client may come back.
+/// Admits or denies requests, decides which pending request is served next, and when a denied client may retry.
 #include "edge.hpp"
 
 #include <algorithm>
 
 namespace tt {
 namespace {
-/// How many different priorities are remembered; bounds their memory.
+/// How many different priorities are remembered; bounds the memory that they take.
 constexpr std::size_t maxKnownPriorities = 64;
-/// How long a request stays pending while there is no worker, busy or not, that could serve it.
+/// How long a request stays pending while no worker, not even a busy one, could serve it.
 constexpr Duration noWorkerTimeout = 500ms;
+/// The deadline of a request on a path route that neither the client nor the route limits.
+constexpr Duration defaultDeadline = 120s;
+/// On a route with a target latency a request may be pending for the target latency divided by this.
+constexpr int pendingLatencyDivisor = 5;
+/// The minimum retry delay of a denied client, in milliseconds, by the reason: none of the others; a stale proxy,
+/// without and with fetches within requests; a stopping proxy; no worker, without and with any that a roll-out
+/// withholds; a spent retry budget. If the queue is full, the delay is the time to work it off, within bounds.
+constexpr int defaultRetryMs = 300, staleRetryMs = 500, staleFetchingRetryMs = 1200, stoppingRetryMs = 200,
+              noWorkerRetryMs = 1000, withheldRetryMs = 1500, retryBudgetRetryMs = 1000;
+constexpr double minQueueRetryMs = 300, maxQueueRetryMs = 5000;
+/// The random part of a retry delay is below the minimum delay, or below this if that is larger, in milliseconds.
+constexpr int minRetryJitterMs = 700;
+/// The resolution of the random draw of a service from a route's traffic split.
+constexpr std::uint64_t splitResolution = 1000000;
 }  // namespace
 
 int ProxyRouter::retryDelayMs(Effects& effects, Code code) const {
-  int minDelayMs = 300;
+  int minDelayMs = defaultRetryMs;
   if (code == Code::staleEdge) {
-    minDelayMs = settings.fetchWithinRequest ? 1200 : 500;
+    minDelayMs = settings.fetchWithinRequest ? staleFetchingRetryMs : staleRetryMs;
   } else if (code == Code::stopping) {
-    minDelayMs = 200;
+    minDelayMs = stoppingRetryMs;
   } else if (code == Code::pendingFull) {
     double completionsPerSecond = std::max(1.0, static_cast<double>(completionTimes.size()) /
                                                     std::chrono::duration<double>(settings.retryBudgetWindow).count());
-    minDelayMs = static_cast<int>(
-        std::clamp(1000.0 * static_cast<double>(pending.size()) / completionsPerSecond, 300.0, 5000.0));
+    minDelayMs = static_cast<int>(std::clamp(1000.0 * static_cast<double>(pending.size()) / completionsPerSecond,
+                                             minQueueRetryMs, maxQueueRetryMs));
   } else if (code == Code::noWorker) {
     bool anyWithheld = false;
     for (const auto& [zone, cell] : cells)
       for (const auto& worker : cell.workers) anyWithheld = anyWithheld || (worker.held && worker.alive);
-    minDelayMs = anyWithheld ? 1500 : 1000;
+    minDelayMs = anyWithheld ? withheldRetryMs : noWorkerRetryMs;
   } else if (code == Code::retryBudget) {
-    minDelayMs = 1000;
+    minDelayMs = retryBudgetRetryMs;
   }
-  return minDelayMs + static_cast<int>(effects.randomBelow(static_cast<std::uint64_t>(std::max(minDelayMs, 700))));
+  return minDelayMs +
+         static_cast<int>(effects.randomBelow(static_cast<std::uint64_t>(std::max(minDelayMs, minRetryJitterMs))));
 }
 
 bool ProxyRouter::displacePending(Effects& effects, const std::string& tenant) {
@@ -91,13 +106,13 @@
       minLatencyTargetMs = minLatencyTargetMs > 0 ? std::min(minLatencyTargetMs, targetLatencyMs) : targetLatencyMs;
     }
     Duration timeout =
-        submitted.deadlineMs > 0 ? Duration(std::chrono::milliseconds(submitted.deadlineMs)) : Duration(120s);
+        submitted.deadlineMs > 0 ? Duration(std::chrono::milliseconds(submitted.deadlineMs)) : defaultDeadline;
     if (pathRoute->timeout > Duration(0)) timeout = std::min(timeout, pathRoute->timeout);
     request->deadline = effects.now + timeout;
     if (mayStopBefore(request->deadline, effects.now)) return deny(Code::stopping);
     double totalWeight = 0;
     for (const auto& [service, weight] : pathRoute->split) totalWeight += weight;
-    double draw = static_cast<double>(effects.randomBelow(1000000)) / 1000000 * totalWeight;
+    double draw = static_cast<double>(effects.randomBelow(splitResolution)) / splitResolution * totalWeight;
     for (const auto& [service, weight] : pathRoute->split) {
       request->service = service;
       if (draw < weight) break;
@@ -138,7 +153,7 @@
 
 Duration ProxyRouter::pendingTimeoutFor(const Request& request) const {
   if (!request.route.matchesPath() || request.route.targetLatency <= Duration(0)) return settings.pendingTimeout;
-  return std::min(settings.pendingTimeout, request.route.targetLatency / 5);
+  return std::min(settings.pendingTimeout, request.route.targetLatency / pendingLatencyDivisor);
 }
 
 void ProxyRouter::servePending(Effects& effects) {
--- a/src/routing/edge_outcomes.cpp
+++ b/src/routing/edge_outcomes.cpp
@@ -1,11 +1,11 @@
-/// What follows the end of an attempt: a retry or the request's final status.
+/// Handles the end of an attempt: decides on a retry or sends the request's final status.
 #include "edge.hpp"
 
 #include <algorithm>
 
 namespace tt {
 namespace {
-/// How many attempts that were never sent do not count towards the limit of attempts.
+/// How many unsent attempts do not count towards the limit of attempts.
 constexpr int maxUnsentAttempts = 3;
 /// Attempts of a request whose route does not set a limit.
 constexpr int defaultAttemptLimit = 3;
@@ -123,7 +123,7 @@
   if (!request.plan.sinkAddress.empty()) prefixSavedAt.erase(request.plan.hashes.back());
   freeWorker(effects, request);
   request.triedWorkers.insert(request.plan.worker);
-  orderIdByAttempt.erase(request.attemptId);
+  requestIdByAttempt.erase(request.attemptId);
   if (request.route.matchesPath() &&
       static_cast<OrderOutcome>(request.attemptEnd.outcome) == OrderOutcome::brokenBeforeSend &&
       ++request.unsentAttempts <= maxUnsentAttempts)
@@ -135,7 +135,7 @@
 void ProxyRouter::weighResume(Effects& effects, Request& request) {
   freeWorker(effects, request);
   request.triedWorkers.insert(request.plan.worker);
-  orderIdByAttempt.erase(request.attemptId);
+  requestIdByAttempt.erase(request.attemptId);
   request.mayHaveRun = true;
   bool canResume = !request.lastPiece.empty();
   request.retryRequested = canResume && request.attempts < maxAttemptsFor(request) && retryBudgetAllows(effects.now) &&
@@ -145,10 +145,10 @@
 
 void ProxyRouter::weighBroken(Effects& effects, Request& request) {
   freeWorker(effects, request);
-  /// If only a kept connection is known to have ended, the worker itself may be selected again.
+  /// If only a reused connection is known to have ended, the worker itself may be selected again.
   if (static_cast<OrderOutcome>(request.attemptEnd.outcome) != OrderOutcome::forgotten)
     request.triedWorkers.insert(request.plan.worker);
-  orderIdByAttempt.erase(request.attemptId);
+  requestIdByAttempt.erase(request.attemptId);
   request.mayHaveRun = settings.defences.isEnabled(Defence::unknownOnceSent);
   bool mayRepeat = request.submitted.repeatable || !settings.defences.isEnabled(Defence::retryOnlyRepeatable);
   request.retryRequested =
--- a/src/routing/edge_placement.cpp
+++ b/src/routing/edge_placement.cpp
@@ -6,25 +6,25 @@
 
 namespace tt {
 namespace {
-/// How long a cell's counts of running requests, and the load that a worker reported, are used.
+/// How long a cell's counts of running requests, and the load that a worker has reported, are used.
 constexpr Duration maxCellUpdateAge = 1500ms;
 constexpr Duration maxLoadAge = 1s;
-/// How long until what was sent to a store shows in its index.
+/// How long it may take until a prefix sent to a store appears in the store's index.
 constexpr Duration savedVisibleAfter = 3s;
 /// The weight of a new sample in the moving averages of queueing delay and tokens to prefill.
 constexpr double delaySmoothing = 0.1;
 /// Requests are shed only while the newest sample of the queueing delay is not older than this.
 constexpr Duration maxDelayAge = 1s;
-/// Milliseconds that a request waiting at a worker delays a new one.
+/// By how many milliseconds each request that waits at a worker delays a new one.
 constexpr double waitingRequestMs = 40;
-/// How many workers besides the selected one are asked what they have of a prompt.
+/// For how many workers besides the selected one lookups are sent.
 constexpr std::size_t maxOtherCandidates = 3;
-/// Costs of a worker on a route that names a model, in milliseconds: by the share of its slots that are taken, linear
-/// and squared, for another zone, and a random part below the last that separates equal workers.
+/// Costs of a worker on a route that names a model, in milliseconds: by the share of its slots in use, linear and
+/// squared; for being in another zone; and a random cost below `randomMs` that breaks ties.
 constexpr double occupancyMs = 100, squaredOccupancyMs = 800;
 constexpr double otherZoneMs = 5;
 constexpr std::uint64_t randomMs = 20;
-/// Up to this many eligible workers are all compared, and a random half of them if there are more.
+/// If there are more eligible workers than this, only a random half of them is compared.
 constexpr std::size_t maxComparedInFull = 4;
 }  // namespace
 
@@ -62,8 +62,8 @@
   queueingDelayAt = now;
 }
 
-/// The probability of shedding grows with how far the queueing delay is above the route's target latency, and with the
-/// request's size against the mean.
+/// The probability of shedding grows with the excess of the queueing delay over the route's target latency, and with
+/// the request's size relative to the mean.
 bool ProxyRouter::shouldShed(Effects& effects, const Request& request) {
   if (settings.maxShedRatio <= 0 || request.route.targetLatency <= Duration(0) ||
       effects.now - queueingDelayAt > maxDelayAge)
@@ -76,8 +76,8 @@
          1000 * std::min(settings.maxShedRatio, excess * 0.5) * sizeFactor;
 }
 
-/// Workers are ranked by rendezvous hashing of the shared prefix, so that requests with the same prefix meet at the
-/// same worker, whichever proxy they come through, and a worker that goes moves only its own prefixes.
+/// Workers are ranked by rendezvous hashing of the shared prefix. So requests with the same prefix go to the same
+/// worker from every proxy, and the loss of a worker moves only its own prefixes.
 bool ProxyRouter::selectByPrefix(Effects& effects, Request& request) {
   struct Choice {
     const WorkerView* worker;
--- a/src/routing/edge_sources.cpp
+++ b/src/routing/edge_sources.cpp
@@ -7,16 +7,21 @@
 
 namespace tt {
 namespace {
-/// Taken for the speed of a link that nobody has measured.
+/// The assumed speed of a link whose speed has not been measured.
 constexpr double unmeasuredBlocksPerSecond = 1000;
-/// How long a zone is not asked again after its cell did not answer a lookup in time.
+/// How long no lookups are sent to a zone after its cell did not answer one in time.
 constexpr Duration lookupHoldoff = 500ms;
-/// The fewest tokens, more than the target has, that are worth a fetch, and the fewest that are worth saving to a
-/// store.
+/// A prefix is fetched only if the source has at least this many tokens more than the target, and saved to a store only
+/// if it has at least this many tokens.
 constexpr int minFetchTokens = 64;
 constexpr int minSavedTokens = 256;
-/// The fewest blocks, more than the target has, that are worth a separate transfer.
+/// A separate transfer is made only if the source has at least this many blocks more than the target.
 constexpr std::size_t minExtraHits = 4;
+/// The timeout of a transfer, in milliseconds: a multiple of the expected duration plus a constant, within bounds.
+constexpr double transferTimeoutFactor = 3, transferTimeoutBaseMs = 300;
+constexpr double minTransferTimeoutMs = 400, maxTransferTimeoutMs = 1200;
+/// How much longer the proxy waits for the cell to report the end of a transfer.
+constexpr Duration transferReportGrace = 50ms;
 }  // namespace
 
 Result<void> checkTransferModes(const Strings& modes) {
@@ -102,7 +107,8 @@
                     targetService ? targetService->linkMbps : 0, source.zone == target.zone);
 }
 
-/// Most tokens win; among equals a worker goes before a store, and the target's zone before others.
+/// Prefers the candidate with the most tokens; among equals, workers over stores and then the target's zone over
+/// others.
 ProxyRouter::Source ProxyRouter::bestSourceFor(const Request& request, const RoutingPlan::Candidate& target,
                                                int targetTokens, TimePoint now) const {
   Source best;
@@ -245,7 +251,7 @@
   request.replies.clear();
   for (const auto& candidate : request.plan.candidates) {
     std::string lookupId = settings.name + "/l" + std::to_string(++lastId);
-    orderIdByLookup[lookupId] = request.submitted.orderId;
+    requestIdByLookup[lookupId] = request.submitted.orderId;
     effects.send(settings.agentAddress,
                  LookupMsg{lookupId, candidate.zone, candidate.name, request.plan.weights, request.plan.hashes, {}});
   }
@@ -260,8 +266,8 @@
   if (request.route.matchesPath()) {
     bool hasSource = finishFetchLookup(effects, request);
     bool shed = request.lastCode == Code::pendingFull && request.attempts == 0;
-    for (auto row = orderIdByLookup.begin(); row != orderIdByLookup.end();)
-      row = row->second == request.submitted.orderId ? orderIdByLookup.erase(row) : std::next(row);
+    for (auto row = requestIdByLookup.begin(); row != requestIdByLookup.end();)
+      row = row->second == request.submitted.orderId ? requestIdByLookup.erase(row) : std::next(row);
     if (shed) return dispatch(effects, request.submitted.orderId, "shed");
     return sendOrReselect(effects, request.submitted.orderId, hasSource ? "rides" : "misses");
   }
@@ -277,13 +283,12 @@
     plan.plannedHits = hits;
     plan.confirmedHits = confirmed;
   }
-  for (auto row = orderIdByLookup.begin(); row != orderIdByLookup.end();)
-    row = row->second == request.submitted.orderId ? orderIdByLookup.erase(row) : std::next(row);
+  for (auto row = requestIdByLookup.begin(); row != requestIdByLookup.end();)
+    row = row->second == request.submitted.orderId ? requestIdByLookup.erase(row) : std::next(row);
   sendOrReselect(effects, request.submitted.orderId, plan.source ? "hits" : "misses");
 }
 
-/// Requests for the same prefix at the same worker share one transfer. Its timeout is three times the expected duration
-/// and a constant, within bounds.
+/// Requests for the same prefix at the same worker share one transfer.
 void ProxyRouter::sendMove(Effects& effects, Request& request) {
   auto& plan = request.plan;
   std::size_t blocks = settings.defences.isEnabled(Defence::moveCut) ? plan.plannedHits : plan.hashes.size();
@@ -291,15 +296,16 @@
   std::string transferId = plan.worker + "/" + prefix.back().hex();
   request.transferId = transferId;
   auto [row, isNew] = transfers.try_emplace(transferId);
-  row->second.orderIds.insert(request.submitted.orderId);
+  row->second.requestIds.insert(request.submitted.orderId);
   if (!isNew) return;
   auto& transfer = row->second;
   transfer.target = plan.worker;
   transfer.commandId = settings.name + "/m" + std::to_string(++lastId);
   transferIdByCommand[transfer.commandId] = transferId;
   double expectedMs = static_cast<double>(prefix.size()) / std::max(plan.source->blocksPerSecond, 1.0) * 1000;
-  auto timeout = std::chrono::milliseconds(static_cast<std::int64_t>(std::clamp(expectedMs * 3 + 300, 400.0, 1200.0)));
-  transfer.deadline = effects.now + timeout + 50ms;
+  auto timeout = std::chrono::milliseconds(static_cast<std::int64_t>(std::clamp(
+      expectedMs * transferTimeoutFactor + transferTimeoutBaseMs, minTransferTimeoutMs, maxTransferTimeoutMs)));
+  transfer.deadline = effects.now + timeout + transferReportGrace;
   effects.note("move sent", transfer.commandId + " " + plan.source->name + " " + plan.worker,
                static_cast<std::int64_t>(plan.confirmedHits));
   effects.send(
@@ -322,7 +328,7 @@
 
 void ProxyRouter::dropMove(Effects&, Request& request) {
   auto transfer = transfers.find(request.transferId);
-  if (transfer != transfers.end()) transfer->second.orderIds.erase(request.submitted.orderId);
+  if (transfer != transfers.end()) transfer->second.requestIds.erase(request.submitted.orderId);
 }
 
 void ProxyRouter::finishTransfer(Effects& effects, const std::string& transferId, bool success) {
@@ -332,7 +338,7 @@
   transferIdByCommand.erase(transfer.commandId);
   transfers.erase(found);
   effects.note(success ? "moved" : "not moved", transfer.commandId);
-  for (const auto& orderId : transfer.orderIds) {
+  for (const auto& orderId : transfer.requestIds) {
     auto request = requests.find(orderId);
     if (request == requests.end()) continue;
     auto& plan = request->second->plan;
--- a/src/routing/placement_cost.cpp
+++ b/src/routing/placement_cost.cpp
@@ -4,14 +4,16 @@
 
 namespace tt {
 namespace {
-/// Prefilling shared tokens that another worker has costs this many times its duration, on top of the duration itself.
+/// Extra cost of prefilling shared tokens that another worker has, as a multiple of the prefill time; it is added to
+/// the prefill time itself.
 constexpr double recomputeWeight = 2;
-/// The cost of one more copy of shared tokens, as a fraction of the time to prefill them: it evicts other tokens.
+/// The cost of another copy of shared tokens, as a fraction of the time to prefill them: the copy evicts other tokens.
 constexpr double duplicateWeight = 0.1;
-/// Breaks ties between workers that are equal in all else.
+/// Breaks ties between workers that are otherwise equal.
 constexpr double rankMs = 1;
-/// The cost of a transfer apart from its bytes: the source is asked, and may turn out to be gone.
+/// The fixed cost of a transfer: the source has to be contacted and may turn out to be gone.
 constexpr double transferSetupMs = 2;
+/// A transfer between zones takes this many times as long.
 constexpr double crossZoneFactor = 2;
 constexpr double bitsPerByte = 8, bitsPerMegabit = 1e6, msPerSecond = 1000;
 }  // namespace
--- a/src/routing/plain_placement.cpp
+++ b/src/routing/plain_placement.cpp
@@ -4,7 +4,8 @@
 
 namespace tt {
 namespace {
-/// How much more occupied a worker of the same zone may be and still be preferred.
+/// A worker in the same zone is preferred if its occupancy is at most this much higher than that of a worker in another
+/// zone.
 constexpr double otherZoneOccupancy = 0.25;
 /// Ejections double with each consecutive failure up to this many periods.
 constexpr int maxEjectionPeriods = 8;
--- a/src/routing/plain_placement.hpp
+++ b/src/routing/plain_placement.hpp
@@ -16,17 +16,18 @@
   /// recent.
   int open{0}, running{0}, waiting{0};
   bool sameZone{false};
-  /// Ejected for a time because its connection broke, it denied a request or it answered with failures.
+  /// Temporarily ejected because its connection broke, it denied a request or it responded with errors.
   bool ejected{false};
 };
 
-/// The index of the candidate that should take a request; nothing only if there are no candidates. It is the least
-/// occupied one that is not ejected. One in the same zone is preferred unless it is clearly fuller; among equals one is
-/// picked at random. If all are ejected, none is known to be better than another, so all are considered.
+/// Returns the index of the candidate that should take a request: the least occupied one that is not ejected. A
+/// candidate in the same zone is preferred unless it is clearly more occupied; ties are broken at random. If all are
+/// ejected, none is known to be better than another, so all are considered. Returns no value only if there are no
+/// candidates.
 std::optional<std::size_t> selectLeastOccupied(const std::vector<PlainCandidate>& candidates,
                                                std::mt19937_64& randomSource);
 
-/// Counts a worker's consecutive failures and tells for how long it is ejected for them.
+/// Counts a worker's consecutive failures and determines how long it is ejected for them.
 class OutlierRecord {
  public:
   /// Records the result of a request there. Returns for how many ejection periods the worker is ejected from now on: 0
--- a/src/routing/urgency.hpp
+++ b/src/routing/urgency.hpp
@@ -8,7 +8,7 @@
 constexpr int lowestUrgency = 9;
 
 /// The urgency of a prompt. Prompts with a short prefill come first, and among those of similar length the ones with
-/// the lower priority number. A short prompt delays nobody; a long one is prefilled while no short one waits.
+/// the lower priority number. A short prompt hardly delays others; a long one is prefilled while no short one waits.
 /// `prefillMs` is how long its prefill takes. `minLatencyTargetMs` is the shortest target latency of any prompt, 0 if
 /// unknown: a prefill that takes a large part of it makes the prompts behind it late. `knownPriorities` holds all
 /// priorities in use; if there are many, neighbours share a rank.
--- a/src/storage/ring.hpp
+++ b/src/storage/ring.hpp
@@ -10,7 +10,7 @@
   virtual ~RingFiles() = default;
   virtual Result<std::string> readAll(int file) = 0;
   virtual Result<void> write(int file, std::size_t offset, std::string_view bytes) = 0;
-  /// Returns once all that was written to the file is on the disk.
+  /// Returns once everything that was written to the file is on the disk.
   virtual Result<void> sync(int file) = 0;
   /// The number of files.
   virtual int count() const = 0;
@@ -21,7 +21,7 @@
 /// A directory of preallocated files, named ring-0, ring-1 and so on.
 class DirectoryFiles : public RingFiles {
  public:
-  /// Creates what is missing of the directory and its files. Errors are `diskFault` with the path as subject.
+  /// Creates the directory and its files where they are missing. Errors are `diskFault` with the path as subject.
   static Result<std::unique_ptr<DirectoryFiles>> open(const std::string& directory, int files, std::size_t bytes);
   ~DirectoryFiles() override;
   Result<std::string> readAll(int file) override;
@@ -35,9 +35,9 @@
   std::size_t fileBytes{0};
 };
 
-/// Forwards to other files and injects the fault that a control file names at the moment: "slow MS" delays each sync,
-/// "stall" blocks it, "full" fails each write, "well" does nothing. For trials on real processes; without a control
-/// file it only forwards.
+/// Forwards to other files and injects the fault that a control file currently names: "slow MS" delays each sync,
+/// "stall" blocks it, "full" fails each write, "well" injects none. For tests of real processes; without a control file
+/// it only forwards.
 class FaultInjectingFiles : public RingFiles {
  public:
   FaultInjectingFiles(RingFiles& innerFiles, std::string faultFile)
@@ -55,13 +55,13 @@
   std::pair<std::string, int> readFault() const;
 };
 
-/// A log of records in a ring of preallocated files. Each file starts with a checkpoint of all records that still count
-/// and goes on with new ones. When a file is full the log rotates to the next one, whose old content is no longer
-/// needed.
+/// A log of records in a ring of preallocated files. Each file starts with a checkpoint, which holds all records that
+/// are still needed, followed by new records. When a file is full, the log rotates to the next one, whose old content
+/// is no longer needed.
 ///
-/// The records of one append form a batch: after a power loss a batch is there completely or not at all. Each batch
-/// names the last batch that had certainly been synced when it was written. So recovery can tell a batch that was never
-/// synced from real damage.
+/// The records of one append form a batch, which survives a power loss completely or not at all. Each batch names the
+/// last batch that had certainly been synced when it was written. So recovery can tell a batch that was never synced
+/// from real damage.
 class Ring {
  public:
   /// Recovers the log from its files, syncs it and writes a new checkpoint to the next file. A tail that was never
@@ -70,17 +70,17 @@
   static Result<std::unique_ptr<Ring>> open(RingFiles& files);
   /// The result of `openOrReset`: the ring, and the damage because of which it was erased, if any.
   struct Opened;
-  /// Opens the ring. A damaged ring is erased, so that its owner joins the fleet as a new member. A disk that cannot be
-  /// read or written at the moment erases nothing.
+  /// Opens the ring. A damaged ring is erased, so that its owner joins the fleet as a new member. If the disk cannot
+  /// currently be read or written, nothing is erased.
   static Result<Opened> openOrReset(RingFiles& files);
-  /// The state that all records up to the last append add up to.
+  /// The state after all records up to the last append.
   const RecoveredState& held() const { return logState; }
   /// Writes records as one batch and syncs them. After a failure every further append fails until the ring is opened
   /// again.
   Result<void> append(const std::vector<Record>& records);
   /// Whether recovery dropped a tail that was never synced.
   bool tornTailDropped() const { return droppedTornTail; }
-  /// The number of the current file in the order in which files were begun.
+  /// The number of the current file, counted in the order in which files were started.
   std::uint64_t generation() const { return currentGeneration; }
   /// The largest allowed size of a checkpoint: half a file.
   std::size_t maxCheckpointBytes() const { return files.size() / 2; }
@@ -91,7 +91,7 @@
   explicit Ring(RingFiles& ringFiles) : files(ringFiles), usedBytes(static_cast<std::size_t>(ringFiles.count()), 0) {}
   RingFiles& files;
   RecoveredState logState;
-  /// The end of the part of each file that may hold bytes other than zero.
+  /// For each file, the length of the part that may contain nonzero bytes.
   std::vector<std::size_t> usedBytes;
   int currentFile{0};
   std::uint64_t currentGeneration{0};
--- a/src/storage/ring_format.cpp
+++ b/src/storage/ring_format.cpp
@@ -76,8 +76,7 @@
   return records;
 }
 
-/// The offset of the next magic number behind an offset. The two formats' magic numbers differ in their first byte
-/// only.
+/// The offset of the next magic number after an offset. The two formats' magic numbers differ only in their first byte.
 std::size_t findNextMagic(const std::string& bytes, std::size_t offset) {
   std::string commonBytes(reinterpret_cast<const char*>(&batchMagic) + 1, sizeof batchMagic - 1);
   for (std::size_t found = bytes.find(commonBytes, offset + 2); found != std::string::npos;
--- a/src/storage/ring_recovery.cpp
+++ b/src/storage/ring_recovery.cpp
@@ -7,7 +7,7 @@
 namespace tt {
 namespace {
 
-/// The contents of one file: the batches that follow each other from its start, and the valid ones behind these.
+/// The contents of one file: the consecutive batches at its start, and the valid batches found after them.
 struct FileScan {
   std::uint64_t generation{0}, nextSequence{1};
   BatchInfo lastInfo;
@@ -64,7 +64,7 @@
                      [](const StoredBatch& batch) { return !batch.legacy; });
 }
 
-/// Whether a batch proves that a batch had been synced that is missing: one behind this generation and sequence.
+/// Whether a batch proves that a batch after this generation and sequence had been synced; that batch is missing.
 bool provesMissing(const BatchInfo& info, std::uint64_t generation, std::uint64_t nextSequence) {
   if (info.syncedGeneration != generation) return info.syncedGeneration > generation;
   return generation > 0 && info.syncedSequence >= nextSequence;
@@ -76,8 +76,8 @@
   });
 }
 
-/// Records in the legacy format do not tell what was synced: a valid one behind a missing one proves that the missing
-/// one had been synced.
+/// Records in the legacy format do not name the last synced one. A valid record after a missing one proves that the
+/// missing one had been synced.
 bool legacyProvesMissing(const FileScan& scan, std::uint64_t generation) {
   if (hasCurrentFormat(scan) && scan.generation != generation) return false;
   if (scan.legacy && scan.generation > generation + 1) return true;
@@ -96,7 +96,7 @@
   return best;
 }
 
-/// Whether the file that the next rotation overwrites should hold records but does not even start with one.
+/// Whether the file that the next rotation overwrites should contain records but does not even start with one.
 bool nextFileErased(const std::vector<FileScan>& scans, const FileScan& best) {
   const auto& nextFile = scans[(static_cast<std::size_t>(&best - scans.data()) + 1) % scans.size()];
   std::uint64_t written = best.legacy ? best.generation : best.lastInfo.rotations;
--- a/src/storage/ring_recovery.hpp
+++ b/src/storage/ring_recovery.hpp
@@ -4,7 +4,7 @@
 
 namespace tt {
 
-/// The state that the files of a ring add up to, and where the log continues.
+/// The state recovered from the files of a ring, and the position at which the log continues.
 struct RingState {
   /// Whether there is any checkpoint; without one the ring is empty.
   bool hasCheckpoint{false};
@@ -18,10 +18,10 @@
   bool droppedTornTail{false};
 };
 
-/// Recovers a ring from the contents of its files: the newest valid checkpoint and the valid batches behind it. Fails
+/// Recovers a ring from the contents of its files: the newest valid checkpoint and the valid batches after it. Fails
 /// with `ringDamaged` if any batch proves that more than these had been synced.
 Result<RingState> recoverRing(const std::vector<std::string>& files);
-/// The files in the order of the newest batch in each, the oldest first.
+/// The numbers of the files, ordered by the generation of the newest batch in each, the oldest first.
 std::vector<int> filesByAge(const std::vector<std::string>& files);
 
 }  // namespace tt
--- a/tests/cell_bench.hpp
+++ b/tests/cell_bench.hpp
@@ -38,7 +38,7 @@
   TimePoint loadedAt{};
   std::vector<TimePoint> commandsAt;
 
-  /// Caches a block and reports it in an event whose sequence number is `skip` above the last one.
+  /// Caches a block and records an event for it, whose sequence number is `skip` above the last one.
   void store(const std::string& id, Uint64 skip = 1) {
     sequence += skip;
     cachedBlocks.insert(blockHash(id));
@@ -129,7 +129,7 @@
     }
     effects.sends.clear();
   }
-  /// Runs an action on one core, sends what it produced and completes its disk writes.
+  /// Runs an action on one core, sends its messages and completes its disk writes.
   void runOn(const std::string& address, const std::function<void(Effects&, Cell&)>& action) {
     auto& core = cores.at(address);
     Effects effects{now, randomSource, core.journal, {}, {}};
@@ -207,9 +207,9 @@
     for (auto& [address, core] : cores)
       if (core.alive) runOn(address, [&](Effects& effects, Cell& cell) { cell.tick(effects, configuration); });
   }
-  /// Advances the clock by `span` and calls `check` after each step.
-  void run(Duration span, const std::function<void()>& check = {}) {
-    for (TimePoint until = now + span; now < until;) {
+  /// Advances the clock by `duration` and calls `check` after each step.
+  void run(Duration duration, const std::function<void()>& check = {}) {
+    for (TimePoint until = now + duration; now < until;) {
       step();
       if (check) check();
     }
@@ -238,7 +238,7 @@
       if (row.to == worker + ":80") messages.push_back(row);
     return messages;
   }
-  /// The hits of a lookup by block; {-1} if the core does not reply.
+  /// The hits in the reply to a lookup, one for each block; {-1} if the core does not reply.
   std::vector<int> lookup(const std::string& worker, const Strings& ids, const std::string& weights = "moss/3",
                           std::string to = {}) {
     LookupMsg ask{"l", "north-a", worker, weights, {}, "asker"};
--- a/tests/cells.cpp
+++ b/tests/cells.cpp
@@ -123,7 +123,7 @@
                 "a worker that was silent is asked for a full report");
 }
 
-/// A command of the previous lease holder may still be on its way when a new one is elected.
+/// A command of the previous lease holder may still be in transit when a new one is elected.
 Test(cells, no_command_is_sent_during_the_hold_off_after_an_election) {
   CellHarness harness;
   harness.listWorkers(3);
--- a/tests/core_bench.hpp
+++ b/tests/core_bench.hpp
@@ -16,14 +16,14 @@
     Message message;
   };
   struct Machine {
-    /// `name`: key in `machines`; `nodeName`: the name that the core itself uses.
+    /// `name`: the key in `machines`. `nodeName`: the name that the core itself uses.
     std::string name, address, nodeName;
     std::unique_ptr<Core> core;
     RecoveredState disk;
     std::vector<Effects::Save> syncing;
     TimePoint syncedAt{};
     bool alive{false}, mayForm{false};
-    /// Counts starts and stops, so that messages to an earlier process are dropped.
+    /// Incremented at each start and stop, so that messages to an earlier process are dropped.
     std::uint64_t incarnation{0};
   };
   TimingGuard timingGuard;
@@ -90,12 +90,12 @@
     if (machines.at(name).alive) stop(name);
     machines.at(name).disk = RecoveredState();
   }
-  Machine* at(const std::string& address) {
+  Machine* findByAddress(const std::string& address) {
     for (auto& [name, machine] : machines)
       if (machine.address == address) return &machine;
     return nullptr;
   }
-  bool cut(const std::string& one, const std::string& other) const {
+  bool isCut(const std::string& one, const std::string& other) const {
     return one != other && (isolated.count(one) || isolated.count(other));
   }
   /// Runs an action on a core and carries out its effects.
@@ -108,7 +108,7 @@
         replies[reply.requestId] = reply;
       } else if (to == machine.address) {
         due.emplace(now, std::make_pair(machine.incarnation, Envelope{machine.address, to, std::move(message)}));
-      } else if (auto* other = at(to)) {
+      } else if (auto* other = findByAddress(to)) {
         due.emplace(now + std::chrono::milliseconds(1 + randomSource() % 8),
                     std::make_pair(other->incarnation, Envelope{machine.address, to, std::move(message)}));
       }
@@ -131,11 +131,12 @@
     while (!due.empty() && due.begin()->first <= now) {
       auto [incarnation, envelope] = std::move(due.begin()->second);
       due.erase(due.begin());
-      auto* receiver = at(envelope.to);
-      const auto* sender = at(envelope.from);
+      auto* receiver = findByAddress(envelope.to);
+      const auto* sender = findByAddress(envelope.from);
       if (!receiver) continue;
       auto& machine = *receiver;
-      if (!machine.alive || machine.incarnation != incarnation || (sender && cut(sender->name, machine.name))) continue;
+      if (!machine.alive || machine.incarnation != incarnation || (sender && isCut(sender->name, machine.name)))
+        continue;
       with(machine, [&, from = envelope.from, message = std::move(envelope.message)](Effects& effects, Core& core) {
         core.handle(effects, from, message);
       });
@@ -172,7 +173,7 @@
       if (machine.alive && machine.core->consensusLog().leads(now)) return name;
     return {};
   }
-  /// Whether each of these cores knows all of them, and nobody else, as voters.
+  /// Whether each of these cores has exactly these cores as voters.
   bool allVote(const Strings& names) const {
     for (const auto& name : names) {
       if (!machines.at(name).alive || !formed(name) || votersAt(name) != names.size()) return false;
@@ -201,7 +202,7 @@
     cr_assert(runUntil([&] { return allVote({"core-1", "core-2", "core-3", "core-4"}) && !leader().empty(); }, 20s));
   }
   /// Sends a configuration change to a core; returns the request id.
-  std::string ask(const std::string& name, const std::string& changeName) {
+  std::string submitChange(const std::string& name, const std::string& changeName) {
     std::string requestId = "ask-" + std::to_string(++requestCount);
     OperatorRequest change;
     change.requestId = requestId;
@@ -229,7 +230,7 @@
     }
     return text;
   }
-  bool has(const std::string& name, const std::string& changeName) const {
+  bool hasChange(const std::string& name, const std::string& changeName) const {
     return machines.at(name).core->consensusLog().configuration().section("weights").count(changeName) > 0;
   }
 };
--- a/tests/drain_plan.cpp
+++ b/tests/drain_plan.cpp
@@ -6,7 +6,7 @@
 namespace {
 constexpr Duration grace = 8s;
 
-/// A proxy with one worker that is told to stop.
+/// A proxy with one worker; the proxy has been told to stop.
 struct DrainingProxy : ProxyHarness {
   DrainPlan plan;
   DrainingProxy() {
@@ -62,12 +62,12 @@
   auto shortRequest = proxy.clientRequest("/stream/x");
   shortRequest.deadlineMs = toMilliseconds(proxy.plan.endsAt - proxy.now);
   auto shortId = proxy.submit(shortRequest);
-  auto once = proxy.submit("/once/x");
+  auto onceId = proxy.submit("/once/x");
   proxy.run(20ms);
   cr_expect_eq(proxy.attemptsOf(shortId).size(), 1u);
-  cr_expect_eq(proxy.attemptsOf(once).size(), 1u, "its route's timeout ends in time");
+  cr_expect_eq(proxy.attemptsOf(onceId).size(), 1u, "its route's timeout ends in time");
   proxy.finishAttempt(shortId);
-  proxy.finishAttempt(once);
+  proxy.finishAttempt(onceId);
   for (TimePoint at = proxy.now + 1s; at < proxy.plan.exitsBy; at += 500ms) {
     proxy.runTo(at);
     for (const char* path : {"/stream/x", "/once/x", "/safe/x", "/aim/x"}) proxy.expectDenied(proxy.submit(path));
@@ -109,13 +109,13 @@
   cr_expect(proxy.attemptsOf(orderId).empty());
 }
 
-/// Runs random schedules of a draining proxy: requests with random deadlines come at random times, and their workers
-/// take a random time or their connection breaks. A request accepted after the plan begins to refuse must be served or
+/// Submits requests with random deadlines at random times to a draining proxy. Their workers take a random time, or
+/// their connections break. A request that is accepted after the plan has begun to refuse requests must be served or
 /// end at its own deadline; the drain must not end it.
 Test(drain_plan, no_request_accepted_late_is_ended_by_the_drain) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
-    std::mt19937_64 dice(seed);
-    auto randomBelow = [&](std::uint64_t below) { return dice() % below; };
+    std::mt19937_64 randomSource(seed);
+    auto randomBelow = [&](std::uint64_t below) { return randomSource() % below; };
     DrainingProxy proxy;
     struct SubmittedRequest {
       std::string orderId;
--- a/tests/load.cpp
+++ b/tests/load.cpp
@@ -73,7 +73,7 @@
 }
 
 namespace {
-/// A single cell whose workers and stores report at once.
+/// A single cell whose workers and stores reply to report requests without delay.
 struct SingleCellHarness {
   struct TestCacheNode {
     bool store{false};
@@ -242,12 +242,12 @@
   before = harness.updates.size();
   harness.cacheNodes["w3"].waiting = 12;
   harness.run(1s);
-  std::size_t told = 0;
+  std::size_t publishedRows = 0;
   for (std::size_t at = before; at < harness.updates.size(); ++at) {
-    told += harness.updates[at].workers.size();
+    publishedRows += harness.updates[at].workers.size();
     for (const auto& worker : harness.updates[at].workers) cr_expect_eq(worker.name, "w3");
   }
-  cr_expect_eq(told, 1u, "published once");
+  cr_expect_eq(publishedRows, 1u, "published once");
   cr_expect(waitingByWorker(harness.follower) == (Waiting{{"w1", 0}, {"w2", 0}, {"w3", 12}, {"w4", 0}}));
   cr_expect_eq(harness.rejectedUpdates, 0u);
 }
@@ -429,18 +429,18 @@
   holder.deliver("holder:1", cellUpdate(1, 3, 2, {workerView("w2", 5)}));
   auto requests = other.requestsAfter(cellUpdate(1, 3, 2, {workerView("w2", 5)}));
   cr_assert_eq(requests.size(), 1u);
-  std::vector<CellNews> given;
+  std::vector<CellNews> received;
   for (const auto& [to, message] : holder.deliver("core-2:1", requests[0]))
     if (auto* update = std::get_if<CellNews>(&message)) {
       cr_expect_eq(to, "core-2:1");
-      given.push_back(*update);
+      received.push_back(*update);
     }
-  cr_assert_eq(given.size(), 1u);
-  cr_expect_eq(given[0].base, 0u);
-  cr_expect_eq(given[0].sequence, 3u);
-  cr_expect(waitingByWorker(given[0]) == (Waiting{{"w1", 3}, {"w2", 5}}));
+  cr_assert_eq(received.size(), 1u);
+  cr_expect_eq(received[0].base, 0u);
+  cr_expect_eq(received[0].sequence, 3u);
+  cr_expect(waitingByWorker(received[0]) == (Waiting{{"w1", 3}, {"w2", 5}}));
   other.now += 1s;
-  cr_expect(other.requestsAfter(given[0]).empty());
+  cr_expect(other.requestsAfter(received[0]).empty());
   cr_expect(other.requestsAfter(cellUpdate(1, 4, 3, {})).empty());
 }
 
@@ -452,7 +452,7 @@
     "free":{"host":"h","prefix":"/free/","service":"mill","repeat":"safe","tries":3,"timeoutMs":60000}}})";
 using Hits = std::map<std::string, std::vector<int>>;
 
-/// A proxy whose workers report load and whose clients ask for numbered documents.
+/// A proxy whose workers report load and whose clients request numbered documents.
 struct LoadHarness : ProxyHarness {
   explicit LoadHarness(double maxShedRatio = 0) : ProxyHarness(loadHarnessSettings(maxShedRatio), loadConfiguration) {}
   static ProxyRouterSettings loadHarnessSettings(double maxShedRatio) {
@@ -511,7 +511,7 @@
     deliver("caller", CallerGone{orderId});
     return prefix;
   }
-  /// Submits requests whose responses start this late.
+  /// Submits requests whose responses start after `delay`.
   void delayFirstChunks(int number, Duration delay, const std::vector<int>& tokens = promptTokens) {
     Strings ids;
     for (int at = 0; at < number; ++at) {
@@ -570,14 +570,14 @@
   probe.store();
   probe.addWorkers(3);
   for (int number = 1; number <= 20; ++number) {
-    int place = static_cast<int>(probe.prefixOf(number).high % 1000);
+    int permille = static_cast<int>(probe.prefixOf(number).high % 1000);
     LoadHarness harness;
-    harness.store().savedPermille = place;
+    harness.store().savedPermille = permille;
     harness.addWorkers(3);
-    cr_expect_eq(harness.storeSavedTo(number), "", "share %d", place);
-    harness.store().savedPermille = place + 1;
+    cr_expect_eq(harness.storeSavedTo(number), "", "share %d", permille);
+    harness.store().savedPermille = permille + 1;
     harness.publishCells();
-    cr_expect_eq(harness.storeSavedTo(number), "barn:80", "share %d", place + 1);
+    cr_expect_eq(harness.storeSavedTo(number), "barn:80", "share %d", permille + 1);
   }
 }
 
--- a/tests/log_fleet.hpp
+++ b/tests/log_fleet.hpp
@@ -19,11 +19,12 @@
     std::unique_ptr<ReplicatedLog> log;
     std::vector<Effects::Save> waiting, syncing;
     TimePoint syncedAt{};
-    /// Counts starts and stops, so that messages to an earlier process are dropped.
+    /// Incremented at each start and stop, so that messages to an earlier process are dropped.
     std::uint64_t incarnation{0};
     Duration syncDuration{2ms};
-    /// How often each entry was written, by index and term. Below: the maximum size of the records that waited for the
-    /// disk, the number of snapshot records, the size of all records, and the maximum size of the log in memory.
+    /// `entryWrites`: how often each entry was written, by index and term. `maxWaitingBytes`: the maximum size of the
+    /// records that waited for the disk. `snapshotWrites`: the number of snapshot records. `ringBytes`: the size of all
+    /// records. `maxLogBytes`: the maximum size of the log in memory.
     std::map<std::pair<std::uint64_t, std::uint64_t>, int> entryWrites;
     std::size_t maxWaitingBytes{0}, snapshotWrites{0}, ringBytes{0}, maxLogBytes{0};
   };
@@ -43,21 +44,21 @@
   int refused{0};
 
   explicit LogFleet(std::uint64_t seed, std::size_t maxRecordBytes = 1 << 20)
-      : randomSource(seed), room(maxRecordBytes) {
+      : randomSource(seed), capacityBytes(maxRecordBytes) {
     std::vector<Member> members;
     for (const char* id : {"a", "b", "c"}) members.push_back({id, id, std::string(id) + ":1", "north", true});
-    RecoveredState held;
-    held.entries.push_back(LogEntry{1, 1, static_cast<int>(EntryKind::members), encodeMembers(members), {}, 0});
+    RecoveredState recovered;
+    recovered.entries.push_back(LogEntry{1, 1, static_cast<int>(EntryKind::members), encodeMembers(members), {}, 0});
     for (const auto& member : members) {
-      held.identity = member.id;
+      recovered.identity = member.id;
       machines[member.id].self = member;
-      machines[member.id].disk = held;
+      machines[member.id].disk = recovered;
     }
   }
   void start(const std::string& id) {
     auto& machine = machines.at(id);
     ++machine.incarnation;
-    machine.log = std::make_unique<ReplicatedLog>(machine.self, room);
+    machine.log = std::make_unique<ReplicatedLog>(machine.self, capacityBytes);
     machine.log->restore(machine.disk, now);
   }
   void stop(const std::string& id) {
@@ -119,9 +120,9 @@
     cr_assert(runUntil([&] { return !leader().empty(); }, 20s));
     cr_assert(runUntil([&] { return machines.at("c").log->commit() > 1; }, 20s));
   }
-  /// Makes this number of changes as fast as they are committed.
-  void makeChanges(std::uint64_t many) {
-    std::uint64_t last = changes + many;
+  /// Makes `count` changes as fast as they are committed.
+  void makeChanges(std::uint64_t count) {
+    std::uint64_t last = changes + count;
     while (changes < last) {
       if (auto id = leader(); !id.empty() && machines.at(id).log->pendingChanges() < 64)
         for (int at = 0; at < 16 && changes < last; ++at) change();
@@ -137,7 +138,7 @@
   }
 
  private:
-  std::size_t room;
+  std::size_t capacityBytes;
   std::uint64_t steps{0};
   std::multimap<TimePoint, std::function<void()>> due;
 
@@ -161,7 +162,7 @@
   void post(Machine& from, const std::string& to, Message message) {
     if (to == "operator") {
       auto& response = std::get<ChangeResponse>(message);
-      ++(response.code == static_cast<int>(Code::changeTaken) ? acknowledged : lost);
+      ++(response.code == static_cast<int>(Code::changeTaken) ? acknowledged : rejected);
       return;
     }
     std::string id = to.substr(0, 1);
@@ -202,7 +203,7 @@
   }
 
  public:
-  std::uint64_t lost{0};
+  std::uint64_t rejected{0};
 };
 
 }  // namespace tt
--- a/tests/members.cpp
+++ b/tests/members.cpp
@@ -36,7 +36,7 @@
 Test(members, a_core_that_returns_with_an_empty_disk_rejoins_with_a_new_id) {
   CoreHarness harness;
   harness.formFourCores();
-  auto requestId = harness.ask("core-2", "kept");
+  auto requestId = harness.submitChange("core-2", "kept");
   cr_assert(harness.runUntil([&] { return harness.acknowledged(requestId); }, 10s));
   harness.run(1s);
   std::string oldId = harness.machines["core-1"].core->id();
@@ -53,7 +53,7 @@
   cr_expect_not(harness.votes("core-2", oldId));
   cr_expect(harness.votes("core-2", newId));
   cr_expect_eq(harness.notes["formed"], formedBefore, "the fleet must not be bootstrapped again");
-  for (const auto& name : four) cr_expect(harness.has(name, "kept"), "%s", name.c_str());
+  for (const auto& name : four) cr_expect(harness.hasChange(name, "kept"), "%s", name.c_str());
 }
 
 Test(members, a_core_that_restarts_with_its_disk_keeps_its_id) {
@@ -88,7 +88,7 @@
   harness.run(30s);
   cr_assert_not(harness.leader().empty(), "two of three voters are a majority");
   cr_expect_eq(harness.votersAt(harness.leader()), 3u, "the minimum number of voters must remain");
-  auto requestId = harness.ask(harness.leader(), "late");
+  auto requestId = harness.submitChange(harness.leader(), "late");
   cr_expect(harness.runUntil([&] { return harness.acknowledged(requestId); }, 10s),
             "after %s and %s stopped the change was not acknowledged, code %d:%s", first.c_str(), second.c_str(),
             harness.replies.count(requestId) ? harness.replies[requestId].code : -1, harness.describe().c_str());
@@ -120,8 +120,8 @@
 }
 
 namespace {
-/// Which core is unreachable while a change is acknowledged: none; one that lags behind; one that is then removed from
-/// the members.
+/// Which core is unreachable while a change is acknowledged: none, one that lags behind, or one that has been removed
+/// from the members.
 enum class AbsentCore { none, behind, removed };
 /// Guards against losing an acknowledged change: after each acknowledgement one disk is wiped and the other processes
 /// restart, so only disks that synced the change can restore it.
@@ -145,7 +145,7 @@
     std::string name = "change-" + std::to_string(round), target = harness.leader();
     for (const auto& other : four)
       if (other != absent && harness.randomSource() % 2) target = other;
-    auto requestId = harness.ask(target, name);
+    auto requestId = harness.submitChange(target, name);
     cr_assert(harness.runUntil([&] { return harness.acknowledged(requestId); }, 15s), "seed %d round %d",
               static_cast<int>(seed), round);
     acknowledgedChanges.push_back(name);
@@ -164,7 +164,7 @@
     harness.run(2s);
     for (const auto& known : acknowledgedChanges)
       for (const auto& other : four)
-        cr_expect(harness.has(other, known), "seed %d round %d: %s lacks %s", static_cast<int>(seed), round,
+        cr_expect(harness.hasChange(other, known), "seed %d round %d: %s lacks %s", static_cast<int>(seed), round,
                   other.c_str(), known.c_str());
   }
 }
@@ -190,7 +190,7 @@
     harness.stop(removedCore);
     cr_assert(
         harness.runUntil([&] { return !harness.leader().empty() && harness.votersAt(harness.leader()) == 3; }, 15s));
-    auto requestId = harness.ask(harness.leader(), "kept");
+    auto requestId = harness.submitChange(harness.leader(), "kept");
     cr_assert(harness.runUntil([&] { return harness.acknowledged(requestId); }, 10s));
     harness.run(2s);
     std::string lost = harness.follower();
@@ -203,8 +203,8 @@
     cr_expect_not(harness.leader().empty(), "two of three voters run with their disks");
     for (const auto& name : four)
       if (name != removedCore && name != lost)
-        cr_expect(harness.has(name, "kept"), "%s lacks the change; %s was removed and %s is down:%s", name.c_str(),
-                  removedCore.c_str(), lost.c_str(), harness.describe().c_str());
+        cr_expect(harness.hasChange(name, "kept"), "%s lacks the change; %s was removed and %s is down:%s",
+                  name.c_str(), removedCore.c_str(), lost.c_str(), harness.describe().c_str());
   }
 }
 
@@ -230,14 +230,14 @@
 Test(members, losing_more_disks_than_the_fault_budget_stops_commits) {
   CoreHarness harness;
   harness.formFourCores();
-  auto requestId = harness.ask("core-1", "kept");
+  auto requestId = harness.submitChange("core-1", "kept");
   cr_assert(harness.runUntil([&] { return harness.acknowledged(requestId); }, 10s));
   for (const auto& name : four) harness.stop(name);
   for (const char* name : {"core-2", "core-3", "core-4"}) harness.wipe(name);
   for (const auto& name : four) harness.start(name, false);
   harness.run(30s);
   cr_expect(harness.leader().empty(), "one disk of four must not elect a leader");
-  auto late = harness.ask("core-1", "late");
+  auto late = harness.submitChange("core-1", "late");
   harness.run(10s);
   cr_expect_not(harness.acknowledged(late));
 }
--- a/tests/membership.cpp
+++ b/tests/membership.cpp
@@ -4,7 +4,7 @@
 using namespace tt;
 
 namespace {
-/// The control machines of one deployment and its settings.
+/// The number of control machines of a deployment, and its settings.
 struct Deployment {
   int count;
   std::size_t budget;
@@ -13,7 +13,7 @@
 const Deployment fourCores{4, 1, 3s, 4s}, fiveCores{5, 2, 4s, 6s}, eightCores{8, 2, 4s, 6s};
 const std::vector<Deployment> deployments{fourCores, fiveCores, eightCores};
 
-/// How the core that replaces a lost one relates to it.
+/// What a core that replaces a lost one has in common with it.
 enum class Successor { sameAddress, sameName, otherName };
 const std::vector<Successor> successors{Successor::sameAddress, Successor::sameName, Successor::otherName};
 const char* nameOf(Successor kind) {
@@ -24,7 +24,7 @@
 
 struct DeploymentHarness : CoreHarness {
   Deployment deployment;
-  int spares{0};
+  int spareCount{0};
   Strings acknowledgedChanges;
   DeploymentHarness(const Deployment& which, std::uint64_t seed) : CoreHarness(seed, which.count), deployment(which) {
     timing.setMembershipTimeouts(which.contact, which.catchUp, which.budget);
@@ -55,13 +55,13 @@
     seeds.clear();
     for (const auto& name : drawn) seeds.push_back(machines.at(name).address);
   }
-  /// Removes a machine for good and starts an empty one in its place; returns the name of the new one.
+  /// Removes a machine permanently and starts an empty one in its place; returns the name of the new one.
   std::string replace(const std::string& lostCore, Successor kind) {
     pickSeeds();
     wipe(lostCore);
     std::string name = lostCore;
     if (kind != Successor::sameAddress) {
-      name = "spare-" + std::to_string(++spares);
+      name = "spare-" + std::to_string(++spareCount);
       addMachine(name, kind == Successor::sameName ? machines.at(lostCore).nodeName : name);
       machines.erase(lostCore);
     }
@@ -74,7 +74,7 @@
   }
   /// Makes a change and waits for its acknowledgement.
   void change(const std::string& name, const std::string& target = {}) {
-    auto requestId = ask(target.empty() ? leader() : target, name);
+    auto requestId = submitChange(target.empty() ? leader() : target, name);
     cr_assert(runUntil([&] { return acknowledged(requestId); }, 20s), "%s:%s", name.c_str(), describe().c_str());
     acknowledgedChanges.push_back(name);
   }
@@ -88,13 +88,13 @@
       if (std::find(lost.begin(), lost.end(), name) == lost.end()) start(name, false);
   }
   /// Expects that there is a leader and that it has every acknowledged change.
-  void expectAllKept(const std::string& when) {
+  void expectNoChangeLost(const std::string& when) {
     bool leads = runUntil([&] { return !leader().empty(); }, 20s);
     cr_expect(leads, "%s: no leader was elected:%s", when.c_str(), describe().c_str());
     if (!leads) return;
     change("probe-" + std::to_string(++requestCount));
     for (const auto& name : acknowledgedChanges)
-      cr_expect(has(leader(), name), "%s: %s is lost", when.c_str(), name.c_str());
+      cr_expect(hasChange(leader(), name), "%s: %s is lost", when.c_str(), name.c_str());
   }
   std::string label(Successor kind, std::uint64_t seed) const {
     return std::to_string(deployment.count) + " machines, successor " + nameOf(kind) + ", seed " + std::to_string(seed);
@@ -106,14 +106,14 @@
   for (const auto& deployment : deployments)
     for (auto kind : {Successor::sameAddress, Successor::sameName}) {
       DeploymentHarness harness(deployment, 1);
-      std::size_t most = 0;
-      harness.afterStep = [&] { most = std::max(most, harness.voterCount()); };
+      std::size_t maxVoterCount = 0;
+      harness.afterStep = [&] { maxVoterCount = std::max(maxVoterCount, harness.voterCount()); };
       auto lostCore = harness.follower();
       harness.replace(lostCore, kind);
       harness.run(3 * deployment.catchUp);
       harness.afterStep = nullptr;
-      cr_expect_eq(most, static_cast<std::size_t>(deployment.count), "%s: %zu voters at one time",
-                   harness.label(kind, 1).c_str(), most);
+      cr_expect_eq(maxVoterCount, static_cast<std::size_t>(deployment.count), "%s: %zu voters at one time",
+                   harness.label(kind, 1).c_str(), maxVoterCount);
       cr_expect(harness.allVote(harness.names()), "%s:%s", harness.label(kind, 1).c_str(), harness.describe().c_str());
     }
 }
@@ -147,7 +147,7 @@
         while (lost.size() < deployment.budget)
           lost.push_back(lost.empty() && !harness.leader().empty() ? harness.leader() : harness.pickRunning(lost));
         harness.powerLossWithout(lost);
-        harness.expectAllKept(harness.label(kind, seed));
+        harness.expectNoChangeLost(harness.label(kind, seed));
       }
 }
 
@@ -161,7 +161,7 @@
         harness.run(deployment.catchUp);
         harness.change("round-" + std::to_string(round), harness.pickRunning());
       }
-      harness.expectAllKept(harness.label(Successor::sameName, seed));
+      harness.expectNoChangeLost(harness.label(Successor::sameName, seed));
     }
 }
 
@@ -184,7 +184,7 @@
         Strings lost{harness.leader()};
         while (lost.size() < deployment.budget) lost.push_back(harness.pickRunning(lost));
         harness.powerLossWithout(lost);
-        harness.expectAllKept(harness.label(kind, seed));
+        harness.expectNoChangeLost(harness.label(kind, seed));
       }
 }
 
@@ -201,7 +201,7 @@
       harness.run(std::chrono::milliseconds(harness.randomSource() % 400));
       harness.change("second", harness.pickRunning());
       harness.run(2 * deployment.catchUp);
-      harness.expectAllKept(harness.label(kind, seed));
+      harness.expectNoChangeLost(harness.label(kind, seed));
       harness.run(deployment.catchUp);
       cr_expect(harness.allVote(harness.names()), "%s:%s", harness.label(kind, seed).c_str(),
                 harness.describe().c_str());
@@ -219,7 +219,7 @@
       harness.powerLossWithout({});
       harness.run(std::chrono::milliseconds(harness.randomSource() % 1500));
       harness.powerLossWithout({});
-      harness.expectAllKept(harness.label(kind, seed));
+      harness.expectNoChangeLost(harness.label(kind, seed));
       harness.run(deployment.catchUp);
       cr_expect(harness.allVote(harness.names()), "%s:%s", harness.label(kind, seed).c_str(),
                 harness.describe().c_str());
@@ -241,7 +241,7 @@
       harness.change("second", harness.pickRunning());
       harness.run(timing.memberRemovalTimeout + 1s);
       harness.powerLossWithout({});
-      harness.expectAllKept(harness.label(Successor::sameAddress, seed));
+      harness.expectNoChangeLost(harness.label(Successor::sameAddress, seed));
     }
 }
 
@@ -304,7 +304,7 @@
     harness.run(1s);
     bool enough = quorum - 1 >= timing.minReplicas();
     cr_expect_eq(core.safeToStop(), enough, "%d machines", deployment.count);
-    auto requestId = harness.ask(harness.leader(), "after");
+    auto requestId = harness.submitChange(harness.leader(), "after");
     harness.run(2s);
     cr_expect_not(harness.acknowledged(requestId), "a core that shuts down must not acknowledge entries");
     harness.isolated.clear();
@@ -344,7 +344,7 @@
   void with(const std::function<void(Effects&)>& action) {
     Effects effects{now, randomSource, journal, {}, {}};
     action(effects);
-    for (auto& mail : effects.sends) sent.push_back(std::move(mail));
+    for (auto& send : effects.sends) sent.push_back(std::move(send));
     for (auto& save : effects.saves)
       if (save.then) with(save.then);
   }
@@ -384,65 +384,65 @@
 }
 
 Test(membership, a_lease_needs_both_majorities_during_a_membership_change) {
-  ReplicaHarness log("a", {votersBefore, votersAfter});
-  cr_assert(log.winsElection({"b", "c", "d", "e", "f"}));
-  log.tick(2s);
-  for (const char* id : {"b", "e"}) log.renewLease(id);
-  cr_expect_not(log.log.leads(log.now), "three new voters, but only two previous ones");
-  log.renewLease("d");
-  cr_expect(log.log.leads(log.now));
+  ReplicaHarness replica("a", {votersBefore, votersAfter});
+  cr_assert(replica.winsElection({"b", "c", "d", "e", "f"}));
+  replica.tick(2s);
+  for (const char* id : {"b", "e"}) replica.renewLease(id);
+  cr_expect_not(replica.log.leads(replica.now), "three new voters, but only two previous ones");
+  replica.renewLease("d");
+  cr_expect(replica.log.leads(replica.now));
 }
 
 Test(membership, entries_after_a_pending_membership_change_need_both_majorities) {
-  ReplicaHarness log("a", {votersBefore, votersAfter});
-  cr_assert(log.winsElection({"b", "c", "d", "e", "f"}));
-  for (const char* id : {"b", "e"}) log.acknowledge(id, 3);
-  for (const char* id : {"c", "d"}) log.acknowledge(id, 2);
-  cr_expect_eq(log.log.commit(), 0u,
+  ReplicaHarness replica("a", {votersBefore, votersAfter});
+  cr_assert(replica.winsElection({"b", "c", "d", "e", "f"}));
+  for (const char* id : {"b", "e"}) replica.acknowledge(id, 3);
+  for (const char* id : {"c", "d"}) replica.acknowledge(id, 2);
+  cr_expect_eq(replica.log.commit(), 0u,
                "only two of the previous voters have an entry of this term: a leader elected by the other three could "
                "overwrite it");
-  log.acknowledge("d", 3);
-  cr_expect_eq(log.log.commit(), 3u);
+  replica.acknowledge("d", 3);
+  cr_expect_eq(replica.log.commit(), 3u);
 }
 
 Test(membership, entries_before_a_pending_membership_change_need_both_majorities) {
-  ReplicaHarness log("a", {ReplicaHarness::voters({"a", "b", "c", "d"})});
+  ReplicaHarness replica("a", {ReplicaHarness::voters({"a", "b", "c", "d"})});
   timing.setMembershipTimeouts(3s, 4s, 1);
-  cr_assert(log.winsElection({"b", "c", "d"}));
-  for (const char* id : {"b", "c", "d"}) log.acknowledge(id, 2);
-  cr_assert_eq(log.log.commit(), 2u);
+  cr_assert(replica.winsElection({"b", "c", "d"}));
+  for (const char* id : {"b", "c", "d"}) replica.acknowledge(id, 2);
+  cr_assert_eq(replica.log.commit(), 2u);
   ChangeRequest change;
   change.requestId = change.changeId = "x";
   change.body = R"({"weights":{"x":{"model":"moss"}}})";
   change.ifRevision = -1;
-  for (const char* id : {"b", "c", "d"}) log.renewLease(id);
-  log.with([&](Effects& effects) { log.log.proposeChange(effects, "operator", change); });
-  cr_assert_eq(log.log.logEnd(), 3u);
-  for (int round = 0; round < 100 && log.log.members().size() == 4; ++round) {
-    log.tick(100ms);
+  for (const char* id : {"b", "c", "d"}) replica.renewLease(id);
+  replica.with([&](Effects& effects) { replica.log.proposeChange(effects, "operator", change); });
+  cr_assert_eq(replica.log.logEnd(), 3u);
+  for (int round = 0; round < 100 && replica.log.members().size() == 4; ++round) {
+    replica.tick(100ms);
     for (const char* id : {"b", "c"}) {
-      log.renewLease(id);
-      log.acknowledge(id, 2);
+      replica.renewLease(id);
+      replica.acknowledge(id, 2);
     }
   }
-  cr_assert_eq(log.log.members().size(), 3u, "d is removed");
-  log.acknowledge("b", 4);
-  cr_expect_eq(log.log.commit(), 2u, "only two of the four previous voters have the change");
-  log.acknowledge("c", 4);
-  cr_expect_geq(log.log.commit(), 4u);
+  cr_assert_eq(replica.log.members().size(), 3u, "d is removed");
+  replica.acknowledge("b", 4);
+  cr_expect_eq(replica.log.commit(), 2u, "only two of the four previous voters have the change");
+  replica.acknowledge("c", 4);
+  cr_expect_geq(replica.log.commit(), 4u);
 }
 
 Test(membership, a_paused_leader_does_not_count_its_pause_as_silence_of_others) {
-  ReplicaHarness log("a", {ReplicaHarness::voters({"a", "b", "c", "d"})});
+  ReplicaHarness replica("a", {ReplicaHarness::voters({"a", "b", "c", "d"})});
   timing.setMembershipTimeouts(3s, 4s, 1);
-  cr_assert(log.winsElection({"b", "c", "d"}));
-  for (const char* id : {"b", "c", "d"}) log.acknowledge(id, 2);
-  log.tick(20ms);
-  log.now += timing.memberRemovalTimeout + 200ms;
-  for (const char* id : {"b", "c"}) log.renewLease(id);
-  log.tick(20ms);
-  cr_expect(log.log.leads(log.now));
-  cr_expect_eq(log.log.members().size(), 4u,
+  cr_assert(replica.winsElection({"b", "c", "d"}));
+  for (const char* id : {"b", "c", "d"}) replica.acknowledge(id, 2);
+  replica.tick(20ms);
+  replica.now += timing.memberRemovalTimeout + 200ms;
+  for (const char* id : {"b", "c"}) replica.renewLease(id);
+  replica.tick(20ms);
+  cr_expect(replica.log.leads(replica.now));
+  cr_expect_eq(replica.log.members().size(), 4u,
                "b and c answered, and the leader's own pause must not count as silence of d");
 }
 
@@ -450,54 +450,54 @@
   auto rows = ReplicaHarness::voters({"a", "b", "c"});
   rows.push_back(ReplicaHarness::member("e"));
   rows.back().votes = false;
-  ReplicaHarness log("e", {rows});
-  log.tick(2s);
-  log.handle("a", VoteRequest{"accord", 5, "a", false, 1, 2});
+  ReplicaHarness replica("e", {rows});
+  replica.tick(2s);
+  replica.handle("a", VoteRequest{"accord", 5, "a", false, 1, 2});
   bool granted = false;
-  for (const auto& [to, message] : log.sent)
+  for (const auto& [to, message] : replica.sent)
     if (auto* reply = std::get_if<VoteResponse>(&message)) granted = granted || (to == "a:1" && reply->granted);
   cr_expect(granted, "the candidate knows the voters; only log and term decide");
 }
 
 Test(membership, after_a_restart_a_finalized_replacement_needs_no_previous_voters) {
   auto other = ReplicaHarness::voters({"a", "g", "h", "e", "f"});
-  ReplicaHarness settled("a", {votersBefore, other, other}), passing("a", {votersBefore, other});
-  cr_expect(settled.winsElection({"g", "e"}));
-  cr_expect_not(passing.winsElection({"g", "e"}));
+  ReplicaHarness finalized("a", {votersBefore, other, other}), pending("a", {votersBefore, other});
+  cr_expect(finalized.winsElection({"g", "e"}));
+  cr_expect_not(pending.winsElection({"g", "e"}));
 }
 
 Test(membership, a_learner_that_lacks_a_committed_entry_is_not_promoted) {
   auto rows = ReplicaHarness::voters({"a", "b", "c", "d"});
   rows.push_back(ReplicaHarness::member("e"));
   rows.back().votes = false;
-  ReplicaHarness log("a", {rows});
-  cr_assert(log.winsElection({"b", "c", "d"}));
-  for (const char* id : {"b", "c", "d"}) log.acknowledge(id, 2);
-  cr_assert_eq(log.log.commit(), 2u);
+  ReplicaHarness replica("a", {rows});
+  cr_assert(replica.winsElection({"b", "c", "d"}));
+  for (const char* id : {"b", "c", "d"}) replica.acknowledge(id, 2);
+  cr_assert_eq(replica.log.commit(), 2u);
   auto votes = [&] {
-    for (const char* id : {"b", "c", "d"}) log.renewLease(id);
-    for (const auto& row : log.log.members())
+    for (const char* id : {"b", "c", "d"}) replica.renewLease(id);
+    for (const auto& row : replica.log.members())
       if (row.id == "e") return row.votes;
     return false;
   };
   for (int round = 0; round < 100; ++round) {
-    log.tick(10ms);
-    for (const char* id : {"b", "c", "d"}) log.acknowledge(id, 2);
-    log.acknowledge("e", 1);
+    replica.tick(10ms);
+    for (const char* id : {"b", "c", "d"}) replica.acknowledge(id, 2);
+    replica.acknowledge("e", 1);
     cr_assert_not(votes(), "the learner lacks committed entry 2");
   }
   for (int round = 0; round < 100; ++round) {
-    log.tick(10ms);
-    for (const char* id : {"b", "c", "d", "e"}) log.acknowledge(id, 2);
+    replica.tick(10ms);
+    for (const char* id : {"b", "c", "d", "e"}) replica.acknowledge(id, 2);
     votes();
   }
   cr_expect(votes());
 }
 
 namespace {
-/// Whether a reader calls itself fresh that has applied only entry 1, with the previous voters, and hears some of them
-/// while the membership change at entry 2 is on some disks.
-bool freshInOldView(const std::vector<Member>& voters, unsigned holding, unsigned heard, bool oldLeader) {
+/// Whether a reader is fresh that has applied only entry 1, which names the previous voters. The membership change at
+/// entry 2 is on the disks in the bit mask `withEntry`, and the voters in `responding` answer the reader.
+bool freshInOldView(const std::vector<Member>& voters, unsigned withEntry, unsigned responding, bool oldLeader) {
   TimePoint now{std::chrono::hours(3)};
   std::mt19937_64 randomSource{1};
   Journal journal;
@@ -508,8 +508,8 @@
   reader.ask(effects, 1, {}, view);
   for (const auto& [to, message] : effects.sends)
     for (std::size_t at = 0; at < voters.size(); ++at) {
-      if (voters[at].address != to || !(heard & (1u << at))) continue;
-      bool has = holding & (1u << at);
+      if (voters[at].address != to || !(responding & (1u << at))) continue;
+      bool has = withEntry & (1u << at);
       LogEndResponse reply;
       reply.requestId = std::get<LogEndRequest>(message).requestId;
       reply.core = voters[at].id;
@@ -530,13 +530,14 @@
   for (const Strings& ids : {Strings{"a", "b", "c", "d"}, Strings{"a", "b", "c", "d", "f"}}) {
     auto voters = ReplicaHarness::voters(ids);
     unsigned all = 1u << voters.size();
-    for (unsigned holding = 0; holding < all; ++holding)
-      for (unsigned heard = 0; heard < all; ++heard)
+    for (unsigned withEntry = 0; withEntry < all; ++withEntry)
+      for (unsigned responding = 0; responding < all; ++responding)
         for (bool oldLeader : {false, true}) {
-          bool agreed = 2u * static_cast<unsigned>(__builtin_popcount(holding)) > voters.size();
-          bool called = freshInOldView(voters, holding, heard, oldLeader);
-          fresh += called;
-          if (agreed) cr_expect_not(called, "%zu voters, entry on %x, heard %x", voters.size(), holding, heard);
+          bool committed = 2u * static_cast<unsigned>(__builtin_popcount(withEntry)) > voters.size();
+          bool isFresh = freshInOldView(voters, withEntry, responding, oldLeader);
+          fresh += isFresh;
+          if (committed)
+            cr_expect_not(isFresh, "%zu voters, entry on %x, responding %x", voters.size(), withEntry, responding);
         }
   }
   cr_expect(fresh > 0, "the reader was never fresh, so the test proves nothing");
--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -8,7 +8,7 @@
 using namespace tt;
 
 namespace {
-/// Five cores with disks on a simulated network whose messages the test can delay, lose and hold back.
+/// Cores with disks on a simulated network. The test can delay, lose and hold back messages.
 struct OperatorFleet {
   struct Envelope {
     std::string from, to;
@@ -24,11 +24,11 @@
   std::mt19937_64 randomSource{7};
   std::map<std::string, Machine> machines;
   std::multimap<TimePoint, Envelope> due;
-  std::vector<Envelope> held;
-  /// Which messages wait in `held` until release() is called.
+  std::vector<Envelope> heldBack;
+  /// Which messages wait in `heldBack` until release() is called.
   std::function<bool(const Envelope&)> shouldHold = [](const Envelope&) { return false; };
   std::set<std::string> isolated, frozen;
-  /// Of a thousand messages, how many are lost and how many take up to 800 ms.
+  /// How many of a thousand messages are lost, and how many take up to 800 ms.
   std::size_t lostPerMille{0}, delayedPerMille{0};
   /// All responses to operators, by request id.
   std::map<std::string, std::vector<OperatorResponse>> replies;
@@ -69,13 +69,13 @@
       return std::all_of(rows.begin(), rows.end(), [](const Member& member) { return member.votes; });
     });
   }
-  Machine* at(const std::string& address) {
+  Machine* findByAddress(const std::string& address) {
     for (auto& [name, machine] : machines)
       if (machine.address == address) return &machine;
     return nullptr;
   }
   bool isCut(const Envelope& envelope) {
-    auto *sender = at(envelope.from), *receiver = at(envelope.to);
+    auto *sender = findByAddress(envelope.from), *receiver = findByAddress(envelope.to);
     return sender != receiver &&
            ((sender && isolated.count(sender->name)) || (receiver && isolated.count(receiver->name)));
   }
@@ -86,40 +86,40 @@
         continue;
       }
       Envelope envelope{machine.address, to, std::move(message)};
-      if (!at(to)) continue;
+      if (!findByAddress(to)) continue;
       bool inside = to == machine.address;
       if (shouldHold(envelope))
-        held.push_back(std::move(envelope));
+        heldBack.push_back(std::move(envelope));
       else if (inside || randomSource() % 1000 >= lostPerMille)
         due.emplace(now + std::chrono::milliseconds(inside ? 0 : transit()), envelope);
     }
     for (auto& save : effects.saves) machine.syncing.push_back(std::move(save));
   }
   std::uint64_t transit() { return 1 + randomSource() % (randomSource() % 1000 < delayedPerMille ? 800 : 5); }
-  void with(Machine& machine, TimePoint seenNow, const std::function<void(Effects&, Core&)>& action) {
-    Effects effects{seenNow, randomSource, machine.core->journal, {}, {}};
+  void with(Machine& machine, TimePoint coreNow, const std::function<void(Effects&, Core&)>& action) {
+    Effects effects{coreNow, randomSource, machine.core->journal, {}, {}};
     action(effects, *machine.core);
     collect(machine, effects);
   }
   void deliver(const std::string& name, const std::string& from, const Message& message) {
     deliver(name, from, message, now);
   }
-  void deliver(const std::string& name, const std::string& from, const Message& message, TimePoint seenNow) {
-    with(machines.at(name), seenNow, [&](Effects& effects, Core& core) { core.handle(effects, from, message); });
+  void deliver(const std::string& name, const std::string& from, const Message& message, TimePoint coreNow) {
+    with(machines.at(name), coreNow, [&](Effects& effects, Core& core) { core.handle(effects, from, message); });
   }
   void step() {
     now += 5ms;
-    std::vector<Envelope> kept;
+    std::vector<Envelope> undelivered;
     while (!due.empty() && due.begin()->first <= now) {
       Envelope envelope = std::move(due.begin()->second);
       due.erase(due.begin());
-      auto& machine = *at(envelope.to);
+      auto& machine = *findByAddress(envelope.to);
       if (frozen.count(machine.name))
-        kept.push_back(std::move(envelope));
+        undelivered.push_back(std::move(envelope));
       else if (machine.core && !isCut(envelope))
         deliver(machine.name, envelope.from, envelope.message);
     }
-    for (auto& envelope : kept) due.emplace(now + 1ms, std::move(envelope));
+    for (auto& envelope : undelivered) due.emplace(now + 1ms, std::move(envelope));
     for (auto& [name, machine] : machines) {
       if (!machine.core || frozen.count(name)) continue;
       with(machine, now, [](Effects& effects, Core& core) { core.tick(effects); });
@@ -142,8 +142,8 @@
   /// Delivers the messages that were held back.
   void release() {
     shouldHold = [](const Envelope&) { return false; };
-    for (auto& envelope : held) due.emplace(now, std::move(envelope));
-    held.clear();
+    for (auto& envelope : heldBack) due.emplace(now, std::move(envelope));
+    heldBack.clear();
   }
   std::string leader() const {
     for (const auto& [name, machine] : machines)
@@ -157,7 +157,7 @@
       if (machine.core && name != leader() && !isolated.count(name) && --number == 0) return name;
     return {};
   }
-  std::string ask(const std::string& name, OperatorRequest change) {
+  std::string submit(const std::string& name, OperatorRequest change) {
     change.requestId = "ask-" + std::to_string(++requestCount);
     deliver(name, "operator", change);
     return change.requestId;
@@ -177,7 +177,7 @@
   void mustAccept(const OperatorRequest& change) {
     auto name = leader();
     cr_assert_neq(name, "");
-    cr_assert_eq(waitForResponse(ask(name, change)), Code::changeTaken);
+    cr_assert_eq(waitForResponse(submit(name, change)), Code::changeTaken);
   }
   const Configuration& view(const std::string& name) const {
     return machines.at(name).core->consensusLog().configuration();
@@ -190,7 +190,7 @@
   }
 };
 
-/// A change that adds one service and makes `revision` out of the revision `base`.
+/// A change that adds one service and takes the configuration from the revision `base` to `revision`.
 OperatorRequest serviceChange(std::int64_t base, std::int64_t revision, const std::string& service) {
   OperatorRequest change;
   change.body = R"({"services":{")" + service + R"(":{}}})";
@@ -238,7 +238,7 @@
   fleet.shouldHold = [&](const OperatorFleet::Envelope& envelope) {
     return std::holds_alternative<AppendRequest>(envelope.message);
   };
-  fleet.ask(entryCore, serviceChange(1, 2, "before"));
+  fleet.submit(entryCore, serviceChange(1, 2, "before"));
   fleet.run(100ms);
   fleet.stop(entryCore);
   fleet.start(entryCore);
@@ -247,7 +247,7 @@
   fleet.shouldHold = [&](const OperatorFleet::Envelope& envelope) {
     return envelope.from == entryAddress && std::holds_alternative<ChangeRequest>(envelope.message);
   };
-  auto requestId = fleet.ask(entryCore, serviceChange(2, 3, "after"));
+  auto requestId = fleet.submit(entryCore, serviceChange(2, 3, "after"));
   fleet.run(3s);
   cr_assert(fleet.isCommitted("services", "before"));
   cr_assert_not(fleet.isCommitted("services", "after"));
@@ -260,11 +260,11 @@
   fleet.mustAccept(serviceChange(0, 1, "first"));
   std::string old = fleet.leader();
   fleet.isolated = {old};
-  fleet.ask(old, serviceChange(1, 2, "lost"));
-  auto refused = fleet.ask(old, serviceChange(1, 2, "rival"));
+  fleet.submit(old, serviceChange(1, 2, "lost"));
+  auto refused = fleet.submit(old, serviceChange(1, 2, "rival"));
   fleet.run(20ms);
   cr_assert(fleet.runUntil([&] { return !fleet.leader().empty(); }, 10s));
-  auto accepted = fleet.ask(fleet.leader(), serviceChange(1, 2, "rival"));
+  auto accepted = fleet.submit(fleet.leader(), serviceChange(1, 2, "rival"));
   cr_assert_eq(fleet.waitForResponse(accepted), Code::changeTaken);
   cr_assert_not(isRefusal(fleet.firstResponse(refused)),
                 "refused because of a change that was lost, and then accepted");
@@ -306,8 +306,8 @@
     return envelope.from == slowAddress && std::holds_alternative<ChangeRequest>(envelope.message);
   };
   auto change = serviceChange(5, 6, "early");
-  fleet.ask(slowCore, change);
-  cr_assert(isRefusal(fleet.waitForResponse(fleet.ask(fastCore, change))));
+  fleet.submit(slowCore, change);
+  cr_assert(isRefusal(fleet.waitForResponse(fleet.submit(fastCore, change))));
   fleet.mustAccept(serviceChange(1, 5, "second"));
   fleet.release();
   fleet.run(8s);
@@ -323,14 +323,14 @@
     return envelope.from == slowAddress && std::holds_alternative<ChangeRequest>(envelope.message);
   };
   auto change = serviceChange(5, 6, "early");
-  fleet.ask(slowCore, change);
-  cr_assert(isRefusal(fleet.waitForResponse(fleet.ask(fastCore, change))));
+  fleet.submit(slowCore, change);
+  cr_assert(isRefusal(fleet.waitForResponse(fleet.submit(fastCore, change))));
   fleet.mustAccept(serviceChange(1, 5, "second"));
   std::string old = fleet.leader();
   fleet.stop(old);
   cr_assert(fleet.runUntil([&] { return !fleet.leader().empty(); }, 10s));
   std::string next = fleet.machines.at(fleet.leader()).address;
-  for (auto& envelope : fleet.held) envelope.to = next;
+  for (auto& envelope : fleet.heldBack) envelope.to = next;
   fleet.release();
   fleet.run(8s);
   cr_assert_not(fleet.isCommitted("services", "early"), "a refused change is in force");
@@ -350,8 +350,8 @@
   change.toRevision = 9;
   change.changeFormat = static_cast<int>(ChangeFormat::items);
   change.changeId = "config/9/early";
-  fleet.ask(slowCore, change);
-  cr_assert_eq(fleet.waitForResponse(fleet.ask(fastCore, change)), Code::blueprintBad);
+  fleet.submit(slowCore, change);
+  cr_assert_eq(fleet.waitForResponse(fleet.submit(fastCore, change)), Code::blueprintBad);
   fleet.mustAccept(serviceChange(1, 5, "second"));
   fleet.release();
   fleet.run(8s);
@@ -367,7 +367,7 @@
   for (const auto& name : {old, other})
     for (const auto& change :
          {serviceChange(2, 5, "stale"), serviceChange(4, 4, "not-above"), serviceChange(4, 5, "well")})
-      requestIds.push_back(fleet.ask(name, change));
+      requestIds.push_back(fleet.submit(name, change));
   fleet.run(8s);
   for (const auto& requestId : requestIds) {
     auto code = fleet.firstResponse(requestId);
@@ -383,7 +383,7 @@
   for (int copy = 0; copy < 8; ++copy)
     for (const char* service : {"mine", "yours"})
       requestIdsByService[service].push_back(
-          fleet.ask("core-" + std::to_string(copy % 5 + 1), serviceChange(1, 3, service)));
+          fleet.submit("core-" + std::to_string(copy % 5 + 1), serviceChange(1, 3, service)));
   std::map<std::string, std::set<Code>> codes;
   for (const auto& [service, requestIds] : requestIdsByService)
     for (const auto& requestId : requestIds) codes[service].insert(fleet.waitForResponse(requestId));
@@ -409,7 +409,7 @@
   for (const auto& [name, machine] : fleet.machines) fleet.start(name);
   cr_assert(fleet.runUntil([&] { return !fleet.leader().empty(); }, 20s));
   for (const auto& [name, machine] : fleet.machines)
-    cr_expect_eq(fleet.waitForResponse(fleet.ask(name, change)), Code::changeTaken, "at %s", name.c_str());
+    cr_expect_eq(fleet.waitForResponse(fleet.submit(name, change)), Code::changeTaken, "at %s", name.c_str());
   cr_assert_not(fleet.isCommitted("routes", "r"), "the change was applied twice");
 }
 
@@ -422,7 +422,7 @@
   cr_assert(fleet.runUntil([&] { return !fleet.leader().empty(); }, 10s));
   fleet.run(5s);
   TimePoint before = fleet.now;
-  cr_assert_eq(fleet.waitForResponse(fleet.ask(fleet.leader(), change)), Code::changeTaken);
+  cr_assert_eq(fleet.waitForResponse(fleet.submit(fleet.leader(), change)), Code::changeTaken);
   cr_expect_lt(toMilliseconds(fleet.now - before), 1000);
 }
 
@@ -433,7 +433,7 @@
   ReplicatedLog log(self, 1 << 20);
   Journal journal;
   TimePoint now{std::chrono::hours(3)};
-  std::vector<ChangeResponse> answers;
+  std::vector<ChangeResponse> responses;
   RecoveredState disk;
   auto with = [&](const std::function<void(Effects&)>& action) {
     Effects effects{now, randomSource, journal, {}, {}};
@@ -447,7 +447,7 @@
       }
     }
     for (auto& [to, message] : effects.sends)
-      if (auto* reply = std::get_if<ChangeResponse>(&message)) answers.push_back(*reply);
+      if (auto* reply = std::get_if<ChangeResponse>(&message)) responses.push_back(*reply);
   };
   auto ask = [&](const OperatorRequest& change) {
     ChangeRequest request;
@@ -457,10 +457,10 @@
     request.changeId = change.changeId;
     request.changeFormat = change.changeFormat;
     request.toRevision = change.toRevision;
-    answers.clear();
-    with([&](Effects& effects) { log.proposeChange(effects, "door", request); });
-    cr_assert_eq(answers.size(), 1u);
-    return static_cast<Code>(answers.front().code);
+    responses.clear();
+    with([&](Effects& effects) { log.proposeChange(effects, "core-9:1", request); });
+    cr_assert_eq(responses.size(), 1u);
+    return static_cast<Code>(responses.front().code);
   };
   with([&](Effects& effects) { log.form(effects, {self}); });
   for (int at = 0; at < 500 && !log.leads(now); ++at) {
@@ -500,7 +500,7 @@
                 R"({"Revision":9,"Upsert":{"Routes":[)" + routeText("b") + "," + routeText("a") + "," + routeText("x") +
                     R"(],"Later":[{"Name":"l-3"}]},"Remove":{"Routes":["y"],"Later":["l-1"],"Tenants":["olm"]}})",
                 "4");
-  cr_assert_eq(fleet.waitForResponse(fleet.ask(behind, patch)), Code::changeTaken);
+  cr_assert_eq(fleet.waitForResponse(fleet.submit(behind, patch)), Code::changeTaken);
   auto config = readBack(fleet.view(fleet.leader()));
   cr_expect_eq(namesIn(config, "Routes"), "z x c b a ", "%s", namesIn(config, "Routes").c_str());
   cr_expect_eq(namesIn(config, "Later"), "l-2 l-3 ", "%s", namesIn(config, "Later").c_str());
@@ -520,7 +520,7 @@
   };
   fleet.mustAccept(weightsChange("moss", 3));
   cr_assert_eq(fleet.view(behind).weightsOf("moss").value_or(""), "moss/1");
-  cr_expect_eq(fleet.waitForResponse(fleet.ask(behind, weightsChange("moss", 2))), Code::changeTaken);
+  cr_expect_eq(fleet.waitForResponse(fleet.submit(behind, weightsChange("moss", 2))), Code::changeTaken);
   cr_expect_eq(fleet.view(fleet.leader()).weightsOf("moss").value_or(""), "moss/3");
   cr_expect_eq(fleet.view(fleet.leader()).revision(), 1u);
   fleet.mustAccept(weightsChange("fern", 2));
@@ -532,12 +532,12 @@
 
 Test(operators, weights_announced_by_eight_operators_at_once_end_at_the_highest) {
   OperatorFleet fleet;
-  auto early = fleet.ask(fleet.follower(), weightsChange("moss", 1));
+  auto early = fleet.submit(fleet.follower(), weightsChange("moss", 1));
   cr_assert_eq(fleet.waitForResponse(early), Code::changeUnsure, "weights announced before there is a configuration");
   fleet.mustAccept(serviceChange(0, 1, "first"));
   std::vector<std::string> requestIds;
   for (int number : {4, 8, 1, 7, 2, 6, 3, 5})
-    requestIds.push_back(fleet.ask("core-" + std::to_string(number % 5 + 1), weightsChange("moss", number)));
+    requestIds.push_back(fleet.submit("core-" + std::to_string(number % 5 + 1), weightsChange("moss", number)));
   for (const auto& requestId : requestIds) cr_expect_eq(fleet.waitForResponse(requestId), Code::changeTaken);
   cr_expect_eq(fleet.view(fleet.leader()).weightsOf("moss").value_or(""), "moss/8");
 }
@@ -546,13 +546,13 @@
   OperatorFleet fleet;
   fleet.mustAccept(serviceChange(0, 1, "first"));
   auto change = serviceChange(5, 6, "early");
-  cr_assert_eq(fleet.waitForResponse(fleet.ask(fleet.follower(), change)), Code::staleRevision);
+  cr_assert_eq(fleet.waitForResponse(fleet.submit(fleet.follower(), change)), Code::staleRevision);
   fleet.mustAccept(serviceChange(1, 5, "second"));
-  cr_assert_eq(fleet.waitForResponse(fleet.ask(fleet.leader(), change)), Code::staleRevision,
+  cr_assert_eq(fleet.waitForResponse(fleet.submit(fleet.leader(), change)), Code::staleRevision,
                "a copy within the operator timeout of six seconds");
   fleet.run(7s);
   fleet.mustAccept(change);
-  cr_assert_eq(fleet.waitForResponse(fleet.ask(fleet.follower(), change)), Code::changeTaken);
+  cr_assert_eq(fleet.waitForResponse(fleet.submit(fleet.follower(), change)), Code::changeTaken);
 }
 
 Test(operators, a_paused_core_accepts_no_copy_of_a_change_refused_meanwhile) {
@@ -562,12 +562,12 @@
   fleet.frozen = {frozenCore};
   fleet.run(500ms);
   auto change = serviceChange(5, 6, "early");
-  cr_assert_eq(fleet.waitForResponse(fleet.ask(awake, change)), Code::staleRevision);
+  cr_assert_eq(fleet.waitForResponse(fleet.submit(awake, change)), Code::staleRevision);
   fleet.mustAccept(serviceChange(1, 5, "second"));
   fleet.run(20s);
   fleet.frozen.clear();
   cr_assert(fleet.runUntil([&] { return fleet.view(frozenCore).revision() == 5; }, 10s));
-  auto copy = fleet.ask(frozenCore, change);
+  auto copy = fleet.submit(frozenCore, change);
   fleet.run(8s);
   cr_assert_neq(fleet.waitForResponse(copy), Code::changeTaken);
   cr_assert_not(fleet.isCommitted("services", "early"));
@@ -616,8 +616,8 @@
 }
 
 namespace {
-/// Eight operators use a fleet with lost and late messages, stopped, paused and isolated cores. Each sends a change to
-/// one core after another until it gets a definite response.
+/// Up to eight operators change a fleet in which messages are lost or delayed and cores are stopped, paused or
+/// isolated. Each sends its change to one core after another until it gets a definite response.
 struct FaultRun {
   struct Change {
     OperatorRequest request;
@@ -643,7 +643,7 @@
     change.sentAt = fleet.now;
     auto entryCore = anyCore();
     if (fleet.machines.at(entryCore).core && !fleet.frozen.count(entryCore))
-      change.requestIds.push_back(fleet.ask(entryCore, change.request));
+      change.requestIds.push_back(fleet.submit(entryCore, change.request));
   }
   void startChange() {
     auto open = std::count_if(changes.begin(), changes.end(), [](const Change& row) { return row.open; });
@@ -694,7 +694,7 @@
         break;
     }
   }
-  void play(Duration duration) {
+  void runWithFaults(Duration duration) {
     for (TimePoint until = fleet.now + duration; fleet.now < until;) {
       injectFaults();
       startChange();
@@ -715,13 +715,14 @@
     std::map<std::int64_t, std::string> acceptedByRevision;
     for (const auto& change : changes) {
       const auto& name = change.request.changeId;
-      bool held = fleet.isCommitted("services", name.substr(name.rfind('/') + 1));
-      cr_assert(!change.refused || !held, "seed %d: refused change %s is in force", static_cast<int>(seed),
+      bool isInForce = fleet.isCommitted("services", name.substr(name.rfind('/') + 1));
+      cr_assert(!change.refused || !isInForce, "seed %d: refused change %s is in force", static_cast<int>(seed),
                 name.c_str());
       cr_assert(!change.refused || !change.accepted, "seed %d: %s was accepted and refused", static_cast<int>(seed),
                 name.c_str());
-      cr_assert(!change.accepted || held, "seed %d: accepted change %s is lost", static_cast<int>(seed), name.c_str());
-      if (!held) continue;
+      cr_assert(!change.accepted || isInForce, "seed %d: accepted change %s is lost", static_cast<int>(seed),
+                name.c_str());
+      if (!isInForce) continue;
       auto [other, alone] = acceptedByRevision.emplace(change.request.ifRevision, name);
       cr_assert(alone, "seed %d: %s and %s were both applied to the same revision", static_cast<int>(seed),
                 name.c_str(), other->second.c_str());
@@ -732,7 +733,7 @@
     for (auto& change : changes) {
       const auto& name = change.request.changeId;
       if (!fleet.isCommitted("services", name.substr(name.rfind('/') + 1))) continue;
-      cr_assert_eq(fleet.waitForResponse(fleet.ask(anyCore(), change.request)), Code::changeTaken, "seed %d: %s",
+      cr_assert_eq(fleet.waitForResponse(fleet.submit(anyCore(), change.request)), Code::changeTaken, "seed %d: %s",
                    static_cast<int>(seed), name.c_str());
     }
   }
@@ -743,7 +744,7 @@
   std::size_t accepted = 0, refused = 0, undecided = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     FaultRun faultRun(seed);
-    faultRun.play(40s);
+    faultRun.runWithFaults(40s);
     faultRun.stopFaultsAndSettle();
     faultRun.check(seed);
     faultRun.resendAccepted(seed);
--- a/tests/path_routes.cpp
+++ b/tests/path_routes.cpp
@@ -247,7 +247,7 @@
     cr_expect_eq(first, best);
     cr_expect_eq(
         other.submitAndFinish(other.clientRequest("/once/x", "key-b", promptOf(number, "another"), promptTokens)),
-        first, "requests with the same prefix go to the same worker, whoever sends them");
+        first, "requests with the same prefix go to the same worker, whichever proxy and tenant they come from");
     ++selected[first];
   }
   cr_expect_eq(selected.size(), 6u);
@@ -307,9 +307,9 @@
   cr_expect_eq(codeOf("/nowhere/x", "wrong"), 404);
   cr_expect_eq(codeOf("/once/x", "wrong"), 401);
   cr_expect_eq(codeOf("/once/x", ""), 401);
-  auto stranger = harness.clientRequest("/once/x");
-  stranger.host = "h2";
-  cr_expect_eq(codeStatus(static_cast<Code>(harness.finalStatusOf(harness.submit(stranger)).code)), 404);
+  auto otherHost = harness.clientRequest("/once/x");
+  otherHost.host = "h2";
+  cr_expect_eq(codeStatus(static_cast<Code>(harness.finalStatusOf(harness.submit(otherHost)).code)), 404);
   cr_expect(harness.all<WorkerOrder>().empty());
   cr_expect_eq(harness.onlyAttempt(harness.submit("/open/x", "")).tenant, "");
   cr_expect_eq(harness.onlyAttempt(harness.submit("/open/x", "key-b")).tenant, "olm");
@@ -502,7 +502,7 @@
 }
 
 Test(path_orders, workers_with_old_weights_are_selected_only_while_a_roll_out_may_last) {
-  TimingGuard kept;
+  TimingGuard timingGuard;
   timing.oldWeightsOrderTimeout = 4s;
   ProxyHarness harness;
   harness.worker("w1");
