--- a/tests/placement.cpp
+++ b/tests/placement.cpp
@@ -21,9 +21,9 @@
   auto busy = idleWorker(), idle = idleWorker();
   busy.waitMs = 50;
   cr_expect_gt(placementCostMs(busy), placementCostMs(idle));
-  auto delayFirstChunks = idleWorker();
-  delayFirstChunks.msPerToken *= 1.3;
-  cr_expect_gt(placementCostMs(delayFirstChunks), placementCostMs(idle));
+  auto slower = idleWorker();
+  slower.msPerToken *= 1.3;
+  cr_expect_gt(placementCostMs(slower), placementCostMs(idle));
   auto cached = idleWorker();
   cached.cachedTokens = cached.bestCachedTokens = idle.bestCachedTokens = 13000;
   cached.waitMs = 300;
@@ -63,7 +63,7 @@
       previous = urgency;
     }
   cr_expect_eq(urgencyOf(2, priorities, 1e9, 0), urgencyOf(2, priorities, 1, 0),
-               "no size counts before an aim is known");
+               "the size does not count before a target latency is known");
 }
 
 Test(urgency, any_number_of_priorities_fits_in_order) {
@@ -187,7 +187,7 @@
     bool back = false;
     for (int number = 0; number < 60 && !back; ++number)
       back = harness.onlyAttempt(harness.submitPlain()).worker == first.worker;
-    cr_expect(back, "an ejection ends");
+    cr_expect(back, "the worker is selected again after its ejection");
   }
 }
 
@@ -214,9 +214,9 @@
   auto orderId = harness.submit("/once/x", "key-a", promptOf(number), {300, 13000, 3000});
   for (const auto& lookup : harness.newLookups()) {
     auto waits = waitingTokens.find(lookup.keeper);
-    auto reads = pending.find(lookup.keeper);
+    auto hits = pending.find(lookup.keeper);
     harness.replyTo(lookup, {}, waits == waitingTokens.end() ? 0 : waits->second, 30,
-                    reads == pending.end() ? 0 : reads->second);
+                    hits == pending.end() ? 0 : hits->second);
   }
   return harness.onlyAttempt(orderId);
 }
@@ -239,13 +239,13 @@
   ProxyHarness harness;
   harness.addWorkers(4);
   for (int number = 0; number < 40; ++number) {
-    std::string reader = "w" + std::to_string(number % 4 + 1);
-    auto attempt = submitWithQueues(harness, number, {{reader, 4000}}, {{reader, 2}});
-    cr_expect_eq(attempt.worker, reader);
+    std::string prefilling = "w" + std::to_string(number % 4 + 1);
+    auto attempt = submitWithQueues(harness, number, {{prefilling, 4000}}, {{prefilling, 2}});
+    cr_expect_eq(attempt.worker, prefilling);
     cr_expect_eq(attempt.sourceAddress, "");
     harness.endAttempt(attempt.orderId, OrderOutcome::done);
-    auto elsewhere = submitWithQueues(harness, number + 1000, {{reader, 900000}}, {{reader, 2}});
-    cr_expect_neq(elsewhere.worker, reader);
+    auto elsewhere = submitWithQueues(harness, number + 1000, {{prefilling, 900000}}, {{prefilling, 2}});
+    cr_expect_neq(elsewhere.worker, prefilling);
     cr_expect_eq(elsewhere.sourceAddress, "", "a prefix that is not confirmed is not fetched");
     harness.endAttempt(elsewhere.orderId, OrderOutcome::done);
   }
--- a/tests/ring.cpp
+++ b/tests/ring.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-/// Files with a page cache: written bytes are durable only once their file is synced. A power loss keeps a random
-/// subset of the pages written since; a process that ends loses nothing of the cache.
+/// Files with a page cache: written bytes are durable only once their file is synced. After a power loss a random
+/// subset of the pages written since then remains; if only the process ends, the whole cache remains.
 class PagedFiles : public RingFiles {
  public:
   PagedFiles(std::mt19937_64& source, std::size_t pageBytes, int files, std::size_t bytes)
       : randomSource(source),
-        page(pageBytes),
+        pageSize(pageBytes),
         cache(static_cast<std::size_t>(files), std::string(bytes, '\0')),
         durable(cache) {}
   Result<std::string> readAll(int file) override { return cache[static_cast<std::size_t>(file)]; }
@@ -40,8 +40,8 @@
   void losePower() {
     std::uint64_t keptPerMille = randomSource() % 1001;
     for (std::size_t file = 0; file < cache.size(); ++file)
-      for (std::size_t at = 0; at < cache[file].size(); at += page)
-        if (randomSource() % 1000 < keptPerMille) durable[file].replace(at, page, cache[file].substr(at, page));
+      for (std::size_t at = 0; at < cache[file].size(); at += pageSize)
+        if (randomSource() % 1000 < keptPerMille) durable[file].replace(at, pageSize, cache[file].substr(at, pageSize));
     cache = durable;
   }
   /// After this many more writes and syncs the next one fails; a failing write leaves a random number of its bytes.
@@ -50,7 +50,7 @@
 
  private:
   std::mt19937_64& randomSource;
-  std::size_t page;
+  std::size_t pageSize;
 
  public:
   std::vector<std::string> cache, durable;
@@ -95,22 +95,23 @@
   }
 };
 
-/// How many openings of a ring succeeded, were refused as damaged, came back empty, and recovered a state that was
-/// never the end of a batch.
-struct LifeCounts {
-  int opened{0}, refused{0}, lost{0}, foreign{0};
+/// How often a ring was opened successfully, rejected as damaged, recovered as empty although batches had been synced,
+/// and recovered with a state that no batch had ended in.
+struct OpenCounts {
+  int opened{0}, refused{0}, lost{0}, unknown{0};
 };
 
-/// Opens and writes one ring through many lives. Each ends with a power loss, an ended process or a failed operation
-/// at a random point; afterwards the ring must hold the state of the last synced batch or of the one in flight.
-LifeCounts runLives(std::uint64_t seed, std::size_t page, bool powerLossOnly) {
+/// Opens and writes one ring again and again. Each time the process ends at a random point by a power loss, an exit or
+/// a failed operation. When the ring is opened again, its state must be that of the last synced batch or of the batch
+/// that was being written.
+OpenCounts runRestarts(std::uint64_t seed, std::size_t pageSize, bool powerLossOnly) {
   std::mt19937_64 randomSource(seed);
-  PagedFiles files(randomSource, page, 4, 16384);
+  PagedFiles files(randomSource, pageSize, 4, 16384);
   BatchGenerator generator{randomSource};
   RecoveredState known;
   std::optional<RecoveredState> inFlight;
-  LifeCounts counts;
-  for (int life = 0; life < 12; ++life) {
+  OpenCounts counts;
+  for (int restart = 0; restart < 12; ++restart) {
     files.operationsLeft = randomSource() % 3 == 0 ? randomSource() % 4 : 1u << 30;
     auto opened = Ring::open(files);
     bool stopped = files.operationsLeft == 0;
@@ -123,7 +124,7 @@
       std::string found = serialize(opened.value()->held());
       bool matchesKnown = found == serialize(known);
       if (!matchesKnown && !(inFlight && found == serialize(*inFlight))) {
-        ++(opened.value()->held().empty() && !known.empty() ? counts.lost : counts.foreign);
+        ++(opened.value()->held().empty() && !known.empty() ? counts.lost : counts.unknown);
         return counts;
       }
       known = opened.value()->held();
@@ -145,24 +146,24 @@
   return counts;
 }
 
-LifeCounts runAllSeeds(std::size_t page, bool powerLossOnly, std::uint64_t seeds) {
-  LifeCounts all;
+OpenCounts runAllSeeds(std::size_t pageSize, bool powerLossOnly, std::uint64_t seeds) {
+  OpenCounts all;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
-    LifeCounts counts = runLives(seed, page, powerLossOnly);
+    OpenCounts counts = runRestarts(seed, pageSize, powerLossOnly);
     all.opened += counts.opened;
     all.refused += counts.refused;
     all.lost += counts.lost;
-    all.foreign += counts.foreign;
+    all.unknown += counts.unknown;
   }
   return all;
 }
 
-void assertNoLoss(const LifeCounts& counts) {
+void assertNoLoss(const OpenCounts& counts) {
   cr_assert_gt(counts.opened, 10000);
   cr_assert(
-      counts.refused == 0 && counts.lost == 0 && counts.foreign == 0,
-      "of %d openings %d refused a torn ring, %d recovered an empty one, %d recovered a state that ends in no batch",
-      counts.opened, counts.refused, counts.lost, counts.foreign);
+      counts.refused == 0 && counts.lost == 0 && counts.unknown == 0,
+      "of %d openings, %d rejected a torn ring, %d recovered an empty one, %d recovered a state that no batch ended in",
+      counts.opened, counts.refused, counts.lost, counts.unknown);
 }
 
 }  // namespace
@@ -270,11 +271,12 @@
   cr_assert_eq(harness.ring->held().identity, "core-new");
 }
 
-/// The file before it still holds a valid but older checkpoint. Opening that one would silently lose synced records.
+/// The previous file still contains a valid but older checkpoint. Recovering from that one would silently lose synced
+/// records.
 Test(ring_damage, an_erased_newest_file_is_reported_as_damage) {
   RingHarness harness;
   harness.append({identityRecord("core-x")});
-  for (int life = 0; life < 6; ++life) harness.reopen();
+  for (int restart = 0; restart < 6; ++restart) harness.reopen();
   harness.append({entryRecord(makeEntry(1))});
   auto [file, at] = harness.find("body 1");
   (void)at;
@@ -310,7 +312,7 @@
   harness.fill(1, 3);
 }
 
-/// If a partly wiped ring opened with an older checkpoint, the core would have forgotten synced votes and entries.
+/// If a partly wiped ring could be opened at an older checkpoint, the core would forget synced votes and entries.
 Test(ring_damage, an_interrupted_wipe_never_leaves_an_older_state) {
   for (std::uint64_t seed = 1; seed <= 2000; ++seed) {
     std::mt19937_64 randomSource(seed);
--- a/tests/rollout_plan.cpp
+++ b/tests/rollout_plan.cpp
@@ -20,8 +20,8 @@
   return workers;
 }
 
-/// The workers of a model under the plan alone: each started worker loads for a random time and then has the weights
-/// that were newest at its start.
+/// The workers of a model, started by the plan only. A started worker loads for a random time and then has the weights
+/// that were newest when it was started.
 class SimulatedFleet {
  public:
   TimePoint now{start};
--- a/tests/routing_bench.hpp
+++ b/tests/routing_bench.hpp
@@ -169,7 +169,7 @@
     row.model.clear();
     return row;
   }
-  /// Sends the state of all cells, and a machine list of their engine workers.
+  /// Delivers the state of all cells, and a machine list with their engine workers.
   void publishCells() {
     std::vector<Machine> machines;
     for (auto& [zone, cell] : cells) {
@@ -256,8 +256,8 @@
     repliedLookups = lookups.size();
     return open;
   }
-  /// Replies to a lookup as the candidate's cell would: the parts that it has cached, and the prompt tokens that wait
-  /// for their prefill there.
+  /// Replies to a lookup as the candidate's cell would: with the parts that the candidate has cached, and the prompt
+  /// tokens that wait for their prefill there.
   void replyTo(const LookupMsg& lookup, std::vector<int> hits, double waitingTokens = 0, double tokensPerMs = 30,
                int pendingHits = 0) {
     hits.resize(lookup.hashes.size());
--- a/tests/snapshots.cpp
+++ b/tests/snapshots.cpp
@@ -10,10 +10,12 @@
 
 namespace {
 
-const std::vector<Member> three{
+const std::vector<Member> threeVoters{
     {"a", "a", "a:1", "north", true}, {"b", "b", "b:1", "north", true}, {"c", "c", "c:1", "north", true}};
 
-LogEntry membersEntry() { return LogEntry{1, 1, static_cast<int>(EntryKind::members), encodeMembers(three), {}, 0}; }
+LogEntry membersEntry() {
+  return LogEntry{1, 1, static_cast<int>(EntryKind::members), encodeMembers(threeVoters), {}, 0};
+}
 std::string weightsBody(std::uint64_t number, std::size_t bytes = 4) {
   return R"({"weights":{"w)" + std::to_string(number) + R"(":{"model":")" + std::string(bytes, 'm') + R"("}}})";
 }
@@ -44,16 +46,16 @@
   std::vector<Effects::Save> waiting;
   std::vector<std::pair<std::string, Message>> sent;
   Member self;
-  std::size_t room;
+  std::size_t capacityBytes;
 
-  explicit Replica(const RecoveredState& held = {}, const Member& member = three[0],
+  explicit Replica(const RecoveredState& recovered = {}, const Member& member = threeVoters[0],
                    std::size_t maxRecordBytes = 1 << 20)
-      : disk(held), self(member), room(maxRecordBytes) {
+      : disk(recovered), self(member), capacityBytes(maxRecordBytes) {
     restart();
   }
   void restart() {
     waiting.clear();
-    log = std::make_unique<ReplicatedLog>(self, room);
+    log = std::make_unique<ReplicatedLog>(self, capacityBytes);
     log->restore(disk, now);
   }
   void with(const std::function<void(Effects&)>& action) {
@@ -130,27 +132,27 @@
 };
 
 RecoveredState recoveredWith(std::vector<LogEntry> entries, std::optional<Snapshot> snapshot = std::nullopt) {
-  RecoveredState held;
-  held.identity = "a";
-  held.entries = std::move(entries);
-  held.snapshot = std::move(snapshot);
-  return held;
+  RecoveredState recovered;
+  recovered.identity = "a";
+  recovered.entries = std::move(entries);
+  recovered.snapshot = std::move(snapshot);
+  return recovered;
 }
 
-/// Entries up to `agreed` of term 1, then entries of a term 2 that was never committed.
-std::vector<LogEntry> withConflictingTail(std::uint64_t agreed, std::uint64_t last) {
-  auto entries = entriesUpTo(agreed, 1);
-  for (std::uint64_t index = agreed + 1; index <= last; ++index) entries.push_back(changeEntry(index, 2));
+/// Entries up to `committed` of term 1, then entries of a term 2 that was never committed.
+std::vector<LogEntry> withConflictingTail(std::uint64_t committed, std::uint64_t last) {
+  auto entries = entriesUpTo(committed, 1);
+  for (std::uint64_t index = committed + 1; index <= last; ++index) entries.push_back(changeEntry(index, 2));
   return entries;
 }
 
-/// Sends a whole snapshot to a replica without loss.
+/// Sends a snapshot to a replica without loss.
 void deliver(Replica& replica, std::uint64_t term, const Snapshot& snapshot) {
   SnapshotSender sender(makeSnapshotImage(snapshot));
-  while (auto piece = sender.nextMessage(replica.now)) {
-    piece->term = term;
-    piece->leader = "b";
-    replica.handle("b:1", *piece);
+  while (auto chunk = sender.nextMessage(replica.now)) {
+    chunk->term = term;
+    chunk->leader = "b";
+    replica.handle("b:1", *chunk);
     sender.handle(replica.sentOf<InstallSnapshotResponse>().back(), replica.now);
   }
 }
@@ -164,10 +166,10 @@
   RecoveredState disk = replica.disk;
   for (std::size_t stop = 0; stop <= replica.waiting.size(); ++stop) {
     if (stop > 0) cr_assert(disk.applyRecord(replica.waiting[stop - 1].record));
-    bool whole = disk.snapshot && disk.snapshot->index == 20 && disk.entries.empty();
+    bool installed = disk.snapshot && disk.snapshot->index == 20 && disk.entries.empty();
     bool old = !disk.snapshot && disk.entries.size() == 15;
-    cr_expect(whole || old, "after %d of %d records the replica has %d entries and no snapshot", static_cast<int>(stop),
-              static_cast<int>(replica.waiting.size()), static_cast<int>(disk.entries.size()));
+    cr_expect(installed || old, "after %d of %d records the replica has %d entries and no snapshot",
+              static_cast<int>(stop), static_cast<int>(replica.waiting.size()), static_cast<int>(disk.entries.size()));
   }
 }
 
@@ -212,7 +214,7 @@
 namespace {
 /// A leader that has taken a snapshot of entries that the two followers have synced but its own disk has not.
 Replica leaderWithSlowDisk() {
-  Replica replica(recoveredWith({membersEntry()}), three[0], 8192);
+  Replica replica(recoveredWith({membersEntry()}), threeVoters[0], 8192);
   replica.becomeLeader();
   replica.sync();
   for (int number = 0; number < 12; ++number) {
@@ -251,9 +253,9 @@
   return snapshot;
 }
 
-/// Counts of one snapshot transfer: chunks with data, their bytes in total, and the size of the largest.
+/// Counts of one snapshot transfer: `chunks` with data, their total size `payload`, and the size of the largest one.
 struct TransferResult {
-  std::uint64_t pieces{0}, payload{0}, largestChunk{0};
+  std::uint64_t chunks{0}, payload{0}, largestChunk{0};
   bool arrived{false};
 };
 
@@ -271,27 +273,27 @@
   auto chance = [&](int share) { return static_cast<int>(randomSource() % 100) < share; };
   auto arrival = [&] { return now + std::chrono::milliseconds(1 + randomSource() % 60); };
   for (TimePoint end = now + 600s; now < end && !transfer.arrived; now += 5ms) {
-    if (auto piece = sender.nextMessage(now)) {
-      transfer.pieces += !piece->bytes.empty();
-      transfer.payload += piece->bytes.size();
+    if (auto chunk = sender.nextMessage(now)) {
+      transfer.chunks += !chunk->bytes.empty();
+      transfer.payload += chunk->bytes.size();
       for (int copies = chance(lossPerCent) ? 0 : chance(10) ? 2 : 1; copies > 0; --copies)
-        toReceiver.emplace(arrival(), *piece);
+        toReceiver.emplace(arrival(), *chunk);
     }
     while (!toReceiver.empty() && toReceiver.begin()->first <= now) {
-      InstallSnapshot piece = toReceiver.begin()->second;
+      InstallSnapshot chunk = toReceiver.begin()->second;
       toReceiver.erase(toReceiver.begin());
       if (static_cast<int>(randomSource() % 1000) < forgetPerMille) receiver = SnapshotReceiver();
-      Uint64 held = receiver.handle(piece, 1 << 22);
-      transfer.largestChunk = std::max<std::uint64_t>(transfer.largestChunk, piece.bytes.size());
-      if (auto whole = receiver.takeCompleteSnapshot()) {
-        cr_assert_eq(whole->configuration, snapshot.configuration);
-        cr_assert_eq(whole->index, snapshot.index);
+      Uint64 receivedBytes = receiver.handle(chunk, 1 << 22);
+      transfer.largestChunk = std::max<std::uint64_t>(transfer.largestChunk, chunk.bytes.size());
+      if (auto complete = receiver.takeCompleteSnapshot()) {
+        cr_assert_eq(complete->configuration, snapshot.configuration);
+        cr_assert_eq(complete->index, snapshot.index);
         transfer.arrived = true;
       }
       InstallSnapshotResponse response;
-      response.digest = piece.digest;
-      response.offset = held;
-      response.attempt = piece.attempt;
+      response.digest = chunk.digest;
+      response.offset = receivedBytes;
+      response.attempt = chunk.attempt;
       if (!chance(lossPerCent)) toSender.emplace(arrival(), response);
     }
     while (!toSender.empty() && toSender.begin()->first <= now) {
@@ -318,18 +320,18 @@
   SnapshotReceiver receiver;
   TimePoint now{std::chrono::hours(1)};
   std::size_t payload = 0;
-  std::optional<Snapshot> whole;
-  while (auto piece = sender.nextMessage(now)) {
-    payload += piece->bytes.size();
+  std::optional<Snapshot> complete;
+  while (auto chunk = sender.nextMessage(now)) {
+    payload += chunk->bytes.size();
     cr_assert_not(sender.nextMessage(now).has_value(), "one chunk is in flight at a time");
     InstallSnapshotResponse response;
-    response.digest = piece->digest;
-    response.attempt = piece->attempt;
-    response.offset = receiver.handle(*piece, 1 << 22);
-    whole = receiver.takeCompleteSnapshot();
+    response.digest = chunk->digest;
+    response.attempt = chunk->attempt;
+    response.offset = receiver.handle(*chunk, 1 << 22);
+    complete = receiver.takeCompleteSnapshot();
     sender.handle(response, now += 30ms);
   }
-  cr_assert(whole.has_value());
+  cr_assert(complete.has_value());
   cr_expect_eq(payload, sender.image().bytes.size());
 }
 
@@ -353,15 +355,15 @@
   SnapshotReceiver receiver;
   TimePoint now{std::chrono::hours(1)};
   auto pass = [&](SnapshotSender& sender) {
-    auto piece = sender.nextMessage(now);
+    auto chunk = sender.nextMessage(now);
     InstallSnapshotResponse response;
-    response.digest = piece->digest;
-    response.attempt = piece->attempt;
-    response.offset = receiver.handle(*piece, 1 << 22);
+    response.digest = chunk->digest;
+    response.attempt = chunk->attempt;
+    response.offset = receiver.handle(*chunk, 1 << 22);
     sender.handle(response, now);
   };
   SnapshotSender first(image);
-  for (int pieces = 0; pieces < 4; ++pieces) pass(first);
+  for (int chunks = 0; chunks < 4; ++chunks) pass(first);
   SnapshotSender second(makeSnapshotImage(largeSnapshot(700000)));
   pass(second);
   cr_expect_eq(second.acknowledged(), 4 * SnapshotSender::maxChunkBytes);
@@ -375,12 +377,12 @@
   SnapshotSender sender(image);
   SnapshotReceiver receiver;
   TimePoint now{std::chrono::hours(1)};
-  auto piece = sender.nextMessage(now);
-  cr_expect_eq(receiver.handle(*piece, 100000), 0u);
+  auto chunk = sender.nextMessage(now);
+  cr_expect_eq(receiver.handle(*chunk, 100000), 0u);
   cr_expect_eq(receiver.receivedBytes(), 0u);
-  piece->bytes[77] ^= 1;
-  cr_expect_eq(receiver.handle(*piece, 1 << 22), SnapshotSender::maxChunkBytes);
-  InstallSnapshot rest = *piece;
+  chunk->bytes[77] ^= 1;
+  cr_expect_eq(receiver.handle(*chunk, 1 << 22), SnapshotSender::maxChunkBytes);
+  InstallSnapshot rest = *chunk;
   rest.offset = SnapshotSender::maxChunkBytes;
   rest.bytes = image->bytes.substr(SnapshotSender::maxChunkBytes);
   receiver.handle(rest, 1 << 22);
@@ -469,38 +471,39 @@
 };
 
 /// The state after thousands of changes with ids of maximum length and a configuration close to the size limit.
-RecoveredState recoveredAtCapacity(std::size_t room) {
+RecoveredState recoveredAtCapacity(std::size_t capacityBytes) {
   std::vector<LogEntry> entries{membersEntry()};
   for (std::uint64_t index = 2; index <= 4200; ++index) {
-    auto entry = changeEntry(index, 1, index % 8 == 0 ? room / 640 : 4);
-    entry.body = weightsBody(index % 512, index % 8 == 0 ? room / 640 : 4);
+    auto entry = changeEntry(index, 1, index % 8 == 0 ? capacityBytes / 640 : 4);
+    entry.body = weightsBody(index % 512, index % 8 == 0 ? capacityBytes / 640 : 4);
     entry.changeId = std::to_string(index) + std::string(128 - std::to_string(index).size(), 'i');
     entries.push_back(entry);
   }
   return recoveredWith({}, snapshotOf(entries));
 }
 
-/// Sends a replica large changes until it rejects them, then lets its disk write everything at once, repeatedly. Guards
-/// against a checkpoint that does not fit into one file of the ring, which would stop the process.
-void fillToCapacity(std::size_t fileBytes, bool agreed) {
-  std::size_t room = fileBytes / 4;
+/// Sends more large changes to a replica than it accepts, and every few rounds writes all of its new records to the
+/// ring in one batch. Guards against a checkpoint that does not fit into one file of the ring, which would stop the
+/// process.
+void fillToCapacity(std::size_t fileBytes, bool acknowledges) {
+  std::size_t capacityBytes = fileBytes / 4;
   MemoryFiles files(fileBytes);
   auto ring = std::move(Ring::open(files).value());
-  Replica replica(recoveredAtCapacity(room), three[0], room);
+  Replica replica(recoveredAtCapacity(capacityBytes), threeVoters[0], capacityBytes);
   cr_assert(bool(ring->append(replica.disk.records())));
   replica.becomeLeader();
   replica.changes = 100000;
   int refused = 0;
   for (int round = 0; round < 60; ++round) {
     replica.renewLease();
-    std::size_t bytes = room / 3 - static_cast<std::size_t>(round % 7) * room / 24;
+    std::size_t bytes = capacityBytes / 3 - static_cast<std::size_t>(round % 7) * capacityBytes / 24;
     ChangeRequest request;
     request.requestId = request.changeId = "large " + std::to_string(round);
     request.body = weightsBody(7, bytes);
     request.ifRevision = -1;
     replica.with([&](Effects& effects) { replica.log->proposeChange(effects, "operator", request); });
-    auto answers = replica.sentOf<ChangeResponse>();
-    refused += !answers.empty() && answers.back().code == static_cast<int>(Code::changesFull);
+    auto responses = replica.sentOf<ChangeResponse>();
+    refused += !responses.empty() && responses.back().code == static_cast<int>(Code::changesFull);
     replica.sent.clear();
     if (round % 9 != 8) continue;
     std::vector<Record> records;
@@ -511,7 +514,7 @@
     auto reopened = Ring::open(files);
     cr_assert(bool(reopened), "round %d: %s", round, reopened ? "" : reopened.error().text.c_str());
     ring = std::move(reopened).value();
-    if (agreed)
+    if (acknowledges)
       for (const char* other : {"b", "c"}) replica.acknowledge(other, replica.log->logEnd());
   }
   cr_expect_gt(refused, 0, "the limit was never reached");
--- a/tests/timing.cpp
+++ b/tests/timing.cpp
@@ -63,37 +63,38 @@
 
 Test(timing, each_condition_is_named_when_it_does_not_hold) {
   struct Case {
-    const char* named;
+    const char* text;
     std::function<void(Timing&)> breakCondition;
   };
   Timing valid;
   valid.commandHoldoff = 3300ms;
   cr_assert_str_eq(failedCondition(checkTiming(valid, TimingBounds{5s})).c_str(), "");
   const Case cases[] = {
-      {"3 holdEvery < lease", [](Timing& changed) { changed.heartbeatInterval = 300ms; }},
-      {"lease < promise", [](Timing& changed) { changed.minElectionTimeout = changed.lease; }},
-      {"voteWait < promise", [](Timing& changed) { changed.voteTimeout = changed.minElectionTimeout; }},
-      {"2 roundEvery + 2 feedEvery <= freshFor", [](Timing& changed) { changed.maxStaleness = 600ms; }},
-      {"roundEvery < readersWait", [](Timing& changed) { changed.readerAckTimeout = 250ms; }},
-      {"feedEvery < readersWait",
+      {"3 heartbeatInterval < lease", [](Timing& changed) { changed.heartbeatInterval = 300ms; }},
+      {"lease < minElectionTimeout", [](Timing& changed) { changed.minElectionTimeout = changed.lease; }},
+      {"voteTimeout < minElectionTimeout", [](Timing& changed) { changed.voteTimeout = changed.minElectionTimeout; }},
+      {"2 logEndPollInterval + 2 feedPollInterval <= maxStaleness",
+       [](Timing& changed) { changed.maxStaleness = 600ms; }},
+      {"logEndPollInterval < readerAckTimeout", [](Timing& changed) { changed.readerAckTimeout = 250ms; }},
+      {"feedPollInterval < readerAckTimeout",
        [](Timing& changed) { changed.feedPollInterval = changed.maxStaleness / 3, changed.readerAckTimeout = 400ms; }},
-      {"2 readersWait <= AckMs", [](Timing& changed) { changed.readerAckTimeout = 2100ms; }},
-      {"readers are remembered", [](Timing& changed) { changed.readerAckTimeout = 11s; }},
-      {"freshFor < RevokeMs", [](Timing& changed) { changed.maxStaleness = 5s; }},
-      {"< ConfigApplyMs",
+      {"2 readerAckTimeout <= AckMs", [](Timing& changed) { changed.readerAckTimeout = 2100ms; }},
+      {"readerAckTimeout < readerRetention", [](Timing& changed) { changed.readerAckTimeout = 11s; }},
+      {"maxStaleness < RevokeMs", [](Timing& changed) { changed.maxStaleness = 5s; }},
+      {"feedPollInterval < ConfigApplyMs",
        [](Timing& changed) {
          changed.maxStaleness = 4s, changed.logEndPollInterval = 1500ms, changed.readerAckTimeout = 1900ms,
          changed.feedPollInterval = 400ms;
        }},
-      {"listOld + listEvery < DrainMs", [](Timing& changed) { changed.maxListAge = 2900ms; }},
-      {"commandRest >= LeaseMs", [](Timing& changed) { changed.commandHoldoff = 2s; }},
-      {"memberGone > promise", [](Timing& changed) { changed.memberRemovalTimeout = 1s; }},
-      {"votersLeast >= 1", [](Timing& changed) { changed.minVoters = 0; }},
+      {"maxListAge + listPollInterval < DrainMs", [](Timing& changed) { changed.maxListAge = 2900ms; }},
+      {"commandHoldoff >= LeaseMs", [](Timing& changed) { changed.commandHoldoff = 2s; }},
+      {"memberRemovalTimeout > minElectionTimeout", [](Timing& changed) { changed.memberRemovalTimeout = 1s; }},
+      {"minVoters >= 1", [](Timing& changed) { changed.minVoters = 0; }},
   };
   for (const auto& row : cases) {
     Timing changed = valid;
     row.breakCondition(changed);
     auto text = failedCondition(checkTiming(changed, TimingBounds{5s}));
-    cr_expect(text.find(row.named) != std::string::npos, "expected %s, got: %s", row.named, text.c_str());
+    cr_expect(text.find(row.text) != std::string::npos, "expected %s, got: %s", row.text, text.c_str());
   }
 }
--- a/tests/version_ends_cell.cpp
+++ b/tests/version_ends_cell.cpp
@@ -5,10 +5,11 @@
 using namespace tt;
 
 namespace {
-/// How long a version may be used once a newer one is announced. Workers must be commanded before that.
+/// How long a version may be used after a newer one was announced. Workers must be commanded to load the newer one
+/// before that.
 constexpr Duration maxUse = 10s;
 
-/// A cell for whose model newer weights are announced again and again.
+/// A cell for whose model newer weights are announced repeatedly.
 struct RolloutHarness : CellHarness {
   struct Announcement {
     std::string weights;
@@ -206,8 +207,8 @@
   }
 }
 
-/// A new lease holder knows nothing of the roll-out so far and must observe the command hold-off, and still all workers
-/// must be commanded in time.
+/// A new lease holder does not know the progress of the roll-out and must observe the command hold-off. All workers
+/// must still be commanded in time.
 Test(version_ends_cell, losing_the_lease_holder_does_not_prolong_the_use_of_a_version) {
   for (bool returns : {false, true})
     for (Duration lostAfter : {500ms, 2000ms, 4000ms}) {
@@ -315,7 +316,7 @@
 }
 
 namespace {
-/// Updates of the cells of three zones that precede this one. Each zone has a single worker that never finishes.
+/// Updates of the cells of three preceding zones. Each of them has a single worker that never finishes its roll-out.
 std::map<std::string, CellNews> zonesBefore() {
   std::map<std::string, CellNews> cellUpdatesByZone;
   for (const char* zone : {"east-a", "east-b", "east-c"}) {
--- a/tests/version_ends_proxy.cpp
+++ b/tests/version_ends_proxy.cpp
@@ -5,13 +5,13 @@
 using namespace tt;
 
 namespace {
-/// How long a proxy may use a version that is no longer the newest, and within how long a request that has not started
-/// at a worker of that version must have been dropped there.
+/// `oldWeightsUse`: how long a proxy may use a version after a newer one was announced. `dropTimeout`: the time after
+/// that announcement by which a request that has not started on the old version must have been dropped there.
 constexpr Duration oldWeightsUse = 4s;
 constexpr Duration dropTimeout = 4500ms;
 constexpr Duration tickInterval = 10ms;
 
-/// A proxy whose model gets newer weights while workers still have older ones.
+/// A proxy for whose model newer weights are announced while workers still have older ones.
 struct VersionHarness : ProxyHarness {
   struct Announcement {
     std::string weights;
@@ -210,7 +210,7 @@
 
 Test(version_ends_proxy, a_request_in_a_lookup_past_the_end_goes_to_newer_weights) {
   for (const auto& versions : oneAndTwoAnnouncements)
-    for (bool repliedLookups : {true, false}) {
+    for (bool lookupsAnswered : {true, false}) {
       VersionHarness harness;
       harness.addWorkersWith({"moss/3", versions.back()});
       harness.run(300ms);
@@ -218,7 +218,7 @@
       harness.run(harness.useEndsAt("moss/3") - 100ms - harness.now);
       auto waiting = harness.requestsInLookup("moss/3");
       harness.run(150ms);
-      if (repliedLookups) harness.replyToLookups({});
+      if (lookupsAnswered) harness.replyToLookups({});
       harness.run(700ms);
       harness.replyToLookups({});
       harness.run(700ms);
@@ -323,8 +323,8 @@
 }
 
 namespace {
-/// A proxy that froze while the use of the old version ended, with requests in a lookup, pending, and at a worker of
-/// that version.
+/// A proxy that was frozen while the use of the old version ended. It has requests with open lookups, a pending one,
+/// and one at a worker of that version.
 struct FrozenHarness : VersionHarness {
   Strings inLookup;
   std::vector<LookupMsg> lookupsBefore;
@@ -443,7 +443,7 @@
 }
 
 Test(version_ends_proxy, a_proxy_started_after_the_announcement_uses_no_older_version) {
-  for (bool newOnes : {true, false}) {
+  for (bool newerAvailable : {true, false}) {
     VersionHarness harness;
     harness.announce("moss/4");
     VersionHarness restarted;
@@ -452,13 +452,13 @@
     restarted.announcements = harness.announcements;
     restarted.sendSnapshot();
     restarted.tick();
-    restarted.addWorkersWith(newOnes ? Strings{"moss/3", "moss/4"} : Strings{"moss/3"});
+    restarted.addWorkersWith(newerAvailable ? Strings{"moss/3", "moss/4"} : Strings{"moss/3"});
     TimePoint since = restarted.now;
     restarted.serve(2s);
     std::set<std::string> used;
-    if (newOnes) used.insert("moss/4");
+    if (newerAvailable) used.insert("moss/4");
     cr_expect(restarted.weightsUsedSince(since) == used);
-    if (newOnes) continue;
+    if (newerAvailable) continue;
     auto orderId = restarted.submitNext();
     restarted.run(2s);
     auto status = restarted.finalStatusOf(orderId);
@@ -565,7 +565,7 @@
     attempt = attemptAt("moss/3", path);
   }
   void runPastDropTimeout() { run(supersededAt("moss/3", now) + dropTimeout + 2 * tickInterval - now); }
-  /// The old version's worker must have been told to drop the request, once, and not before the end of the use.
+  /// The worker must have been told once to drop the request, and not before the end of the use.
   void expectDropped() const {
     std::vector<SentMessage> rows;
     for (const auto& row : sent)
--- a/tests/version_namings.cpp
+++ b/tests/version_namings.cpp
@@ -4,7 +4,7 @@
 using namespace tt;
 
 namespace {
-/// How much older than its true age an announcement may be reported to be.
+/// By how much the reported age of an announcement may exceed its true age.
 constexpr Duration pollSlack = 800ms;
 
 /// Cores and agents that are asked when weights versions were announced.
@@ -50,7 +50,7 @@
     request.agent = "reader:1";
     return requestAnnouncements<LogEndResponse>(name, request);
   }
-  /// Each announcement must be reported, in order, and none as younger than it is or as much older.
+  /// Each announcement must be reported, in order, and none as younger than it is or as older by more than `slack`.
   void expectReported(const std::vector<WeightsAnnouncement>& reported, const std::string& reporter,
                       Duration slack = pollSlack) const {
     std::vector<WeightsAnnouncement> rows;
--- a/tests/version_timeline.cpp
+++ b/tests/version_timeline.cpp
@@ -193,12 +193,12 @@
   VersionTimeline timeline;
   Duration clockOffset{0};
   std::optional<TimePoint> completeAt;
-  /// How many of the true announcements it has observed in the configuration, and how many the processes had observed
-  /// whose announcements it has merged.
+  /// `observed`: how many of the true announcements it has observed in the configuration. `merged`: the highest number
+  /// that it or a process whose export it has merged had observed.
   std::size_t observed{0}, merged{0};
 };
 
-/// True announcements, and processes that observe them late, restart, and exchange what they know.
+/// The true announcements, and processes that observe them late, restart, and exchange what they know.
 class AnnouncementWorld {
  public:
   explicit AnnouncementWorld(std::uint64_t seed) : randomSource(seed), followers(4) {
@@ -279,8 +279,8 @@
         return at + 1 == known ? TimePoint::max() : announcements[at + 1].at + follower.clockOffset;
     return std::nullopt;
   }
-  /// The latest of these times over all that the follower has observed or merged, since a version may have been
-  /// announced again in the meantime.
+  /// The latest of these times for every number of known announcements from `observed` to `merged`, since a version may
+  /// have been announced again in the meantime.
   TimePoint latestSuccessorAt(const Follower& follower, const std::string& weights) const {
     TimePoint latest = TimePoint::min();
     for (std::size_t known = follower.observed; known <= follower.merged; ++known)
