--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -6,12 +6,12 @@
 files=(
   src/rollout/*.cpp
   src/consensus/timing_check.cpp
-  src/net/gate_drain.cpp
+  src/net/http_server_drain.cpp
   src/net/operator_drain.cpp
   src/index/prefill_ledger.cpp
   src/routing/drain_plan.cpp
-  src/routing/edge_outcomes.cpp
-  src/routing/edge_report.cpp
+  src/routing/proxy_outcomes.cpp
+  src/routing/proxy_report.cpp
   src/routing/placement_cost.cpp
   src/routing/plain_placement.cpp
   src/routing/urgency.cpp
--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -73,7 +73,7 @@
 void Agent::selectUpstream(Effects& effects) {
   for (auto suspect = suspectedUntil.begin(); suspect != suspectedUntil.end();)
     suspect = effects.now >= suspect->second ? suspectedUntil.erase(suspect) : std::next(suspect);
-  Strings candidates = clusterView.watch();
+  Strings candidates = clusterView.upstreamCandidates();
   std::vector<std::pair<std::uint64_t, std::string>> ranked;
   for (const auto& address : clusterView.coreAddresses(view))
     ranked.emplace_back(rendezvousHash(settings.address, address), address);
@@ -115,7 +115,7 @@
   for (const auto& snapshot : update.snapshots) {
     if (snapshot.index <= view.index()) continue;
     if (!view.installSnapshot(snapshot)) continue;
-    clusterView.noteVersions(view);
+    clusterView.recordAnnouncements(view);
     recentEntries.clear();
     forwardDownstream(effects, NewsMsg{update.commit, {}, {snapshot}});
     effects.note("capture taken", settings.name, static_cast<std::int64_t>(snapshot.index));
@@ -124,7 +124,7 @@
   for (const auto& entry : update.entries) {
     if (entry.index != view.index() + 1) continue;
     view.apply(entry);
-    clusterView.noteVersions(view);
+    clusterView.recordAnnouncements(view);
     recentEntries.push_back(entry);
     if (recentEntries.size() > maxRecentEntries) recentEntries.pop_front();
     applied.entries.push_back(entry);
@@ -207,7 +207,7 @@
     sendUpdates(effects, from, request->applied, request->cells);
   } else if (auto* cellUpdate = std::get_if<CellNews>(&message)) {
     auto& kept = cells[cellUpdate->zone];
-    if (!applyCellNews(kept, *cellUpdate)) return;
+    if (!applyCellUpdate(kept, *cellUpdate)) return;
     forwardDownstream(effects, message);
   } else if (auto* poll = std::get_if<FeedAsk>(&message)) {
     proxySeenAt[from] = effects.now;
@@ -233,8 +233,8 @@
     forwardToCell(effects, started->zone, message);
   } else if (auto* ended = std::get_if<PrefillEnded>(&message)) {
     forwardToCell(effects, ended->zone, message);
-  } else if (auto* watch = std::get_if<WatchMsg>(&message)) {
-    WatchMsg forwarded = *watch;
+  } else if (auto* upstreamCandidates = std::get_if<WatchMsg>(&message)) {
+    WatchMsg forwarded = *upstreamCandidates;
     forwarded.replyTo = settings.address;
     forwardToCell(effects, forwarded.zone, forwarded);
   } else if (std::holds_alternative<LookupReply>(message) || std::holds_alternative<TransferDone>(message)) {
@@ -259,7 +259,7 @@
   status["follows"] = Json(upstream);
   JsonArray followers, upstreams;
   for (const auto& [address, at] : followerSeenAt) followers.push_back(Json(address));
-  for (const auto& address : clusterView.watch()) upstreams.push_back(Json(address));
+  for (const auto& address : clusterView.upstreamCandidates()) upstreams.push_back(Json(address));
   status["followers"] = Json(followers);
   status["watches"] = Json(upstreams);
   JsonObject counters;
--- a/src/base/effects.cpp
+++ b/src/base/effects.cpp
@@ -26,13 +26,13 @@
   return digest;
 }
 
-bool applyCellNews(CellNews& kept, const CellNews& update) {
+bool applyCellUpdate(CellNews& kept, const CellNews& update) {
   if (std::make_pair(update.term, update.sequence) <= std::make_pair(kept.term, kept.sequence)) return false;
   if (update.base > 0) {
     if (kept.term != update.term || kept.sequence != update.base) return false;
     std::map<std::string, WorkerView> rows;
     for (auto& worker : kept.workers) rows[worker.name] = std::move(worker);
-    for (const auto& name : update.gone) rows.erase(name);
+    for (const auto& name : update.removedWorkers) rows.erase(name);
     for (const auto& worker : update.workers) rows[worker.name] = worker;
     kept.workers.clear();
     for (auto& [name, worker] : rows) kept.workers.push_back(std::move(worker));
@@ -68,7 +68,7 @@
 Record entryRecord(const LogEntry& entry) { return {RecordKind::entry, encodeEntry(entry)}; }
 Record truncationRecord(std::uint64_t firstRemoved) { return {RecordKind::cut, std::to_string(firstRemoved)}; }
 Record snapshotRecord(const Snapshot& snapshot) { return {RecordKind::snapshot, encodeSnapshot(snapshot)}; }
-Record installedRecord(const Snapshot& snapshot) { return {RecordKind::installed, encodeSnapshot(snapshot)}; }
+Record installedRecord(const Snapshot& snapshot) { return {RecordKind::installedSnapshot, encodeSnapshot(snapshot)}; }
 
 bool RecoveredState::applyRecord(const Record& record) {
   switch (record.kind) {
@@ -104,7 +104,7 @@
       entries = std::move(kept);
       return true;
     }
-    case RecordKind::installed: {
+    case RecordKind::installedSnapshot: {
       auto decoded = decodeSnapshot(record.bytes);
       if (!decoded) return false;
       snapshot = std::move(decoded).value();
--- a/src/base/effects.hpp
+++ b/src/base/effects.hpp
@@ -52,7 +52,7 @@
   /// Marks that the records before it are a complete copy of the state (a checkpoint).
   checkpointEnd = 6,
   /// A snapshot that replaces the entire log.
-  installed = 7
+  installedSnapshot = 7
 };
 /// One record as the ring log stores it.
 struct Record {
@@ -97,7 +97,7 @@
   struct Save {
     Record record;
     /// Is called once the record is synced to disk.
-    std::function<void(Effects&)> then;
+    std::function<void(Effects&)> onSynced;
   };
   /// The time of the call.
   TimePoint now;
@@ -109,8 +109,8 @@
   std::vector<Save> saves;
 
   void send(const std::string& to, Message message) { sends.emplace_back(to, std::move(message)); }
-  void save(Record record, std::function<void(Effects&)> then = {}) {
-    saves.push_back({std::move(record), std::move(then)});
+  void save(Record record, std::function<void(Effects&)> onSynced = {}) {
+    saves.push_back({std::move(record), std::move(onSynced)});
   }
   /// Returns a random number from 0 to below - 1, or 0 if `below` is 0.
   std::uint64_t randomBelow(std::uint64_t below) { return below ? randomSource() % below : 0; }
--- a/src/base/messages.hpp
+++ b/src/base/messages.hpp
@@ -56,9 +56,9 @@
 /// knows exactly which blocks it has. `kept`: number of cached blocks. `summary`: a Bloom filter over their hashes.
 /// `savedPermille`: of a store, the share of prefixes in 1/1000 that are worth writing to it.
 TT_STRUCT(WorkerView, ((std::string, name))((std::string, address))((std::string, zone))((std::string, kind))
-          ((std::string, weights))((std::string, model))((int, running))((int, slots))((bool, held))((bool, alive))
-          ((bool, confirmed))((Uint64, kept))((Uint64, reportSequence))((std::string, summary))
-          ((std::string, service))((int, waiting))((int, memory))((int, savedPermille)))
+          ((std::string, weights))((std::string, model))((int, running))((int, slots))((bool, withheld))((bool, alive))
+          ((bool, confirmed))((Uint64, cachedBlocks))((Uint64, reportSequence))((std::string, summary))
+          ((std::string, service))((int, waiting))((int, kvUsedPercent))((int, savedPermille)))
 /// The measured speed of transfers from one worker to another.
 TT_STRUCT(LinkSpeed, ((std::string, source))((std::string, target))((double, blocksPerSecond)))
 /// A change to a worker's cached blocks; `kind` is a CacheEventKind. Sequence numbers have no gaps within one run of a
@@ -102,9 +102,9 @@
   /* configuration changes, from core to leader: `ifRevision` -1: whatever the present revision; `toRevision`         \
      above 0: the revision that the change makes, below 0: the present one stays; `seen`: index of the log that       \
      the asking core had applied when the operator's request came */                                                  \
-  X(ChangeRequest, ((std::string, requestId))((std::string, body))((bool, whole))((std::int64_t, ifRevision))         \
+  X(ChangeRequest, ((std::string, requestId))((std::string, body))((bool, complete))((std::int64_t, ifRevision))         \
       ((std::string, changeId))((std::int64_t, sinceRevision))((int, changeFormat))((std::int64_t, toRevision))       \
-      ((Uint64, seen)))                                                                                               \
+      ((Uint64, appliedAtRequest)))                                                                                               \
   X(ChangeResponse, ((std::string, requestId))((int, code))((std::string, subject))((std::string, text))              \
       ((Uint64, revision))((Uint64, index))((Uint64, term)))                                                          \
   /* readers and cores: how far the log is, and which readers are how far; `watch`: addresses that an agent may       \
@@ -114,28 +114,28 @@
   X(LogEndRequest, ((Uint64, requestId))((std::string, agent))((std::string, zone))((Uint64, applied))                \
       ((std::vector<CellVersion>, cells))((bool, fresh))((bool, relays))((Uint64, machineListDigest)))                \
   X(LogEndResponse, ((Uint64, requestId))((std::string, core))((Uint64, term))((bool, leads))((Uint64, lastIndex))    \
-      ((Uint64, commit))((std::vector<Member>, members))((Strings, watch))((bool, machineListKnown))                  \
+      ((Uint64, commit))((std::vector<Member>, members))((Strings, upstreamCandidates))((bool, machineListKnown))                  \
       ((std::int64_t, machineListAgeNs))((Uint64, machineListDigest))((std::vector<Machine>, machines))               \
-      ((std::vector<WeightsAnnouncement>, namings)))                                                                  \
+      ((std::vector<WeightsAnnouncement>, weightsAnnouncements)))                                                                  \
   X(ReadersRequest, ((Uint64, roundId))((Uint64, index))((Uint64, term)))                                             \
-  X(ReadersResponse, ((Uint64, roundId))((std::string, core))((bool, has))((std::vector<Reader>, readers)))           \
+  X(ReadersResponse, ((Uint64, roundId))((std::string, core))((bool, hasEntry))((std::vector<Reader>, readers)))           \
   /* updates: of the configuration, of cells (`base` above 0: only what changed since that sequence; `gone`:          \
      removed workers) and of the machine list (MarksMsg) */                                                           \
   X(NewsAsk, ((std::string, agent))((Uint64, applied))((std::vector<CellVersion>, cells)))                            \
   X(NewsMsg, ((Uint64, commit))((std::vector<LogEntry>, entries))((std::vector<Snapshot>, snapshots)))                \
   X(CellNews, ((std::string, zone))((Uint64, term))((Uint64, sequence))((std::string, holder))                        \
       ((std::vector<WorkerView>, workers))((std::vector<LinkSpeed>, links))((bool, omitsSummaries))((Uint64, base))   \
-      ((Strings, gone)))                                                                                              \
+      ((Strings, removedWorkers)))                                                                                              \
   X(MarksMsg, ((std::int64_t, age))((std::vector<Machine>, machines)))                                                \
   X(FeedAsk, ((std::int64_t, sentAt))((Uint64, applied))((std::vector<CellVersion>, cells))                           \
       ((Uint64, machineListDigest)))                                                                                  \
-  X(FeedReply, ((std::int64_t, sentAt))((std::int64_t, age))((Uint64, needed))((bool, known))                         \
-      ((std::vector<WeightsAnnouncement>, namings)))                                                                  \
+  X(FeedReply, ((std::int64_t, sentAt))((std::int64_t, age))((Uint64, requiredIndex))((bool, known))                         \
+      ((std::vector<WeightsAnnouncement>, weightsAnnouncements)))                                                                  \
   /* cached blocks: `keeper` is the worker or store that is asked; `hits` counts blocks from the prompt's start.      \
      WatchMsg tells a cell to report by TransferDone that blocks have arrived at a worker */                          \
-  X(LookupMsg, ((std::string, lookupId))((std::string, zone))((std::string, keeper))((std::string, weights))          \
+  X(LookupMsg, ((std::string, lookupId))((std::string, zone))((std::string, cacheNode))((std::string, weights))          \
       ((Hashes, hashes))((std::string, replyTo)))                                                                     \
-  X(LookupReply, ((std::string, lookupId))((std::string, keeper))((std::vector<int>, hits))((double, waitingTokens))  \
+  X(LookupReply, ((std::string, lookupId))((std::string, cacheNode))((std::vector<int>, hits))((double, waitingTokens))  \
       ((double, tokensPerMs))((int, pendingHits)))                                                                    \
   X(WatchMsg, ((std::string, moveId))((std::string, zone))((std::string, source))((std::string, target))              \
       ((Hashes, hashes))((std::int64_t, deadlineMs))((std::string, replyTo)))                                         \
@@ -145,23 +145,23 @@
      after this time on the sender's clock, 0: no limit. WorkerEnd: blocks that were cached, fetched and              \
      computed. Report: `gaps`: sequence numbers may be missing from the events; `lost`: events are missing.           \
      ControlAsk: `expected`: the number of commands that the worker must have had before, if `expects` */             \
-  X(WorkerOrder, ((std::string, orderId))((std::string, model))((std::string, weights))((std::string, cacheSalt))     \
-      ((Strings, parts))((Hashes, hashes))((int, maxTokens))((bool, moves))((std::string, transferId))                \
+  X(WorkerOrder, ((std::string, requestId))((std::string, model))((std::string, weights))((std::string, cacheSalt))     \
+      ((Strings, parts))((Hashes, hashes))((int, maxTokens))((bool, transferOnly))((std::string, transferId))                \
       ((std::string, sourceAddress))((std::string, tenant))((bool, app))((std::string, params))                       \
-      ((std::string, callerOrderId))((std::string, worker))((std::string, sinkAddress))((int, urgency))               \
+      ((std::string, clientRequestId))((std::string, worker))((std::string, sinkAddress))((int, urgency))               \
       ((std::int64_t, deadlineMs))((std::string, resumeAfter))((bool, once))((std::int64_t, sendDeadline)))           \
-  X(WorkerDrop, ((std::string, orderId)))                                                                             \
-  X(WorkerLoad, ((std::string, orderId))((int, running))((int, waiting))((int, slots)))                               \
-  X(WorkerChunk, ((std::string, orderId))((std::string, text))((std::string, piece)))                                 \
-  X(WorkerEnd, ((std::string, orderId))((int, outcome))((int, code))((int, local))((int, fetched))((int, computed)))  \
-  X(ReportAsk, ((Uint64, after))((std::string, incarnation))((bool, whole))((int, scope))((std::string, worker)))     \
+  X(WorkerDrop, ((std::string, requestId)))                                                                             \
+  X(WorkerLoad, ((std::string, requestId))((int, running))((int, waiting))((int, slots)))                               \
+  X(WorkerChunk, ((std::string, requestId))((std::string, text))((std::string, eventId)))                                 \
+  X(WorkerEnd, ((std::string, requestId))((int, outcome))((int, code))((int, local))((int, fetched))((int, computed)))  \
+  X(ReportAsk, ((Uint64, after))((std::string, incarnation))((bool, complete))((int, scope))((std::string, worker)))     \
   X(Report, ((std::string, worker))((std::string, incarnation))((std::string, weights))((std::string, model))         \
-      ((int, running))((int, slots))((Uint64, sequence))((std::vector<CacheEvent>, events))((bool, whole))            \
-      ((Hashes, kept))((bool, draining))((Uint64, term))((int, scope))((bool, gaps))((bool, lost))((int, waiting))    \
-      ((int, memory))((bool, countsOrders))((Uint64, orders)))                                                        \
+      ((int, running))((int, slots))((Uint64, sequence))((std::vector<CacheEvent>, events))((bool, complete))            \
+      ((Hashes, cachedBlocks))((bool, draining))((Uint64, term))((int, scope))((bool, gaps))((bool, lost))((int, waiting))    \
+      ((int, kvUsedPercent))((bool, reportsCommandCount))((Uint64, commandCount)))                                                        \
   X(ControlAsk, ((Uint64, term))((std::string, holder))((std::string, action))((std::string, model))                  \
-      ((std::string, weights))((std::string, incarnation))((std::string, worker))((Uint64, number))((bool, expects))  \
-      ((Uint64, expected)))                                                                                           \
+      ((std::string, weights))((std::string, incarnation))((std::string, worker))((Uint64, number))((bool, checksCommandCount))  \
+      ((Uint64, expectedCommandCount)))                                                                                           \
   X(ControlReply, ((std::string, worker))((Uint64, term))((int, code))((Uint64, number)))                             \
   X(PullAsk, ((std::string, pullId))((Hashes, hashes)))                                                               \
   X(PullReply, ((std::string, pullId))((Hashes, hashes))((Strings, origins)))                                         \
@@ -170,16 +170,16 @@
   X(MachinesReply, ((std::int64_t, askedAt))((std::vector<Machine>, machines)))                                       \
   /* clients and operators; `key` is the client's secret, `partTokens` the length of each part if the client          \
      knows it */                                                                                                      \
-  X(CallerOrder, ((std::string, orderId))((std::string, key))((std::string, route))((std::string, model))             \
+  X(CallerOrder, ((std::string, requestId))((std::string, key))((std::string, route))((std::string, model))             \
       ((Strings, parts))((bool, repeatable))((int, maxTokens))((std::string, tenant))((Strings, modes))               \
       ((std::string, params))((std::string, host))((std::string, path))((std::vector<int>, partTokens))               \
-      ((std::int64_t, deadlineMs))((std::string, resumeAfter))((int, tokensIn)))                                      \
-  X(CallerGone, ((std::string, orderId)))                                                                             \
-  X(CallerChunk, ((std::string, orderId))((std::string, text)))                                                       \
-  X(CallerVerdict, ((std::string, orderId))((std::string, verdict))((int, code))((std::string, subject))              \
+      ((std::int64_t, deadlineMs))((std::string, resumeAfter))((int, promptTokens)))                                      \
+  X(CallerGone, ((std::string, requestId)))                                                                             \
+  X(CallerChunk, ((std::string, requestId))((std::string, text)))                                                       \
+  X(CallerVerdict, ((std::string, requestId))((std::string, verdict))((int, code))((std::string, subject))              \
       ((std::string, text))((int, retryAfterMs))((int, tries))((int, local))((int, fetched))((int, computed))         \
       ((std::string, worker))((bool, began)))                                                                         \
-  X(OperatorRequest, ((std::string, requestId))((std::string, body))((bool, whole))((std::int64_t, ifRevision))       \
+  X(OperatorRequest, ((std::string, requestId))((std::string, body))((bool, complete))((std::int64_t, ifRevision))       \
       ((std::string, changeId))((std::int64_t, sinceRevision))((int, changeFormat))((std::int64_t, toRevision)))      \
   X(OperatorResponse, ((std::string, requestId))((int, code))((std::string, subject))((std::string, text))            \
       ((Uint64, revision))((Uint64, reached)))                                                                        \
@@ -189,7 +189,7 @@
   X(InstallSnapshotResponse, ((Uint64, term))((std::string, voter))((std::string, digest))((Uint64, offset))          \
       ((Uint64, attempt)))                                                                                            \
   /* tells a core that restarted when weights were announced */                                                       \
-  X(NamingsMsg, ((std::vector<WeightsAnnouncement>, namings)))                                                        \
+  X(NamingsMsg, ((std::vector<WeightsAnnouncement>, weightsAnnouncements)))                                                        \
   /* proxies tell a worker's cell which prompts they sent it that are not prefilled yet; `read`: prefill was          \
      completed */                                                                                                     \
   X(PrefillStarted, ((std::string, sendId))((std::string, zone))((std::string, worker))((Hashes, hashes))             \
@@ -211,7 +211,7 @@
 /// Brings a view of a cell up to date; false if the update is not newer or builds on another state than this one, and
 /// then nothing changes. An update with omitsSummaries carries no Bloom filters: workers that are still confirmed and
 /// have the same weights keep theirs. An update with a base is applied only to a view of just that sequence.
-bool applyCellNews(CellNews& kept, const CellNews& update);
+bool applyCellUpdate(CellNews& cachedBlocks, const CellNews& update);
 /// Returns a digest of the fields that readers compare: name, address, zone, kind, leaving. Its order counts.
 Uint64 digestOfMachineList(const std::vector<Machine>& machines);
 /// The form of a rejection as the body of a log entry.
@@ -229,7 +229,7 @@
 Result<LogEntry> decodeEntry(std::string_view bytes);
 
 /// How an attempt at a worker ended. Numbers travel in messages and reports.
-enum class OrderOutcome : int {
+enum class AttemptOutcome : int {
   done = 0,
   /// The worker rejected it, so it did not run.
   denied = 1,
@@ -243,12 +243,12 @@
   silent = 5,
   /// A connection that was kept open from an earlier request ended without a byte of answer. The request may have run,
   /// but the worker may be well: it may just have closed the idle connection.
-  forgotten = 6
+  lostOnIdleConnection = 6
 };
 /// What an entry of the log holds: nothing (a leader's first entry of a term), a configuration change, the group's
 /// members, or the rejection of a change. `whole` only takes the place of the entries that an installed snapshot
 /// covers.
-enum class EntryKind : int { empty = 0, change = 1, members = 2, whole = 3, refusal = 4 };
+enum class EntryKind : int { empty = 0, change = 1, members = 2, complete = 3, refusal = 4 };
 /// What a worker's report covers: all, only its cached blocks, or only its condition (load and weights).
 enum class ReportScope : int { all = 0, index = 1, condition = 2 };
 /// How the body of a configuration change is to be read.
@@ -256,7 +256,7 @@
   /// A merge patch.
   patch = 0,
   /// The complete configuration.
-  whole = 1,
+  complete = 1,
   /// Complete sections; sections that are not named stay.
   sections = 2,
   /// Complete items; items that are not named stay.
--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -68,7 +68,7 @@
     reportedAddresses.clear();
     for (const auto& member : reply.members) reportedAddresses.push_back(member.address);
   }
-  upstreams = reply.watch;
+  upstreams = reply.upstreamCandidates;
   updateCompleteness(effects.now, view);
 }
 
@@ -137,7 +137,7 @@
   return TimePoint{};
 }
 
-void ClusterView::noteVersions(const Configuration& view) {
+void ClusterView::recordAnnouncements(const Configuration& view) {
   if (view.index() == notedIndex) return;
   notedIndex = view.index();
   const auto* models = view.findSection("models");
@@ -148,19 +148,21 @@
 
 void ClusterView::mergeAnnouncementsFrom(Effects& effects, const std::string& from, const LogEndResponse& reply,
                                          TimePoint requestedAt) {
-  timeline.mergeFrom(reply.namings, requestedAt);
+  timeline.mergeFrom(reply.weightsAnnouncements, requestedAt);
   for (const auto& own : timeline.newestWithKnownTime(effects.now))
     if (hasForgotten(reply, own)) return effects.send(from, NamingsMsg{timeline.exportAll(effects.now)});
 }
 
 bool ClusterView::hasForgotten(const LogEndResponse& reply, const WeightsAnnouncement& newest) {
-  return std::any_of(reply.namings.begin(), reply.namings.end(), [&](const WeightsAnnouncement& announcement) {
-    return announcement.model == newest.model && announcement.weights == newest.weights && announcement.age < 0;
-  });
+  return std::any_of(reply.weightsAnnouncements.begin(), reply.weightsAnnouncements.end(),
+                     [&](const WeightsAnnouncement& announcement) {
+                       return announcement.model == newest.model && announcement.weights == newest.weights &&
+                              announcement.age < 0;
+                     });
 }
 
 void ClusterView::updateCompleteness(TimePoint now, const Configuration& view) {
-  noteVersions(view);
+  recordAnnouncements(view);
   timeline.pruneExpired(now, timing.oldWeightsTimeout);
   if (!settings.defences.isEnabled(Defence::freshnessWeighed)) {
     completeUntil = majorityCompleteUntil = view.members().empty() ? TimePoint{} : now;
--- a/src/cluster/cluster_view.hpp
+++ b/src/cluster/cluster_view.hpp
@@ -46,18 +46,18 @@
   /// The highest commit index that this reader has learned of.
   Uint64 knownCommit() const { return highestCommit; }
   /// The upstreams that a core assigned to this reader.
-  const Strings& watch() const { return upstreams; }
+  const Strings& upstreamCandidates() const { return upstreams; }
   const std::vector<Machine>& machines() const { return machineList; }
   bool machineListKnown() const { return listRequestedAt != TimePoint{}; }
   TimePoint machineListAt() const { return listRequestedAt; }
   Uint64 machineListDigest() const { return listDigest; }
   /// Records the announcements of weights in the view. updateCompleteness() calls this; it must also be called after
   /// each applied entry, while the view is known to be complete up to just before that entry.
-  void noteVersions(const Configuration& view);
+  void recordAnnouncements(const Configuration& view);
   const VersionTimeline& versions() const { return timeline; }
   /// Merges announcement times from a reader that remembers them.
-  void mergeAnnouncements(const std::vector<WeightsAnnouncement>& namings, TimePoint now) {
-    timeline.mergeFrom(namings, now);
+  void mergeAnnouncements(const std::vector<WeightsAnnouncement>& weightsAnnouncements, TimePoint now) {
+    timeline.mergeFrom(weightsAnnouncements, now);
   }
   /// Resolves announcements of unknown time once this process has run for longer than old weights may be used.
   void resolveAnnouncementTimes(TimePoint ownStart, TimePoint now) {
--- a/src/cluster/core.cpp
+++ b/src/cluster/core.cpp
@@ -66,9 +66,9 @@
     if (duty.rfind("cell/", 0) == 0) cellFor(duty.substr(5)).election.restore(vote, now);
   replicatedLog->onEntryApplied = [this](Effects& effects, const LogEntry& entry) {
     effects.note("applied", self.id, static_cast<std::int64_t>(entry.index));
-    clusterView->noteVersions(replicatedLog->configuration());
+    clusterView->recordAnnouncements(replicatedLog->configuration());
     if (entry.kind == static_cast<int>(EntryKind::members)) membershipChangedAt = effects.now;
-    if (entry.kind == static_cast<int>(EntryKind::whole)) return;
+    if (entry.kind == static_cast<int>(EntryKind::complete)) return;
     broadcast(effects, NewsMsg{replicatedLog->commit(), {entry}, {}});
   };
   replicatedLog->onMembersChanged = [this](Effects& effects) {
@@ -99,7 +99,7 @@
 
 void Core::handleCellUpdate(Effects& effects, const CellNews& update, bool own) {
   auto& stored = cellUpdates[update.zone];
-  if (!applyCellNews(stored, update)) return requestMissedUpdates(effects, update);
+  if (!applyCellUpdate(stored, update)) return requestMissedUpdates(effects, update);
   broadcast(effects, update);
   if (!own) return;
   for (const auto& member : replicatedLog->members())
@@ -222,7 +222,7 @@
   replicatedLog->election.mayCampaign = mayCampaign;
   for (auto& [zone, cell] : cells) cell->election.mayCampaign = mayCampaign;
   replicatedLog->tick(effects);
-  clusterView->noteVersions(replicatedLog->configuration());
+  clusterView->recordAnnouncements(replicatedLog->configuration());
   clusterView->resolveAnnouncementTimes(startedAt, effects.now);
   for (auto& [zone, cell] : cells) cell->tick(effects, replicatedLog->configuration());
   bool requestsList = replicatedLog->leads(effects.now) || !clusterView->machineListKnown() ||
@@ -283,7 +283,7 @@
       clusterView->offerMachineList(machineList->machines, effects.now - Duration(machineList->age));
     applyMachineList(effects);
   } else if (auto* announcements = std::get_if<NamingsMsg>(&message)) {
-    clusterView->mergeAnnouncements(announcements->namings, effects.now);
+    clusterView->mergeAnnouncements(announcements->weightsAnnouncements, effects.now);
   } else if (auto* logEndResponse = std::get_if<LogEndResponse>(&message)) {
     clusterView->handle(effects, from, *logEndResponse, replicatedLog->configuration());
     applyMachineList(effects);
--- a/src/cluster/core.hpp
+++ b/src/cluster/core.hpp
@@ -14,7 +14,7 @@
   /// Upper bound of the configuration's size and of the entries not yet committed, in bytes.
   std::size_t maxRecordBytes{1 << 20};
   /// Whether this core may take part in bootstrapping a new fleet. A core that comes back with an empty disk may not.
-  bool mayForm{true};
+  bool mayBootstrap{true};
   CellSettings cell;
   Defences defences;
 };
--- a/src/cluster/core_membership.cpp
+++ b/src/cluster/core_membership.cpp
@@ -42,7 +42,7 @@
 }
 
 void Core::tryForming(Effects& effects) {
-  if (replicatedLog->formed() || !settings.mayForm) return;
+  if (replicatedLog->formed() || !settings.mayBootstrap) return;
   std::vector<Member> initialMembers{self};
   if (std::find(settings.seeds.begin(), settings.seeds.end(), self.address) == settings.seeds.end() &&
       settings.cell.onlySeedsBootstrap)
@@ -72,7 +72,7 @@
 }
 
 void Core::onReplicaCheckResponse(const ReadersResponse& reply) {
-  if (reply.has && leavingSince != TimePoint{} && reply.core != self.id) replicaHolders.insert(reply.core);
+  if (reply.hasEntry && leavingSince != TimePoint{} && reply.core != self.id) replicaHolders.insert(reply.core);
 }
 
 bool Core::safeToStop() const { return !replicatedLog->formed() || replicaHolders.size() >= timing.minReplicas(); }
--- a/src/cluster/core_operators.cpp
+++ b/src/cluster/core_operators.cpp
@@ -107,7 +107,7 @@
   std::string leader = replicatedLog->leads(effects.now) ? self.address : replicatedLog->leaderAddress();
   if (leader.empty() || (leader == self.address && !replicatedLog->leads(effects.now))) return;
   row.sentAt = effects.now;
-  effects.send(leader, ChangeRequest{requestId, row.request.body, row.request.whole, row.request.ifRevision,
+  effects.send(leader, ChangeRequest{requestId, row.request.body, row.request.complete, row.request.ifRevision,
                                      row.request.changeId, row.request.sinceRevision, row.request.changeFormat,
                                      row.request.toRevision, row.commitBeforeCopies});
 }
@@ -171,7 +171,7 @@
   for (const auto& member : replicatedLog->members()) isVoter = isVoter || (member.id == reply.core && member.votes);
   if (!isVoter) return;
   readersRound.respondedAddresses.insert(from);
-  if (reply.has) readersRound.coresWithEntry.insert(reply.core);
+  if (reply.hasEntry) readersRound.coresWithEntry.insert(reply.core);
   for (const auto& reader : reply.readers) {
     auto& applied = readersRound.appliedByReader[reader.address];
     applied = std::max(applied, reader.applied);
--- a/src/cluster/core_report.cpp
+++ b/src/cluster/core_report.cpp
@@ -47,7 +47,7 @@
       row["running"] = jsonNumber(cacheNode.lastReport.running);
       row["leaving"] = Json(cacheNode.machine.leaving);
       row["indexConfirmed"] = Json(cacheNode.confirmed);
-      row["kept"] = jsonNumber(static_cast<double>(cacheNode.kept.size()));
+      row["kept"] = jsonNumber(static_cast<double>(cacheNode.cachedBlocks.size()));
       row["reportAgeMs"] =
           jsonNumber(cacheNode.known ? static_cast<double>(toMilliseconds(now - cacheNode.lastReportAt)) : -1);
       row["rollout"] = Json(cell->rolloutState(name));
--- a/src/config/configuration.cpp
+++ b/src/config/configuration.cpp
@@ -20,9 +20,9 @@
   JsonObject patch = read.value().get<JsonObject>();
   if (changeFormat == ChangeFormat::edits)
     if (auto resolved = resolveEdits(patch, sections); !resolved) return resolved.error();
-  auto normalized = normalizeShape(patch, sections, changeFormat == ChangeFormat::whole);
+  auto normalized = normalizeShape(patch, sections, changeFormat == ChangeFormat::complete);
   if (!normalized) return normalized.error();
-  if (changeFormat == ChangeFormat::whole) reduceWhole(patch, sections);
+  if (changeFormat == ChangeFormat::complete) reduceWhole(patch, sections);
   if (changeFormat == ChangeFormat::sections || changeFormat == ChangeFormat::items ||
       changeFormat == ChangeFormat::edits)
     reduceItems(patch, sections, changeFormat == ChangeFormat::sections);
--- a/src/config/configuration.hpp
+++ b/src/config/configuration.hpp
@@ -66,8 +66,8 @@
  public:
   /// Turns an operator's change into a merge patch for the log: its items are checked, secrets are replaced by their
   /// hashes, and complete content is reduced to the difference. Nothing is applied. An error names the field.
-  Result<std::string> preparePatch(const std::string& text, bool whole) const {
-    return preparePatch(text, whole ? ChangeFormat::whole : ChangeFormat::patch);
+  Result<std::string> preparePatch(const std::string& text, bool complete) const {
+    return preparePatch(text, complete ? ChangeFormat::complete : ChangeFormat::patch);
   }
   Result<std::string> preparePatch(const std::string& text, ChangeFormat changeFormat) const;
   /// Applies a committed entry. Entries come in the order of their index; one that was applied already is ignored.
--- a/src/config/patch_shape.cpp
+++ b/src/config/patch_shape.cpp
@@ -63,12 +63,12 @@
   return boost::outcome_v2::success();
 }
 
-Result<void> normalizeItem(const std::string& sectionName, const std::string& name, Json& item, bool whole) {
+Result<void> normalizeItem(const std::string& sectionName, const std::string& name, Json& item, bool complete) {
   std::string path = sectionName + "." + name;
   if (name.empty() || name.size() > maxNameBytes)
     return makeError(Code::badField, path, "a name must have 1 to 128 bytes");
   if (item.is<picojson::null>()) {
-    if (whole) return makeError(Code::badField, path, "a complete configuration has no null");
+    if (complete) return makeError(Code::badField, path, "a complete configuration has no null");
     return boost::outcome_v2::success();
   }
   if (sectionName == "policies") {
@@ -119,13 +119,13 @@
 
 bool isFreeSection(const std::string& section) { return freeSections.count(section) > 0; }
 
-Result<void> normalizeShape(JsonObject& patch, const Sections& sections, bool whole) {
+Result<void> normalizeShape(JsonObject& patch, const Sections& sections, bool complete) {
   for (auto& [sectionName, content] : patch) {
     if (!sectionNames.count(sectionName)) return makeError(Code::unknownField, sectionName);
-    if (!whole && content.is<picojson::null>()) content = removalOfAll(sectionName, sections);
+    if (!complete && content.is<picojson::null>()) content = removalOfAll(sectionName, sections);
     if (!content.is<JsonObject>()) return makeError(Code::badField, sectionName, "must be an object");
     for (auto& [name, item] : content.get<JsonObject>())
-      if (auto normalized = normalizeItem(sectionName, name, item, whole); !normalized) return normalized.error();
+      if (auto normalized = normalizeItem(sectionName, name, item, complete); !normalized) return normalized.error();
   }
   return boost::outcome_v2::success();
 }
--- a/src/config/patch_shape.hpp
+++ b/src/config/patch_shape.hpp
@@ -12,7 +12,7 @@
 /// Checks that an operator's patch consists of known sections, and of items with known fields and of the right type,
 /// and normalizes it in place: secrets of keys are replaced by their hashes, and a section that is null by a removal of
 /// each of its items. With `whole` the patch is a complete configuration, which may hold no null.
-Result<void> normalizeShape(JsonObject& patch, const Sections& sections, bool whole);
+Result<void> normalizeShape(JsonObject& patch, const Sections& sections, bool complete);
 
 /// Turns a complete configuration into the merge patch that leads to it from the present one.
 void reduceWhole(JsonObject& patch, const Sections& sections);
--- a/src/consensus/change_requests.cpp
+++ b/src/consensus/change_requests.cpp
@@ -49,7 +49,7 @@
     respondOnceCommitted(effects, from, accepted, logEnd());
     return true;
   }
-  if (const auto* refusal = head.findRefusalAfter(request.changeId, request.seen)) {
+  if (const auto* refusal = head.findRefusalAfter(request.changeId, request.appliedAtRequest)) {
     respondOnceCommitted(
         effects, from,
         ChangeResponse{request.requestId, refusal->code, refusal->subject, refusal->text, refusal->revision, 0, 0},
@@ -58,7 +58,7 @@
   }
   bool mayBeAccepted =
       request.toRevision > 0 && static_cast<std::uint64_t>(request.toRevision) <= head.lastEvictedRevision();
-  bool mayBeRefused = request.seen < head.lastEvictedRefusal();
+  bool mayBeRefused = request.appliedAtRequest < head.lastEvictedRefusal();
   if (mayBeAccepted || mayBeRefused) respond(effects, from, request, Code::changeUnsure, "changeId");
   return mayBeAccepted || mayBeRefused;
 }
@@ -70,8 +70,8 @@
     return makeError(Code::staleRevision, "ifRevision");
   if (request.toRevision > 0 && static_cast<std::uint64_t>(request.toRevision) <= head.revision())
     return makeError(Code::revisionOld, "revision");
-  auto patch = head.preparePatch(request.body,
-                                 request.whole ? ChangeFormat::whole : static_cast<ChangeFormat>(request.changeFormat));
+  auto patch = head.preparePatch(
+      request.body, request.complete ? ChangeFormat::complete : static_cast<ChangeFormat>(request.changeFormat));
   if (patch && head.bytes() + patch.value().size() > capacityBytes) return makeError(Code::blueprintLarge, "body");
   return patch;
 }
--- a/src/consensus/election.hpp
+++ b/src/consensus/election.hpp
@@ -32,11 +32,11 @@
   Duration commandTimeout{2s};
   /// Limits for work with old weights, measured from the announcement of newer weights for the model.
   /// `oldWeightsTimeout`: last start of a request with the old weights, as the settings promise.
-  /// `oldWeightsOrderTimeout`: last time a request may be sent to a worker that still has them.
-  /// `unstartedOrderTimeout`: time at which requests that were sent there but have not started are withdrawn.
-  Duration oldWeightsTimeout{20s}, oldWeightsOrderTimeout{18s}, unstartedOrderTimeout{19500ms};
+  /// `oldWeightsSendTimeout`: last time a request may be sent to a worker that still has them.
+  /// `unstartedRequestTimeout`: time at which requests that were sent there but have not started are withdrawn.
+  Duration oldWeightsTimeout{20s}, oldWeightsSendTimeout{18s}, unstartedRequestTimeout{19500ms};
   /// Time after an announcement by which a worker must have started to load the newer weights.
-  Duration rolloutStartTimeout() const { return oldWeightsOrderTimeout * 17 / 20; }
+  Duration rolloutStartTimeout() const { return oldWeightsSendTimeout * 17 / 20; }
   /// How long a voter must be silent before it is removed permanently (0: never), and how many voters must remain.
   Duration memberRemovalTimeout{0};
   std::size_t minVoters{3};
--- a/src/consensus/snapshot.cpp
+++ b/src/consensus/snapshot.cpp
@@ -138,7 +138,7 @@
   effects.note("caught up by capture", selfMember.id, static_cast<std::int64_t>(index));
   if (onEntryApplied)
     onEntryApplied(effects,
-                   LogEntry{lastSnapshot.index, lastSnapshot.term, static_cast<int>(EntryKind::whole), {}, {}});
+                   LogEntry{lastSnapshot.index, lastSnapshot.term, static_cast<int>(EntryKind::complete), {}, {}});
 }
 
 }  // namespace tt
--- a/src/consensus/timing_check.cpp
+++ b/src/consensus/timing_check.cpp
@@ -40,9 +40,9 @@
       {"memberRemovalTimeout = 0 or memberRemovalTimeout > minElectionTimeout",
        durations.memberRemovalTimeout == Duration(0) || durations.memberRemovalTimeout > durations.minElectionTimeout},
       {"rolloutStartTimeout < oldWeightsSendTimeout < unstartedRequestTimeout < VersionMs",
-       durations.rolloutStartTimeout() < durations.oldWeightsOrderTimeout &&
-           durations.oldWeightsOrderTimeout < durations.unstartedOrderTimeout &&
-           durations.unstartedOrderTimeout < durations.oldWeightsTimeout},
+       durations.rolloutStartTimeout() < durations.oldWeightsSendTimeout &&
+           durations.oldWeightsSendTimeout < durations.unstartedRequestTimeout &&
+           durations.unstartedRequestTimeout < durations.oldWeightsTimeout},
       {"minVoters >= 1", durations.minVoters >= 1},
   };
   for (const auto& inequality : inequalities)
--- a/src/fuzz/clients.cpp
+++ b/src/fuzz/clients.cpp
@@ -1,5 +1,5 @@
 #include "fuzz.hpp"
-#include "gate.hpp"
+#include "http_server.hpp"
 
 namespace tt {
 namespace {
@@ -122,8 +122,8 @@
     "GET /x HTTP/1.1\r\nHost: a\r\nOdd: b\r\n c\r\n\r\n"};
 
 FuzzOutcome tryClient(Wire& wire, Mutator& mutator) {
-  std::string input = mutator.bentText(goodRequests);
-  if (mutator.chance(3)) input += mutator.bentText(goodRequests);
+  std::string input = mutator.mutatedText(goodRequests);
+  if (mutator.chance(3)) input += mutator.mutatedText(goodRequests);
   auto whole = wire.send(input, {});
   std::vector<std::size_t> cuts;
   for (std::size_t at = 0; input.size() > 1 && cuts.size() < 6 && at < input.size();) {
--- a/src/fuzz/configurations.cpp
+++ b/src/fuzz/configurations.cpp
@@ -65,10 +65,10 @@
 
   FuzzOutcome once(Mutator& mutator) {
     if (++rounds % 64 == 0) view = Configuration();
-    constexpr ChangeFormat manners[] = {ChangeFormat::patch, ChangeFormat::patch, ChangeFormat::whole,
+    constexpr ChangeFormat manners[] = {ChangeFormat::patch, ChangeFormat::patch, ChangeFormat::complete,
                                         ChangeFormat::sections, ChangeFormat::items};
     auto changeFormat = manners[mutator.randomBelow(std::size(manners))];
-    std::string input = mutator.bentText(goodPatches), before = listed(view);
+    std::string input = mutator.mutatedText(goodPatches), before = listed(view);
     auto patch = view.preparePatch(input, changeFormat);
     if (listed(view) != before) return broken("a change that was only prepared shows", input);
     if (!patch) return rejectedWith(patch.error(), input);
@@ -77,11 +77,11 @@
     view.apply(entry);
     twin.apply(entry);
     if (listed(twin) != listed(view)) return broken("two replicas apply it differently", input);
-    Configuration whole;
-    if (!whole.installSnapshot(view.snapshot())) return broken("its snapshot cannot be adopted", input);
-    if (listed(whole) != listed(view))
-      return broken("whole it reads otherwise than applied:\n" + listed(whole) + "\n" + listed(view), input);
-    auto again = view.preparePatch(view.text(), ChangeFormat::whole);
+    Configuration complete;
+    if (!complete.installSnapshot(view.snapshot())) return broken("its snapshot cannot be adopted", input);
+    if (listed(complete) != listed(view))
+      return broken("whole it reads otherwise than applied:\n" + listed(complete) + "\n" + listed(view), input);
+    auto again = view.preparePatch(view.text(), ChangeFormat::complete);
     if (!again) return broken("what is in force would be refused: " + again.error().subject, input);
     LogEntry repeated{view.index() + 1, 1, static_cast<int>(EntryKind::change), again.value(), {}, view.revision() + 1};
     Configuration over = view;
@@ -94,7 +94,7 @@
 FuzzOutcome tryPolicy(Mutator& mutator) {
   static const Strings good{"fetch peer when hits >= 4 and speed > 10.5\nfetch store when busyness < 0.5\nrecompute",
                             "# comment\n\nfetch store\n", "recompute when hits <= 2 and hits > 0\nfetch peer"};
-  std::string input = mutator.bentText(good);
+  std::string input = mutator.mutatedText(good);
   auto read = Policy::read(input);
   if (!read) return rejectedWith(read.error(), input);
   auto spaced = Policy::read(input + "\n# no more\n\n");
@@ -112,7 +112,7 @@
   static const Strings good{
       R"({"apiVersion":"gateway.networking.k8s.io/v1","kind":"HTTPRoute","metadata":{"name":"chat","annotations":{"trouttally/policy":"p","trouttally/kind":"app"}},"spec":{"rules":[{"backendRefs":[{"name":"moss"}]}]}})",
       R"({"apiVersion":"v1","kind":"List","items":[{"apiVersion":"gateway.networking.k8s.io/v1","kind":"HTTPRoute","metadata":{"name":"a"},"spec":{"rules":[{"backendRefs":[{"name":"moss"}]}]}}]})"};
-  std::string input = mutator.bentText(good);
+  std::string input = mutator.mutatedText(good);
   auto made = patchFromManifests(input);
   if (!made) return rejectedWith(made.error(), input);
   auto patch = parseJson(made.value());
@@ -130,7 +130,7 @@
     for (const auto& [name, text] : chartTexts()) rows.push_back(text);
     return rows;
   }();
-  std::string input = mutator.bentText(good);
+  std::string input = mutator.mutatedText(good);
   auto read = StateChart::read(input);
   if (!read) return rejectedWith(read.error(), input);
   auto again = StateChart::read("\n# more\n" + input);
@@ -142,7 +142,7 @@
   Strings good{randomScenario(1 + mutator.randomBelow(64)),
                "title a title\nfleet edges 3 workers 5 tenants 4 spares 1 localities 2\nseed 4\nat 3 kill core-1\n"
                "at 4.5 cut core-1 core-2\nat 9 heal\nuntil 20\nexpect answered > 10\nwithout ackWaits\n"};
-  std::string input = mutator.bentText(good);
+  std::string input = mutator.mutatedText(good);
   auto troubles = checkScenario(input);
   for (const auto& trouble : troubles)
     if (trouble.rfind("line ", 0) != 0) return broken("a trouble names no line: " + trouble, input);
--- a/src/fuzz/contracts.cpp
+++ b/src/fuzz/contracts.cpp
@@ -1,5 +1,5 @@
-#include "contract.hpp"
 #include "fuzz.hpp"
+#include "json_bodies.hpp"
 
 namespace tt {
 namespace {
@@ -23,7 +23,7 @@
                                 hash + R"("],"max_tokens":40,"tenant":"olm","app":true})",
                             R"({"order_id":"o/2","move":true,"kv_transfer_params":{"remote_kv_source":)"
                             R"({"kv_request_id":"t/1","remote_host":"10.0.0.1","remote_port":80}}})"};
-  return tryText(mutator.bentText(good), readWorkerOrder, writeWorkerOrder);
+  return tryText(mutator.mutatedText(good), readWorkerOrder, writeWorkerOrder);
 }
 FuzzOutcome tryReport(Mutator& mutator) {
   static const Strings good{
@@ -31,32 +31,32 @@
       R"("draining":false,"term":2,"whole":false,"events":[{"sequence":3,"kind":"stored","hashes":[")" +
           hash + R"("]},{"sequence":4,"kind":"cleared","hashes":[]}]})",
       R"({"worker":"w","whole":true,"kept":[")" + hash + R"("]})"};
-  return tryText(mutator.bentText(good), readReport, writeReport);
+  return tryText(mutator.mutatedText(good), readReport, writeReport);
 }
 FuzzOutcome tryControl(Mutator& mutator) {
   static const Strings good{
       R"({"term":4,"holder":"core-1","action":"load","model":"moss","weights":"moss/4","incarnation":"i"})",
       R"({"worker":"w","term":4,"code":0})"};
-  std::string input = mutator.bentText(good);
+  std::string input = mutator.mutatedText(good);
   auto asked = tryText(input, readControl, writeControl);
   if (asked.accepted || !asked.broken.empty()) return asked;
   return tryText(input, readControlReply, writeControlReply);
 }
 FuzzOutcome tryBlocks(Mutator& mutator) {
   static const Strings good{R"({"hashes":[")" + hash + R"("],"origins":["w"]})", R"({"hashes":[],"origins":[]})"};
-  return tryText(mutator.bentText(good), readBlocks,
+  return tryText(mutator.mutatedText(good), readBlocks,
                  [](const StoreMsg& message) { return writeBlocks(message.hashes, message.origins); });
 }
 FuzzOutcome tryMachines(Mutator& mutator) {
   static const Strings good{
       R"({"machines":[{"name":"w","address":"10.0.0.1:80","locality":"north-a","kind":"language","leaving":true},)"
       R"({"name":"s","address":"10.0.0.2:80","locality":"north-b","kind":"store"}]})"};
-  return tryText(mutator.bentText(good), readMachines, writeMachines);
+  return tryText(mutator.mutatedText(good), readMachines, writeMachines);
 }
 FuzzOutcome tryCallerOrder(Mutator& mutator) {
   static const Strings good{R"({"route":"r","model":"m","parts":["a","b"],"repeatable":true,"maxTokens":4})",
                             R"({"route":"r","model":"m","parts":["a"],"tenant":"olm","kv_transfer_params":{"a":1}})"};
-  std::string input = mutator.bentText(good);
+  std::string input = mutator.mutatedText(good);
   auto read = readCallerOrder(input);
   if (!read) return rejectedWith(read.error(), input);
   return read.value().parts.empty() ? broken("an order without parts is taken", input) : accepted();
@@ -64,7 +64,7 @@
 FuzzOutcome tryWorkerLine(Mutator& mutator) {
   static const Strings good{R"({"token":"word"})", R"({"end":"done","code":0,"local":1,"fetched":2,"computed":3})",
                             R"({"end":"denied","code":201,"local":0,"fetched":0,"computed":0})"};
-  std::string input = mutator.bentText(good);
+  std::string input = mutator.mutatedText(good);
   auto read = readWorkerLine("o", input);
   std::string written;
   if (auto* chunk = std::get_if<WorkerChunk>(&read))
--- a/src/fuzz/fuzz.hpp
+++ b/src/fuzz/fuzz.hpp
@@ -15,7 +15,7 @@
   bool chance(std::uint64_t inSo) { return randomBelow(inSo) == 0; }
   const std::string& pick(const Strings& rows) { return rows[randomBelow(rows.size())]; }
   /// One of the good texts, bent a few times; one in sixteen is left as it is.
-  std::string bentText(const Strings& good);
+  std::string mutatedText(const Strings& good);
   /// Bytes bent without regard to words: for frames and records.
   std::string bentBytes(std::string bytes, const std::string& other);
   std::string boundaryNumber();
--- a/src/fuzz/mutation.cpp
+++ b/src/fuzz/mutation.cpp
@@ -173,7 +173,7 @@
   return read.value().serialize();
 }
 
-std::string Mutator::bentText(const Strings& good) {
+std::string Mutator::mutatedText(const Strings& good) {
   std::string text = pick(good);
   if (chance(16)) return text;
   std::uint64_t times = 1 + (chance(2) ? randomBelow(5) : 0);
--- a/src/index/cell.cpp
+++ b/src/index/cell.cpp
@@ -73,11 +73,11 @@
   for (auto& [name, node] : nodes) {
     node.confirmed = false;
     node.reportPending = false;
-    node.kept.clear();
+    node.cachedBlocks.clear();
     node.summaryStale = true;
     node.lastReportAt = effects.now;
     node.known = false;
-    node.lastReport.countsOrders = false;
+    node.lastReport.reportsCommandCount = false;
     node.statusAt = node.statusRequestedAt = TimePoint{};
   }
   rollouts.clear();
@@ -119,7 +119,7 @@
 void Cell::markUnconfirmed(Effects& effects, CacheNode& node, const char* why) {
   if (!node.confirmed) return;
   node.confirmed = false;
-  node.kept.clear();
+  node.cachedBlocks.clear();
   node.summaryStale = true;
   updatePending = true;
   effects.note("keeper unconfirmed", node.machine.name + " " + why);
@@ -175,11 +175,11 @@
   node.lastReport.model = report.model;
   node.lastReport.running = report.running;
   node.lastReport.waiting = report.waiting;
-  node.lastReport.memory = report.memory;
+  node.lastReport.kvUsedPercent = report.kvUsedPercent;
   node.lastReport.slots = report.slots;
   node.lastReport.draining = report.draining;
-  node.lastReport.countsOrders = report.countsOrders;
-  node.lastReport.orders = report.orders;
+  node.lastReport.reportsCommandCount = report.reportsCommandCount;
+  node.lastReport.commandCount = report.commandCount;
   updatePending = updatePending || changed;
   updateRollouts(effects, *lastConfiguration);
 }
@@ -213,26 +213,26 @@
     node.lastReport.incarnation = report.incarnation;
     node.lastReport.sequence = report.sequence;
     if (report.lost) markUnconfirmed(effects, node, "gap");
-    if (node.confirmed && !report.whole && report.sequence < node.appliedSequence)
+    if (node.confirmed && !report.complete && report.sequence < node.appliedSequence)
       return effects.note("report late", report.worker);
   } else {
     node.lastReport = report;
-    node.lastReport.kept.clear();
+    node.lastReport.cachedBlocks.clear();
     node.lastReport.events.clear();
   }
   updatePending = updatePending || changed;
-  if (report.whole) {
-    std::unordered_set<BlockHash, BlockHashHasher> kept(report.kept.begin(), report.kept.end());
+  if (report.complete) {
+    std::unordered_set<BlockHash, BlockHashHasher> cachedBlocks(report.cachedBlocks.begin(), report.cachedBlocks.end());
     if (node.confirmed) {
       std::int64_t corrected = 0;
-      for (const auto& hash : kept) corrected += !node.kept.count(hash);
-      for (const auto& hash : node.kept) corrected += !kept.count(hash);
+      for (const auto& hash : cachedBlocks) corrected += !node.cachedBlocks.count(hash);
+      for (const auto& hash : node.cachedBlocks) corrected += !cachedBlocks.count(hash);
       effects.note("swept", report.worker, corrected);
       if (corrected) effects.note("sweep mended", report.worker, corrected);
     } else {
-      effects.note("keeper confirmed", report.worker, static_cast<std::int64_t>(kept.size()));
+      effects.note("keeper confirmed", report.worker, static_cast<std::int64_t>(cachedBlocks.size()));
     }
-    node.kept = std::move(kept);
+    node.cachedBlocks = std::move(cachedBlocks);
     node.appliedSequence = report.sequence;
     node.confirmed = true;
     node.summaryStale = true;
@@ -249,17 +249,17 @@
     node.appliedSequence = event.sequence;
     switch (static_cast<CacheEventKind>(event.kind)) {
       case CacheEventKind::stored:
-        node.kept.insert(event.hashes.begin(), event.hashes.end());
+        node.cachedBlocks.insert(event.hashes.begin(), event.hashes.end());
         break;
       case CacheEventKind::removed:
         for (const auto& hash : event.hashes) {
-          if (!node.kept.erase(hash) || node.machine.kind != "store") continue;
+          if (!node.cachedBlocks.erase(hash) || node.machine.kind != "store") continue;
           if (node.recentlyEvicted.size() > maxEvictedEntries) node.recentlyEvicted.clear();
           node.recentlyEvicted[hash] = effects.now;
         }
         break;
       case CacheEventKind::cleared:
-        node.kept.clear();
+        node.cachedBlocks.clear();
         break;
     }
     node.summaryStale = true;
@@ -270,7 +270,7 @@
 }
 
 void Cell::adjustStoreShare(CacheNode& store, const BlockHash& prefix, TimePoint now) {
-  if (store.kept.count(prefix))
+  if (store.cachedBlocks.count(prefix))
     ++store.lookupHits;
   else if (auto evicted = store.recentlyEvicted.find(prefix);
            evicted != store.recentlyEvicted.end() && now - evicted->second < evictedRetention)
@@ -287,8 +287,8 @@
 
 void Cell::onLookup(Effects& effects, const LookupMsg& request) {
   if (!election.holdsLease(effects.now)) return;
-  auto found = nodes.find(request.keeper);
-  LookupReply reply{request.lookupId, request.keeper, {}, 0, 0, 0};
+  auto found = nodes.find(request.cacheNode);
+  LookupReply reply{request.lookupId, request.cacheNode, {}, 0, 0, 0};
   if (found != nodes.end()) {
     auto& node = found->second;
     if (node.machine.kind == "store" && node.confirmed && !request.hashes.empty())
@@ -296,13 +296,13 @@
     bool usable = node.confirmed && effects.now - node.lastReportAt < settings.reportTimeout &&
                   (!node.lastReport.draining || settings.separateStatus) && !node.machine.leaving &&
                   (node.machine.kind == "store" || node.lastReport.weights == request.weights);
-    for (const auto& hash : request.hashes) reply.hits.push_back(usable && node.kept.count(hash) ? 1 : 0);
-    auto load = prefills.loadOf(request.keeper, effects.now);
+    for (const auto& hash : request.hashes) reply.hits.push_back(usable && node.cachedBlocks.count(hash) ? 1 : 0);
+    auto load = prefills.loadOf(request.cacheNode, effects.now);
     reply.waitingTokens = load.tokens;
     reply.tokensPerMs = load.tokensPerMs;
-    reply.pendingHits = prefills.pendingHits(request.keeper, request.hashes, effects.now);
+    reply.pendingHits = prefills.pendingHits(request.cacheNode, request.hashes, effects.now);
   }
-  effects.note("lookup", request.keeper, static_cast<std::int64_t>(request.hashes.size()));
+  effects.note("lookup", request.cacheNode, static_cast<std::int64_t>(request.hashes.size()));
   effects.send(request.replyTo, reply);
 }
 
@@ -347,10 +347,10 @@
     if (found == nodes.end()) {
       transfer.stateMachine->dispatch(*this, "denied", effects, transfer);
     } else {
-      const auto& kept = found->second.kept;
+      const auto& cachedBlocks = found->second.cachedBlocks;
       bool complete =
           found->second.confirmed && std::all_of(transfer.request.hashes.begin(), transfer.request.hashes.end(),
-                                                 [&](const BlockHash& hash) { return kept.count(hash) > 0; });
+                                                 [&](const BlockHash& hash) { return cachedBlocks.count(hash) > 0; });
       if (complete)
         transfer.stateMachine->dispatch(*this, "done", effects, transfer);
       else if (effects.now >= transfer.deadline)
@@ -366,14 +366,15 @@
 void Cell::reduceToChanges(CellNews& update) {
   std::map<std::string, WorkerView> current;
   for (auto& worker : update.workers) {
-    worker.kept = worker.reportSequence = 0;
+    worker.cachedBlocks = worker.reportSequence = 0;
     worker.running = std::min(worker.running, 8) + std::max(0, worker.running - 8) / 4 * 4;
     current[worker.name] = worker;
   }
   bool complete = sequence <= 1 || lastPublished.empty();
   auto publishedFields = [](const WorkerView& worker) {
     return std::tie(worker.address, worker.kind, worker.weights, worker.model, worker.running, worker.slots,
-                    worker.held, worker.alive, worker.confirmed, worker.service, worker.waiting, worker.savedPermille);
+                    worker.withheld, worker.alive, worker.confirmed, worker.service, worker.waiting,
+                    worker.savedPermille);
   };
   if (!complete) {
     update.base = update.sequence - 1;
@@ -383,7 +384,7 @@
           previous == lastPublished.end() || publishedFields(previous->second) != publishedFields(worker))
         update.workers.push_back(worker);
     for (const auto& [name, worker] : lastPublished)
-      if (!current.count(name)) update.gone.push_back(name);
+      if (!current.count(name)) update.removedWorkers.push_back(name);
   }
   lastPublished = std::move(current);
 }
@@ -398,7 +399,7 @@
   CellNews update{zoneName, election.term(), ++sequence, selfAddress, {}, {}, omitsSummaries};
   for (auto& [name, node] : nodes) {
     if (node.summaryStale && !omitsSummaries && settings.publishSummaries) {
-      node.summary = BloomFilter::make(node.kept);
+      node.summary = BloomFilter::make(node.cachedBlocks);
       node.summaryStale = false;
     }
     auto rollout = rollouts.find(name);
@@ -409,9 +410,9 @@
     bool alive = !sendsReports(node) || (node.known && effects.now - node.lastReportAt < settings.workerTimeout);
     update.workers.push_back(WorkerView{
         name, node.machine.address, zoneName, node.machine.kind, node.lastReport.weights, node.lastReport.model,
-        node.lastReport.running, node.lastReport.slots, withheld, alive, node.confirmed, node.kept.size(),
+        node.lastReport.running, node.lastReport.slots, withheld, alive, node.confirmed, node.cachedBlocks.size(),
         node.lastReport.sequence, omitsSummaries ? std::string() : node.summary, node.machine.service,
-        node.lastReport.waiting, node.lastReport.memory, node.savedPermille});
+        node.lastReport.waiting, node.lastReport.kvUsedPercent, node.savedPermille});
   }
   if (!settings.publishSummaries) reduceToChanges(update);
   for (auto speed = transferSpeeds.begin(); speed != transferSpeeds.end();) {
--- a/src/index/cell.hpp
+++ b/src/index/cell.hpp
@@ -27,7 +27,7 @@
   bool known{false}, confirmed{false}, reportPending{false};
   /// The sequence number of the last cache event that was applied to `kept`.
   std::uint64_t appliedSequence{0};
-  std::unordered_set<BlockHash, BlockHashHasher> kept;
+  std::unordered_set<BlockHash, BlockHashHasher> cachedBlocks;
   /// The last Bloom filter that was made of `kept`.
   std::string summary;
   bool summaryStale{true};
@@ -72,7 +72,7 @@
   Duration rolloutSettleDelay{0};
   /// The time over which the starts of a zone's workers are spread; 0 starts as many at once as may change at the same
   /// time.
-  Duration rolloutSpan{0};
+  Duration rolloutSpread{0};
 };
 
 /// The control state of one zone: its workers, the exact index of their cached blocks, and the commands to them. Every
--- a/src/index/cell_rollouts.cpp
+++ b/src/index/cell_rollouts.cpp
@@ -42,7 +42,7 @@
   rollout.commandNumber = ++lastCommand;
   effects.send(found->second.machine.address,
                ControlAsk{election.term(), selfId, action, rollout.model, rollout.weights, lastReport.incarnation,
-                          worker, rollout.commandNumber, lastReport.countsOrders, lastReport.orders});
+                          worker, rollout.commandNumber, lastReport.reportsCommandCount, lastReport.commandCount});
 }
 
 void Cell::withholdWorker(Effects& effects, const std::string& worker) {
@@ -126,8 +126,8 @@
     workersByModel[node.lastReport.model].push_back(
         RolloutWorker{name, supersededAt(node.lastReport, *wanted), stepOf(name, hasWanted)});
   }
-  RolloutLimits limits{settings.rolloutSettleDelay, settings.rolloutSpan, timing.rolloutStartTimeout(),
-                       2 * timing.oldWeightsOrderTimeout, settings.rolloutParts};
+  RolloutLimits limits{settings.rolloutSettleDelay, settings.rolloutSpread, timing.rolloutStartTimeout(),
+                       2 * timing.oldWeightsSendTimeout, settings.rolloutParts};
   std::set<std::string> due;
   for (const auto& [model, workers] : workersByModel) {
     if (workers.size() == 1 && waitsForEarlierZones(model, workers.front().supersededAt, now)) continue;
@@ -160,7 +160,7 @@
       }
     if (workers != 1) continue;
     ++earlierZones;
-    unfinished = unfinished || sole->held || !versions || !versions->isNewest(model, sole->weights);
+    unfinished = unfinished || sole->withheld || !versions || !versions->isNewest(model, sole->weights);
   }
   Duration waitPerZone = std::min<Duration>(maxWaitPerZone, timing.rolloutStartTimeout() / maxZonesAwaited);
   return unfinished && now < endOfUse(superseded, std::min(earlierZones, maxZonesAwaited) * waitPerZone);
--- a/src/model/breadth.cpp
+++ b/src/model/breadth.cpp
@@ -26,24 +26,24 @@
 
 class Breadth {
  public:
-  Breadth(const Setup& setup, const BreadthLimits& searchLimits) : world(setup), limits(searchLimits) {}
+  Breadth(const Setup& setup, const BreadthFirstLimits& searchLimits) : world(setup), limits(searchLimits) {}
 
   SearchReport search() {
-    for (const auto& choice : limits.opening) (void)world.apply(choice);
-    if (world.broken()) {
-      report.found.push_back(Counterexample{Run{world.setup(), limits.opening}, *world.broken()});
+    for (const auto& choice : limits.initialEvents) (void)world.apply(choice);
+    if (world.violation()) {
+      report.found.push_back(Counterexample{Run{world.setup(), limits.initialEvents}, *world.violation()});
       return report;
     }
     steps.push_back(Step{});
     std::vector<Node> level{Node{world.save(), Spent{}, 0}};
     seen.insert(keyOf(Spent{}));
     report.states = 1;
-    auto deadline = Clock::now() + limits.longest;
+    auto deadline = Clock::now() + limits.timeLimit;
     while (!level.empty() && report.depth < limits.depth) {
       ++report.depth;
       nextLevel.clear();
       for (auto& node : level) {
-        if (full() || (limits.longest > Duration(0) && Clock::now() >= deadline)) return report;
+        if (full() || (limits.timeLimit > Duration(0) && Clock::now() >= deadline)) return report;
         expand(node);
         node.state = ModelWorld::State{};
       }
@@ -55,7 +55,7 @@
 
  private:
   ModelWorld world;
-  const BreadthLimits& limits;
+  const BreadthFirstLimits& limits;
   SearchReport report;
   std::unordered_set<std::uint64_t> seen;
   std::vector<Step> steps;
@@ -75,11 +75,11 @@
     world.load(node.state);
     if (!world.apply(choice)) return;
     ++report.events;
-    if (!world.broken() && !seen.insert(keyOf(spent)).second) return;
+    if (!world.violation() && !seen.insert(keyOf(spent)).second) return;
     ++report.states;
     steps.push_back(Step{node.step, choice});
-    if (world.broken()) {
-      report.found.push_back(Counterexample{runTo(steps.size() - 1), *world.broken()});
+    if (world.violation()) {
+      report.found.push_back(Counterexample{runTo(steps.size() - 1), *world.violation()});
     } else if (report.depth < limits.depth) {
       nextLevel.push_back(Node{world.save(), spent, steps.size() - 1});
     }
@@ -89,7 +89,7 @@
     std::vector<Choice> choices;
     for (; step != 0; step = steps[step].parent) choices.push_back(steps[step].choice);
     std::reverse(choices.begin(), choices.end());
-    choices.insert(choices.begin(), limits.opening.begin(), limits.opening.end());
+    choices.insert(choices.begin(), limits.initialEvents.begin(), limits.initialEvents.end());
     return Run{world.setup(), std::move(choices)};
   }
 
@@ -163,7 +163,7 @@
 
 }  // namespace
 
-SearchReport searchBreadth(const Setup& setup, const BreadthLimits& limits) {
+SearchReport searchBreadthFirst(const Setup& setup, const BreadthFirstLimits& limits) {
   setup.applyTiming();
   return Breadth(setup, limits).search();
 }
--- a/src/model/history.cpp
+++ b/src/model/history.cpp
@@ -18,7 +18,7 @@
 }
 
 void History::breakRule(const std::string& rule, const std::string& text) {
-  if (!brokenRule && !known.count(rule)) brokenRule = Broken{rule, text};
+  if (!brokenRule && !ignoredRules.count(rule)) brokenRule = Violation{rule, text};
 }
 
 void History::agreed(const std::string& replica, const LogEntry& entry, std::uint64_t term) {
@@ -107,9 +107,10 @@
   if (row.acked && row.revision != answer.revision)
     breakRule("change-twice", idOf(change) + " is acknowledged as revision " + std::to_string(row.revision) +
                                   " and as " + std::to_string(answer.revision));
-  bool known = false;
-  for (const auto& agreedRow : rows) known = known || agreedRow.changeId == idOf(change);
-  if (!known) breakRule("acknowledged-not-agreed", idOf(change) + " is acknowledged but no replica has agreed on it");
+  bool ignoredRules = false;
+  for (const auto& agreedRow : rows) ignoredRules = ignoredRules || agreedRow.changeId == idOf(change);
+  if (!ignoredRules)
+    breakRule("acknowledged-not-agreed", idOf(change) + " is acknowledged but no replica has agreed on it");
   for (std::size_t other = 0; other < changeRows.size(); ++other)
     if (static_cast<int>(other) != change && changeRows[other].acked && changeRows[other].revision == answer.revision)
       breakRule("one-number-twice", idOf(change) + " and " + idOf(static_cast<int>(other)) +
--- a/src/model/history.hpp
+++ b/src/model/history.hpp
@@ -5,7 +5,7 @@
 namespace tt::model {
 
 /// A rule that was broken, and how.
-struct Broken {
+struct Violation {
   std::string rule, text;
 };
 
@@ -13,7 +13,7 @@
 class History {
  public:
   History(int changes, std::set<std::string> knownRules)
-      : changeRows(static_cast<std::size_t>(changes)), known(std::move(knownRules)) {}
+      : changeRows(static_cast<std::size_t>(changes)), ignoredRules(std::move(knownRules)) {}
 
   /// A replica counts an entry as agreed, in the term that it knows.
   void agreed(const std::string& replica, const LogEntry& entry, std::uint64_t term);
@@ -35,7 +35,7 @@
   const std::vector<AgreedRow>& agreedRows() const { return rows; }
   std::uint64_t mostAcknowledged() const { return acknowledgedIndex; }
   bool acknowledged(int change) const { return changeRows[static_cast<std::size_t>(change)].acked; }
-  const std::optional<Broken>& broken() const { return brokenRule; }
+  const std::optional<Violation>& violation() const { return brokenRule; }
   /// All that counts for whether two states are one, as bytes.
   std::string bytes() const;
 
@@ -54,8 +54,8 @@
   std::vector<Refusal> refusals;
   std::map<std::uint64_t, std::string> leaderByTerm;
   std::uint64_t acknowledgedIndex{0}, acknowledgedRevision{0};
-  std::optional<Broken> brokenRule;
-  std::set<std::string> known;
+  std::optional<Violation> brokenRule;
+  std::set<std::string> ignoredRules;
 
   std::uint64_t agreedRevision() const { return rows.empty() ? 0 : rows.back().revision; }
   /// Whether a refusal is right by what was agreed already, whatever else the replica holds.
--- a/src/model/model_world.cpp
+++ b/src/model/model_world.cpp
@@ -55,7 +55,7 @@
 void ModelWorld::reset() {
   clock = startOfTime;
   packets.clear();
-  history.emplace(worldSetup.changes + 1, worldSetup.known);
+  history.emplace(worldSetup.changes + 1, worldSetup.ignoredRules);
   historyImage.reset();
   std::vector<Member> first;
   for (int number = 0; number < worldSetup.machines(); ++number) {
@@ -76,15 +76,15 @@
   changed(number);
   if (machine.synced.identity.empty()) machine.synced.identity = idOf(number);
   RecoveredState recovered = recoveredFrom(machine);
-  if (worldSetup.openSyncs) {
+  if (worldSetup.syncsOnStart) {
     machine.synced = recovered;
     machine.written.clear();
   }
-  machine.log.emplace(Member{recovered.identity, nameOf(number), addressOf(number), {}, true}, worldSetup.room,
-                      defences);
+  machine.log.emplace(Member{recovered.identity, nameOf(number), addressOf(number), {}, true},
+                      worldSetup.maxRecordBytes, defences);
   machine.log->onEntryApplied = [this, number](Effects&, const LogEntry& entry) {
     const auto& log = *machines[static_cast<std::size_t>(number)].log;
-    if (entry.kind == static_cast<int>(EntryKind::whole))
+    if (entry.kind == static_cast<int>(EntryKind::complete))
       return writeHistory().agreedUpTo(idOf(number), entry.index, entry.term);
     checkAgreed(entry);
     writeHistory().agreed(idOf(number), entry, log.election.term());
@@ -135,7 +135,7 @@
   int to = numberAt(address);
   if (to < 0 || to >= worldSetup.machines()) return;
   packets.push_back(Packet{from, to, std::make_shared<const Letter>(Letter{std::move(message), {}})});
-  if (packets.size() > worldSetup.networkRoom) packets.erase(packets.begin());
+  if (packets.size() > worldSetup.maxPacketsInFlight) packets.erase(packets.begin());
 }
 
 void ModelWorld::toClient(int from, const ChangeResponse& answer) {
@@ -309,7 +309,7 @@
   for (const auto& save : done) (void)machine.synced.applyRecord(save.record);
   drive(number, [&](Effects& effects) {
     for (auto& save : done)
-      if (save.then) save.then(effects);
+      if (save.onSynced) save.onSynced(effects);
   });
   return true;
 }
@@ -367,7 +367,7 @@
 
 void ModelWorld::fairRounds(Duration span, bool allUp) {
   TimePoint until = clock + span;
-  while (clock < until && !broken()) {
+  while (clock < until && !violation()) {
     clock += roundSpan;
     bool joins = (clock - startOfTime) % timing.joinInterval < roundSpan;
     for (int number = 0; number < worldSetup.machines(); ++number) {
@@ -396,9 +396,9 @@
 void ModelWorld::checkLiveness() {
   int last = worldSetup.changes;
   TimePoint until = clock + livenessSpan;
-  while (clock < until && !broken() && !history->acknowledged(last)) {
+  while (clock < until && !violation() && !history->acknowledged(last)) {
     fairRounds(livenessStep, true);
-    if (auto leading = leader(); leading && !broken()) sendChange(*leading, last);
+    if (auto leading = leader(); leading && !violation()) sendChange(*leading, last);
   }
   if (!history->acknowledged(last))
     writeHistory().breakRule("no-majority", std::string(leader() ? "a change is not agreed" : "nobody leads") +
@@ -658,8 +658,8 @@
   std::sort(order.begin(), order.end());
   for (std::size_t place = 0; place < count; ++place)
     labels[static_cast<std::size_t>(order[place].second)] = static_cast<int>(place);
-  Mixer whole(labels);
-  for (const auto& [sum, at] : order) mixMachine(whole, static_cast<std::size_t>(at));
+  Mixer complete(labels);
+  for (const auto& [sum, at] : order) mixMachine(complete, static_cast<std::size_t>(at));
   std::uint64_t letters = 0;
   for (const auto& packet : packets) {
     const auto& letter = *packet.letter;
@@ -676,9 +676,9 @@
     if (sentAt < 0) one.number(2);
     letters += one.sum;
   }
-  whole.number(letters);
-  whole.text(history->bytes());
-  return whole.sum;
+  complete.number(letters);
+  complete.text(history->bytes());
+  return complete.sum;
 }
 
 }  // namespace tt::model
--- a/src/model/model_world.hpp
+++ b/src/model/model_world.hpp
@@ -52,7 +52,7 @@
   /// Lets one event happen; false where it cannot happen now, and then nothing has changed.
   bool apply(const Choice& choice);
   /// Whether a rule is broken, and which.
-  const std::optional<Broken>& broken() const { return history->broken(); }
+  const std::optional<Violation>& violation() const { return history->violation(); }
   /// What all that matters adds up to; equal for states that differ only in the replicas' names.
   std::uint64_t fingerprint() const;
 
--- a/src/model/setup.cpp
+++ b/src/model/setup.cpp
@@ -12,12 +12,12 @@
 
 std::string Setup::text() const {
   std::ostringstream line;
-  line << setupWord << " voters=" << voters << " spares=" << spares << " changes=" << changes << " room=" << room
-       << " faultBudget=" << faultBudget << " catchUpMs=" << toMilliseconds(catchUp)
+  line << setupWord << " voters=" << voters << " spares=" << spares << " changes=" << changes
+       << " room=" << maxRecordBytes << " faultBudget=" << faultBudget << " catchUpMs=" << toMilliseconds(catchUp)
        << " memberGoneMs=" << toMilliseconds(memberRemovalTimeout) << " votersLeast=" << minVoters
-       << " openSyncs=" << openSyncs << " networkRoom=" << networkRoom;
-  for (const auto& name : without) line << " without=" << name;
-  for (const auto& rule : known) line << " known=" << rule;
+       << " openSyncs=" << syncsOnStart << " networkRoom=" << maxPacketsInFlight;
+  for (const auto& name : disabledDefences) line << " without=" << name;
+  for (const auto& rule : ignoredRules) line << " known=" << rule;
   return line.str();
 }
 
@@ -32,11 +32,11 @@
     if (equals == std::string::npos) return makeError(Code::badField, word, "must be name=value");
     std::string name = word.substr(0, equals), value = word.substr(equals + 1);
     if (name == "without") {
-      setup.without.insert(value);
+      setup.disabledDefences.insert(value);
       continue;
     }
     if (name == "known") {
-      setup.known.insert(value);
+      setup.ignoredRules.insert(value);
       continue;
     }
     if (value.empty() || value.find_first_not_of("0123456789") != std::string::npos || value.size() > 9)
@@ -49,7 +49,7 @@
     } else if (name == "changes") {
       setup.changes = number;
     } else if (name == "room") {
-      setup.room = static_cast<std::size_t>(number);
+      setup.maxRecordBytes = static_cast<std::size_t>(number);
     } else if (name == "faultBudget") {
       setup.faultBudget = number;
     } else if (name == "catchUpMs") {
@@ -59,9 +59,9 @@
     } else if (name == "votersLeast") {
       setup.minVoters = static_cast<std::size_t>(number);
     } else if (name == "openSyncs") {
-      setup.openSyncs = number != 0;
+      setup.syncsOnStart = number != 0;
     } else if (name == "networkRoom") {
-      setup.networkRoom = static_cast<std::size_t>(number);
+      setup.maxPacketsInFlight = static_cast<std::size_t>(number);
     } else {
       return makeError(Code::unknownField, name);
     }
@@ -74,7 +74,7 @@
 
 Result<Defences> Setup::defences() const {
   Defences standing;
-  for (const auto& name : without) {
+  for (const auto& name : disabledDefences) {
     auto defence = Defences::named(name);
     if (!defence) return makeError(Code::badField, name, "is no defence");
     standing.disable(*defence);
--- a/src/model/setup.hpp
+++ b/src/model/setup.hpp
@@ -11,7 +11,7 @@
   /// Changes that clients may send.
   int changes{5};
   /// Bytes of records that a replica may hold; a small room makes it take snapshots after a few entries.
-  std::size_t room{1 << 20};
+  std::size_t maxRecordBytes{1 << 20};
   /// Disks that may be lost at once, and how long a new disk counts as lost after its return.
   int faultBudget{1};
   Duration catchUp{4s};
@@ -19,13 +19,13 @@
   Duration memberRemovalTimeout{6s};
   std::size_t minVoters{3};
   /// Whether a starting process syncs what it finds written before it counts it.
-  bool openSyncs{true};
+  bool syncsOnStart{true};
   /// Messages under way at most; beyond, the oldest are lost.
-  std::size_t networkRoom{64};
+  std::size_t maxPacketsInFlight{64};
   /// Names of the defences taken out.
-  std::set<std::string> without;
+  std::set<std::string> disabledDefences;
   /// Rules whose breaking is known and is passed over, for hunts by hand.
-  std::set<std::string> known;
+  std::set<std::string> ignoredRules;
 
   std::string text() const;
   static Result<Setup> parse(const std::string& line);
--- a/src/model/state_dump.cpp
+++ b/src/model/state_dump.cpp
@@ -82,17 +82,17 @@
 
 std::vector<StateDump::Mark> StateDump::marks(const ReplicatedLog& log) {
   const auto& election = log.election;
-  Duration longest = std::max<Duration>(timing.memberRemovalTimeout, longestSilence);
+  Duration timeLimit = std::max<Duration>(timing.memberRemovalTimeout, longestSilence);
   std::vector<Mark> rows{{election.voteBlockedUntil, Duration(0), {}},
                          {election.campaignAt, Duration(0), {}},
                          {election.votesRequestedAt, timing.voteTimeout + election.syncAllowance(), {}},
                          {log.leaderContactAt, leaderSilence, {}}};
   if (!election.won()) return rows;
-  rows.push_back({log.lastActiveAt, longest, {}});
-  for (const auto& [id, at] : log.learnerSince) rows.push_back({at, longest, id});
+  rows.push_back({log.lastActiveAt, timeLimit, {}});
+  for (const auto& [id, at] : log.learnerSince) rows.push_back({at, timeLimit, id});
   rows.push_back({election.lastHeartbeatAt, timing.heartbeatInterval, {}});
   for (const auto& [id, at] : election.renewals) rows.push_back({at, timing.lease, id});
-  for (const auto& [id, at] : log.lastContactAt) rows.push_back({at, longest, id});
+  for (const auto& [id, at] : log.lastContactAt) rows.push_back({at, timeLimit, id});
   for (const auto& [id, follower] : log.followers) rows.push_back({follower.sentAt, sendAgain, id});
   return rows;
 }
--- a/src/model/walks.cpp
+++ b/src/model/walks.cpp
@@ -21,11 +21,11 @@
   }
 
   /// Lets events happen until there were enough or a rule is broken.
-  std::vector<Choice> walk(int events) {
+  std::vector<Choice> runRandomWalks(int events) {
     if (below(5) > 0) happen(Choice{ChoiceKind::run, 0, 0, 0, 2500, luck()});
-    while (static_cast<int>(choices.size()) < events && !world.broken()) step();
-    if (!world.broken() && below(3) == 0) closingFault();
-    if (!world.broken()) happen(Choice{ChoiceKind::live, 0, 0, 0, 0, luck()});
+    while (static_cast<int>(choices.size()) < events && !world.violation()) step();
+    if (!world.violation() && below(3) == 0) closingFault();
+    if (!world.violation()) happen(Choice{ChoiceKind::live, 0, 0, 0, 0, luck()});
     return choices;
   }
 
@@ -40,7 +40,7 @@
   std::uint32_t luck() { return static_cast<std::uint32_t>(random() % 1000000); }
   int anyMachine() { return static_cast<int>(below(static_cast<std::uint64_t>(world.setup().machines()))); }
   void happen(Choice choice) {
-    if (world.broken() || !world.apply(choice)) return;
+    if (world.violation() || !world.apply(choice)) return;
     choices.push_back(choice);
   }
   void happen(ChoiceKind kind, int replica, int number = 0, int other = 0) {
@@ -157,25 +157,25 @@
 
 }  // namespace
 
-SearchReport walk(const Setup& setup, const WalkLimits& limits) {
+SearchReport runRandomWalks(const Setup& setup, const WalkLimits& limits) {
   setup.applyTiming();
   SearchReport report;
   std::mutex lock;
   std::atomic<std::uint64_t> next{0};
-  auto deadline = Clock::now() + limits.longest;
+  auto deadline = Clock::now() + limits.timeLimit;
   auto work = [&] {
     ModelWorld world(setup);
     for (std::uint64_t number; (number = next++) < limits.walks;) {
-      if (limits.longest > Duration(0) && Clock::now() >= deadline) return;
+      if (limits.timeLimit > Duration(0) && Clock::now() >= deadline) return;
       world.reset();
-      Run run{setup, Walker(world, limits.firstSeed + number).walk(limits.events)};
+      Run run{setup, Walker(world, limits.firstSeed + number).runRandomWalks(limits.events)};
       std::lock_guard<std::mutex> guard(lock);
       ++report.walks;
       report.events += run.choices.size();
       report.depth = std::max(report.depth, static_cast<int>(run.choices.size()));
-      if (world.broken() && report.found.size() < limits.mostFound)
-        report.found.push_back(Counterexample{std::move(run), *world.broken()});
-      if (report.found.size() >= limits.mostFound) next = limits.walks;
+      if (world.violation() && report.found.size() < limits.maxCounterexamples)
+        report.found.push_back(Counterexample{std::move(run), *world.violation()});
+      if (report.found.size() >= limits.maxCounterexamples) next = limits.walks;
     }
   };
   std::vector<std::thread> pool;
@@ -185,17 +185,17 @@
   return report;
 }
 
-std::optional<Broken> replay(const Run& run, const std::function<void(const std::string&)>& tell) {
+std::optional<Violation> replay(const Run& run, const std::function<void(const std::string&)>& tell) {
   run.setup.applyTiming();
   ModelWorld world(run.setup);
   world.tell = tell;
   for (const auto& choice : run.choices) {
     bool happened = world.apply(choice);
     if (tell) tell(choice.text() + (happened ? "" : "  (cannot happen here)"));
-    if (world.broken()) break;
+    if (world.violation()) break;
   }
   if (tell) tell(world.describe());
-  return world.broken();
+  return world.violation();
 }
 
 namespace {
@@ -222,14 +222,14 @@
 }
 }  // namespace
 
-Run shorten(const Run& run, const std::string& rule) {
+Run shrink(const Run& run, const std::string& rule) {
   run.setup.applyTiming();
   ModelWorld world(run.setup);
   auto breaks = [&](const std::vector<Choice>& choices) -> std::optional<std::size_t> {
     world.reset();
     for (std::size_t at = 0; at < choices.size(); ++at) {
       (void)world.apply(choices[at]);
-      if (world.broken()) return world.broken()->rule == rule ? std::optional<std::size_t>(at + 1) : std::nullopt;
+      if (world.violation()) return world.violation()->rule == rule ? std::optional<std::size_t>(at + 1) : std::nullopt;
     }
     return std::nullopt;
   };
--- a/src/net/calls.cpp
+++ b/src/net/http_client.cpp
@@ -1,4 +1,4 @@
-#include "calls.hpp"
+#include "http_client.hpp"
 
 #include <curl/curl.h>
 #include <netinet/tcp.h>
@@ -437,15 +437,15 @@
     auto transfer = remove(id);
     if (!transfer || transfer->dropped || !transfer->onEnd) return;
     HttpCallResult end;
-    end.outcome = code == CURLE_OK && transfer->headComplete ? HttpCallOutcome::whole
+    end.outcome = code == CURLE_OK && transfer->headComplete ? HttpCallOutcome::complete
                   : transfer->sent                           ? HttpCallOutcome::broken
                                                              : HttpCallOutcome::unsent;
     end.head = std::move(transfer->head);
     bool connectionEnded =
         transfer->resendRefused || code == CURLE_GOT_NOTHING || code == CURLE_RECV_ERROR || code == CURLE_SEND_ERROR;
-    end.forgotten = end.outcome == HttpCallOutcome::broken && transfer->connectionReused &&
-                    !transfer->anyByteReceived && connectionEnded;
-    recordUse(*transfer, end.forgotten);
+    end.lostOnIdleConnection = end.outcome == HttpCallOutcome::broken && transfer->connectionReused &&
+                               !transfer->anyByteReceived && connectionEnded;
+    recordUse(*transfer, end.lostOnIdleConnection);
     if (transfer->sendRefused) {
       end.errorMessage = "request not sent: its send condition no longer held";
     } else if (transfer->malformed) {
--- a/src/net/calls.hpp
+++ b/src/net/http_client.hpp
@@ -1,6 +1,6 @@
 #pragma once
-#include "host.hpp"
 #include "http.hpp"
+#include "node_host.hpp"
 
 namespace tt {
 
@@ -37,7 +37,7 @@
 };
 /// How a call ended. `whole`: with a complete response. `unsent`: certainly no byte of the request was written to an
 /// established connection. `broken`: otherwise; the peer may have processed the request.
-enum class HttpCallOutcome { whole, unsent, broken };
+enum class HttpCallOutcome { complete, unsent, broken };
 struct HttpCallResult {
   HttpCallOutcome outcome{HttpCallOutcome::broken};
   HttpResponseHead head;
@@ -45,7 +45,7 @@
   std::string errorMessage;
   /// The request was sent on a reused connection that closed without a byte of response: the peer probably closed it as
   /// idle and never read the request.
-  bool forgotten{false};
+  bool lostOnIdleConnection{false};
 };
 
 /// HTTP/1.1 client on an io_context, with persistent connections and no thread of its own, built on libcurl's
--- a/src/net/gate.cpp
+++ b/src/net/http_server.cpp
@@ -1,9 +1,9 @@
-#include "gate.hpp"
+#include "http_server.hpp"
 
 #include <algorithm>
 
-#include "gate_connection.hpp"
-#include "host.hpp"
+#include "http_server_connection.hpp"
+#include "node_host.hpp"
 
 namespace tt {
 namespace {
--- a/src/net/gate_connection.cpp
+++ b/src/net/http_server_connection.cpp
@@ -1,4 +1,4 @@
-#include "gate_connection.hpp"
+#include "http_server_connection.hpp"
 
 #include <netinet/tcp.h>
 #include <algorithm>
--- a/src/net/gate_connection.hpp
+++ b/src/net/http_server_connection.hpp
@@ -1,7 +1,7 @@
 #pragma once
-#include "answer_framing.hpp"
-#include "gate_listener.hpp"
+#include "http_server_impl.hpp"
 #include "request_reader.hpp"
+#include "response_framing.hpp"
 
 namespace tt {
 
--- a/src/net/gate_drain.cpp
+++ b/src/net/http_server_drain.cpp
@@ -1,4 +1,4 @@
-#include "gate_drain.hpp"
+#include "http_server_drain.hpp"
 
 #include "log.hpp"
 
--- a/src/net/gate_drain.hpp
+++ b/src/net/http_server_drain.hpp
@@ -1,6 +1,6 @@
 #pragma once
 #include "drain_plan.hpp"
-#include "gate.hpp"
+#include "http_server.hpp"
 
 namespace tt {
 
--- a/src/net/gate_listener.hpp
+++ b/src/net/http_server_impl.hpp
@@ -1,7 +1,7 @@
 #pragma once
 #include <unordered_set>
 
-#include "gate.hpp"
+#include "http_server.hpp"
 
 namespace tt {
 
--- a/src/net/contract.cpp
+++ b/src/net/json_bodies.cpp
@@ -1,4 +1,4 @@
-#include "contract.hpp"
+#include "json_bodies.hpp"
 
 #include <algorithm>
 #include <limits>
@@ -47,7 +47,7 @@
 
 std::string writeWorkerOrder(const WorkerOrder& order) {
   JsonObject body;
-  body["order_id"] = Json(order.orderId);
+  body["order_id"] = Json(order.requestId);
   body["model"] = Json(order.model);
   body["weights"] = Json(order.weights);
   body["cache_salt"] = Json(order.cacheSalt);
@@ -56,7 +56,7 @@
   body["max_tokens"] = number(order.maxTokens);
   body["tenant"] = Json(order.tenant);
   if (order.app) body["app"] = Json(true);
-  if (order.moves) body["move"] = Json(true);
+  if (order.transferOnly) body["move"] = Json(true);
   JsonObject params;
   if (!order.params.empty())
     if (auto userParams = parseJson(order.params); userParams && userParams.value().is<JsonObject>())
@@ -81,7 +81,7 @@
   WorkerOrder order;
   auto id = stringField(body, "order_id");
   if (!id) return id.error();
-  order.orderId = id.value();
+  order.requestId = id.value();
   Json object(body);
   order.model = stringOr(object, "model");
   order.weights = stringOr(object, "weights");
@@ -97,7 +97,7 @@
   if (!tokens) return tokens.error();
   order.maxTokens = static_cast<int>(tokens.value());
   order.app = boolOr(object, "app", false);
-  order.moves = boolOr(object, "move", false);
+  order.transferOnly = boolOr(object, "move", false);
   if (auto params = body.find("kv_transfer_params"); params != body.end() && params->second.is<JsonObject>()) {
     const auto& rows = params->second.get<JsonObject>();
     if (auto source = rows.find("remote_kv_source"); source != rows.end()) {
@@ -126,7 +126,7 @@
   return Json(body).serialize();
 }
 
-std::variant<std::monostate, WorkerChunk, WorkerEnd> readWorkerLine(const std::string& orderId,
+std::variant<std::monostate, WorkerChunk, WorkerEnd> readWorkerLine(const std::string& requestId,
                                                                     const std::string& line) {
   auto parsed = parseJson(line);
   if (!parsed || !parsed.value().is<JsonObject>()) return std::monostate{};
@@ -134,13 +134,13 @@
   std::string end = stringOr(body, "end");
   if (end.empty()) {
     if (!body.get<JsonObject>().count("token")) return std::monostate{};
-    return WorkerChunk{orderId, stringOr(body, "token")};
+    return WorkerChunk{requestId, stringOr(body, "token")};
   }
-  OrderOutcome outcome = end == "done"     ? OrderOutcome::done
-                         : end == "denied" ? OrderOutcome::denied
-                         : end == "broken" ? OrderOutcome::broken
-                                           : OrderOutcome::failed;
-  return WorkerEnd{orderId,
+  AttemptOutcome outcome = end == "done"     ? AttemptOutcome::done
+                           : end == "denied" ? AttemptOutcome::denied
+                           : end == "broken" ? AttemptOutcome::broken
+                                             : AttemptOutcome::failed;
+  return WorkerEnd{requestId,
                    static_cast<int>(outcome),
                    intOr(body, "code", 0),
                    intOr(body, "local", 0),
@@ -159,9 +159,9 @@
   body["sequence"] = number(static_cast<double>(report.sequence));
   body["draining"] = Json(report.draining);
   body["term"] = number(static_cast<double>(report.term));
-  body["whole"] = Json(report.whole);
-  if (report.whole) {
-    body["kept"] = hashArray(report.kept);
+  body["whole"] = Json(report.complete);
+  if (report.complete) {
+    body["kept"] = hashArray(report.cachedBlocks);
   } else {
     JsonArray events;
     static const char* kinds[] = {"stored", "removed", "cleared"};
@@ -194,10 +194,10 @@
   report.sequence = countOr(object, "sequence");
   report.term = countOr(object, "term");
   report.draining = boolOr(object, "draining", false);
-  report.whole = boolOr(object, "whole", false);
-  auto kept = readHashes(body, "kept");
-  if (!kept) return kept.error();
-  report.kept = kept.value();
+  report.complete = boolOr(object, "whole", false);
+  auto cachedBlocks = readHashes(body, "kept");
+  if (!cachedBlocks) return cachedBlocks.error();
+  report.cachedBlocks = cachedBlocks.value();
   if (auto events = body.find("events"); events != body.end() && events->second.is<JsonArray>())
     for (const auto& row : events->second.get<JsonArray>()) {
       if (!row.is<JsonObject>()) return makeError(Code::badField, "events");
@@ -364,7 +364,7 @@
 std::string writeVerdict(const CallerVerdict& verdict) {
   JsonObject body;
   body["verdict"] = Json(verdict.verdict);
-  body["orderId"] = Json(verdict.orderId);
+  body["orderId"] = Json(verdict.requestId);
   body["code"] = number(verdict.code);
   body["name"] = Json(std::string(codeName(static_cast<Code>(verdict.code))));
   body["text"] = Json(verdict.text);
--- a/src/net/contract.hpp
+++ b/src/net/json_bodies.hpp
@@ -12,7 +12,7 @@
 std::string writeWorkerChunk(const WorkerChunk& chunk);
 std::string writeWorkerEnd(const WorkerEnd& end);
 /// Parses one line of a worker's stream: a chunk, the end, or std::monostate if it is neither.
-std::variant<std::monostate, WorkerChunk, WorkerEnd> readWorkerLine(const std::string& orderId,
+std::variant<std::monostate, WorkerChunk, WorkerEnd> readWorkerLine(const std::string& requestId,
                                                                     const std::string& line);
 std::string writeReport(const Report& report);
 Result<Report> readReport(const std::string& text);
--- a/src/net/host.cpp
+++ b/src/net/node_host.cpp
@@ -1,4 +1,4 @@
-#include "host.hpp"
+#include "node_host.hpp"
 
 #include <netinet/tcp.h>
 
@@ -322,7 +322,7 @@
     }
     with([&](Effects& effects) {
       for (auto& save : batch)
-        if (save.then) save.then(effects);
+        if (save.onSynced) save.onSynced(effects);
     });
   }
 }
--- a/src/net/process.hpp
+++ b/src/net/process.hpp
@@ -1,9 +1,9 @@
 #pragma once
 #include <CLI/CLI.hpp>
 
-#include "host.hpp"
 #include "json.hpp"
 #include "log.hpp"
+#include "node_host.hpp"
 #include "web.hpp"
 
 namespace tt {
--- a/src/net/request_reader.hpp
+++ b/src/net/request_reader.hpp
@@ -1,5 +1,5 @@
 #pragma once
-#include "gate.hpp"
+#include "http_server.hpp"
 
 namespace tt {
 
--- a/src/net/answer_framing.cpp
+++ b/src/net/response_framing.cpp
@@ -1,4 +1,4 @@
-#include "answer_framing.hpp"
+#include "response_framing.hpp"
 
 #include <http_parser.h>
 #include <cstdio>
--- a/src/net/web.cpp
+++ b/src/net/web.cpp
@@ -1,6 +1,6 @@
 #include "web.hpp"
 
-#include "contract.hpp"
+#include "json_bodies.hpp"
 
 #include <curl/curl.h>
 
@@ -360,11 +360,11 @@
 }
 
 WorkerEnd workerEndOfCall(const std::string& sendId, const WebResult& result) {
-  WorkerEnd end{sendId, static_cast<int>(OrderOutcome::broken), static_cast<int>(Code::workerBroke), 0, 0, 0};
+  WorkerEnd end{sendId, static_cast<int>(AttemptOutcome::broken), static_cast<int>(Code::workerBroke), 0, 0, 0};
   if (result.requestUnsent) {
-    end.outcome = static_cast<int>(OrderOutcome::brokenBeforeSend);
+    end.outcome = static_cast<int>(AttemptOutcome::brokenBeforeSend);
   } else if (result.reached && (result.status == 409 || result.status == 503 || result.status == 400)) {
-    end.outcome = static_cast<int>(OrderOutcome::denied);
+    end.outcome = static_cast<int>(AttemptOutcome::denied);
     auto parsed = readWorkerLine(sendId, result.body);
     if (auto* denied = std::get_if<WorkerEnd>(&parsed)) end.code = denied->code;
   }
@@ -385,17 +385,17 @@
   return *got;
 }
 
-std::string PendingResponses::newName() {
+std::string PendingResponses::newRequestId() {
   std::lock_guard<std::mutex> guard(lock);
   return "http/" + std::to_string(++lastNumber);
 }
-void PendingResponses::addAs(const std::string& name, std::shared_ptr<WebResponse> response) {
+void PendingResponses::addWithId(const std::string& name, std::shared_ptr<WebResponse> response) {
   std::lock_guard<std::mutex> guard(lock);
   responses[name] = std::move(response);
 }
 std::string PendingResponses::add(std::shared_ptr<WebResponse> response) {
-  std::string name = newName();
-  addAs(name, std::move(response));
+  std::string name = newRequestId();
+  addWithId(name, std::move(response));
   return name;
 }
 std::shared_ptr<WebResponse> PendingResponses::find(const std::string& name) {
--- a/src/net/web.hpp
+++ b/src/net/web.hpp
@@ -5,9 +5,9 @@
 #include <mutex>
 #include <thread>
 
-#include "host.hpp"
 #include "http.hpp"
 #include "json.hpp"
+#include "node_host.hpp"
 
 namespace tt {
 
@@ -95,8 +95,8 @@
   /// Adds a response under a new name, and returns the name.
   std::string add(std::shared_ptr<WebResponse> response);
   /// Returns a name that was not used before in this object.
-  std::string newName();
-  void addAs(const std::string& name, std::shared_ptr<WebResponse> response);
+  std::string newRequestId();
+  void addWithId(const std::string& name, std::shared_ptr<WebResponse> response);
   /// find() and remove() return null if there is no response of that name.
   std::shared_ptr<WebResponse> find(const std::string& name);
   std::shared_ptr<WebResponse> remove(const std::string& name);
--- a/src/routing/edge_admission.cpp
+++ b/src/routing/proxy_admission.cpp
@@ -1,5 +1,5 @@
 /// Admits or denies requests, decides which pending request is served next, and when a denied client may retry.
-#include "edge.hpp"
+#include "proxy_router.hpp"
 
 #include <algorithm>
 
@@ -39,7 +39,7 @@
   } else if (code == Code::noWorker) {
     bool anyWithheld = false;
     for (const auto& [zone, cell] : cells)
-      for (const auto& worker : cell.workers) anyWithheld = anyWithheld || (worker.held && worker.alive);
+      for (const auto& worker : cell.workers) anyWithheld = anyWithheld || (worker.withheld && worker.alive);
     minDelayMs = anyWithheld ? withheldRetryMs : noWorkerRetryMs;
   } else if (code == Code::retryBudget) {
     minDelayMs = retryBudgetRetryMs;
@@ -50,8 +50,8 @@
 
 bool ProxyRouter::displacePending(Effects& effects, const std::string& tenant) {
   std::map<std::string, std::size_t> pendingByTenant{{tenant, 0}};
-  for (const auto& orderId : pending)
-    if (auto found = requests.find(orderId); found != requests.end()) ++pendingByTenant[found->second->tenant];
+  for (const auto& requestId : pending)
+    if (auto found = requests.find(requestId); found != requests.end()) ++pendingByTenant[found->second->tenant];
   auto largest = std::max_element(pendingByTenant.begin(), pendingByTenant.end(),
                                   [](const auto& one, const auto& other) { return one.second < other.second; });
   std::size_t share = settings.maxPending / pendingByTenant.size();
@@ -59,11 +59,11 @@
   for (auto row = pending.rbegin(); row != pending.rend(); ++row) {
     auto found = requests.find(*row);
     if (found == requests.end() || found->second->tenant != largest->first) continue;
-    std::string orderId = *row;
+    std::string requestId = *row;
     pending.erase(std::next(row).base());
     found->second->lastCode = Code::pendingFull;
-    effects.note("place given up", orderId + " " + tenant);
-    dispatch(effects, orderId, "late");
+    effects.note("place given up", requestId + " " + tenant);
+    dispatch(effects, requestId, "late");
     return true;
   }
   return false;
@@ -75,13 +75,13 @@
   request->pendingSince = effects.now;
   auto deny = [&](Code code, const std::string& subject = {}, const std::string& text = {}) {
     CallerVerdict status;
-    status.orderId = submitted.orderId;
+    status.requestId = submitted.requestId;
     status.verdict = "not run";
     status.code = static_cast<int>(code);
     status.subject = subject;
     status.text = text.empty() ? codeText(code) : text;
     if (codeStatus(code) == 503) status.retryAfterMs = retryDelayMs(effects, code);
-    effects.note("denied", submitted.orderId, static_cast<int>(code));
+    effects.note("denied", submitted.requestId, static_cast<int>(code));
     effects.send("caller", status);
   };
   if (!fresh(effects.now)) return deny(Code::staleEdge);
@@ -141,13 +141,13 @@
 }
 
 void ProxyRouter::accept(Effects& effects, std::unique_ptr<Request> request) {
-  std::string orderId = request->submitted.orderId;
+  std::string requestId = request->submitted.requestId;
   request->stateMachine =
       std::make_unique<StateMachine<ProxyRouter, Effects&, Request&>>("order", actions(), "pending");
   admissionTimes.push_back(effects.now);
-  effects.note("admitted", orderId);
-  requests[orderId] = std::move(request);
-  pending.push_back(orderId);
+  effects.note("admitted", requestId);
+  requests[requestId] = std::move(request);
+  pending.push_back(requestId);
   servePending(effects);
 }
 
@@ -158,9 +158,9 @@
 
 void ProxyRouter::servePending(Effects& effects) {
   std::map<std::string, std::deque<std::string>> byTenant;
-  for (const auto& orderId : pending)
-    if (auto found = requests.find(orderId); found != requests.end() && found->second->stateMachine->isIn("pending"))
-      byTenant[found->second->tenant].push_back(orderId);
+  for (const auto& requestId : pending)
+    if (auto found = requests.find(requestId); found != requests.end() && found->second->stateMachine->isIn("pending"))
+      byTenant[found->second->tenant].push_back(requestId);
   pending.clear();
   std::deque<std::string> remaining;
   auto openCountOf = [&](const std::string& tenant) {
@@ -171,36 +171,36 @@
     auto next = std::min_element(byTenant.begin(), byTenant.end(), [&](const auto& one, const auto& other) {
       return openCountOf(one.first) < openCountOf(other.first);
     });
-    std::string orderId = next->second.front();
+    std::string requestId = next->second.front();
     next->second.pop_front();
     if (next->second.empty()) byTenant.erase(next);
-    auto found = requests.find(orderId);
+    auto found = requests.find(requestId);
     if (found == requests.end()) continue;
     auto& request = *found->second;
     if (effects.now - request.pendingSince >= pendingTimeoutFor(request) || isPastDeadline(request, effects.now) ||
         !fresh(effects.now)) {
       if (!fresh(effects.now)) request.lastCode = Code::staleEdge;
-      dispatch(effects, orderId, "late");
+      dispatch(effects, requestId, "late");
       continue;
     }
     if (request.attempts > 0 && !retryBudgetAllows(effects.now)) {
       request.lastCode = Code::retryBudget;
-      remaining.push_back(orderId);
+      remaining.push_back(requestId);
       continue;
     }
     if (!selectWorker(effects, request)) {
       if (request.lastCode == Code::noWorker && effects.now - request.pendingSince > noWorkerTimeout)
-        dispatch(effects, orderId, "late");
+        dispatch(effects, requestId, "late");
       else
-        remaining.push_back(orderId);
+        remaining.push_back(requestId);
       continue;
     }
     if (request.attempts > 0) {
       retryTimes.push_back(effects.now);
-      effects.note("retry", orderId, request.attempts);
+      effects.note("retry", requestId, request.attempts);
     }
     selectSources(request, effects.now);
-    dispatch(effects, orderId, request.plan.candidates.empty() ? "drawn" : "wantMove");
+    dispatch(effects, requestId, request.plan.candidates.empty() ? "drawn" : "wantMove");
   }
   pending.insert(pending.end(), remaining.begin(), remaining.end());
 }
--- a/src/routing/edge_outcomes.cpp
+++ b/src/routing/proxy_outcomes.cpp
@@ -1,5 +1,5 @@
 /// Handles the end of an attempt: decides on a retry or sends the request's final status.
-#include "edge.hpp"
+#include "proxy_router.hpp"
 
 #include <algorithm>
 
@@ -26,7 +26,7 @@
 void ProxyRouter::sendFinalStatus(Effects& effects, Request& request, const std::string& outcome, Code code,
                                   const std::string& subject) {
   CallerVerdict status;
-  status.orderId = request.submitted.orderId;
+  status.requestId = request.submitted.requestId;
   status.verdict = outcome;
   status.code = static_cast<int>(code);
   status.subject = subject;
@@ -40,7 +40,7 @@
   status.computed = request.attemptEnd.computed;
   status.worker = request.plan.worker;
   status.began = request.responseStarted;
-  effects.note("verdict " + outcome, request.submitted.orderId, static_cast<int>(code));
+  effects.note("verdict " + outcome, request.submitted.requestId, static_cast<int>(code));
   effects.send("caller", status);
 }
 
@@ -79,7 +79,7 @@
     effects.note("transfer inferred", request.plan.source->name, toMilliseconds(effects.now - request.lastActivityAt));
   finishPrefill(effects, request, true);
   request.responseStarted = true;
-  effects.send("caller", CallerChunk{request.submitted.orderId, request.chunk});
+  effects.send("caller", CallerChunk{request.submitted.requestId, request.chunk});
   request.lastActivityAt = effects.now;
 }
 
@@ -125,7 +125,7 @@
   request.triedWorkers.insert(request.plan.worker);
   requestIdByAttempt.erase(request.attemptId);
   if (request.route.matchesPath() &&
-      static_cast<OrderOutcome>(request.attemptEnd.outcome) == OrderOutcome::brokenBeforeSend &&
+      static_cast<AttemptOutcome>(request.attemptEnd.outcome) == AttemptOutcome::brokenBeforeSend &&
       ++request.unsentAttempts <= maxUnsentAttempts)
     --request.attempts;
   request.retryRequested = request.attempts < maxAttemptsFor(request) && !isPastDeadline(request, effects.now);
@@ -137,7 +137,7 @@
   request.triedWorkers.insert(request.plan.worker);
   requestIdByAttempt.erase(request.attemptId);
   request.mayHaveRun = true;
-  bool canResume = !request.lastPiece.empty();
+  bool canResume = !request.lastEventId.empty();
   request.retryRequested = canResume && request.attempts < maxAttemptsFor(request) && retryBudgetAllows(effects.now) &&
                            !isPastDeadline(request, effects.now);
   if (!request.retryRequested) sendFinalStatus(effects, request, "failed", Code::workerBroke, request.plan.worker);
@@ -146,7 +146,7 @@
 void ProxyRouter::weighBroken(Effects& effects, Request& request) {
   freeWorker(effects, request);
   /// If only a reused connection is known to have ended, the worker itself may be selected again.
-  if (static_cast<OrderOutcome>(request.attemptEnd.outcome) != OrderOutcome::forgotten)
+  if (static_cast<AttemptOutcome>(request.attemptEnd.outcome) != AttemptOutcome::lostOnIdleConnection)
     request.triedWorkers.insert(request.plan.worker);
   requestIdByAttempt.erase(request.attemptId);
   request.mayHaveRun = settings.defences.isEnabled(Defence::unknownOnceSent);
@@ -158,12 +158,12 @@
 
 void ProxyRouter::redraw(Effects& effects, Request& request) {
   request.pendingSince = effects.now;
-  pending.push_front(request.submitted.orderId);
+  pending.push_front(request.submitted.requestId);
 }
 
 void ProxyRouter::drawAgain(Effects&, Request& request) {
   request.plan = RoutingPlan{};
-  pending.push_front(request.submitted.orderId);
+  pending.push_front(request.submitted.requestId);
 }
 
 }  // namespace tt
--- a/src/routing/edge_placement.cpp
+++ b/src/routing/proxy_placement.cpp
@@ -1,6 +1,6 @@
 /// Selects the worker for a request by load and cached prefixes, and sheds requests under overload.
-#include "edge.hpp"
-#include "first_draw_costs.hpp"
+#include "initial_selection_costs.hpp"
+#include "proxy_router.hpp"
 
 #include <algorithm>
 
@@ -87,7 +87,7 @@
       request.submitted.parts.size() > 1 ? request.submitted.parts.size() - 1 : request.submitted.parts.size();
   std::string domain = request.tenant.empty() ? "shared" : config.cacheDomainOf(request.tenant);
   std::string key = domain + "/" + request.submitted.model;
-  key += "/" + (shared > 0 ? request.submitted.parts[shared - 1] : request.submitted.orderId);
+  key += "/" + (shared > 0 ? request.submitted.parts[shared - 1] : request.submitted.requestId);
   std::vector<Choice> ranked;
   bool anyAlive = false;
   for (const auto& [zone, cell] : cells)
@@ -107,7 +107,7 @@
   std::size_t bestIndex = 0;
   for (std::size_t index = 0; index < ranked.size(); ++index) {
     const auto& worker = *ranked[index].worker;
-    if (worker.held || !mayStartOn(worker.model, worker.weights, effects.now)) continue;
+    if (worker.withheld || !mayStartOn(worker.model, worker.weights, effects.now)) continue;
     anyAlive = true;
     if (request.triedWorkers.count(worker.name)) continue;
     if (auto stats = workerStats.find(worker.name);
@@ -224,7 +224,7 @@
   bool anyAlive = false;
   for (const auto& [zone, cell] : cells)
     for (const auto& worker : cell.workers) {
-      if (worker.kind != kind || !worker.alive || worker.held || !isSchedulable(worker)) continue;
+      if (worker.kind != kind || !worker.alive || worker.withheld || !isSchedulable(worker)) continue;
       if (kind == "language" && (worker.model != request.submitted.model || worker.weights.empty() ||
                                  !mayStartOn(worker.model, worker.weights, effects.now)))
         continue;
--- a/src/routing/edge_report.cpp
+++ b/src/routing/proxy_report.cpp
@@ -1,5 +1,5 @@
 /// The report of a proxy's state to operators.
-#include "edge.hpp"
+#include "proxy_router.hpp"
 
 #include <algorithm>
 
@@ -24,7 +24,7 @@
       row["weights"] = Json(worker.weights);
       row["running"] = jsonNumber(worker.running);
       row["slots"] = jsonNumber(worker.slots);
-      row["held"] = Json(worker.held);
+      row["held"] = Json(worker.withheld);
       row["alive"] = Json(worker.alive);
       row["leaving"] = Json(!schedulable.count(worker.name));
       auto stats = workerStats.find(worker.name);
--- a/src/routing/edge.cpp
+++ b/src/routing/proxy_router.cpp
@@ -1,5 +1,5 @@
 /// Handles a proxy's messages and ticks, and drives its requests through the state chart "order".
-#include "edge.hpp"
+#include "proxy_router.hpp"
 
 #include <algorithm>
 
@@ -58,8 +58,8 @@
   return nullptr;
 }
 
-void ProxyRouter::dispatch(Effects& effects, const std::string& orderId, const std::string& event) {
-  auto found = requests.find(orderId);
+void ProxyRouter::dispatch(Effects& effects, const std::string& requestId, const std::string& event) {
+  auto found = requests.find(requestId);
   if (found == requests.end()) return;
   auto& request = *found->second;
   request.stateMachine->dispatch(*this, event, effects, request);
@@ -68,35 +68,35 @@
   if (!request.stateMachine->isIn("ended")) return;
   freeWorker(effects, request);
   requestIdByAttempt.erase(request.attemptId);
-  requests.erase(orderId);
+  requests.erase(requestId);
 }
 
 bool ProxyRouter::isPlanValid(const Request& request, TimePoint now) const {
   if (!settings.defences.isEnabled(Defence::drawnAgain)) return true;
   const auto* worker = findWorker(request.plan.worker);
-  if (!worker || !worker->alive || worker->held || !schedulable.count(worker->name)) return false;
+  if (!worker || !worker->alive || worker->withheld || !schedulable.count(worker->name)) return false;
   if (request.route.app) return true;
   return worker->weights == request.plan.weights && mayStartOn(request.plan.model, request.plan.weights, now);
 }
 
-void ProxyRouter::sendOrReselect(Effects& effects, const std::string& orderId, const std::string& event) {
-  auto found = requests.find(orderId);
+void ProxyRouter::sendOrReselect(Effects& effects, const std::string& requestId, const std::string& event) {
+  auto found = requests.find(requestId);
   if (found == requests.end()) return;
   if (!fresh(effects.now)) {
     endNotRunOrUnknown(effects, *found->second, Code::staleEdge);
-    return dispatch(effects, orderId, "callerGone");
+    return dispatch(effects, requestId, "callerGone");
   }
   bool valid = isPlanValid(*found->second, effects.now);
-  if (!valid) effects.note("drawn again", orderId + " " + found->second->plan.worker);
-  dispatch(effects, orderId, valid ? event : "outdated");
+  if (!valid) effects.note("drawn again", requestId + " " + found->second->plan.worker);
+  dispatch(effects, requestId, valid ? event : "outdated");
   if (!valid) servePending(effects);
 }
 
 void ProxyRouter::sendOrder(Effects& effects, Request& request) {
   ++request.attempts;
-  request.attemptId = request.submitted.orderId + "." + std::to_string(request.attempts);
+  request.attemptId = request.submitted.requestId + "." + std::to_string(request.attempts);
   request.lastActivityAt = effects.now;
-  requestIdByAttempt[request.attemptId] = request.submitted.orderId;
+  requestIdByAttempt[request.attemptId] = request.submitted.requestId;
   effects.note("order sent", request.attemptId + " " + request.plan.worker);
   WorkerOrder sent{request.attemptId,
                    request.plan.model,
@@ -111,14 +111,14 @@
                    request.tenant,
                    request.route.app,
                    request.submitted.params,
-                   request.submitted.orderId,
+                   request.submitted.requestId,
                    request.plan.worker,
                    request.plan.sinkAddress,
                    request.urgency,
                    0,
-                   request.lastPiece,
+                   request.lastEventId,
                    !request.submitted.repeatable};
-  if (TimePoint end = weightsUseEndsAt(request.plan.model, request.plan.weights, timing.oldWeightsOrderTimeout);
+  if (TimePoint end = weightsUseEndsAt(request.plan.model, request.plan.weights, timing.oldWeightsSendTimeout);
       end != TimePoint::max())
     sent.sendDeadline = toNanoseconds(end);
   if (request.route.matchesPath()) {
@@ -153,9 +153,9 @@
 void ProxyRouter::revokeOpenRequests(Effects& effects) {
   if (!settings.defences.isEnabled(Defence::revokeEndsStreams) || settings.letOpenRequestsFinish) return;
   std::vector<std::string> revoked;
-  for (const auto& [orderId, request] : requests)
-    if (!config.findKey(request->keyHash)) revoked.push_back(orderId);
-  for (const auto& orderId : revoked) dispatch(effects, orderId, "revoked");
+  for (const auto& [requestId, request] : requests)
+    if (!config.findKey(request->keyHash)) revoked.push_back(requestId);
+  for (const auto& requestId : revoked) dispatch(effects, requestId, "revoked");
 }
 
 /// Until `completeAsOf` the configuration was known to be complete, so weights first seen now were announced later.
@@ -177,12 +177,12 @@
 }
 
 bool ProxyRouter::mayStartOn(const std::string& model, const std::string& weights, TimePoint now) const {
-  return now < weightsUseEndsAt(model, weights, timing.oldWeightsOrderTimeout);
+  return now < weightsUseEndsAt(model, weights, timing.oldWeightsSendTimeout);
 }
 
 bool ProxyRouter::isUnstartedPastWeightsEnd(const Request& request, TimePoint now) const {
   return request.stateMachine->isIn("sent") && settings.defences.isEnabled(Defence::unbegunDropped) &&
-         now >= weightsUseEndsAt(request.plan.model, request.plan.weights, timing.unstartedOrderTimeout);
+         now >= weightsUseEndsAt(request.plan.model, request.plan.weights, timing.unstartedRequestTimeout);
 }
 
 void ProxyRouter::onConfigurationChanged(Effects& effects) {
@@ -204,35 +204,35 @@
       while (!times->empty() && effects.now - times->front() > settings.retryBudgetWindow) times->pop_front();
   }
   std::vector<std::string> ids;
-  for (const auto& [orderId, request] : requests) ids.push_back(orderId);
+  for (const auto& [requestId, request] : requests) ids.push_back(requestId);
   if (fresh(effects.now) != wasFresh) {
     wasFresh = !wasFresh;
     effects.note(wasFresh ? "fresh" : "stale", settings.name);
   }
   auto endCode = endReasonForAll(effects.now);
-  for (const auto& orderId : ids) {
-    auto found = requests.find(orderId);
+  for (const auto& requestId : ids) {
+    auto found = requests.find(requestId);
     if (found == requests.end()) continue;
     auto& request = *found->second;
     if (endCode) {
       if (*endCode == Code::stopping)
-        effects.note("given up on leaving", orderId + " " + request.stateMachine->state());
+        effects.note("given up on leaving", requestId + " " + request.stateMachine->state());
       request.lastCode = *endCode;
-      dispatch(effects, orderId, "revoked");
+      dispatch(effects, requestId, "revoked");
       continue;
     }
     if (request.stateMachine->isIn("lookup") && effects.now - request.lookupStartedAt >= settings.lookupTimeout &&
         settings.defences.isEnabled(Defence::lookupExpires))
       finishLookup(effects, request);
     else if (isUnstartedPastWeightsEnd(request, effects.now)) {
-      effects.note("unbegun dropped", orderId + " " + request.plan.worker);
-      dispatch(effects, orderId, "silent");
+      effects.note("unbegun dropped", requestId + " " + request.plan.worker);
+      dispatch(effects, requestId, "silent");
     } else if (request.route.matchesPath() && !request.stateMachine->isIn("pending")) {
-      if (effects.now >= request.deadline + deadlineGrace) dispatch(effects, orderId, "silent");
+      if (effects.now >= request.deadline + deadlineGrace) dispatch(effects, requestId, "silent");
     } else if (request.stateMachine->isIn("sent") && effects.now - request.lastActivityAt >= settings.firstByteTimeout)
-      dispatch(effects, orderId, "silent");
+      dispatch(effects, requestId, "silent");
     else if (request.stateMachine->isIn("streaming") && effects.now - request.lastActivityAt >= settings.chunkTimeout)
-      dispatch(effects, orderId, "silent");
+      dispatch(effects, requestId, "silent");
   }
   std::vector<std::string> expired;
   for (const auto& [transferId, transfer] : transfers)
@@ -247,34 +247,34 @@
 }
 
 void ProxyRouter::onWorkerChunk(Effects& effects, const WorkerChunk& chunk) {
-  auto* request = requestOfAttempt(chunk.orderId);
+  auto* request = requestOfAttempt(chunk.requestId);
   if (!request) return;
   request->chunk = chunk.text;
-  if (!chunk.piece.empty()) request->lastPiece = chunk.piece;
+  if (!chunk.eventId.empty()) request->lastEventId = chunk.eventId;
   bool late = isCutOff(effects.now);
   if (late) request->lastCode = Code::staleEdge;
-  std::string orderId = request->submitted.orderId;
-  dispatch(effects, orderId, late ? "revoked" : "chunk");
+  std::string requestId = request->submitted.requestId;
+  dispatch(effects, requestId, late ? "revoked" : "chunk");
 }
 
-const char* ProxyRouter::chartEventFor(const Request& request, OrderOutcome outcome) const {
+const char* ProxyRouter::chartEventFor(const Request& request, AttemptOutcome outcome) const {
   bool canResume = request.stateMachine->isIn("streaming") && request.route.resumable;
-  bool connectionBroke =
-      outcome == OrderOutcome::broken || outcome == OrderOutcome::denied || outcome == OrderOutcome::brokenBeforeSend;
-  if (outcome == OrderOutcome::broken && request.stateMachine->isIn("streaming") &&
+  bool connectionBroke = outcome == AttemptOutcome::broken || outcome == AttemptOutcome::denied ||
+                         outcome == AttemptOutcome::brokenBeforeSend;
+  if (outcome == AttemptOutcome::broken && request.stateMachine->isIn("streaming") &&
       !settings.defences.isEnabled(Defence::retryBeforeBytes))
     return "brokenAnew";
   if (canResume && connectionBroke) return "cut";
   switch (outcome) {
-    case OrderOutcome::done:
+    case AttemptOutcome::done:
       return "finished";
-    case OrderOutcome::denied:
+    case AttemptOutcome::denied:
       return "denied";
-    case OrderOutcome::brokenBeforeSend:
+    case AttemptOutcome::brokenBeforeSend:
       return "unsent";
-    case OrderOutcome::failed:
+    case AttemptOutcome::failed:
       return "failed";
-    case OrderOutcome::silent:
+    case AttemptOutcome::silent:
       return "silent";
     default:
       return "broken";
@@ -282,38 +282,38 @@
 }
 
 void ProxyRouter::onWorkerEnd(Effects& effects, const WorkerEnd& end) {
-  auto outcome = static_cast<OrderOutcome>(end.outcome);
-  if (auto transfer = transferIdByCommand.find(end.orderId); transfer != transferIdByCommand.end()) {
+  auto outcome = static_cast<AttemptOutcome>(end.outcome);
+  if (auto transfer = transferIdByCommand.find(end.requestId); transfer != transferIdByCommand.end()) {
     std::string transferId = transfer->second;
-    if (outcome != OrderOutcome::done) finishTransfer(effects, transferId, false);
+    if (outcome != AttemptOutcome::done) finishTransfer(effects, transferId, false);
     return;
   }
-  auto* request = requestOfAttempt(end.orderId);
+  auto* request = requestOfAttempt(end.requestId);
   if (!request) return;
   request->attemptEnd = end;
   eject(*request, outcome, effects.now);
-  if (outcome == OrderOutcome::denied)
-    effects.note(std::string("turned away ") + codeName(static_cast<Code>(end.code)), end.orderId);
-  std::string orderId = request->submitted.orderId;
-  dispatch(effects, orderId, chartEventFor(*request, outcome));
+  if (outcome == AttemptOutcome::denied)
+    effects.note(std::string("turned away ") + codeName(static_cast<Code>(end.code)), end.requestId);
+  std::string requestId = request->submitted.requestId;
+  dispatch(effects, requestId, chartEventFor(*request, outcome));
   servePending(effects);
 }
 
-void ProxyRouter::eject(const Request& request, OrderOutcome outcome, TimePoint now) {
+void ProxyRouter::eject(const Request& request, AttemptOutcome outcome, TimePoint now) {
   auto& stats = workerStats[request.plan.worker];
-  if (outcome == OrderOutcome::denied) {
+  if (outcome == AttemptOutcome::denied) {
     stats.ejectedUntil = now + denialHoldoff;
     return;
   }
-  bool connectionBroke = outcome == OrderOutcome::brokenBeforeSend || outcome == OrderOutcome::broken;
+  bool connectionBroke = outcome == AttemptOutcome::brokenBeforeSend || outcome == AttemptOutcome::broken;
   bool plain = request.route.matchesPath() && request.plan.model.empty();
   int periods = connectionBroke ? 1 : 0;
-  if (plain) periods = stats.outliers.recordResult(connectionBroke || outcome == OrderOutcome::failed);
+  if (plain) periods = stats.outliers.recordResult(connectionBroke || outcome == AttemptOutcome::failed);
   if (periods > 0) stats.ejectedUntil = now + periods * ejectionPeriod;
 }
 
 void ProxyRouter::onWorkerLoad(const WorkerLoad& load, TimePoint now) {
-  const auto* request = requestOfAttempt(load.orderId);
+  const auto* request = requestOfAttempt(load.requestId);
   if (!request) return;
   auto& stats = workerStats[request->plan.worker];
   stats.running = load.running;
@@ -323,13 +323,13 @@
 
 void ProxyRouter::onFeedReply(const FeedReply& feed, TimePoint now) {
   lastFeedReplyAt = now;
-  weightsTimeline.mergeFrom(feed.namings, fromNanoseconds(feed.sentAt));
+  weightsTimeline.mergeFrom(feed.weightsAnnouncements, fromNanoseconds(feed.sentAt));
   if (!feed.known) return;
   TimePoint until = fromNanoseconds(feed.sentAt) - Duration(feed.age) + timing.maxStaleness;
   if (feed.age < 0 || until <= freshUntil) return;
-  if (config.index() >= feed.needed) {
+  if (config.index() >= feed.requiredIndex) {
     freshUntil = until;
-    requiredIndex = feed.needed;
+    requiredIndex = feed.requiredIndex;
   }
 }
 
@@ -347,7 +347,7 @@
 
 void ProxyRouter::onCellUpdate(Effects& effects, const CellNews& update) {
   auto& cell = cells[update.zone];
-  if (!applyCellNews(cell, update)) return;
+  if (!applyCellUpdate(cell, update)) return;
   cellUpdateAt[cell.zone] = effects.now;
   for (const auto& worker : cell.workers) {
     auto& stats = workerStats[worker.name];
@@ -374,12 +374,12 @@
 void ProxyRouter::onLookupReply(Effects& effects, const LookupReply& reply) {
   auto row = requestIdByLookup.find(reply.lookupId);
   if (row == requestIdByLookup.end()) return;
-  std::string orderId = row->second;
+  std::string requestId = row->second;
   requestIdByLookup.erase(row);
-  auto found = requests.find(orderId);
+  auto found = requests.find(requestId);
   if (found == requests.end() || !found->second->stateMachine->isIn("lookup")) return;
   auto& request = *found->second;
-  if (effects.now - request.lookupStartedAt < settings.lookupTimeout) request.replies[reply.keeper] = reply;
+  if (effects.now - request.lookupStartedAt < settings.lookupTimeout) request.replies[reply.cacheNode] = reply;
   if (request.replies.size() == request.plan.candidates.size()) finishLookup(effects, request);
 }
 
@@ -387,8 +387,8 @@
   if (auto* submitted = std::get_if<CallerOrder>(&message)) {
     admit(effects, *submitted);
   } else if (auto* gone = std::get_if<CallerGone>(&message)) {
-    effects.note("caller gone", gone->orderId);
-    dispatch(effects, gone->orderId, "callerGone");
+    effects.note("caller gone", gone->requestId);
+    dispatch(effects, gone->requestId, "callerGone");
   } else if (auto* chunk = std::get_if<WorkerChunk>(&message)) {
     onWorkerChunk(effects, *chunk);
   } else if (auto* end = std::get_if<WorkerEnd>(&message)) {
--- a/src/routing/edge.hpp
+++ b/src/routing/proxy_router.hpp
@@ -117,9 +117,9 @@
     /// `retryRequested`: the last action of the state chart decided on a retry.
     bool mayHaveRun{false}, countedOpen{false}, retryRequested{false};
     TimePoint pendingSince{}, lastActivityAt{}, lookupStartedAt{}, deadline{};
-    /// `service`: the one drawn from the route's traffic split. `lastPiece`: the last event that the client received,
+    /// `service`: the one drawn from the route's traffic split. `lastEventId`: the last event that the client received,
     /// after which another worker can resume the stream.
-    std::string service, lastPiece;
+    std::string service, lastEventId;
     /// `unsentAttempts`: the number of attempts whose connection broke before the request was sent.
     int priority{5}, urgency{5}, unsentAttempts{0};
     /// `prefillCounted`: its tokens count as not yet prefilled at its worker. `responseStarted`: the client has
@@ -240,13 +240,13 @@
   /// since.
   Request* requestOfAttempt(const std::string& attemptId);
   /// The event of the chart "order" that stands for the end of an attempt.
-  const char* chartEventFor(const Request& request, OrderOutcome outcome) const;
+  const char* chartEventFor(const Request& request, AttemptOutcome outcome) const;
 
   /// Denies a new request or accepts it.
   void admit(Effects& effects, const CallerOrder& submitted);
   void accept(Effects& effects, std::unique_ptr<Request> request);
   /// Dispatches an event to a request's state machine, and removes the request if that ended it.
-  void dispatch(Effects& effects, const std::string& orderId, const std::string& event);
+  void dispatch(Effects& effects, const std::string& requestId, const std::string& event);
   /// Selects a worker and makes a plan for the request. Returns false if no worker can take it now; `lastCode` then
   /// holds the reason.
   bool selectWorker(Effects& effects, Request& request);
@@ -262,7 +262,7 @@
   bool selectPlainWorker(Effects& effects, Request& request);
   PlainCandidate plainCandidate(const WorkerView& worker, TimePoint now) const;
   /// Ejects a worker temporarily if the outcome of an attempt there is a failure.
-  void eject(const Request& request, OrderOutcome outcome, TimePoint now);
+  void eject(const Request& request, AttemptOutcome outcome, TimePoint now);
   /// selectSources on a path route: adds one store to the candidates and removes those whose cell does not answer.
   void selectFetchCandidates(Request& request, TimePoint now);
   /// Completes the plan for a request on a path route by the replies to its lookups: worker, source, store to save to,
@@ -358,7 +358,7 @@
   std::optional<Code> endReasonForAll(TimePoint now) const;
   /// Dispatches the event, which sends the request or starts a transfer, if the plan is still valid; otherwise queues
   /// the request again.
-  void sendOrReselect(Effects& effects, const std::string& orderId, const std::string& event);
+  void sendOrReselect(Effects& effects, const std::string& requestId, const std::string& event);
   /// Measured blocks per second of a link.
   double linkSpeed(const std::string& source, const std::string& target) const;
 };
--- a/src/routing/edge_sources.cpp
+++ b/src/routing/proxy_sources.cpp
@@ -1,6 +1,6 @@
 /// Decides whether a cached prefix is fetched and from which single source: lookups, fetches within a request, and
 /// separate transfers.
-#include "edge.hpp"
+#include "proxy_router.hpp"
 #include "urgency.hpp"
 
 #include <algorithm>
@@ -200,7 +200,7 @@
     plan.sinkAddress = store->address;
   if (request.attempts == 0 && shouldShed(effects, request)) {
     request.lastCode = Code::pendingFull;
-    effects.note("shed", request.submitted.orderId);
+    effects.note("shed", request.submitted.requestId);
     return false;
   }
   int targetTokens = placement ? cachedTokens(request, *placement->target) : 0;
@@ -222,7 +222,7 @@
   for (const auto& [zone, cell] : cells)
     for (const auto& cacheNode : cell.workers) {
       bool store = cacheNode.kind == "store";
-      if (cacheNode.name == plan.worker || !cacheNode.alive || !cacheNode.confirmed || cacheNode.held ||
+      if (cacheNode.name == plan.worker || !cacheNode.alive || !cacheNode.confirmed || cacheNode.withheld ||
           !isSchedulable(cacheNode))
         continue;
       if (!store && (cacheNode.kind != "language" || cacheNode.weights != plan.weights)) continue;
@@ -251,25 +251,25 @@
   request.replies.clear();
   for (const auto& candidate : request.plan.candidates) {
     std::string lookupId = settings.name + "/l" + std::to_string(++lastId);
-    requestIdByLookup[lookupId] = request.submitted.orderId;
+    requestIdByLookup[lookupId] = request.submitted.requestId;
     effects.send(settings.agentAddress,
                  LookupMsg{lookupId, candidate.zone, candidate.name, request.plan.weights, request.plan.hashes, {}});
   }
-  effects.note("lookup asked", request.submitted.orderId, static_cast<std::int64_t>(request.plan.candidates.size()));
+  effects.note("lookup asked", request.submitted.requestId, static_cast<std::int64_t>(request.plan.candidates.size()));
 }
 
 void ProxyRouter::finishLookup(Effects& effects, Request& request) {
   auto& plan = request.plan;
-  effects.note("lookup settled", request.submitted.orderId, toMilliseconds(effects.now - request.lookupStartedAt));
+  effects.note("lookup settled", request.submitted.requestId, toMilliseconds(effects.now - request.lookupStartedAt));
   plan.source.reset();
   plan.plannedHits = plan.confirmedHits = 0;
   if (request.route.matchesPath()) {
     bool hasSource = finishFetchLookup(effects, request);
     bool shed = request.lastCode == Code::pendingFull && request.attempts == 0;
     for (auto row = requestIdByLookup.begin(); row != requestIdByLookup.end();)
-      row = row->second == request.submitted.orderId ? requestIdByLookup.erase(row) : std::next(row);
-    if (shed) return dispatch(effects, request.submitted.orderId, "shed");
-    return sendOrReselect(effects, request.submitted.orderId, hasSource ? "rides" : "misses");
+      row = row->second == request.submitted.requestId ? requestIdByLookup.erase(row) : std::next(row);
+    if (shed) return dispatch(effects, request.submitted.requestId, "shed");
+    return sendOrReselect(effects, request.submitted.requestId, hasSource ? "rides" : "misses");
   }
   for (const auto& candidate : plan.candidates) {
     auto reply = request.replies.find(candidate.name);
@@ -284,8 +284,8 @@
     plan.confirmedHits = confirmed;
   }
   for (auto row = requestIdByLookup.begin(); row != requestIdByLookup.end();)
-    row = row->second == request.submitted.orderId ? requestIdByLookup.erase(row) : std::next(row);
-  sendOrReselect(effects, request.submitted.orderId, plan.source ? "hits" : "misses");
+    row = row->second == request.submitted.requestId ? requestIdByLookup.erase(row) : std::next(row);
+  sendOrReselect(effects, request.submitted.requestId, plan.source ? "hits" : "misses");
 }
 
 /// Requests for the same prefix at the same worker share one transfer.
@@ -296,7 +296,7 @@
   std::string transferId = plan.worker + "/" + prefix.back().hex();
   request.transferId = transferId;
   auto [row, isNew] = transfers.try_emplace(transferId);
-  row->second.requestIds.insert(request.submitted.orderId);
+  row->second.requestIds.insert(request.submitted.requestId);
   if (!isNew) return;
   auto& transfer = row->second;
   transfer.target = plan.worker;
@@ -328,7 +328,7 @@
 
 void ProxyRouter::dropMove(Effects&, Request& request) {
   auto transfer = transfers.find(request.transferId);
-  if (transfer != transfers.end()) transfer->second.requestIds.erase(request.submitted.orderId);
+  if (transfer != transfers.end()) transfer->second.requestIds.erase(request.submitted.requestId);
 }
 
 void ProxyRouter::finishTransfer(Effects& effects, const std::string& transferId, bool success) {
@@ -338,12 +338,12 @@
   transferIdByCommand.erase(transfer.commandId);
   transfers.erase(found);
   effects.note(success ? "moved" : "not moved", transfer.commandId);
-  for (const auto& orderId : transfer.requestIds) {
-    auto request = requests.find(orderId);
+  for (const auto& requestId : transfer.requestIds) {
+    auto request = requests.find(requestId);
     if (request == requests.end()) continue;
     auto& plan = request->second->plan;
     if (success) request->second->transferredBlocks = static_cast<int>(plan.plannedHits - plan.localHits);
-    sendOrReselect(effects, orderId, success ? "moved" : "notMoved");
+    sendOrReselect(effects, requestId, success ? "moved" : "notMoved");
   }
 }
 
--- a/src/sim/actor.hpp
+++ b/src/sim/actor.hpp
@@ -25,7 +25,7 @@
   Duration tickEvery{20ms};
   std::vector<std::function<void()>> held;
   std::vector<std::pair<std::string, Message>> heldSends;
-  KeeperFaults faults;
+  StandInFaults faults;
   TimePoint local(TimePoint world) const {
     auto since = std::chrono::duration<double, std::nano>(world - dayStart) * drift;
     return dayStart + offset + std::chrono::duration_cast<Duration>(since);
--- a/src/sim/history_lines.cpp
+++ b/src/sim/history_lines.cpp
@@ -90,7 +90,7 @@
     operation.ended = ended.value();
   }
   if (operation.outcome != OperationOutcome::unclear && !operation.ended) return makeError(Code::missingField, "ended");
-  for (auto [name, target] : {std::pair{"revision", &operation.revision}, {"seen", &operation.seenRevision}}) {
+  for (auto [name, target] : {std::pair{"revision", &operation.revision}, {"seen", &operation.resultRevision}}) {
     auto number = integerField(fields, name, 0, 0, mostRevision);
     if (!number) return number.error();
     *target = static_cast<std::uint64_t>(number.value());
@@ -100,7 +100,7 @@
     if (!base) return base.error();
     operation.base = static_cast<std::uint64_t>(base.value());
   }
-  for (auto [name, target] : {std::pair{"whole", &operation.whole}}) {
+  for (auto [name, target] : {std::pair{"whole", &operation.complete}}) {
     auto flag = boolField(fields, name, false);
     if (!flag) return flag.error();
     *target = flag.value();
@@ -113,7 +113,7 @@
   if (fields.count("digest")) {
     auto digest = stringField(fields, "digest");
     if (!digest) return digest.error();
-    operation.seenDigest = std::strtoull(digest.value().c_str(), nullptr, 10);
+    operation.resultDigest = std::strtoull(digest.value().c_str(), nullptr, 10);
   }
   if (auto found = fields.find("items"); found != fields.end()) {
     auto items = itemsOf(found->second);
@@ -139,12 +139,12 @@
   addText("changeId", operation.changeId);
   addText("model", operation.model);
   addNumber("revision", operation.revision);
-  addNumber("seen", operation.seenRevision);
+  addNumber("seen", operation.resultRevision);
   if (operation.ended) fields["ended"] = Json(std::to_string(*operation.ended));
   if (operation.base) fields["base"] = Json(static_cast<double>(*operation.base));
-  if (operation.whole) fields["whole"] = Json(true);
+  if (operation.complete) fields["whole"] = Json(true);
   if (operation.valid) fields["valid"] = Json(*operation.valid);
-  if (operation.seenDigest) fields["digest"] = Json(std::to_string(*operation.seenDigest));
+  if (operation.resultDigest) fields["digest"] = Json(std::to_string(*operation.resultDigest));
   if (!operation.items.empty()) fields["items"] = jsonOfItems(operation.items);
   return Json(fields).serialize();
 }
--- a/src/sim/linearizability.cpp
+++ b/src/sim/linearizability.cpp
@@ -22,8 +22,9 @@
   return mixed(rendezvousHash(name, value));
 }
 
-std::optional<std::string> itemAfter(const std::optional<std::string>& before, const ItemChange& change, bool whole) {
-  if (!change.value || whole || !before) return change.value;
+std::optional<std::string> itemAfter(const std::optional<std::string>& before, const ItemChange& change,
+                                     bool complete) {
+  if (!change.value || complete || !before) return change.value;
   auto target = parseJson(*before), patch = parseJson(*change.value);
   if (!target || !patch) return change.value;
   mergePatch(target.value(), patch.value());
@@ -63,14 +64,14 @@
     return state;
   }
   void apply(State& state, const Operation& change) {
-    if (change.whole) {
+    if (change.complete) {
       state.values.clear();
       state.digest = 0;
     }
     for (const auto& item : change.items) {
       std::uint32_t column = columnOf(item.name);
       std::uint32_t before = column < state.values.size() ? state.values[column] : noValue;
-      set(state, column, merged(before, item, change.whole));
+      set(state, column, merged(before, item, change.complete));
     }
   }
 
@@ -91,10 +92,10 @@
     if (fresh) values.push_back(value);
     return row->second;
   }
-  std::uint32_t merged(std::uint32_t before, const ItemChange& item, bool whole) {
+  std::uint32_t merged(std::uint32_t before, const ItemChange& item, bool complete) {
     if (!item.value) return noValue;
     std::uint32_t patch = valueOf(*item.value);
-    if (whole || before == noValue || before == patch) return patch;
+    if (complete || before == noValue || before == patch) return patch;
     auto [row, fresh] = mergedValues.try_emplace({before, patch}, noValue);
     if (fresh) row->second = valueOf(*itemAfter(values[before], item, false));
     return row->second;
@@ -131,7 +132,7 @@
         steps(std::move(allSteps)),
         items(itemTable),
         weights(weightsOnly),
-        readsInOrder(orderReads),
+        linearizableReads(orderReads),
         mostSteps(stepLimit),
         closed(steps.size(), false) {
     std::sort(steps.begin(), steps.end(), [](const Step& one, const Step& other) { return one.began < other.began; });
@@ -154,7 +155,7 @@
   const std::vector<Operation>& operations;
   std::vector<Step> steps;
   ItemTable& items;
-  bool weights, readsInOrder;
+  bool weights, linearizableReads;
   std::size_t mostSteps;
   std::vector<bool> closed;
   std::vector<std::size_t> musts, optionals, order;
@@ -205,7 +206,7 @@
       again = false;
       while (from < musts.size() && closed[musts[from]]) ++from;
       std::int64_t end = firstEnd(from, false);
-      std::int64_t endForReads = readsInOrder ? end : firstEnd(from, true);
+      std::int64_t endForReads = linearizableReads ? end : firstEnd(from, true);
       std::map<std::size_t, std::int64_t> endByPlace;
       for (std::size_t row = from; row < musts.size() && steps[musts[row]].began <= endForReads; ++row) {
         std::size_t at = musts[row];
@@ -285,37 +286,37 @@
       : operations(std::move(registerOperations)),
         items(history.initialItems),
         weights(weightsOnly),
-        readsInOrder(history.readsInOrder) {
+        linearizableReads(history.linearizableReads) {
     initial = items.initialState(weights ? 0 : history.initialRevision);
   }
 
-  HistoryVerdict run(std::size_t mostSteps) {
-    HistoryVerdict verdict;
+  HistoryCheckResult run(std::size_t mostSteps) {
+    HistoryCheckResult verdict;
     std::string wrong = weights ? wrongWeights() : wrongByItself();
     if (!wrong.empty()) {
       verdict.linearizable = false;
-      verdict.trouble = wrong;
+      verdict.explanation = wrong;
       return verdict;
     }
     makeSteps();
-    verdict.readsBehind = countBehind();
+    verdict.nonMonotonicReads = countBehind();
     auto result = search(never, mostSteps);
     verdict.steps = result.steps;
     if (result.found) return verdict;
     if (result.ranOut) {
       verdict.undecided = true;
-      verdict.trouble = "the search ended after " + std::to_string(result.steps) + " steps without an answer";
+      verdict.explanation = "the search ended after " + std::to_string(result.steps) + " steps without an answer";
       return verdict;
     }
     verdict.linearizable = false;
-    verdict.trouble = offendingWindow(mostSteps);
+    verdict.explanation = offendingWindow(mostSteps);
     return verdict;
   }
 
  private:
   std::vector<Operation> operations;
   ItemTable items;
-  bool weights, readsInOrder;
+  bool weights, linearizableReads;
   std::map<std::string, std::size_t> places;
   State initial;
   std::vector<Step> steps;
@@ -368,12 +369,12 @@
           refused = at;
         if (operation.outcome != OperationOutcome::taken) continue;
         if (!operation.valid.value_or(true)) return lines("an invalid change was acknowledged", {at});
-        std::uint64_t revision = operation.seenRevision;
+        std::uint64_t revision = operation.resultRevision;
         if (revision && operation.revision && revision != operation.revision)
           return lines("a change was acknowledged under another revision than it asked for", {at});
         if (revision && operation.base && revision <= *operation.base)
           return lines("a change was acknowledged under a revision not above the one that it builds on", {at});
-        if (taken && revision && operations[*taken].seenRevision && operations[*taken].seenRevision != revision)
+        if (taken && revision && operations[*taken].resultRevision && operations[*taken].resultRevision != revision)
           return lines("one change was acknowledged under two revisions", {*taken, at});
         taken = at;
         if (!revision) continue;
@@ -414,8 +415,8 @@
         steps.push_back(step);
       } else if (operation.kind != OperationKind::change && operation.outcome == OperationOutcome::seen) {
         step.ended = operation.ended.value_or(never);
-        step.seen = operation.seenRevision;
-        step.digest = operation.seenDigest;
+        step.seen = operation.resultRevision;
+        step.digest = operation.resultDigest;
         step.place = places.try_emplace(operation.through, places.size()).first->second;
         steps.push_back(step);
       }
@@ -443,7 +444,7 @@
         std::int64_t ended = operation.ended.value_or(never);
         if (ended < change.ended) change.operation = at;
         change.ended = std::min(change.ended, ended);
-        change.seen = std::max(change.seen, operation.seenRevision);
+        change.seen = std::max(change.seen, operation.resultRevision);
       }
       if (!refusedAt(at)) continue;
       refused = true;
@@ -472,7 +473,7 @@
       }
       known.push_back(step);
     }
-    return Search(operations, std::move(known), items, weights, readsInOrder, mostSteps).run(initial);
+    return Search(operations, std::move(known), items, weights, linearizableReads, mostSteps).run(initial);
   }
 
   std::size_t countBehind() const {
@@ -534,7 +535,7 @@
     const Step* newest = nullptr;
     for (const auto& step : steps) {
       if (step.refusal || step.ended >= culprit.began) continue;
-      if (step.reads() && !readsInOrder && culprit.reads() && step.place != culprit.place) continue;
+      if (step.reads() && !linearizableReads && culprit.reads() && step.place != culprit.place) continue;
       if (!newest || shownBy(step) > shownBy(*newest)) newest = &step;
     }
     return newest;
@@ -569,10 +570,10 @@
 }  // namespace
 
 RegisterItems itemsAfter(const RegisterItems& before, const Operation& change) {
-  RegisterItems after = change.whole ? RegisterItems() : before;
+  RegisterItems after = change.complete ? RegisterItems() : before;
   for (const auto& item : change.items) {
     auto old = after.find(item.name);
-    auto value = itemAfter(old == after.end() ? std::nullopt : std::optional(old->second), item, change.whole);
+    auto value = itemAfter(old == after.end() ? std::nullopt : std::optional(old->second), item, change.complete);
     if (value)
       after[item.name] = *value;
     else
@@ -611,38 +612,38 @@
     case OperationOutcome::unclear:
       return text + ": unclear";
     case OperationOutcome::taken:
-      return text + ": taken" + (operation.seenRevision ? " as " + std::to_string(operation.seenRevision) : "");
+      return text + ": taken" + (operation.resultRevision ? " as " + std::to_string(operation.resultRevision) : "");
     case OperationOutcome::refusedStale:
       return text + ": refused, another revision is current";
     case OperationOutcome::refusedInvalid:
       return text + ": refused, not valid";
     case OperationOutcome::seen:
-      return text + ": revision " + std::to_string(operation.seenRevision);
+      return text + ": revision " + std::to_string(operation.resultRevision);
   }
   return text;
 }
 
-HistoryVerdict checkHistory(const History& history, std::size_t mostSteps) {
+HistoryCheckResult checkHistory(const History& history, std::size_t mostSteps) {
   std::vector<Operation> configuration;
   std::map<std::string, std::vector<Operation>> weightsByModel;
-  HistoryVerdict whole;
+  HistoryCheckResult complete;
   for (const auto& operation : history.operations) {
-    ++whole.operations;
-    whole.unclear += operation.outcome == OperationOutcome::unclear;
+    ++complete.operations;
+    complete.unclear += operation.outcome == OperationOutcome::unclear;
     (isWeights(operation) ? weightsByModel[operation.model] : configuration).push_back(operation);
   }
-  auto add = [&](HistoryVerdict part) {
-    whole.steps += part.steps;
-    whole.readsBehind += part.readsBehind;
-    whole.undecided = whole.undecided || part.undecided;
-    whole.linearizable = whole.linearizable && part.linearizable;
-    if (part.trouble.empty()) return;
-    whole.trouble += (whole.trouble.empty() ? "" : "\n") + part.trouble;
+  auto add = [&](HistoryCheckResult part) {
+    complete.steps += part.steps;
+    complete.nonMonotonicReads += part.nonMonotonicReads;
+    complete.undecided = complete.undecided || part.undecided;
+    complete.linearizable = complete.linearizable && part.linearizable;
+    if (part.explanation.empty()) return;
+    complete.explanation += (complete.explanation.empty() ? "" : "\n") + part.explanation;
   };
   add(RegisterCheck(std::move(configuration), history, false).run(mostSteps));
   for (auto& [model, operations] : weightsByModel)
     add(RegisterCheck(std::move(operations), history, true).run(mostSteps));
-  return whole;
+  return complete;
 }
 
 }  // namespace tt
--- a/src/sim/linearizability.hpp
+++ b/src/sim/linearizability.hpp
@@ -29,7 +29,7 @@
   /// The revision that a change or weights are to have; 0 is the one after the current.
   std::uint64_t revision{0};
   /// Whether a change replaces all items; else it merges (RFC 7396) into those that it names.
-  bool whole{false};
+  bool complete{false};
   std::vector<ItemChange> items;
   /// Whether the client knows the change to be valid in every state, or in none.
   std::optional<bool> valid;
@@ -37,8 +37,8 @@
   std::string model;
   OperationOutcome outcome{OperationOutcome::unclear};
   /// What was acknowledged or read; 0 of an acknowledgement that names no revision.
-  std::uint64_t seenRevision{0};
-  std::optional<std::uint64_t> seenDigest;
+  std::uint64_t resultRevision{0};
+  std::optional<std::uint64_t> resultDigest;
 };
 
 /// All that the clients of one register did, and what it held before.
@@ -49,24 +49,24 @@
   /// Whether reads are held to what other reads and refusals had shown before they began. If not, a read through
   /// another place may show what was before a change that is not acknowledged yet; what was acknowledged binds every
   /// read.
-  bool readsInOrder{true};
+  bool linearizableReads{true};
 };
 
 /// What a check came to. A check that ran out of steps is neither good nor bad.
-struct HistoryVerdict {
+struct HistoryCheckResult {
   bool linearizable{true}, undecided{false};
   /// The operations that cannot be put in any order, one a line, after a line that says why.
-  std::string trouble;
+  std::string explanation;
   std::size_t operations{0}, unclear{0}, steps{0};
   /// Reads that show less than another had shown before they began.
-  std::size_t readsBehind{0};
+  std::size_t nonMonotonicReads{0};
 };
 
 constexpr std::size_t mostHistorySteps = 400'000;
 
 /// Checks that the operations can be put in one order that keeps real time and that a register with compare-and-set
 /// would have answered so. Configuration and each model's weights are registers of their own.
-HistoryVerdict checkHistory(const History& history, std::size_t mostSteps = mostHistorySteps);
+HistoryCheckResult checkHistory(const History& history, std::size_t mostSteps = mostHistorySteps);
 /// The digest that a read of these items reports; the order of items does not matter.
 std::uint64_t contentDigest(const RegisterItems& items);
 /// What a change makes of the items.
--- a/src/sim/operators.cpp
+++ b/src/sim/operators.cpp
@@ -24,7 +24,7 @@
   operation.outcome = outcome;
   operation.ended = when;
   if (outcome == OperationOutcome::taken && operation.kind == OperationKind::change)
-    operation.seenRevision = response.revision;
+    operation.resultRevision = response.revision;
 }
 
 void OperatorHistory::addRead(std::int64_t began, std::int64_t ended, const std::string& core, std::uint64_t revision,
@@ -36,8 +36,8 @@
   read.began = began;
   read.ended = ended;
   read.outcome = OperationOutcome::seen;
-  read.seenRevision = revision;
-  read.seenDigest = digest;
+  read.resultRevision = revision;
+  read.resultDigest = digest;
   history.operations.push_back(std::move(read));
 }
 
@@ -73,7 +73,7 @@
   operation.changeId = request.changeId;
   if (request.ifRevision >= 0) operation.base = static_cast<std::uint64_t>(request.ifRevision);
   if (request.toRevision > 0) operation.revision = static_cast<std::uint64_t>(request.toRevision);
-  operation.whole = request.whole;
+  operation.complete = request.complete;
   auto body = parseJson(request.body);
   if (!body || !body.value().is<JsonObject>()) return operation;
   for (const char* section : watchedSections) {
@@ -89,14 +89,14 @@
   return operation;
 }
 
-RegisterItems watchedItems(const Configuration& configuration) {
+RegisterItems trackedItems(const Configuration& configuration) {
   JsonObject sections;
   for (const char* name : watchedSections)
     if (const auto* section = configuration.findSection(name)) sections[name] = Json(*section);
-  return watchedItems(sections);
+  return trackedItems(sections);
 }
 
-RegisterItems watchedItems(const JsonObject& sections) {
+RegisterItems trackedItems(const JsonObject& sections) {
   RegisterItems items;
   for (const char* name : watchedSections) {
     auto section = sections.find(name);
--- a/src/sim/operators.hpp
+++ b/src/sim/operators.hpp
@@ -11,13 +11,13 @@
   /// How many of them there are, each with one change under way, and how many changes they make in all.
   int clients{2}, changes{20};
   /// Of a hundred answers, how many get lost on their way; those changes are sent again through another core.
-  int lostPerCent{10};
+  int lostResponsePercent{10};
   /// How long one rests between two changes, on average.
   Duration pause{200ms};
   /// Whether all choose the number right after the newest that they know; else some leave gaps.
-  bool sameNumber{false};
+  bool consecutiveRevisions{false};
   /// Whether they also name weights, each higher than the ones before, and send old ones again late.
-  bool namesWeights{false};
+  bool announcesWeights{false};
 };
 
 /// The operations that operators' clients began in a run, and how each ended.
@@ -41,8 +41,8 @@
 /// A request as an operation that has begun: the items that it touches are those of the sections that are watched.
 Operation operationOf(const OperatorRequest& request);
 /// The watched items of a configuration: routes as they are, and whose each key is.
-RegisterItems watchedItems(const Configuration& configuration);
-RegisterItems watchedItems(const JsonObject& sections);
+RegisterItems trackedItems(const Configuration& configuration);
+RegisterItems trackedItems(const JsonObject& sections);
 /// Cuts the number out of weights that are named MODEL/NUMBER; 0 of others.
 std::uint64_t weightsNumber(const std::string& weights);
 
--- a/src/sim/scale/draw_trial.cpp
+++ b/src/sim/scale/draw_trial.cpp
@@ -129,9 +129,9 @@
     auto order = confirmDraw();
     if (!order) return;
     for (int piece = 0; piece < answerPieces; ++piece)
-      time(pieces, "worker", WorkerChunk{order->orderId, std::string(answerPieceBytes, 'x'), std::to_string(piece)});
+      time(pieces, "worker", WorkerChunk{order->requestId, std::string(answerPieceBytes, 'x'), std::to_string(piece)});
     time(ends, "worker",
-         WorkerEnd{order->orderId, static_cast<int>(OrderOutcome::done), static_cast<int>(Code::done), 0, 0, 0});
+         WorkerEnd{order->requestId, static_cast<int>(AttemptOutcome::done), static_cast<int>(Code::done), 0, 0, 0});
   }
 
   /// Answers the lookups of the request just drawn, each with no kept block, until it is sent to a worker.
@@ -143,7 +143,7 @@
       auto* lookup = std::get_if<LookupMsg>(&message);
       if (!lookup) continue;
       std::vector<int> nothingKept(lookup->hashes.size(), 0);
-      time(replies, agentAddress, LookupReply{lookup->lookupId, lookup->keeper, nothingKept});
+      time(replies, agentAddress, LookupReply{lookup->lookupId, lookup->cacheNode, nothingKept});
       for (const auto& [address, later] : sends)
         if (auto* sent = std::get_if<WorkerOrder>(&later)) order = *sent;
     }
--- a/src/sim/scale/fleet_fixtures.cpp
+++ b/src/sim/scale/fleet_fixtures.cpp
@@ -113,7 +113,7 @@
   settings.workerTimeout = 2s;
   settings.publishInterval = 100ms;
   settings.withholdTimeout = 400ms;
-  settings.rolloutSpan = 7800ms;
+  settings.rolloutSpread = 7800ms;
   return settings;
 }
 
@@ -141,7 +141,7 @@
     timing.listPollInterval = 600ms;
     timing.maxListAge = 1500ms;
     timing.commandHoldoff = 3300ms;
-    timing.oldWeightsOrderTimeout = 10500ms;
+    timing.oldWeightsSendTimeout = 10500ms;
     timing.memberRemovalTimeout = 6s;
     timing.minVoters = 3;
     timing.feedPollInterval = 200ms;
@@ -153,7 +153,7 @@
 CallerOrder requestOf(const FleetSize& size, std::uint64_t number) {
   int tenant = static_cast<int>(mixBits(number) % static_cast<std::uint64_t>(std::max(1, size.tenants)));
   CallerOrder order;
-  order.orderId = fmt::format("order-{}", number);
+  order.requestId = fmt::format("order-{}", number);
   order.key = secretOf(tenant);
   order.host = fmt::format("tenant-{}.example", tenant);
   order.path = "/v1/chat";
--- a/src/sim/scale/fleet_fixtures.hpp
+++ b/src/sim/scale/fleet_fixtures.hpp
@@ -1,7 +1,7 @@
 #pragma once
 #include "cell.hpp"
-#include "edge.hpp"
 #include "fleet_size.hpp"
+#include "proxy_router.hpp"
 
 namespace tt {
 
--- a/src/sim/scale/hollow_fleet.cpp
+++ b/src/sim/scale/hollow_fleet.cpp
@@ -182,7 +182,7 @@
     for (const auto& save : batch) records.push_back(save.record);
     if (process.ring) (void)process.ring->append(records);
     for (auto& save : batch)
-      if (save.then) save.then(effects);
+      if (save.onSynced) save.onSynced(effects);
   });
   HeapScope counted(&process.heapBytes);
   batch.clear();
@@ -366,7 +366,7 @@
       ++total.cellsHeld;
       ++processes[cores[number]]->cost.cells;
       for (const auto& [name, keeper] : cell->cacheNodes())
-        total.blocksIndexed += static_cast<std::int64_t>(keeper.kept.size());
+        total.blocksIndexed += static_cast<std::int64_t>(keeper.cachedBlocks.size());
     }
 }
 
--- a/src/sim/scale/hollow_fleet.hpp
+++ b/src/sim/scale/hollow_fleet.hpp
@@ -2,10 +2,10 @@
 #include "agent.hpp"
 #include "core.hpp"
 #include "counting_ring_files.hpp"
-#include "edge.hpp"
 #include "event_queue.hpp"
 #include "fleet_cost.hpp"
 #include "hollow_workers.hpp"
+#include "proxy_router.hpp"
 
 namespace tt {
 
--- a/src/sim/scale/hollow_workers.cpp
+++ b/src/sim/scale/hollow_workers.cpp
@@ -70,21 +70,21 @@
 }
 
 Report HollowWorkers::wholeReport(int number, TimePoint now) const {
-  std::int64_t last = lastEvent(now), kept = size.blocks / std::max(1, size.workers);
+  std::int64_t last = lastEvent(now), cachedBlocks = size.blocks / std::max(1, size.workers);
   Report report = emptyReport(number);
-  report.whole = true;
+  report.complete = true;
   report.sequence = static_cast<Uint64>(last);
-  for (std::int64_t block = last / 2; block < kept + (last + 1) / 2; ++block)
-    report.kept.push_back(blockOf(static_cast<std::uint64_t>(number), static_cast<std::uint64_t>(block)));
+  for (std::int64_t block = last / 2; block < cachedBlocks + (last + 1) / 2; ++block)
+    report.cachedBlocks.push_back(blockOf(static_cast<std::uint64_t>(number), static_cast<std::uint64_t>(block)));
   return report;
 }
 
 Report HollowWorkers::eventsReport(int number, std::int64_t after, TimePoint now) const {
-  std::int64_t last = lastEvent(now), kept = size.blocks / std::max(1, size.workers);
+  std::int64_t last = lastEvent(now), cachedBlocks = size.blocks / std::max(1, size.workers);
   Report report = emptyReport(number);
   report.sequence = static_cast<Uint64>(last);
   for (std::int64_t event = after + 1; event <= last; ++event)
-    report.events.push_back(eventOf(static_cast<std::uint64_t>(number), event, kept));
+    report.events.push_back(eventOf(static_cast<std::uint64_t>(number), event, cachedBlocks));
   return report;
 }
 
@@ -92,7 +92,7 @@
   TimePoint arrival = now + 2 * size.link;
   auto after = static_cast<std::int64_t>(asked.after);
   if (asked.scope == static_cast<int>(ReportScope::condition)) return {arrival, conditionReport(number)};
-  if (asked.whole) return {arrival, wholeReport(number, now)};
+  if (asked.complete) return {arrival, wholeReport(number, now)};
   if (lastEvent(now) > after) return {arrival, eventsReport(number, after, now)};
   return {arrival + waitForEvent(), asked};
 }
@@ -100,12 +100,12 @@
 std::vector<HollowWorkers::TimedMessage> HollowWorkers::answer(const WorkerOrder& order, TimePoint now) const {
   std::vector<TimedMessage> messages;
   TimePoint when = now + firstPieceAfter;
-  messages.push_back({when, WorkerLoad{order.orderId, 2, 0, 4}});
+  messages.push_back({when, WorkerLoad{order.requestId, 2, 0, 4}});
   for (int piece = 0; piece < answerPieces; ++piece) {
-    messages.push_back({when, WorkerChunk{order.orderId, std::string(answerPieceBytes, 'x'), std::to_string(piece)}});
+    messages.push_back({when, WorkerChunk{order.requestId, std::string(answerPieceBytes, 'x'), std::to_string(piece)}});
     when += answerSpan / answerPieces;
   }
-  WorkerEnd end{order.orderId, static_cast<int>(OrderOutcome::done), static_cast<int>(Code::done), 0, 0, 0};
+  WorkerEnd end{order.requestId, static_cast<int>(AttemptOutcome::done), static_cast<int>(Code::done), 0, 0, 0};
   messages.push_back({when, end});
   return messages;
 }
--- a/src/sim/scale/index_trial.cpp
+++ b/src/sim/scale/index_trial.cpp
@@ -61,7 +61,7 @@
     Effects effects{now, randomSource, journal, {}, {}};
     action(effects);
     for (std::size_t done = 0; done < effects.saves.size(); ++done)
-      if (effects.saves[done].then) effects.saves[done].then(effects);
+      if (effects.saves[done].onSynced) effects.saves[done].onSynced(effects);
   }
 
   void tick() {
@@ -100,9 +100,9 @@
     std::int64_t before = heapBytes, spentNs = 0;
     for (std::size_t worker = 0; worker < machines.size(); ++worker) {
       Report report = emptyReport(worker);
-      report.whole = true;
+      report.complete = true;
       for (std::int64_t block = 0; block < blocksEach; ++block)
-        report.kept.push_back(blockOf(worker, static_cast<std::uint64_t>(block)));
+        report.cachedBlocks.push_back(blockOf(worker, static_cast<std::uint64_t>(block)));
       spentNs += timeReport(report);
     }
     std::int64_t blocks = blocksEach * size.workers;
--- a/src/sim/scale/link_trial.cpp
+++ b/src/sim/scale/link_trial.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 #include <thread>
 
-#include "host.hpp"
+#include "node_host.hpp"
 #include "resource_meters.hpp"
 
 namespace tt {
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -87,7 +87,7 @@
     Defence defence;
     std::string name, line;
   };
-  const std::vector<std::string>& found() const { return troubles; }
+  const std::vector<std::string>& found() const { return failures; }
   const std::vector<Control>& controlRuns() const { return controls; }
   void disable(Defence defence) { without.push_back(defence); }
   std::uint64_t seedInUse() const { return ownSeed; }
@@ -104,8 +104,8 @@
   ScenarioResult run() {
     ScenarioResult result;
     result.seed = ownSeed;
-    if (!troubles.empty()) {
-      result.troubles = troubles;
+    if (!failures.empty()) {
+      result.failures = failures;
       return result;
     }
     world = std::make_unique<World>(shape, ownSeed);
@@ -121,14 +121,14 @@
     for (const auto& violation : world->violations) {
       char stamp[32];
       std::snprintf(stamp, sizeof stamp, "%.3f", std::chrono::duration<double>(violation.at - start).count());
-      troubles.push_back("must never happen: " + violation.invariant + " at " + stamp + "s: " + violation.text);
+      failures.push_back("must never happen: " + violation.invariant + " at " + stamp + "s: " + violation.text);
     }
     for (const auto& line : expects) check(line);
     result.figures = figures();
-    result.operations = world->historyVerdict().operations;
-    result.unclear = world->historyVerdict().unclear;
-    result.troubles = troubles;
-    result.passed = troubles.empty();
+    result.operations = world->historyCheckResult().operations;
+    result.unclear = world->historyCheckResult().unclear;
+    result.failures = failures;
+    result.passed = failures.empty();
     return result;
   }
 
@@ -137,7 +137,7 @@
   std::uint64_t ownSeed{1};
   double until{20};
   std::vector<Line> steps, expects;
-  std::vector<std::string> troubles;
+  std::vector<std::string> failures;
   std::vector<Defence> without;
   std::vector<Control> controls;
   std::unique_ptr<World> world;
@@ -145,7 +145,7 @@
   TimePoint start;
 
   void wrong(const Line& line, const std::string& reason) {
-    troubles.push_back("line " + std::to_string(line.number) + ": " + reason);
+    failures.push_back("line " + std::to_string(line.number) + ": " + reason);
   }
 
   void setFleet(const Line& line) {
@@ -177,11 +177,11 @@
       else if (key == "loadMs")
         shape.loadMs = static_cast<int>(value);
       else if (key == "keepMost")
-        shape.keepMost = static_cast<std::size_t>(value);
+        shape.maxCachedBlocks = static_cast<std::size_t>(value);
       else if (key == "tokenMs")
         shape.tokenMs = value;
       else if (key == "rolloutSpan")
-        shape.rolloutSpan = secondsOf(value);
+        shape.rolloutSpread = secondsOf(value);
       else if (key == "rolloutParts")
         shape.rolloutParts = std::max(1, static_cast<int>(value));
       else if (key == "slots")
@@ -223,7 +223,7 @@
       }
     if (word.rfind("edge-", 0) == 0) return {"agent-" + word.substr(5), "proxy-" + word.substr(5)};
     if (world->names().count(word)) return {word};
-    troubles.push_back("no such machine: " + word);
+    failures.push_back("no such machine: " + word);
     return rows;
   }
 
@@ -398,7 +398,7 @@
         if (auto* keeper = world->keeper(name)) {
           std::mt19937_64 randomSource(1);
           Effects effects{world->now(), randomSource, keeper->journal, {}, {}};
-          keeper->forget(effects, false);
+          keeper->clearCache(effects, false);
         }
     } else if (verb == "count-bytes") {
       world->countBytes = true;
@@ -419,13 +419,13 @@
     for (std::size_t at = 3; at < words.size(); ++at) {
       bool last = at + 1 >= words.size();
       if (words[at] == "lose" && !last)
-        plan.lostPerCent = std::atoi(words[++at].c_str());
+        plan.lostResponsePercent = std::atoi(words[++at].c_str());
       else if (words[at] == "pause" && !last)
         plan.pause = std::chrono::milliseconds(std::atoi(words[++at].c_str()));
       else if (words[at] == "same-number")
-        plan.sameNumber = true;
+        plan.consecutiveRevisions = true;
       else if (words[at] == "weights")
-        plan.namesWeights = true;
+        plan.announcesWeights = true;
       else
         wrong(line, "unknown word " + words[at]);
     }
@@ -435,7 +435,7 @@
   void failed(const Line& line, const std::string& got) {
     std::string text;
     for (const auto& word : line.words) text += word + " ";
-    troubles.push_back("line " + std::to_string(line.number) + ": " + text + "- got " + got);
+    failures.push_back("line " + std::to_string(line.number) + ": " + text + "- got " + got);
   }
 
   bool compare(const Line& line, double value, std::size_t at) {
@@ -502,9 +502,9 @@
             auto* truth = world->keeper(keeperName);
             if (!truth || !keeper.confirmed) continue;
             std::int64_t known = 0;
-            for (const auto& hash : keeper.kept) known += truth->keeps(hash);
-            wrongRows += static_cast<std::int64_t>(keeper.kept.size()) - known +
-                         static_cast<std::int64_t>(truth->keptCount()) - known;
+            for (const auto& hash : keeper.cachedBlocks) known += truth->hasBlock(hash);
+            wrongRows += static_cast<std::int64_t>(keeper.cachedBlocks.size()) - known +
+                         static_cast<std::int64_t>(truth->cachedBlockCount()) - known;
           }
         }
     return wrongRows;
@@ -522,7 +522,7 @@
       TimePoint from = start + secondsOf(std::atof(words[5].c_str())),
                 to = start + secondsOf(std::atof(words[7].c_str()));
       double asked = 0, done = 0;
-      for (const auto& [orderId, order] : world->orders()) {
+      for (const auto& [requestId, order] : world->orders()) {
         if (order.askedAt < from || order.askedAt >= to || order.gone ||
             order.code == static_cast<int>(Code::keyDenied))
           continue;
@@ -535,11 +535,12 @@
       compare(line, done / asked, 2);
     } else if (what == "verdicts" && words.size() >= 5) {
       double number = 0;
-      for (const auto& [orderId, order] : world->orders()) number += order.verdict == spaced(words[2]);
+      for (const auto& [requestId, order] : world->orders()) number += order.verdict == spaced(words[2]);
       compare(line, number, 3);
     } else if (what == "unended") {
       double number = 0;
-      for (const auto& [orderId, order] : world->orders()) number += !order.ended && order.askedAt < world->now() - 15s;
+      for (const auto& [requestId, order] : world->orders())
+        number += !order.ended && order.askedAt < world->now() - 15s;
       compare(line, number, 2);
     } else if (what == "count" && words.size() >= 5) {
       compare(line, static_cast<double>(world->count(spaced(words[2]))), 3);
@@ -565,7 +566,7 @@
       compare(line, slowest, 2);
     } else if (what == "fetched-share") {
       double fetched = 0, all = 0;
-      for (const auto& [orderId, order] : world->orders()) {
+      for (const auto& [requestId, order] : world->orders()) {
         fetched += order.fetched;
         all += order.fetched + order.local + order.computed;
       }
@@ -580,7 +581,7 @@
     std::map<std::string, int> verdicts;
     std::vector<double> first;
     double fetched = 0, local = 0, computed = 0;
-    for (const auto& [orderId, order] : world->orders()) {
+    for (const auto& [requestId, order] : world->orders()) {
       ++verdicts[order.ended ? order.verdict : "open"];
       if (order.firstSeen) first.push_back(order.firstMs);
       fetched += order.fetched;
@@ -601,9 +602,9 @@
       if (ack.reached)
         slowest = std::max(slowest, std::chrono::duration<double, std::milli>(ack.reachedAll - ack.at).count());
     out << ", slowest reach " << slowest << " ms";
-    const auto& verdict = world->historyVerdict();
+    const auto& verdict = world->historyCheckResult();
     out << ", operators' operations " << verdict.operations << " (unclear " << verdict.unclear << ", steps "
-        << verdict.steps << ", reads behind another " << verdict.readsBehind << ")";
+        << verdict.steps << ", reads behind another " << verdict.nonMonotonicReads << ")";
     if (world->countBytes) {
       std::uint64_t most = 0;
       std::string who;
@@ -647,10 +648,10 @@
       caught = bare.brokenLines().count(control.line) > 0;
     }
     if (!caught)
-      result.troubles.push_back("without " + control.name + " the line " + control.line +
+      result.failures.push_back("without " + control.name + " the line " + control.line +
                                 " was not broken: the run proves nothing");
   }
-  result.passed = result.troubles.empty();
+  result.passed = result.failures.empty();
   return result;
 }
 
@@ -659,8 +660,8 @@
 std::string reduceScenario(const std::string& text, std::uint64_t seed) {
   auto sign = [&](const std::string& tried) -> std::string {
     auto result = runScenario(tried, seed, {}, false);
-    if (result.passed || result.troubles.empty()) return {};
-    std::string first = result.troubles.front();
+    if (result.passed || result.failures.empty()) return {};
+    std::string first = result.failures.front();
     return first.substr(0, first.find(" at "));
   };
   std::string wanted = sign(text);
--- a/src/sim/scenario.hpp
+++ b/src/sim/scenario.hpp
@@ -6,7 +6,7 @@
 /// What a scenario came to.
 struct ScenarioResult {
   bool passed{false};
-  std::vector<std::string> troubles;
+  std::vector<std::string> failures;
   std::string figures;
   std::uint64_t seed{0};
   /// How many operations of operators' clients were checked, and how many of them had no clear answer.
--- a/src/sim/sim.cpp
+++ b/src/sim/sim.cpp
@@ -156,7 +156,7 @@
     settings.zone = actor.zone;
     settings.platformAddress = addressOf("platform");
     settings.zones = shape.zones;
-    settings.cell.rolloutSpan = shape.rolloutSpan;
+    settings.cell.rolloutSpread = shape.rolloutSpread;
     settings.cell.rolloutParts = shape.rolloutParts;
     settings.maxRecordBytes = actor.ring->maxCheckpointBytes() / 2;
     settings.defences = defences;
@@ -182,19 +182,19 @@
     settings.defences = defences;
     actor.node = std::make_unique<ProxyRouter>(settings);
   } else if (name == "platform") {
-    auto fresh = std::make_unique<PlatformNode>();
+    auto fresh = std::make_unique<StandInPlatform>();
     if (actor.node)
       for (const auto& [machineName, machine] : platform().machines()) fresh->set(machine);
     for (auto& [worker, since] : leavingAt) since = clock;
     actor.node = std::move(fresh);
   } else {
-    KeeperSettings settings;
+    StandInSettings settings;
     settings.name = name;
     settings.address = actor.address;
     settings.slots = shape.slots;
     settings.loadMs = shape.loadMs;
     settings.tokenMs = shape.tokenMs;
-    settings.keepMost = shape.keepMost;
+    settings.maxCachedBlocks = shape.maxCachedBlocks;
     settings.defences = defences;
     if (starts(name, "worker-")) {
       settings.model = modelName;
@@ -202,12 +202,12 @@
       settings.storeAddress = addressOf("store");
     } else if (name == "store") {
       settings.kind = "store";
-      settings.keepMost = 4000;
+      settings.maxCachedBlocks = 4000;
     } else {
       settings.kind = "app";
       settings.slots = 32;
     }
-    auto keeperNode = std::make_unique<KeeperNode>(settings, "life" + std::to_string(actor.life));
+    auto keeperNode = std::make_unique<StandInBackend>(settings, "life" + std::to_string(actor.life));
     keeperNode->faults = actor.faults;
     actor.node = std::move(keeperNode);
   }
@@ -254,20 +254,20 @@
   actor.ring.reset();
   for (auto row = streams.begin(); row != streams.end();) {
     if (row->second.worker == name) {
-      std::string orderId = row->first, proxy = row->second.proxy;
-      later(2ms, [this, orderId, proxy] {
+      std::string requestId = row->first, proxy = row->second.proxy;
+      later(2ms, [this, requestId, proxy] {
         auto& end = *actors.at(proxy);
         if (end.alive)
-          give(
-              end, "worker",
-              WorkerEnd{orderId, static_cast<int>(OrderOutcome::broken), static_cast<int>(Code::workerBroke), 0, 0, 0});
+          give(end, "worker",
+               WorkerEnd{requestId, static_cast<int>(AttemptOutcome::broken), static_cast<int>(Code::workerBroke), 0, 0,
+                         0});
       });
       row = streams.erase(row);
     } else if (row->second.proxy == name) {
-      std::string orderId = row->first, worker = row->second.worker;
-      later(2ms, [this, orderId, worker] {
+      std::string requestId = row->first, worker = row->second.worker;
+      later(2ms, [this, requestId, worker] {
         auto& end = *actors.at(worker);
-        if (end.alive) give(end, "gone", WorkerDrop{orderId});
+        if (end.alive) give(end, "gone", WorkerDrop{requestId});
       });
       row = streams.erase(row);
     } else {
@@ -275,8 +275,8 @@
     }
   }
   if (starts(name, "proxy-"))
-    for (auto& [orderId, order] : orderRows)
-      if (!order.ended && starts(orderId, (name + "/").c_str())) {
+    for (auto& [requestId, order] : orderRows)
+      if (!order.ended && starts(requestId, (name + "/").c_str())) {
         order.ended = true;
         order.endedAt = clock;
         order.verdict = "connection lost";
@@ -320,8 +320,10 @@
 void World::leap(const std::string& name, Duration span) { actors.at(name)->offset += span; }
 
 SimDisk* World::disk(const std::string& name) { return actors.at(name)->disk.get(); }
-KeeperNode* World::keeper(const std::string& name) { return dynamic_cast<KeeperNode*>(actors.at(name)->node.get()); }
-PlatformNode& World::platform() { return *static_cast<PlatformNode*>(actors.at("platform")->node.get()); }
+StandInBackend* World::keeper(const std::string& name) {
+  return dynamic_cast<StandInBackend*>(actors.at(name)->node.get());
+}
+StandInPlatform& World::platform() { return *static_cast<StandInPlatform*>(actors.at("platform")->node.get()); }
 Core* World::core(const std::string& name) {
   auto& actor = *actors.at(name);
   return actor.alive ? dynamic_cast<Core*>(actor.node.get()) : nullptr;
@@ -396,8 +398,12 @@
 }
 
 void World::endUnsent(const Actor& actor, const WorkerOrder& order) {
-  WorkerEnd end{
-      order.orderId, static_cast<int>(OrderOutcome::brokenBeforeSend), static_cast<int>(Code::workerBroke), 0, 0, 0};
+  WorkerEnd end{order.requestId,
+                static_cast<int>(AttemptOutcome::brokenBeforeSend),
+                static_cast<int>(Code::workerBroke),
+                0,
+                0,
+                0};
   later(Duration(0), [this, name = actor.name, life = actor.life, end] { arrive("worker", name, life, end); });
 }
 
@@ -433,7 +439,7 @@
   due.oldestSave = due.saves.empty() ? TimePoint{} : clock;
   drive(due, [&](Effects& effects) {
     for (auto& save : done)
-      if (save.then) save.then(effects);
+      if (save.onSynced) save.onSynced(effects);
   });
   startSync(due);
 }
@@ -444,8 +450,8 @@
     auto piece = chunk->text.substr(chunk->text.find(':') + 1);
     phase = piece == "1 " ? "start" : piece == "3 " ? "middle" : "";
   } else if (auto* end = std::get_if<WorkerEnd>(&message);
-             end && end->outcome == static_cast<int>(OrderOutcome::done)) {
-    if (orderRows.count(baseOrder(end->orderId))) phase = "end";
+             end && end->outcome == static_cast<int>(AttemptOutcome::done)) {
+    if (orderRows.count(baseOrder(end->requestId))) phase = "end";
   }
   auto found = crashes.find(phase);
   if (found == crashes.end() || found->second == 0) return false;
@@ -486,15 +492,15 @@
     bytesByNode[from.name] += size;
   }
   if (auto* order = std::get_if<WorkerOrder>(&message)) {
-    std::string proxy = from.name, sendId = order->orderId;
+    std::string proxy = from.name, sendId = order->requestId;
     std::uint64_t life = from.life;
     if (!up || !target.alive) {
       later(up ? 2ms : 1000ms, [this, proxy, sendId, life] {
         auto& actor = *actors.at(proxy);
         if (actor.alive && actor.life == life)
           give(actor, "worker",
-               WorkerEnd{sendId, static_cast<int>(OrderOutcome::brokenBeforeSend), static_cast<int>(Code::workerBroke),
-                         0, 0, 0});
+               WorkerEnd{sendId, static_cast<int>(AttemptOutcome::brokenBeforeSend),
+                         static_cast<int>(Code::workerBroke), 0, 0, 0});
       });
       return;
     }
@@ -503,7 +509,7 @@
   auto piece = std::visit(
       [](const auto& value) -> std::string {
         using T = std::decay_t<decltype(value)>;
-        if constexpr (std::is_same_v<T, WorkerChunk> || std::is_same_v<T, WorkerEnd>) return value.orderId;
+        if constexpr (std::is_same_v<T, WorkerChunk> || std::is_same_v<T, WorkerEnd>) return value.requestId;
         return {};
       },
       message);
@@ -516,7 +522,7 @@
   if (auto loss = losses.find({from.name, toName});
       loss != losses.end() && static_cast<int>(random() % 100) < loss->second)
     return;
-  if (auto* gone = std::get_if<WorkerDrop>(&message)) streams.erase(gone->orderId);
+  if (auto* gone = std::get_if<WorkerDrop>(&message)) streams.erase(gone->requestId);
   Duration delay =
       beside ? Duration(100us)
              : std::chrono::microseconds(from.zone == target.zone ? 300 + random() % 400 : 1000 + random() % 2500);
@@ -534,7 +540,7 @@
   auto& target = *actors.at(toName);
   if (!target.alive || target.life != life) return;
   if (auto* end = std::get_if<WorkerEnd>(&message)) {
-    streams.erase(end->orderId);
+    streams.erase(end->requestId);
   }
   give(target, from, message);
 }
@@ -608,44 +614,44 @@
 void World::placeOrder(CallerOrder order, const std::string& kind, const std::string& proxy, const std::string& intent,
                        int attempt) {
   auto& actor = *actors.at(proxy);
-  order.orderId = proxy + "/" + std::to_string(++orderCount);
-  auto& row = orderRows[order.orderId];
+  order.requestId = proxy + "/" + std::to_string(++orderCount);
+  auto& row = orderRows[order.requestId];
   row.askedAt = clock;
   row.kind = kind;
   row.key = order.key.substr(0, order.key.rfind('-'));
   row.repeatable = order.repeatable;
   row.maxTokens = order.maxTokens;
-  row.intent = intent.empty() ? order.orderId : intent;
+  row.intent = intent.empty() ? order.requestId : intent;
   row.attempt = attempt;
-  std::string orderId = order.orderId;
+  std::string requestId = order.requestId;
   if (!actor.alive) {
     row.ended = true;
     row.endedAt = clock;
     row.verdict = "no connection";
-    comeBack(order, orderId, 500);
+    comeBack(order, requestId, 500);
     return;
   }
-  asksOpen[orderId] = order;
+  asksOpen[requestId] = order;
   if (hangUpShare && static_cast<int>(random() % 100) < hangUpShare)
-    later(std::chrono::milliseconds(random() % 600), [this, proxy, orderId] {
-      auto& gone = orderRows[orderId];
+    later(std::chrono::milliseconds(random() % 600), [this, proxy, requestId] {
+      auto& gone = orderRows[requestId];
       auto& there = *actors.at(proxy);
       if (gone.ended || !there.alive) return;
       gone.gone = gone.ended = true;
       gone.endedAt = clock;
       gone.verdict = "hung up";
-      if (gone.repeatable) comeBack(asksOpen[orderId], orderId, 100);
-      give(there, "caller", CallerGone{orderId});
+      if (gone.repeatable) comeBack(asksOpen[requestId], requestId, 100);
+      give(there, "caller", CallerGone{requestId});
     });
   give(actor, "caller", order);
 }
 
-void World::comeBack(const CallerOrder& order, const std::string& orderId, int retryAfterMs) {
-  const auto& row = orderRows[orderId];
+void World::comeBack(const CallerOrder& order, const std::string& requestId, int retryAfterMs) {
+  const auto& row = orderRows[requestId];
   int share = static_cast<int>(random() % 100);
   if (share >= obeyShare + ignoreShare + moveShare || row.attempt >= 6) return;
   bool obeys = share < obeyShare, moves = share >= obeyShare + ignoreShare;
-  std::string proxy = orderId.substr(0, orderId.find('/'));
+  std::string proxy = requestId.substr(0, requestId.find('/'));
   if (moves) proxy = "proxy-" + std::to_string(numberOf(proxy) % shape.edges + 1);
   later(obeys ? std::chrono::milliseconds(std::max(retryAfterMs, 1)) : 20ms,
         [this, order, kind = row.kind, proxy, intent = row.intent, attempt = row.attempt] {
@@ -655,9 +661,9 @@
 
 void World::toCaller(const Message& message) {
   if (auto* chunk = std::get_if<CallerChunk>(&message)) {
-    auto& order = orderRows[chunk->orderId];
+    auto& order = orderRows[chunk->requestId];
     if (order.gone) return;
-    if (order.ended) return violate("stitched", chunk->orderId + " spoke after its verdict");
+    if (order.ended) return violate("stitched", chunk->requestId + " spoke after its verdict");
     if (!order.firstSeen) {
       order.firstSeen = true;
       order.firstMs = std::chrono::duration<double, std::milli>(clock - order.askedAt).count();
@@ -665,14 +671,14 @@
     }
     ++order.said;
     if (chunk->text != order.worker + ":" + std::to_string(order.said) + " ")
-      violate("stitched", chunk->orderId + " got " + chunk->text + "as piece " + std::to_string(order.said));
+      violate("stitched", chunk->requestId + " got " + chunk->text + "as piece " + std::to_string(order.said));
     auto revoked = revokedAt.find(order.key);
     if (revoked != revokedAt.end() && clock > revoked->second + 5s)
-      violate("revoked-works", chunk->orderId + " still streams");
+      violate("revoked-works", chunk->requestId + " still streams");
   } else if (auto* verdict = std::get_if<CallerVerdict>(&message)) {
-    auto& order = orderRows[verdict->orderId];
+    auto& order = orderRows[verdict->requestId];
     if (order.gone) return;
-    if (order.ended) return violate("stitched", verdict->orderId + " got two verdicts");
+    if (order.ended) return violate("stitched", verdict->requestId + " got two verdicts");
     order.ended = true;
     order.endedAt = clock;
     order.verdict = verdict->verdict;
@@ -681,16 +687,16 @@
     order.fetched = verdict->fetched;
     order.computed = verdict->computed;
     if (verdict->verdict == "done" && order.said != order.maxTokens)
-      violate("stitched", verdict->orderId + " looks complete with " + std::to_string(order.said) + " of " +
+      violate("stitched", verdict->requestId + " looks complete with " + std::to_string(order.said) + " of " +
                               std::to_string(order.maxTokens));
-    if (verdict->verdict == "not run" && order.runs > 0) violate("not-run-but-ran", verdict->orderId + " had run");
+    if (verdict->verdict == "not run" && order.runs > 0) violate("not-run-but-ran", verdict->requestId + " had run");
     checkGivenUp(*verdict, order);
-    auto asked = asksOpen.find(verdict->orderId);
+    auto asked = asksOpen.find(verdict->requestId);
     if (asked == asksOpen.end()) return;
     CallerOrder again = asked->second;
     asksOpen.erase(asked);
     if (verdict->verdict == "not run" && verdict->retryAfterMs > 0)
-      comeBack(again, verdict->orderId, verdict->retryAfterMs);
+      comeBack(again, verdict->requestId, verdict->retryAfterMs);
   }
 }
 
@@ -702,17 +708,17 @@
     action();
   }
   if (event.kind == "ran") {
-    std::string orderId = baseOrder(event.subject);
-    auto found = orderRows.find(orderId);
+    std::string requestId = baseOrder(event.subject);
+    auto found = orderRows.find(requestId);
     if (found != orderRows.end()) {
       auto& order = found->second;
       ++order.runs;
-      if (order.runs > 1 && !order.repeatable) violate("runs-twice", orderId + " at " + name);
+      if (order.runs > 1 && !order.repeatable) violate("runs-twice", requestId + " at " + name);
       if (++runsByIntent[order.intent] > 1 && !order.repeatable)
-        violate("runs-twice", order.intent + " ran again as " + orderId + " at " + name);
-      if (order.ended && order.verdict == "not run") violate("not-run-but-ran", orderId + " ran later at " + name);
+        violate("runs-twice", order.intent + " ran again as " + requestId + " at " + name);
+      if (order.ended && order.verdict == "not run") violate("not-run-but-ran", requestId + " ran later at " + name);
     }
-    watchRun(name, orderId);
+    watchRun(name, requestId);
   } else if (event.kind == "order began" || event.kind == "first piece") {
     watchBegin(name, event);
   } else if (event.kind == "order sent") {
--- a/src/sim/sim.hpp
+++ b/src/sim/sim.hpp
@@ -3,8 +3,8 @@
 
 #include "agent.hpp"
 #include "core.hpp"
-#include "edge.hpp"
 #include "operators.hpp"
+#include "proxy_router.hpp"
 #include "ring.hpp"
 #include "standin.hpp"
 #include "version_check.hpp"
@@ -32,12 +32,12 @@
   std::vector<std::string> zones{"ghent-1", "ghent-2", "antwerp-1", "bruges-1"};
   double planRate{3}, swapRate{8}, reminderRate{12}, appRate{1};
   int loadMs{1500};
-  std::size_t keepMost{600};
+  std::size_t maxCachedBlocks{600};
   bool fetching{true};
   int slots{8};
   double tokenMs{20};
   /// Over how long a cell starts its workers on other weights, one after the other.
-  Duration rolloutSpan{0};
+  Duration rolloutSpread{0};
   /// How many of a cell's workers may be on their way to other weights at once: one in so many.
   int rolloutParts{3};
 };
@@ -68,8 +68,8 @@
   void wipeDisk(const std::string& name);
   void moveAddress(const std::string& name);
   SimDisk* disk(const std::string& name);
-  KeeperNode* keeper(const std::string& name);
-  PlatformNode& platform();
+  StandInBackend* keeper(const std::string& name);
+  StandInPlatform& platform();
   void cut(const std::string& one, const std::string& other, bool bothWays = true);
   void lose(const std::string& one, const std::string& other, int perCent);
   void heal();
@@ -79,7 +79,7 @@
   /// Lets operators' clients change the configuration together, as fast and as carelessly as their plan says.
   void runOperators(const OperatorPlan& plan);
   const History& operatorHistory() const { return operations.recorded(); }
-  const HistoryVerdict& historyVerdict() const { return verdict; }
+  const HistoryCheckResult& historyCheckResult() const { return verdict; }
   /// Does something once, the moment any change is acknowledged.
   void onNextAck(std::function<void()> action) { nextAckAction = std::move(action); }
   /// Does something once, the moment anyone notes an event of this kind.
@@ -249,7 +249,7 @@
   void sendOrder(const std::string& kind, std::string tenant = {});
   void placeOrder(CallerOrder order, const std::string& kind, const std::string& proxy, const std::string& intent,
                   int attempt);
-  void comeBack(const CallerOrder& order, const std::string& orderId, int retryAfterMs);
+  void comeBack(const CallerOrder& order, const std::string& requestId, int retryAfterMs);
   void watchReads();
   void readShown(const std::string& who, std::uint64_t index);
   void watchEntry(const std::string& name, std::uint64_t index);
@@ -260,7 +260,7 @@
   void weightsAcknowledged(const AckRow& ack);
   void checkWorkersWeights(std::uint64_t index, const std::string& named);
   void watchBegin(const std::string& worker, const Event& event);
-  void watchRun(const std::string& worker, const std::string& orderId);
+  void watchRun(const std::string& worker, const std::string& requestId);
   void violate(const std::string& invariant, const std::string& text);
   void leaveFurther(const std::string& name, std::uint64_t life);
   void checkGivenUp(const std::string& proxy);
@@ -274,7 +274,7 @@
   void watchReach(std::size_t ack);
   std::mt19937_64 operatorRandom;
   OperatorHistory operations;
-  HistoryVerdict verdict;
+  HistoryCheckResult verdict;
   std::map<std::string, std::size_t> operationByAttempt;
   std::uint64_t attemptCount{0}, readCount{0}, digestCount{0};
   struct OpenRead {
--- a/src/sim/sim_drain.cpp
+++ b/src/sim/sim_drain.cpp
@@ -36,17 +36,17 @@
 
 /// No order may be left without a verdict by a proxy that ends in order.
 void World::checkGivenUp(const std::string& proxy) {
-  for (const auto& [orderId, order] : orderRows)
-    if (!order.ended && starts(orderId, (proxy + "/").c_str()))
-      violate("given-up", orderId + " has no verdict at its proxy's end");
+  for (const auto& [requestId, order] : orderRows)
+    if (!order.ended && starts(requestId, (proxy + "/").c_str()))
+      violate("given-up", requestId + " has no verdict at its proxy's end");
 }
 
 /// An order that was taken so late that it could be refused is never given up for the proxy's sake.
 void World::checkGivenUp(const CallerVerdict& verdict, const OrderRow& order) {
-  auto plan = drains.find(verdict.orderId.substr(0, verdict.orderId.find('/')));
+  auto plan = drains.find(verdict.requestId.substr(0, verdict.requestId.find('/')));
   if (plan == drains.end() || verdict.verdict == "not run") return;
   if (static_cast<Code>(verdict.code) == Code::stopping && order.askedAt > plan->second.refusesFrom + stepEvery)
-    violate("given-up", verdict.orderId + " was taken by a proxy that could not finish it");
+    violate("given-up", verdict.requestId + " was taken by a proxy that could not finish it");
 }
 
 }  // namespace tt
--- a/src/sim/sim_operators.cpp
+++ b/src/sim/sim_operators.cpp
@@ -39,12 +39,12 @@
   TimePoint begunAt{};
 };
 
-void World::change(const std::string& body, bool whole, const std::string& changeId, std::int64_t ifRevision,
+void World::change(const std::string& body, bool complete, const std::string& changeId, std::int64_t ifRevision,
                    int coreNumber, bool loseAnswer) {
   OperatorRequest ask{};
   ask.requestId = "ask-" + std::to_string(++askCount);
   ask.body = body;
-  ask.whole = whole;
+  ask.complete = complete;
   ask.ifRevision = ifRevision;
   ask.changeId = changeId.empty() ? "change-" + std::to_string(++changeCount) : changeId;
   AckRow row;
@@ -89,7 +89,7 @@
   auto client = clientByAsk.find(requestId);
   auto outcome = outcomeOf(static_cast<Code>(reply.code));
   if (outcome != OperationOutcome::unclear && lostAnswers.erase(requestId)) return;
-  if (client != clientByAsk.end() && rollOperators(100) < client->second->crew->plan.lostPerCent) return;
+  if (client != clientByAsk.end() && rollOperators(100) < client->second->crew->plan.lostResponsePercent) return;
   if (auto found = operationByAttempt.find(reply.requestId); found != operationByAttempt.end())
     operations.end(found->second, sinceStart(clock), reply);
   if (auto found = ackByAsk.find(requestId); found != ackByAsk.end()) {
@@ -151,7 +151,7 @@
 
 void World::nextOperation(OperatorClient& client) {
   if (client.crew->begun >= client.crew->plan.changes) return;
-  if (client.crew->plan.namesWeights && rollOperators(6) == 0) return beginNaming(client);
+  if (client.crew->plan.announcesWeights && rollOperators(6) == 0) return beginNaming(client);
   if (client.known > 0 && rollOperators(10) < 3) return beginChange(client);
   auto answered = std::make_shared<bool>(false);
   readThrough(someCore(), [this, &client, answered](std::uint64_t revision) {
@@ -183,7 +183,8 @@
   client.request = OperatorRequest{};
   client.request.body = "{\"routes\":{" + rows + "}}";
   client.request.ifRevision = static_cast<std::int64_t>(client.known);
-  client.request.toRevision = static_cast<std::int64_t>(client.known) + 1 + (plan.sameNumber ? 0 : rollOperators(3));
+  client.request.toRevision =
+      static_cast<std::int64_t>(client.known) + 1 + (plan.consecutiveRevisions ? 0 : rollOperators(3));
   client.request.changeId = client.name + "/" + std::to_string(client.made);
   beginRequest(client);
 }
@@ -306,16 +307,16 @@
   std::uint64_t life = actors.at(coreName)->life;
   if (row.index == configuration.index() && row.life == life) return row.digest;
   if (configuration.bytes() > bigConfiguration && ++digestCount % digestEvery != 0) return std::nullopt;
-  row = {configuration.index(), life, contentDigest(watchedItems(configuration))};
+  row = {configuration.index(), life, contentDigest(trackedItems(configuration))};
   return row.digest;
 }
 
 void World::checkOperators() {
   History history = operations.recorded();
-  history.readsInOrder = false;
+  history.linearizableReads = false;
   verdict = checkHistory(history);
-  if (!verdict.linearizable) violate("operator-history", verdict.trouble);
-  if (verdict.undecided) violate("operator-history-undecided", verdict.trouble);
+  if (!verdict.linearizable) violate("operator-history", verdict.explanation);
+  if (verdict.undecided) violate("operator-history-undecided", verdict.explanation);
 }
 
 }  // namespace tt
--- a/src/sim/sim_weights.cpp
+++ b/src/sim/sim_weights.cpp
@@ -30,13 +30,13 @@
   if (!models.is<JsonObject>()) return;
   for (const auto& [model, item] : models.get<JsonObject>()) {
     std::string weights = stringOr(item, "weights");
-    if (!weights.empty()) versions.agreed(model, entry.index, weights);
+    if (!weights.empty()) versions.recordAnnouncement(model, entry.index, weights);
   }
 }
 
 void World::weightsAcknowledged(const AckRow& ack) {
   if (ack.index == 0) return;
-  versions.acknowledged(ack.index, clock);
+  versions.recordAcknowledgement(ack.index, clock);
   if (!starts(ack.changeId, namingPrefix)) return;
   std::string named = ack.changeId.substr(std::string(namingPrefix).size());
   std::string weights = named.substr(0, named.rfind('/'));
@@ -65,11 +65,11 @@
   if (anyAble && !anyReady) violate("weights-late", "no worker holds " + named + " or newer weights");
 }
 
-void World::watchRun(const std::string& worker, const std::string& orderId) {
+void World::watchRun(const std::string& worker, const std::string& requestId) {
   if (!starts(worker, "worker-")) return;
   const std::string& weights = keeper(worker)->weights();
   auto late = versions.supersededFor(modelName, weights, clock);
-  if (late && *late > weightsInUseMost) violate("weights-late", orderId + " ran under " + weights + " at " + worker);
+  if (late && *late > weightsInUseMost) violate("weights-late", requestId + " ran under " + weights + " at " + worker);
 }
 
 /// Checks an order as its computing begins at a worker, and again as its first piece comes.
