--- a/src/sim/standin.cpp
+++ b/src/sim/standin.cpp
@@ -13,15 +13,15 @@
 std::string originOf(const std::string& weights, const std::string& tenant) { return weights + "/" + tenant; }
 }  // namespace
 
-KeeperNode::KeeperNode(KeeperSettings keeperSettings, std::string incarnationMark)
+StandInBackend::StandInBackend(StandInSettings keeperSettings, std::string incarnationMark)
     : given(std::move(keeperSettings)), incarnation(std::move(incarnationMark)), currentWeights(given.weights) {}
 
-RunRecord* KeeperNode::recordOf(const Run& run) {
+RunRecord* StandInBackend::recordOf(const Run& run) {
   return run.record >= recordBase && run.record - recordBase < records.size() ? &records[run.record - recordBase]
                                                                               : nullptr;
 }
 
-void KeeperNode::tell(Effects& effects, CacheEventKind kind, const Hashes& hashes) {
+void StandInBackend::tell(Effects& effects, CacheEventKind kind, const Hashes& hashes) {
   if (hashes.empty() && kind != CacheEventKind::cleared) return;
   if (faults.forgetEvents && static_cast<int>(effects.randomBelow(100)) < faults.forgetEvents) return;
   Told told{CacheEvent{++sequence, static_cast<int>(kind), hashes}, effects.now, false};
@@ -30,50 +30,51 @@
   if (events.size() > eventsMost) events.pop_front();
 }
 
-void KeeperNode::keep(Effects& effects, const Hashes& hashes, const Strings& origins) {
+void StandInBackend::keep(Effects& effects, const Hashes& hashes, const Strings& origins) {
   Hashes fresh;
   for (std::size_t at = 0; at < hashes.size(); ++at) {
-    auto found = kept.find(hashes[at]);
-    if (found != kept.end()) {
+    auto found = cachedBlocks.find(hashes[at]);
+    if (found != cachedBlocks.end()) {
       byUse.splice(byUse.end(), byUse, found->second.place);
       continue;
     }
     byUse.push_back(hashes[at]);
-    kept[hashes[at]] = Kept{at < origins.size() ? origins[at] : std::string(), std::prev(byUse.end())};
+    cachedBlocks[hashes[at]] = Kept{at < origins.size() ? origins[at] : std::string(), std::prev(byUse.end())};
     fresh.push_back(hashes[at]);
   }
   tell(effects, CacheEventKind::stored, fresh);
   Hashes gone;
-  while (kept.size() > given.keepMost) {
+  while (cachedBlocks.size() > given.maxCachedBlocks) {
     gone.push_back(byUse.front());
-    kept.erase(byUse.front());
+    cachedBlocks.erase(byUse.front());
     byUse.pop_front();
   }
   tell(effects, CacheEventKind::removed, gone);
 }
 
-void KeeperNode::drop(Effects& effects, const Hashes& hashes) {
+void StandInBackend::drop(Effects& effects, const Hashes& hashes) {
   Hashes gone;
   for (const auto& hash : hashes) {
-    auto found = kept.find(hash);
-    if (found == kept.end()) continue;
+    auto found = cachedBlocks.find(hash);
+    if (found == cachedBlocks.end()) continue;
     byUse.erase(found->second.place);
-    kept.erase(found);
+    cachedBlocks.erase(found);
     gone.push_back(hash);
   }
   tell(effects, CacheEventKind::removed, gone);
 }
 
-void KeeperNode::forget(Effects& effects, bool saying) {
-  kept.clear();
+void StandInBackend::clearCache(Effects& effects, bool saying) {
+  cachedBlocks.clear();
   byUse.clear();
   if (saying) tell(effects, CacheEventKind::cleared, {});
 }
 
-void KeeperNode::end(Effects& effects, const std::string& orderId, OrderOutcome outcome, Code code, const char* word) {
-  auto found = running.find(orderId);
+void StandInBackend::end(Effects& effects, const std::string& requestId, AttemptOutcome outcome, Code code,
+                         const char* word) {
+  auto found = running.find(requestId);
   if (found == running.end()) return;
-  WorkerEnd said{orderId, static_cast<int>(outcome), static_cast<int>(code), 0, 0, 0};
+  WorkerEnd said{requestId, static_cast<int>(outcome), static_cast<int>(code), 0, 0, 0};
   if (auto* record = recordOf(found->second)) {
     record->outcome = word;
     said.local = record->local;
@@ -84,10 +85,11 @@
   running.erase(found);
 }
 
-void KeeperNode::onOrder(Effects& effects, const std::string& from, const WorkerOrder& ask) {
+void StandInBackend::onOrder(Effects& effects, const std::string& from, const WorkerOrder& ask) {
   auto deny = [&](Code code) {
-    effects.note("worker denied", ask.orderId, static_cast<int>(code));
-    effects.send(from, WorkerEnd{ask.orderId, static_cast<int>(OrderOutcome::denied), static_cast<int>(code), 0, 0, 0});
+    effects.note("worker denied", ask.requestId, static_cast<int>(code));
+    effects.send(from,
+                 WorkerEnd{ask.requestId, static_cast<int>(AttemptOutcome::denied), static_cast<int>(code), 0, 0, 0});
   };
   if (drains || loadDue != TimePoint{}) return deny(Code::workerDraining);
   if (given.kind == "language" &&
@@ -100,24 +102,24 @@
   run.from = from;
   run.record = recordBase + records.size();
   RunRecord record;
-  record.orderId = ask.orderId;
+  record.requestId = ask.requestId;
   record.weights = currentWeights;
   record.tenant = ask.tenant;
   record.source = ask.sourceAddress;
-  record.move = ask.moves;
+  record.move = ask.transferOnly;
   records.push_back(record);
   if (records.size() > recordsMost) {
     records.pop_front();
     ++recordBase;
   }
-  effects.note(ask.moves ? "move ran" : "ran", ask.orderId, static_cast<std::int64_t>(ask.hashes.size()));
-  if (!ask.moves) {
+  effects.note(ask.transferOnly ? "move ran" : "ran", ask.requestId, static_cast<std::int64_t>(ask.hashes.size()));
+  if (!ask.transferOnly) {
     std::string mark = ask.parts.empty() ? std::string() : ask.parts.back().substr(0, ask.parts.back().find(' '));
     if (mark.rfind("mark-", 0) != 0 || mark.size() > 64) mark = "-";
     auto worded = [](const std::string& text) { return text.empty() ? std::string("-") : text; };
-    effects.note("ran for", ask.orderId + " " + worded(currentWeights) + " " + worded(ask.tenant) + " " + mark);
+    effects.note("ran for", ask.requestId + " " + worded(currentWeights) + " " + worded(ask.tenant) + " " + mark);
   }
-  auto& placed = running[ask.orderId] = std::move(run);
+  auto& placed = running[ask.requestId] = std::move(run);
   if (faults.queueMs > 0) {
     placed.phase = Run::Phase::queued;
     placed.due = effects.now + std::chrono::milliseconds(faults.queueMs);
@@ -126,31 +128,31 @@
   leaveQueue(effects, placed);
 }
 
-void KeeperNode::leaveQueue(Effects& effects, Run& run) {
+void StandInBackend::leaveQueue(Effects& effects, Run& run) {
   Hashes wanted;
   for (const auto& hash : run.ask.hashes)
-    if (!kept.count(hash)) wanted.push_back(hash);
+    if (!cachedBlocks.count(hash)) wanted.push_back(hash);
   if (run.ask.sourceAddress.empty() || wanted.empty()) return begin(effects, run);
   run.phase = Run::Phase::pulling;
   run.due = effects.now + pullWait;
-  effects.send(run.ask.sourceAddress, PullAsk{run.ask.orderId, wanted});
+  effects.send(run.ask.sourceAddress, PullAsk{run.ask.requestId, wanted});
 }
 
-void KeeperNode::begin(Effects& effects, Run& run) {
+void StandInBackend::begin(Effects& effects, Run& run) {
   auto* record = recordOf(run);
   std::size_t local = 0;
   std::string mine = originOf(currentWeights, run.ask.tenant);
   while (local < run.ask.hashes.size()) {
-    auto found = kept.find(run.ask.hashes[local]);
-    if (found == kept.end()) break;
+    auto found = cachedBlocks.find(run.ask.hashes[local]);
+    if (found == cachedBlocks.end()) break;
     auto slash = found->second.origin.rfind('/');
     std::string originWeights = found->second.origin.substr(0, slash);
     std::string originTenant = found->second.origin.substr(slash + 1);
     if (originWeights != currentWeights) {
       ++crossWeights;
-      effects.note("cross weights", run.ask.orderId + " " + originWeights + " " + currentWeights);
+      effects.note("cross weights", run.ask.requestId + " " + originWeights + " " + currentWeights);
     }
-    if (originTenant != run.ask.tenant && !run.ask.moves) {
+    if (originTenant != run.ask.tenant && !run.ask.transferOnly) {
       ++crossTenants[originTenant + ">" + run.ask.tenant];
       effects.note("cross tenant", originTenant + ">" + run.ask.tenant);
     }
@@ -165,7 +167,7 @@
   run.due = effects.now + spanOf(given.kind == "app" ? 5 : 5 + static_cast<double>(computed) * given.blockMs);
 }
 
-void KeeperNode::onReport(Effects& effects, const std::string& from, const ReportAsk& ask) {
+void StandInBackend::onReport(Effects& effects, const std::string& from, const ReportAsk& ask) {
   if (faults.silentReports) return;
   Report report;
   report.worker = given.name;
@@ -183,11 +185,11 @@
     --report.sequence;
   bool reaches = ask.incarnation == incarnation &&
                  (events.empty() ? ask.after == sequence : ask.after + 1 >= events.front().event.sequence);
-  if (ask.whole || !reaches) {
-    report.whole = true;
+  if (ask.complete || !reaches) {
+    report.complete = true;
     report.sequence = sequence;
-    for (const auto& [hash, row] : kept) report.kept.push_back(hash);
-    std::sort(report.kept.begin(), report.kept.end());
+    for (const auto& [hash, row] : cachedBlocks) report.cachedBlocks.push_back(hash);
+    std::sort(report.cachedBlocks.begin(), report.cachedBlocks.end());
   } else {
     for (const auto& told : events)
       if (told.event.sequence > ask.after && told.event.sequence <= report.sequence && !told.lost)
@@ -196,7 +198,7 @@
   effects.send(from, report);
 }
 
-void KeeperNode::onControl(Effects& effects, const std::string& from, const ControlAsk& ask) {
+void StandInBackend::onControl(Effects& effects, const std::string& from, const ControlAsk& ask) {
   if (ask.incarnation != incarnation && given.defences.isEnabled(Defence::incarnationFence)) {
     effects.note("command denied", given.name + " " + ask.holder + " incarnation", static_cast<std::int64_t>(ask.term));
     effects.send(from, ControlReply{given.name, highestTerm, static_cast<int>(Code::incarnationOld), ask.number});
@@ -216,9 +218,9 @@
     if (loadDue == TimePoint{} || loadingWeights != ask.weights) {
       if (currentWeights != ask.weights) {
         Strings open;
-        for (const auto& [orderId, run] : running) open.push_back(orderId);
-        for (const auto& orderId : open)
-          end(effects, orderId, OrderOutcome::broken, Code::workerDraining, "cut by load");
+        for (const auto& [requestId, run] : running) open.push_back(requestId);
+        for (const auto& requestId : open)
+          end(effects, requestId, AttemptOutcome::broken, Code::workerDraining, "cut by load");
         loadingWeights = ask.weights;
         loadDue = effects.now + std::chrono::milliseconds(faults.loadMs > 0 ? faults.loadMs : given.loadMs);
       }
@@ -229,23 +231,23 @@
   effects.send(from, ControlReply{given.name, highestTerm, static_cast<int>(Code::done), ask.number});
 }
 
-void KeeperNode::tick(Effects& effects) {
+void StandInBackend::tick(Effects& effects) {
   if (loadDue != TimePoint{} && effects.now >= loadDue && !faults.loadFails) {
     currentWeights = loadingWeights;
     loadDue = TimePoint{};
-    forget(effects, true);
+    clearCache(effects, true);
     effects.note("weights loaded", given.name + " " + currentWeights);
   }
   if (faults.stalled) return;
   Strings ids;
-  for (const auto& [orderId, run] : running) ids.push_back(orderId);
-  for (const auto& orderId : ids) {
-    auto found = running.find(orderId);
+  for (const auto& [requestId, run] : running) ids.push_back(requestId);
+  for (const auto& requestId : ids) {
+    auto found = running.find(requestId);
     if (found == running.end()) continue;
     auto& run = found->second;
     if (run.phase == Run::Phase::computing && !run.began) {
       run.began = true;
-      if (!run.ask.moves) effects.note("order began", run.ask.orderId + " " + currentWeights);
+      if (!run.ask.transferOnly) effects.note("order began", run.ask.requestId + " " + currentWeights);
     }
     if (effects.now < run.due) continue;
     if (run.phase == Run::Phase::queued) {
@@ -267,24 +269,24 @@
     }
     if (run.phase == Run::Phase::talking) {
       while (run.said < run.ask.maxTokens && effects.now >= run.due) {
-        if (++run.said == 1) effects.note("first piece", run.ask.orderId + " " + currentWeights);
+        if (++run.said == 1) effects.note("first piece", run.ask.requestId + " " + currentWeights);
         if (auto* record = recordOf(run)) record->tokens = run.said;
-        effects.send(run.from, WorkerChunk{orderId, given.name + ":" + std::to_string(run.said) + " "});
+        effects.send(run.from, WorkerChunk{requestId, given.name + ":" + std::to_string(run.said) + " "});
         run.due += spanOf(given.tokenMs);
       }
-      if (run.said >= run.ask.maxTokens) end(effects, orderId, OrderOutcome::done, Code::done, "done");
+      if (run.said >= run.ask.maxTokens) end(effects, requestId, AttemptOutcome::done, Code::done, "done");
     }
   }
 }
 
-void KeeperNode::handle(Effects& effects, const std::string& from, const Message& message) {
+void StandInBackend::handle(Effects& effects, const std::string& from, const Message& message) {
   if (auto* order = std::get_if<WorkerOrder>(&message)) {
     onOrder(effects, from, *order);
   } else if (auto* gone = std::get_if<WorkerDrop>(&message)) {
-    auto found = running.find(gone->orderId);
+    auto found = running.find(gone->requestId);
     if (found == running.end()) return;
     if (auto* record = recordOf(found->second)) record->outcome = "dropped";
-    effects.note("worker freed", gone->orderId);
+    effects.note("worker freed", gone->requestId);
     running.erase(found);
   } else if (auto* report = std::get_if<ReportAsk>(&message)) {
     onReport(effects, from, *report);
@@ -293,7 +295,7 @@
   } else if (auto* pull = std::get_if<PullAsk>(&message)) {
     PullReply reply{pull->pullId, {}, {}};
     for (const auto& hash : pull->hashes)
-      if (auto found = kept.find(hash); found != kept.end()) {
+      if (auto found = cachedBlocks.find(hash); found != cachedBlocks.end()) {
         reply.hashes.push_back(hash);
         reply.origins.push_back(found->second.origin);
       }
@@ -313,17 +315,17 @@
   }
 }
 
-void PlatformNode::handle(Effects& effects, const std::string& from, const Message& message) {
+void StandInPlatform::handle(Effects& effects, const std::string& from, const Message& message) {
   auto* ask = std::get_if<MachinesAsk>(&message);
   if (!ask) return;
   MachinesReply reply{ask->askedAt, {}};
   for (const auto& [name, machine] : rows) reply.machines.push_back(machine);
   effects.send(from, reply);
 }
-void PlatformNode::set(const Machine& machine) { rows[machine.name] = machine; }
-void PlatformNode::mark(const std::string& name, bool leaving) {
+void StandInPlatform::set(const Machine& machine) { rows[machine.name] = machine; }
+void StandInPlatform::mark(const std::string& name, bool leaving) {
   if (auto found = rows.find(name); found != rows.end()) found->second.leaving = leaving;
 }
-void PlatformNode::remove(const std::string& name) { rows.erase(name); }
+void StandInPlatform::remove(const std::string& name) { rows.erase(name); }
 
 }  // namespace tt
--- a/src/sim/standin.hpp
+++ b/src/sim/standin.hpp
@@ -6,17 +6,17 @@
 
 namespace tt {
 
-struct KeeperSettings {
+struct StandInSettings {
   std::string name, address, kind{"language"}, model, weights, storeAddress;
   int slots{8};
   double blockMs{4}, tokenMs{20}, linkMs{0.2};
-  std::size_t keepMost{4000};
+  std::size_t maxCachedBlocks{4000};
   int loadMs{1500};
   Defences defences;
 };
 
 /// What a stand-in can be told to do wrong.
-struct KeeperFaults {
+struct StandInFaults {
   int lagMs{0};
   /// Per cent of events that leave a gap.
   int loseEvents{0};
@@ -36,27 +36,27 @@
 
 /// One order as a stand-in ran it, kept so that tests can prove what ran how often.
 struct RunRecord {
-  std::string orderId, weights, tenant, source;
+  std::string requestId, weights, tenant, source;
   bool move{false};
   int local{0}, fetched{0}, computed{0}, tokens{0};
   std::string outcome{"running"};
 };
 
 /// Stands in for a language worker, the application worker or the store, as docs/backends.md describes them.
-class KeeperNode : public Node {
+class StandInBackend : public Node {
  public:
-  KeeperNode(KeeperSettings keeperSettings, std::string incarnationMark);
+  StandInBackend(StandInSettings keeperSettings, std::string incarnationMark);
   void handle(Effects& effects, const std::string& from, const Message& message) override;
   void tick(Effects& effects) override;
-  KeeperFaults faults;
+  StandInFaults faults;
   const std::deque<RunRecord>& runs() const { return records; }
-  const KeeperSettings& settings() const { return given; }
+  const StandInSettings& settings() const { return given; }
   const std::string& weights() const { return currentWeights; }
   bool draining() const { return drains; }
-  std::size_t keptCount() const { return kept.size(); }
-  bool keeps(const BlockHash& hash) const { return kept.count(hash) > 0; }
+  std::size_t cachedBlockCount() const { return cachedBlocks.size(); }
+  bool hasBlock(const BlockHash& hash) const { return cachedBlocks.count(hash) > 0; }
   /// Forgets every block, with or without saying so.
-  void forget(Effects& effects, bool saying);
+  void clearCache(Effects& effects, bool saying);
   void evict(Effects& effects, const Hashes& hashes) { drop(effects, hashes); }
   std::int64_t crossWeights{0};
   std::map<std::string, std::int64_t> crossTenants;
@@ -80,11 +80,11 @@
     /// Whether the worker has begun to compute.
     bool began{false};
   };
-  KeeperSettings given;
+  StandInSettings given;
   std::string incarnation, currentWeights, loadingWeights, loadingModel;
   bool drains{false};
   TimePoint loadDue{};
-  std::unordered_map<BlockHash, Kept, BlockHashHasher> kept;
+  std::unordered_map<BlockHash, Kept, BlockHashHasher> cachedBlocks;
   std::list<BlockHash> byUse;
   struct Told {
     CacheEvent event;
@@ -103,7 +103,7 @@
   /// Fetches what a move brings, or begins at once.
   void leaveQueue(Effects& effects, Run& run);
   void begin(Effects& effects, Run& run);
-  void end(Effects& effects, const std::string& orderId, OrderOutcome outcome, Code code, const char* word);
+  void end(Effects& effects, const std::string& requestId, AttemptOutcome outcome, Code code, const char* word);
   void onOrder(Effects& effects, const std::string& from, const WorkerOrder& ask);
   void onReport(Effects& effects, const std::string& from, const ReportAsk& ask);
   void onControl(Effects& effects, const std::string& from, const ControlAsk& ask);
@@ -111,7 +111,7 @@
 };
 
 /// Stands in for the platform: lists machines and marks those that leave.
-class PlatformNode : public Node {
+class StandInPlatform : public Node {
  public:
   void handle(Effects& effects, const std::string& from, const Message& message) override;
   void tick(Effects&) override {}
--- a/src/sim/version_check.cpp
+++ b/src/sim/version_check.cpp
@@ -4,11 +4,11 @@
 
 namespace tt {
 
-void VersionCheck::agreed(const std::string& model, std::uint64_t index, const std::string& weights) {
+void VersionCheck::recordAnnouncement(const std::string& model, std::uint64_t index, const std::string& weights) {
   namingsByModel[model].emplace(index, weights);
 }
 
-void VersionCheck::acknowledged(std::uint64_t index, TimePoint at) { acknowledgedAt.emplace(index, at); }
+void VersionCheck::recordAcknowledgement(std::uint64_t index, TimePoint at) { acknowledgedAt.emplace(index, at); }
 
 std::optional<TimePoint> VersionCheck::supersededAt(const std::string& model, const std::string& weights) const {
   auto found = namingsByModel.find(model);
--- a/src/sim/version_check.hpp
+++ b/src/sim/version_check.hpp
@@ -15,9 +15,9 @@
 class VersionCheck {
  public:
   /// Notes that the log entry at this index names these weights for the model. Entries may be noted in any order.
-  void agreed(const std::string& model, std::uint64_t index, const std::string& weights);
+  void recordAnnouncement(const std::string& model, std::uint64_t index, const std::string& weights);
   /// Notes that the entry at this index was acknowledged to an operator; only the first acknowledgement counts.
-  void acknowledged(std::uint64_t index, TimePoint at);
+  void recordAcknowledgement(std::uint64_t index, TimePoint at);
   /// When the first naming newer than these weights was acknowledged; nothing if none was.
   std::optional<TimePoint> supersededAt(const std::string& model, const std::string& weights) const;
   /// Whether the naming at this index is the model's newest: no other weights were named after it and acknowledged.
--- a/src/tools/audit.cpp
+++ b/src/tools/audit.cpp
@@ -43,7 +43,7 @@
     return true;
   }
   auto revision = integerOr(event, "revision", 0);
-  if (revision > 0) namings.acknowledged(changeId, model, weights, static_cast<std::uint64_t>(revision), at);
+  if (revision > 0) namings.recordAcknowledgement(changeId, model, weights, static_cast<std::uint64_t>(revision), at);
   return revision > 0;
 }
 
@@ -54,16 +54,16 @@
 }
 }  // namespace
 
-const std::vector<std::string>& auditedLines() {
+const std::vector<std::string>& auditedInvariants() {
   static const std::vector<std::string> lines{"runs-twice",   "not-run-but-ran",   "stitched",         "other-weights",
                                               "other-tenant", "fetch-beyond",      "revoked-works",    "leaving-used",
                                               "weights-late", "old-weights-began", "too-many-retries", "two-holders"};
   return lines;
 }
 
-std::int64_t AuditResult::breachCount() const {
+std::int64_t AuditResult::violationCount() const {
   std::int64_t count = 0;
-  for (const auto& [line, rows] : breaches) count += static_cast<std::int64_t>(rows.size());
+  for (const auto& [line, rows] : violations) count += static_cast<std::int64_t>(rows.size());
   return count;
 }
 
@@ -78,7 +78,7 @@
 
 AuditResult auditRecords(const AuditRecords& records) {
   AuditResult result;
-  auto breach = [&](const char* line, const std::string& text) { result.breaches[line].push_back(text); };
+  auto breach = [&](const char* line, const std::string& text) { result.violations[line].push_back(text); };
   std::vector<CallerRow> callers;
   for (const auto& line : records.callers) {
     auto read = parseJson(line);
--- a/src/tools/main_audit.cpp
+++ b/src/tools/main_audit.cpp
@@ -74,16 +74,16 @@
   auto history = readHistory(lines.value());
   if (!history) return makeError(history.error().code, file + ": " + history.error().subject, history.error().text);
   if (history.value().operations.empty()) return makeError(Code::badProps, file, "holds no operation");
-  history.value().readsInOrder = false;
+  history.value().linearizableReads = false;
   auto verdict = checkHistory(history.value());
   std::cout << "audit: operators: " << verdict.operations << " operations, " << verdict.unclear
-            << " without a clear answer, " << verdict.readsBehind << " reads behind another, " << verdict.steps
+            << " without a clear answer, " << verdict.nonMonotonicReads << " reads behind another, " << verdict.steps
             << " steps: "
             << (verdict.undecided      ? "UNDECIDED"
                 : verdict.linearizable ? "one order explains them all"
                                        : "NO ORDER EXPLAINS THEM")
             << "\n";
-  if (!verdict.trouble.empty()) std::cout << verdict.trouble << "\n";
+  if (!verdict.explanation.empty()) std::cout << verdict.explanation << "\n";
   return verdict.linearizable && !verdict.undecided;
 }
 }  // namespace
@@ -150,10 +150,10 @@
             << " repeat tries (worst span " << static_cast<int>(1000 * result.worstRetryShare) / 10.0 << " %), "
             << result.unreadable << " unreadable lines\n";
   printBegins(result, records);
-  for (const auto& line : auditedLines()) {
-    const auto& rows = result.breaches[line];
+  for (const auto& line : auditedInvariants()) {
+    const auto& rows = result.violations[line];
     std::cout << "audit: " << rows.size() << " " << line << "\n";
     for (std::size_t at = 0; at < rows.size() && at < 5; ++at) std::cout << "       " << rows[at] << "\n";
   }
-  return result.breachCount() == 0 && sound ? 0 : 1;
+  return result.violationCount() == 0 && sound ? 0 : 1;
 }
--- a/src/tools/main_core.cpp
+++ b/src/tools/main_core.cpp
@@ -1,7 +1,7 @@
 #include <cstdlib>
 
-#include "contract.hpp"
 #include "core.hpp"
+#include "json_bodies.hpp"
 #include "process.hpp"
 #include "version_span.hpp"
 
@@ -108,7 +108,7 @@
     } else if (auto* ask = std::get_if<ReportAsk>(&message)) {
       WebCall made;
       made.url = "http://" + to + "/v1/reports?after=" + std::to_string(ask->after) +
-                 "&incarnation=" + ask->incarnation + (ask->whole ? "&whole=1" : "");
+                 "&incarnation=" + ask->incarnation + (ask->complete ? "&whole=1" : "");
       call(to, made, [&, to](const std::string& body) {
         if (auto report = readReport(body))
           host.handle(to, report.value());
--- a/src/tools/main_keeper.cpp
+++ b/src/tools/main_keeper.cpp
@@ -1,7 +1,7 @@
 #include <cstdlib>
 #include <fstream>
 
-#include "contract.hpp"
+#include "json_bodies.hpp"
 #include "process.hpp"
 #include "standin.hpp"
 
@@ -14,9 +14,9 @@
 #endif
 
 int main(int count, char** words) {
-  KeeperSettings settings;
+  StandInSettings settings;
   std::string recordFile;
-  double slots = 8, keepMost = 4000, loadMs = 1500, threads = 2;
+  double slots = 8, maxCachedBlocks = 4000, loadMs = 1500, threads = 2;
   bool chatty = false;
   Settings reader(programName, "A stand-in back end for trying and testing the fleet");
   reader.text("name", &settings.name, "this machine's name", true)
@@ -33,7 +33,7 @@
       .number("loadMs", &loadMs, 0, 600000, "milliseconds to load weights")
 #endif
       .text("recordFile", &recordFile, "a file that what this back end did is added to")
-      .number("keepMost", &keepMost, 1, 10000000, "blocks it keeps at most")
+      .number("keepMost", &maxCachedBlocks, 1, 10000000, "blocks it keeps at most")
       .number("threads", &threads, 1, 64, "threads in the pool")
       .flag("chatty", &chatty, "log more");
   if (auto code = reader.read(count, words)) return *code;
@@ -46,13 +46,13 @@
     return reportStartFailure(makeError(Code::badProps, "model", "must be given"));
 #endif
   settings.slots = static_cast<int>(slots);
-  settings.keepMost = static_cast<std::size_t>(keepMost);
+  settings.maxCachedBlocks = static_cast<std::size_t>(maxCachedBlocks);
   settings.loadMs = static_cast<int>(loadMs);
   startLog(settings.kind == "store" ? "store" : "worker", settings.name, chatty);
 
   asio::io_context context;
   std::random_device device;
-  KeeperNode keeper(settings, std::to_string(device()) + std::to_string(device()));
+  StandInBackend keeper(settings, std::to_string(device()) + std::to_string(device()));
   std::ofstream record;
   if (!recordFile.empty()) {
     record.open(recordFile, std::ios::app);
@@ -80,14 +80,14 @@
     if (auto* chunk = std::get_if<WorkerChunk>(&message)) {
       auto answer = answers.find(to);
       if (answer && !answer->line(writeWorkerChunk(*chunk)))
-        asio::post(context, [&, to, orderId = chunk->orderId] {
+        asio::post(context, [&, to, requestId = chunk->requestId] {
           answers.remove(to);
-          host.handle(to, WorkerDrop{orderId});
+          host.handle(to, WorkerDrop{requestId});
         });
     } else if (auto* end = std::get_if<WorkerEnd>(&message)) {
       auto answer = answers.remove(to);
       if (!answer) return;
-      if (end->outcome == static_cast<int>(OrderOutcome::denied))
+      if (end->outcome == static_cast<int>(AttemptOutcome::denied))
         answer->finish(codeStatus(static_cast<Code>(end->code)), writeWorkerEnd(*end));
       else
         answer->endStream(writeWorkerEnd(*end));
@@ -135,7 +135,7 @@
       ReportAsk report;
       report.after = std::strtoull(ask.query["after"].c_str(), nullptr, 10);
       report.incarnation = ask.query["incarnation"];
-      report.whole = ask.query.count("whole") > 0;
+      report.complete = ask.query.count("whole") > 0;
       return pass(report);
     }
     if (way == "POST /v1/control") {
@@ -160,7 +160,7 @@
         JsonArray rows;
         for (const auto& run : keeper.runs()) {
           JsonObject row;
-          row["orderId"] = Json(run.orderId);
+          row["orderId"] = Json(run.requestId);
           row["weights"] = Json(run.weights);
           row["tenant"] = Json(run.tenant);
           row["source"] = Json(run.source);
@@ -194,7 +194,7 @@
         keeper.faults.silentReports = boolOr(body, "silentReports", keeper.faults.silentReports);
         keeper.faults.linkMs =
             static_cast<double>(integerOr(body, "linkMs", static_cast<std::int64_t>(keeper.faults.linkMs)));
-        if (boolOr(body, "forget", false)) keeper.forget(effects, true);
+        if (boolOr(body, "forget", false)) keeper.clearCache(effects, true);
       });
       return answer->finish(200, "{}");
     }
--- a/src/tools/main_model.cpp
+++ b/src/tools/main_model.cpp
@@ -15,15 +15,16 @@
 int printFound(const std::string& name, const SearchReport& report, const std::string& keepFolder) {
   int number = 0;
   for (const auto& found : report.found) {
-    Run shorter = shorten(found.run, found.broken.rule);
-    std::cout << "VIOLATION " << name << " " << found.broken.rule << " (" << found.run.choices.size()
+    Run shorter = shrink(found.run, found.violation.rule);
+    std::cout << "VIOLATION " << name << " " << found.violation.rule << " (" << found.run.choices.size()
               << " events, shortened to " << shorter.choices.size() << ")\n";
-    auto broken = replay(shorter, [](const std::string& line) { std::cout << "  " << line << "\n"; });
-    std::cout << "  => " << (broken ? broken->rule + ": " + broken->text : "not broken when played again") << "\n";
+    auto violation = replay(shorter, [](const std::string& line) { std::cout << "  " << line << "\n"; });
+    std::cout << "  => " << (violation ? violation->rule + ": " + violation->text : "not broken when played again")
+              << "\n";
     std::cout << "  " << shorter.setup.text() << "\n";
     if (keepFolder.empty()) continue;
     std::string file = keepFolder + "/" + name + "-" + std::to_string(++number) + ".run";
-    std::ofstream(file) << "# " << found.broken.rule << ": " << found.broken.text << "\n" << shorter.text();
+    std::ofstream(file) << "# " << found.violation.rule << ": " << found.violation.text << "\n" << shorter.text();
     std::cout << "  kept as " << file << "\n";
   }
   return report.found.empty() ? 0 : 1;
@@ -54,28 +55,28 @@
 int replayFile(const std::string& file) {
   auto run = readRun(file);
   if (!run) return 2;
-  auto broken = replay(*run, [](const std::string& line) { std::cout << line << "\n"; });
-  std::cout << (broken ? "broken " + broken->rule + ": " + broken->text : "no rule broken") << "\n";
-  return broken ? 1 : 0;
+  auto violation = replay(*run, [](const std::string& line) { std::cout << line << "\n"; });
+  std::cout << (violation ? "broken " + violation->rule + ": " + violation->text : "no rule broken") << "\n";
+  return violation ? 1 : 0;
 }
 
 /// Runs sets in which no rule may be broken, or such in which each must find a broken one.
-int runSets(const std::vector<FixedSet>& sets, bool mustBreak, const std::string& only, std::size_t threads,
-            const std::vector<std::string>& known, const std::string& keepFolder) {
+int runSets(const std::vector<FixedSearch>& sets, bool mustBreak, const std::string& only, std::size_t threads,
+            const std::vector<std::string>& ignoredRules, const std::string& keepFolder) {
   int wrong = 0;
   std::size_t ran = 0;
   for (auto set : sets) {
     if (!only.empty() && set.name.rfind(only, 0) != 0) continue;
     ++ran;
-    if (mustBreak) set.setup.known = {"no-majority", "refused-by-lost", "refused-in-force"};
-    set.setup.known.insert(known.begin(), known.end());
+    if (mustBreak) set.setup.ignoredRules = {"no-majority", "refused-by-lost", "refused-in-force"};
+    set.setup.ignoredRules.insert(ignoredRules.begin(), ignoredRules.end());
     auto began = Clock::now();
-    SearchReport report = runSet(set, threads);
+    SearchReport report = runFixedSearch(set, threads);
     if (!mustBreak) wrong += printFound(set.name, report, keepFolder);
     if (mustBreak) {
       wrong += report.found.empty();
       std::cout << (report.found.empty() ? "NOT FOUND " : "found ") << set.name;
-      for (const auto& found : report.found) std::cout << " " << found.broken.rule << ": " << found.broken.text;
+      for (const auto& found : report.found) std::cout << " " << found.violation.rule << ": " << found.violation.text;
       std::cout << "\n";
     }
     printReport(set.name, report, Clock::now() - began);
@@ -88,10 +89,10 @@
 struct ModelOptions {
   Setup setup;
   WalkLimits walks;
-  BreadthLimits breadth;
+  BreadthFirstLimits breadth;
   bool fixed{false}, controls{false};
   std::string replayFile, keepFolder, only, openingFile;
-  std::vector<std::string> without, known;
+  std::vector<std::string> disabledDefences, ignoredRules;
   double seconds{0};
   int catchUpMs{4000}, memberGoneMs{6000};
 
@@ -119,11 +120,11 @@
 
 void addSetupFlags(CLI::App& app, ModelOptions& options) {
   auto& setup = options.setup;
-  app.add_option("--without", options.without, "take this defence out");
-  app.add_option("--known", options.known, "by hand: pass over the breaking of this rule");
-  app.add_option("--room", setup.room, "bytes of records that a replica may hold");
-  app.add_option("--open-syncs", setup.openSyncs, "whether a start syncs what it finds written");
-  app.add_option("--network-room", setup.networkRoom, "messages under way at most");
+  app.add_option("--without", options.disabledDefences, "take this defence out");
+  app.add_option("--known", options.ignoredRules, "by hand: pass over the breaking of this rule");
+  app.add_option("--room", setup.maxRecordBytes, "bytes of records that a replica may hold");
+  app.add_option("--open-syncs", setup.syncsOnStart, "whether a start syncs what it finds written");
+  app.add_option("--network-room", setup.maxPacketsInFlight, "messages under way at most");
   addCountFlags(app, {{"--voters", setup.voters, "replicas that form the fleet"},
                       {"--spares", setup.spares, "empty replicas that may join"},
                       {"--changes", setup.changes, "changes that clients send"},
@@ -138,7 +139,7 @@
   app.add_option("--first-seed", walks.firstSeed, "seed of the first walk");
   app.add_option("--events", walks.events, "events of a walk");
   app.add_option("--threads", walks.threads, "walks at a time");
-  app.add_option("--most-found", walks.mostFound, "end after so many violations");
+  app.add_option("--most-found", walks.maxCounterexamples, "end after so many violations");
   app.add_option("--seconds", options.seconds, "by hand: end after so long");
 }
 
@@ -162,18 +163,18 @@
   setup.catchUp = std::chrono::milliseconds(options.catchUpMs);
   setup.memberRemovalTimeout = std::chrono::milliseconds(options.memberGoneMs);
   setup.minVoters = static_cast<std::size_t>(2 * setup.faultBudget + 1);
-  setup.known = std::set<std::string>(options.known.begin(), options.known.end());
-  setup.without = std::set<std::string>(options.without.begin(), options.without.end());
+  setup.ignoredRules = std::set<std::string>(options.ignoredRules.begin(), options.ignoredRules.end());
+  setup.disabledDefences = std::set<std::string>(options.disabledDefences.begin(), options.disabledDefences.end());
   if (auto checked = Setup::parse(setup.text()); !checked) {
     std::cerr << checked.error().subject << ": " << checked.error().text << "\n";
     return false;
   }
-  options.walks.longest = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(options.seconds));
-  options.breadth.longest = options.walks.longest;
+  options.walks.timeLimit = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(options.seconds));
+  options.breadth.timeLimit = options.walks.timeLimit;
   if (options.openingFile.empty()) return true;
-  auto opening = readRun(options.openingFile);
-  if (opening) options.breadth.opening = opening->choices;
-  return opening.has_value();
+  auto initialEvents = readRun(options.openingFile);
+  if (initialEvents) options.breadth.initialEvents = initialEvents->choices;
+  return initialEvents.has_value();
 }
 
 /// Searches as the flags say, by walks or breadth-first.
@@ -182,7 +183,8 @@
   bool isBreadth = options.breadth.states > 0;
   std::string name = isBreadth ? "breadth" : "walks";
   auto began = Clock::now();
-  SearchReport report = isBreadth ? searchBreadth(options.setup, options.breadth) : walk(options.setup, options.walks);
+  SearchReport report =
+      isBreadth ? searchBreadthFirst(options.setup, options.breadth) : runRandomWalks(options.setup, options.walks);
   int code = printFound(name, report, options.keepFolder);
   printReport(name, report, Clock::now() - began);
   return code;
@@ -191,8 +193,8 @@
 int run(ModelOptions& options) {
   if (!options.replayFile.empty()) return replayFile(options.replayFile);
   if (!options.fixed && !options.controls) return runSearch(options);
-  auto sets = options.fixed ? soundSets() : controlSets();
-  return runSets(sets, !options.fixed, options.only, options.walks.threads, options.known, options.keepFolder);
+  auto sets = options.fixed ? invariantSearches() : negativeControls();
+  return runSets(sets, !options.fixed, options.only, options.walks.threads, options.ignoredRules, options.keepFolder);
 }
 
 }  // namespace
--- a/src/tools/main_operators.cpp
+++ b/src/tools/main_operators.cpp
@@ -56,7 +56,7 @@
   if (configuration == fields.end() || !configuration->second.is<JsonObject>())
     return makeError(Code::badField, "read");
   return ReadBack{static_cast<std::uint64_t>(integerOr(body.value(), "revision", 0)),
-                  watchedItems(configuration->second.get<JsonObject>())};
+                  trackedItems(configuration->second.get<JsonObject>())};
 }
 
 /// One operator's client: reads, changes on what it read, sends again what had no clear answer.
@@ -105,8 +105,8 @@
     if (!back) return std::nullopt;
     read.ended = steadyNow();
     read.outcome = OperationOutcome::seen;
-    read.seenRevision = back.value().revision;
-    read.seenDigest = contentDigest(back.value().items);
+    read.resultRevision = back.value().revision;
+    read.resultDigest = contentDigest(back.value().items);
     shared.write(read);
     return back.value().revision;
   }
@@ -155,7 +155,7 @@
       operation.outcome = outcomeOf(static_cast<Code>(integerOr(answer.value(), "code", 0)));
     if (operation.outcome != OperationOutcome::unclear) operation.ended = steadyNow();
     if (operation.outcome == OperationOutcome::taken)
-      operation.seenRevision = static_cast<std::uint64_t>(integerOr(answer.value(), "revision", 0));
+      operation.resultRevision = static_cast<std::uint64_t>(integerOr(answer.value(), "revision", 0));
     shared.write(operation);
     return operation.outcome;
   }
--- a/src/tools/main_platform.cpp
+++ b/src/tools/main_platform.cpp
@@ -1,7 +1,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "contract.hpp"
+#include "json_bodies.hpp"
 #include "process.hpp"
 #include "standin.hpp"
 
@@ -17,7 +17,7 @@
       .number("threads", &threads, 1, 64, "threads in the pool");
   if (auto code = reader.read(count, words)) return *code;
   startLog("platform", name, false);
-  PlatformNode platform;
+  StandInPlatform platform;
   if (!listFile.empty()) {
     std::ifstream source(listFile);
     std::stringstream bytes;
--- a/src/tools/main_proxy.cpp
+++ b/src/tools/main_proxy.cpp
@@ -1,6 +1,6 @@
-#include "contract.hpp"
-#include "edge.hpp"
+#include "json_bodies.hpp"
 #include "process.hpp"
+#include "proxy_router.hpp"
 #include "version_span.hpp"
 
 using namespace tt;
@@ -75,12 +75,12 @@
       call.body = writeWorkerOrder(*order);
       call.noResend = true;
       call.totalTimeout = 120s;
-      std::string sendId = order->orderId;
+      std::string sendId = order->requestId;
       if (order->sendDeadline != 0) {
         Duration left = fromNanoseconds(order->sendDeadline) - Clock::now();
         if (left <= Duration(0)) {
           WorkerEnd unsent{
-              sendId, static_cast<int>(OrderOutcome::brokenBeforeSend), static_cast<int>(Code::workerBroke), 0, 0, 0};
+              sendId, static_cast<int>(AttemptOutcome::brokenBeforeSend), static_cast<int>(Code::workerBroke), 0, 0, 0};
           return asio::post(context, [&host, unsent] { host.handle("worker", unsent); });
         }
         call.connectTimeout = std::min(call.connectTimeout, left);
@@ -107,23 +107,23 @@
       };
       workerCalls.start(sendId, startCall);
     } else if (auto* gone = std::get_if<WorkerDrop>(&message)) {
-      if (auto callId = workerCalls.remove(gone->orderId)) calls.drop(*callId);
+      if (auto callId = workerCalls.remove(gone->requestId)) calls.drop(*callId);
     } else if (auto* chunk = std::get_if<CallerChunk>(&message)) {
-      auto answer = answers.find(chunk->orderId);
+      auto answer = answers.find(chunk->requestId);
       if (answer && !answer->line(writeChunk(*chunk)))
-        asio::post(context, [&, orderId = chunk->orderId] {
-          auto gone = answers.remove(orderId);
+        asio::post(context, [&, requestId = chunk->requestId] {
+          auto gone = answers.remove(requestId);
           if (!gone) return;
-          host.handle("caller", CallerGone{orderId});
+          host.handle("caller", CallerGone{requestId});
           CallerVerdict verdict;
-          verdict.orderId = orderId;
+          verdict.requestId = requestId;
           verdict.verdict = "failed";
           verdict.code = static_cast<int>(Code::callerGone);
           verdict.text = "The caller went away or read too slowly";
           gone->endStream(writeVerdict(verdict));
         });
     } else if (auto* verdict = std::get_if<CallerVerdict>(&message)) {
-      auto answer = answers.remove(verdict->orderId);
+      auto answer = answers.remove(verdict->requestId);
       if (!answer) return;
       int status = codeStatus(static_cast<Code>(verdict->code));
       if (answer->streaming() || verdict->verdict == "done")
@@ -148,9 +148,9 @@
       auto order = readCallerOrder(ask.body);
       if (!order) return deny(order.error());
       order.value().key = ask.bearer;
-      order.value().orderId =
-          settings.name + "/" + std::to_string(toNanoseconds(Clock::now())) + "/" + answers.newName().substr(5);
-      answers.addAs(order.value().orderId, answer);
+      order.value().requestId =
+          settings.name + "/" + std::to_string(toNanoseconds(Clock::now())) + "/" + answers.newRequestId().substr(5);
+      answers.addWithId(order.value().requestId, answer);
       return host.handle("caller", order.value());
     }
     if (ask.method == "GET" && ask.path == "/v1/counters") {
--- a/src/tools/main_sim.cpp
+++ b/src/tools/main_sim.cpp
@@ -120,7 +120,7 @@
       std::cout << (result.passed ? "pass " : "FAIL ") << job.name << " seed " << result.seed << "\n";
     if (options.figures) std::cout << "     " << result.figures << "\n";
     std::size_t shown = 0;
-    for (const auto& trouble : result.troubles)
+    for (const auto& trouble : result.failures)
       if (++shown <= mostTroublesShown) std::cout << "     " << trouble << "\n";
   }
 };
--- a/src/tools/naming_records.cpp
+++ b/src/tools/naming_records.cpp
@@ -24,8 +24,8 @@
   keepEarliest(namingOf(changeId, model, weights).firstSent, at);
 }
 
-void NamingRecords::acknowledged(const std::string& changeId, const std::string& model, const std::string& weights,
-                                 std::uint64_t revision, TimePoint at) {
+void NamingRecords::recordAcknowledgement(const std::string& changeId, const std::string& model,
+                                          const std::string& weights, std::uint64_t revision, TimePoint at) {
   auto& naming = namingOf(changeId, model, weights);
   naming.revision = revision;
   keepEarliest(naming.firstAcknowledged, at);
@@ -37,8 +37,8 @@
   for (const auto& [changeId, naming] : namingsByChange) {
     if (naming.firstSent && *naming.firstSent > now) continue;
     if (naming.firstAcknowledged) {
-      check.agreed(naming.model, naming.revision, naming.weights);
-      check.acknowledged(naming.revision, *naming.firstAcknowledged);
+      check.recordAnnouncement(naming.model, naming.revision, naming.weights);
+      check.recordAcknowledgement(naming.revision, *naming.firstAcknowledged);
     } else if (naming.model == model && naming.weights == weights) {
       return std::nullopt;
     }
--- a/src/tools/naming_records.hpp
+++ b/src/tools/naming_records.hpp
@@ -16,8 +16,8 @@
   /// Notes that a change that names these weights was sent.
   void sent(const std::string& changeId, const std::string& model, const std::string& weights, TimePoint at);
   /// Notes that a change that names these weights was acknowledged with this revision.
-  void acknowledged(const std::string& changeId, const std::string& model, const std::string& weights,
-                    std::uint64_t revision, TimePoint at);
+  void recordAcknowledgement(const std::string& changeId, const std::string& model, const std::string& weights,
+                             std::uint64_t revision, TimePoint at);
   /// How long before `now` the first naming newer than these weights was acknowledged; nothing if none was, or if it
   /// cannot be told, since a change that names these weights was sent and never acknowledged. A change that was first
   /// sent after `now` does not make its weights newer; one whose sending was not noted counts as sent before.
--- a/src/tools/version_span.cpp
+++ b/src/tools/version_span.cpp
@@ -6,8 +6,8 @@
 
 Result<void> setVersionSpan(double versionMs) {
   timing.oldWeightsTimeout = std::chrono::milliseconds(static_cast<std::int64_t>(versionMs));
-  timing.oldWeightsOrderTimeout = timing.oldWeightsTimeout * 9 / 10;
-  timing.unstartedOrderTimeout = timing.oldWeightsTimeout * 39 / 40;
+  timing.oldWeightsSendTimeout = timing.oldWeightsTimeout * 9 / 10;
+  timing.unstartedRequestTimeout = timing.oldWeightsTimeout * 39 / 40;
   TimingBounds bounds;
   bounds.commandLease = timing.commandHoldoff;
   return checkTiming(timing, bounds);
--- a/tests/call_faults.cpp
+++ b/tests/call_faults.cpp
@@ -30,9 +30,9 @@
         held->say(successResponse("own"));
       });
       auto first = bench.finish(bench.call(server, "/first"));
-      cr_assert(first->end.outcome == HttpCallOutcome::whole);
+      cr_assert(first->end.outcome == HttpCallOutcome::complete);
       auto second = bench.finish(once(bench.call(server, "/second", "POST", "body")));
-      cr_assert(second->end.outcome == HttpCallOutcome::whole, "%s", second->end.errorMessage.c_str());
+      cr_assert(second->end.outcome == HttpCallOutcome::complete, "%s", second->end.errorMessage.c_str());
       cr_assert_eq(second->body, "own");
       cr_assert_eq(bench.calls.connectionsOpened(), 2u, "the connection with surplus bytes is not reused");
     }
@@ -82,7 +82,7 @@
                                  {std::string("HTTP/1.1 200 OK\r\n\r\nuntil the close"), false}}) {
     text = said;
     auto seen = bench.finish(bench.call(server));
-    cr_assert(seen->end.outcome == HttpCallOutcome::whole);
+    cr_assert(seen->end.outcome == HttpCallOutcome::complete);
     cr_assert_eq(seen->head.delimited, delimited, "%s", said.c_str());
   }
 }
@@ -122,7 +122,7 @@
     cr_expect_geq(asked, 1);
     leaseValid = true;
     auto next = bench.finish(call);
-    cr_expect(next->end.outcome == HttpCallOutcome::whole);
+    cr_expect(next->end.outcome == HttpCallOutcome::complete);
     cr_expect_eq(server.copies("/order"), 1u);
   }
 }
@@ -198,12 +198,12 @@
       });
       auto fresh = bench.finish(once(bench.call(server, "/second", "POST", "body")));
       cr_assert(fresh->end.outcome == HttpCallOutcome::broken);
-      cr_assert_not(fresh->end.forgotten, "a new connection was not idle");
+      cr_assert_not(fresh->end.lostOnIdleConnection, "a new connection was not idle");
       bench.finish(bench.call(server, "/first"));
       auto kept = bench.finish(once(bench.call(server, "/second", "POST", "body")));
       cr_assert(kept->end.outcome == HttpCallOutcome::broken, "the request may have been processed");
-      if (!begun) cr_assert(kept->end.forgotten);
-      if (begun && !byReset) cr_assert_not(kept->end.forgotten);
+      if (!begun) cr_assert(kept->end.lostOnIdleConnection);
+      if (begun && !byReset) cr_assert_not(kept->end.lostOnIdleConnection);
     }
 }
 
@@ -229,10 +229,10 @@
   bench.pass(5ms);
   auto lost = bench.finish(once(bench.call(server, "/second", "POST", "body")));
   cr_assert(lost->end.outcome == HttpCallOutcome::broken);
-  cr_assert(lost->end.forgotten);
+  cr_assert(lost->end.lostOnIdleConnection);
   for (int count = 0; count < 4; ++count) {
     auto next = bench.finish(once(bench.call(server, "/third", "POST", "body")));
-    cr_expect(next->end.outcome == HttpCallOutcome::whole, "only one request is lost to early closes");
+    cr_expect(next->end.outcome == HttpCallOutcome::complete, "only one request is lost to early closes");
     cr_expect_eq(next->body, "own");
   }
 }
--- a/tests/call_fuzz.cpp
+++ b/tests/call_fuzz.cpp
@@ -1,4 +1,4 @@
-#include "proxy_bench.hpp"
+#include "proxy_harness.hpp"
 
 using namespace tt;
 using namespace raw;
@@ -95,9 +95,9 @@
     call.once = true;
     auto seen = harness.finish(call);
     bool chunked = text.find("chunked") != std::string::npos;
-    if (chunked && sent + 1 == text.size()) sent += seen->end.outcome == HttpCallOutcome::whole;
+    if (chunked && sent + 1 == text.size()) sent += seen->end.outcome == HttpCallOutcome::complete;
     bool allSent = sent == text.size();
-    cr_expect_eq(seen->end.outcome == HttpCallOutcome::whole, allSent, "case %d: %zu of %zu bytes: %s", number, sent,
+    cr_expect_eq(seen->end.outcome == HttpCallOutcome::complete, allSent, "case %d: %zu of %zu bytes: %s", number, sent,
                  text.size(), text.substr(0, sent).c_str());
     cr_expect_leq(seen->heads, 1);
     cr_expect_eq(seen->ends, 1);
@@ -134,7 +134,7 @@
     cr_expect_leq(first->heads, 1);
     cr_expect_eq(first->ends, 1);
     if (first->heads == 0) cr_expect_eq(first->body, "", "case %d: bytes without a head", number);
-    if (first->end.outcome == HttpCallOutcome::whole) {
+    if (first->end.outcome == HttpCallOutcome::complete) {
       cr_expect_eq(first->heads, 1, "case %d", number);
       cr_expect(first->head.status >= 200 && first->head.status <= 599, "case %d", number);
       const auto* length = first->head.find("Content-Length");
@@ -144,7 +144,7 @@
       ++failedCalls;
     }
     auto second = harness.finish(harness.call(server, "/second", "POST", "body"));
-    cr_expect(second->end.outcome == HttpCallOutcome::whole, "case %d: %s after %s", number,
+    cr_expect(second->end.outcome == HttpCallOutcome::complete, "case %d: %s after %s", number,
               second->end.errorMessage.c_str(), text.c_str());
     cr_expect_eq(second->body, "own", "case %d after %s", number, text.c_str());
     cr_expect_eq(server.copies("/first"), 1u);
--- a/tests/call_table.cpp
+++ b/tests/call_table.cpp
@@ -1,4 +1,4 @@
-#include "proxy_bench.hpp"
+#include "proxy_harness.hpp"
 
 using namespace tt;
 using namespace raw;
--- a/tests/calls.cpp
+++ b/tests/calls.cpp
@@ -14,7 +14,7 @@
     if (byReset) return held->reset();
     held->close();
   });
-  cr_assert(bench.finish(bench.call(server, "/first"))->end.outcome == HttpCallOutcome::whole);
+  cr_assert(bench.finish(bench.call(server, "/first"))->end.outcome == HttpCallOutcome::complete);
   auto call = bench.call(server, "/second", method, body);
   call.once = true;
   auto seen = bench.finish(call);
@@ -73,7 +73,7 @@
   server.onPiece = [](const RawServer::ConnectionPtr& held) {
     if (held->got.find("/second") != std::string::npos) held->reset();
   };
-  cr_assert(bench.finish(bench.call(server, "/first"))->end.outcome == HttpCallOutcome::whole);
+  cr_assert(bench.finish(bench.call(server, "/first"))->end.outcome == HttpCallOutcome::complete);
   auto call = bench.call(server, "/second", "POST", std::string(8u << 20, 'x'));
   call.once = true;
   auto seen = bench.finish(call);
@@ -90,7 +90,7 @@
   });
   bench.finish(bench.call(server, "/first"));
   auto seen = bench.finish(bench.call(server, "/second", "POST", "some body"));
-  cr_assert(seen->end.outcome == HttpCallOutcome::whole);
+  cr_assert(seen->end.outcome == HttpCallOutcome::complete);
   cr_assert_eq(server.copies("/second"), 2u);
 }
 
@@ -99,13 +99,13 @@
     Bench bench;
     RawServer server(
         bench.io, [](const RawServer::ConnectionPtr& held, const std::string&) { held->say(successResponse("fine")); });
-    cr_assert(bench.finish(bench.call(server, "/first"))->end.outcome == HttpCallOutcome::whole);
+    cr_assert(bench.finish(bench.call(server, "/first"))->end.outcome == HttpCallOutcome::complete);
     byReset ? server.connections[0]->reset() : server.connections[0]->close();
     bench.pass(10ms);
     auto call = bench.call(server, "/second", "POST", "some body");
     call.once = true;
     auto seen = bench.finish(call);
-    cr_assert(seen->end.outcome == HttpCallOutcome::whole);
+    cr_assert(seen->end.outcome == HttpCallOutcome::complete);
     cr_assert_eq(seen->body, "fine");
     cr_assert_eq(server.copies("/second"), 1u);
     cr_assert_eq(bench.calls.connectionsOpened(), 2u);
@@ -117,14 +117,14 @@
     Bench bench;
     RawServer server(
         bench.io, [](const RawServer::ConnectionPtr& held, const std::string&) { held->say(successResponse("fine")); });
-    cr_assert(bench.finish(bench.call(server, "/first"))->end.outcome == HttpCallOutcome::whole);
+    cr_assert(bench.finish(bench.call(server, "/first"))->end.outcome == HttpCallOutcome::complete);
     server.connections[0]->say("HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\n\r\n");
     if (closes) server.connections[0]->close();
     bench.pass(10ms);
     auto call = bench.call(server, "/second", "POST", "some body");
     call.once = true;
     auto seen = bench.finish(call);
-    cr_assert(seen->end.outcome == HttpCallOutcome::whole);
+    cr_assert(seen->end.outcome == HttpCallOutcome::complete);
     cr_assert_eq(seen->head.status, 200, "got %d", seen->head.status);
     cr_assert_eq(server.copies("/second"), 1u);
   }
@@ -225,7 +225,7 @@
         "X-Twice: a\r\nX-Twice: b\r\nContent-Encoding: gzip\r\nContent-Length: 4\r\n\r\n\x1f\x8b!!");
   });
   auto seen = bench.finish(bench.call(server));
-  cr_assert(seen->end.outcome == HttpCallOutcome::whole);
+  cr_assert(seen->end.outcome == HttpCallOutcome::complete);
   cr_assert_eq(seen->heads, 1);
   cr_assert_eq(seen->head.status, 302);
   HttpHeaders expected{{"Location", "/elsewhere"}, {"x-odd-Case", "One"},        {"X-Twice", "a"},
@@ -236,7 +236,7 @@
   cr_assert_null(seen->head.find("Link"));
   cr_assert_eq(seen->body, "\x1f\x8b!!");
   auto headOnly = bench.finish(bench.call(server, "/", "HEAD"));
-  cr_assert(headOnly->end.outcome == HttpCallOutcome::whole);
+  cr_assert(headOnly->end.outcome == HttpCallOutcome::complete);
   cr_assert_eq(*headOnly->head.find("content-length"), "99");
   cr_assert_eq(headOnly->body, "");
   cr_assert_eq(bench.calls.connectionsOpened(), 1u);
@@ -259,7 +259,7 @@
   }
   open->say("0\r\nX-Trailer: 1\r\n\r\n");
   cr_assert(bench.until([&] { return seen->ends == 1; }));
-  cr_assert(seen->end.outcome == HttpCallOutcome::whole);
+  cr_assert(seen->end.outcome == HttpCallOutcome::complete);
   cr_assert_eq(seen->heads, 1);
   cr_assert_null(seen->end.head.find("X-Trailer"));
 }
@@ -301,7 +301,7 @@
     held->close();
   });
   auto seen = bench.finish(bench.call(server));
-  cr_assert(seen->end.outcome == HttpCallOutcome::whole);
+  cr_assert(seen->end.outcome == HttpCallOutcome::complete);
   cr_assert_eq(seen->body, "until the close");
 }
 
@@ -346,7 +346,7 @@
           cr_assert_eq(held->size(), 23u);
         });
     cr_assert(bench.until([&] { return next && next->ends == 1; }));
-    cr_assert(next->end.outcome == HttpCallOutcome::whole);
+    cr_assert(next->end.outcome == HttpCallOutcome::complete);
     cr_assert(bench.until([&] { return otherConnection->ended; }), "the dropped call's connection is closed");
     bench.pass(5ms);
     cr_assert_eq(heads, 1);
@@ -406,7 +406,7 @@
     cr_assert(bench.until(
         [&] { return std::all_of(all.begin(), all.end(), [](const auto& each) { return each->ends == 1; }); }));
     for (int count = 0; count < 200; ++count) {
-      cr_assert(all[static_cast<std::size_t>(count)]->end.outcome == HttpCallOutcome::whole);
+      cr_assert(all[static_cast<std::size_t>(count)]->end.outcome == HttpCallOutcome::complete);
       cr_assert_eq(all[static_cast<std::size_t>(count)]->body, std::to_string(100 + count));
     }
   }
@@ -422,7 +422,7 @@
   for (int count = 0; count < 50; ++count) {
     auto call = bench.call(server, "/", count % 2 ? "POST" : "GET", count % 2 ? "body" : "");
     call.once = count % 3 == 0;
-    cr_assert(bench.finish(call)->end.outcome == HttpCallOutcome::whole);
+    cr_assert(bench.finish(call)->end.outcome == HttpCallOutcome::complete);
   }
   cr_assert_eq(bench.calls.connectionsOpened(), 1u);
   cr_assert_eq(server.connections.size(), 1u);
@@ -436,7 +436,7 @@
     held->say(successResponse("fine", told));
   });
   for (int count = 0; count < 3; ++count)
-    cr_assert(bench.finish(bench.call(server))->end.outcome == HttpCallOutcome::whole);
+    cr_assert(bench.finish(bench.call(server))->end.outcome == HttpCallOutcome::complete);
   cr_assert_eq(bench.calls.connectionsOpened(), 3u);
   told = "Keep-Alive: timeout=30\r\n";
   bench.finish(bench.call(server));
@@ -473,7 +473,7 @@
   for (int count = 0; count < 100; ++count) {
     auto call = bench.call(server, count % 3 ? "/close" : "/keep");
     if (count % 4 == 0) call.headers = {{"Connection", "close"}};
-    cr_assert(bench.finish(call)->end.outcome == HttpCallOutcome::whole);
+    cr_assert(bench.finish(call)->end.outcome == HttpCallOutcome::complete);
     auto dropped = bench.start(bench.call(server, "/dropped"));
     bench.io.poll_one();
     bench.calls.drop(dropped->id);
--- a/tests/cell_bench.hpp
+++ b/tests/cell_harness.hpp
@@ -3,7 +3,7 @@
 #include <criterion/criterion.h>
 
 #include "cell.hpp"
-#include "timing_kept.hpp"
+#include "timing_guard.hpp"
 
 namespace tt {
 
@@ -19,7 +19,7 @@
   settings.publishInterval = 100ms;
   settings.withholdTimeout = 400ms;
   settings.rolloutSettleDelay = 400ms;
-  settings.rolloutSpan = 7800ms;
+  settings.rolloutSpread = 7800ms;
   return settings;
 }
 
@@ -28,8 +28,8 @@
 /// A simulated worker: it loads weights on command and reports its cached blocks on request.
 struct TestWorker {
   std::string name, weights{"moss/3"}, incarnation{"1"};
-  Uint64 sequence{100}, highestTerm{0}, orders{0};
-  bool countsOrders{false};
+  Uint64 sequence{100}, highestTerm{0}, commandCount{0};
+  bool reportsCommandCount{false};
   std::set<BlockHash> cachedBlocks;
   std::vector<CacheEvent> events;
   bool reachable{true}, repliesToCommands{true}, executesCommands{true}, losesEvents{false};
@@ -138,7 +138,7 @@
     for (auto saves = std::move(effects.saves); !saves.empty();) {
       Effects later{now, randomSource, core.journal, {}, {}};
       for (auto& save : saves)
-        if (save.then) save.then(later);
+        if (save.onSynced) save.onSynced(later);
       sendEffects(address, later);
       saves = std::move(later.saves);
     }
@@ -156,16 +156,16 @@
         report.weights = worker.weights;
         report.model = "moss";
         report.draining = !worker.loadingWeights.empty();
-        report.countsOrders = worker.countsOrders;
-        report.orders = worker.orders;
+        report.reportsCommandCount = worker.reportsCommandCount;
+        report.commandCount = worker.commandCount;
         return sendReply(worker, from, report);
       }
       report.gaps = true;
       report.incarnation = worker.incarnation;
       report.sequence = worker.sequence;
-      report.whole = ask->whole;
-      if (ask->whole) {
-        report.kept.assign(worker.cachedBlocks.begin(), worker.cachedBlocks.end());
+      report.complete = ask->complete;
+      if (ask->complete) {
+        report.cachedBlocks.assign(worker.cachedBlocks.begin(), worker.cachedBlocks.end());
       } else {
         report.lost = worker.losesEvents || ask->incarnation != worker.incarnation;
         for (const auto& event : worker.events)
@@ -256,7 +256,7 @@
     std::size_t count = 0;
     for (const auto& row : sentMessages<ReportAsk>(since)) {
       const auto& ask = std::get<ReportAsk>(row.message);
-      count += ask.worker == worker && ask.whole;
+      count += ask.worker == worker && ask.complete;
     }
     return count;
   }
--- a/tests/cells.cpp
+++ b/tests/cells.cpp
@@ -1,7 +1,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "cell_bench.hpp"
+#include "cell_harness.hpp"
 
 using namespace tt;
 
@@ -160,7 +160,7 @@
     const auto& news = harness.cores.begin()->second.news.back();
     maxWithheld = std::max<std::size_t>(
         maxWithheld, static_cast<std::size_t>(std::count_if(news.workers.begin(), news.workers.end(),
-                                                            [](const auto& row) { return row.held; })));
+                                                            [](const auto& row) { return row.withheld; })));
   });
   auto commands = harness.sentMessages<ControlAsk>();
   cr_expect_eq(commands.size(), 7u, "one command for each worker");
@@ -175,7 +175,7 @@
   for (const auto& [name, worker] : harness.workers) cr_expect_eq(worker.weights, "moss/4");
   for (const auto& view : harness.cores.begin()->second.news.back().workers) {
     cr_expect_eq(view.weights, "moss/4");
-    cr_expect_not(view.held, "%s is released", view.name.c_str());
+    cr_expect_not(view.withheld, "%s is released", view.name.c_str());
   }
 }
 
@@ -188,7 +188,7 @@
   std::map<std::string, TimePoint> withheldAt;
   harness.run(12s, [&] {
     for (const auto& view : harness.cores.begin()->second.news.back().workers)
-      if (view.held) withheldAt.emplace(view.name, harness.now);
+      if (view.withheld) withheldAt.emplace(view.name, harness.now);
   });
   for (const auto& [name, worker] : harness.workers) {
     cr_assert_eq(harness.commandsTo(name).size(), 1u);
@@ -263,18 +263,18 @@
 Test(cells, a_command_expects_the_command_count_that_the_worker_last_reported) {
   CellHarness harness;
   harness.listWorkers(2);
-  harness.workers["w2"].countsOrders = true;
-  harness.workers["w2"].orders = 7;
+  harness.workers["w2"].reportsCommandCount = true;
+  harness.workers["w2"].commandCount = 7;
   harness.runUntilLeaseHeld();
   harness.run(4s);
   harness.announce("moss/4");
   harness.run(8s);
   cr_assert_not(harness.commandsTo("w1").empty());
   cr_assert_not(harness.commandsTo("w2").empty());
-  cr_expect_not(std::get<ControlAsk>(harness.commandsTo("w1")[0].message).expects, "it reported no count");
+  cr_expect_not(std::get<ControlAsk>(harness.commandsTo("w1")[0].message).checksCommandCount, "it reported no count");
   auto counted = std::get<ControlAsk>(harness.commandsTo("w2")[0].message);
-  cr_expect(counted.expects);
-  cr_expect_eq(counted.expected, 7u);
+  cr_expect(counted.checksCommandCount);
+  cr_expect_eq(counted.expectedCommandCount, 7u);
 }
 
 /// The lease can expire between the decision to send a command and its write, for example while the process is frozen.
@@ -391,5 +391,5 @@
   harness.run(16s);
   for (const auto& [name, worker] : harness.workers)
     cr_expect_eq(worker.weights, "moss/5", "%s has %s", name.c_str(), worker.weights.c_str());
-  for (const auto& view : harness.cores.begin()->second.news.back().workers) cr_expect_not(view.held);
+  for (const auto& view : harness.cores.begin()->second.news.back().workers) cr_expect_not(view.withheld);
 }
--- a/tests/core_bench.hpp
+++ b/tests/core_harness.hpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 
 #include "core.hpp"
-#include "timing_kept.hpp"
+#include "timing_guard.hpp"
 
 /// A test harness for control processes on a simulated clock, network and disks.
 namespace tt {
@@ -22,7 +22,7 @@
     RecoveredState disk;
     std::vector<Effects::Save> syncing;
     TimePoint syncedAt{};
-    bool alive{false}, mayForm{false};
+    bool alive{false}, mayBootstrap{false};
     /// Incremented at each start and stop, so that messages to an earlier process are dropped.
     std::uint64_t incarnation{0};
   };
@@ -59,7 +59,7 @@
     machine.nodeName = nodeName;
     machine.address = name + ":1";
   }
-  void start(const std::string& name, bool mayForm) {
+  void start(const std::string& name, bool mayBootstrap) {
     auto& machine = machines.at(name);
     cr_assert_not(machine.alive);
     machine.alive = true;
@@ -70,7 +70,7 @@
     settings.zone = "north-a";
     settings.seeds = seeds;
     settings.zones = {"north-a"};
-    settings.mayForm = mayForm;
+    settings.mayBootstrap = mayBootstrap;
     settings.cell.separateStatus = settings.cell.singleLoadCommand = settings.cell.onlySeedsBootstrap = true;
     settings.cell.publishSummaries = false;
     machine.core = std::make_unique<Core>(settings, machine.disk, randomSource, now);
@@ -123,7 +123,7 @@
     for (const auto& save : saves) cr_assert(machine.disk.applyRecord(save.record));
     with(machine, [&](Effects& effects, Core&) {
       for (auto& save : saves)
-        if (save.then) save.then(effects);
+        if (save.onSynced) save.onSynced(effects);
     });
   }
   void step() {
--- a/tests/drain_plan.cpp
+++ b/tests/drain_plan.cpp
@@ -1,5 +1,5 @@
 #include "drain_plan.hpp"
-#include "routing_bench.hpp"
+#include "proxy_router_harness.hpp"
 
 using namespace tt;
 
@@ -15,18 +15,18 @@
     router->drain(plan);
   }
   void runTo(TimePoint time) { run(time - now); }
-  void sendChunk(const std::string& orderId, const std::string& text, const std::string& piece = {}) {
-    deliver("worker", WorkerChunk{attemptsOf(orderId).back().orderId, text, piece});
+  void sendChunk(const std::string& requestId, const std::string& text, const std::string& piece = {}) {
+    deliver("worker", WorkerChunk{attemptsOf(requestId).back().requestId, text, piece});
   }
-  void finishAttempt(const std::string& orderId, OrderOutcome outcome = OrderOutcome::done) {
-    deliver("worker", WorkerEnd{attemptsOf(orderId).back().orderId, static_cast<int>(outcome), 0, 0, 0, 0});
+  void finishAttempt(const std::string& requestId, AttemptOutcome outcome = AttemptOutcome::done) {
+    deliver("worker", WorkerEnd{attemptsOf(requestId).back().requestId, static_cast<int>(outcome), 0, 0, 0, 0});
   }
-  void expectDenied(const std::string& orderId) {
-    auto status = finalStatusOf(orderId);
+  void expectDenied(const std::string& requestId) {
+    auto status = finalStatusOf(requestId);
     cr_expect_eq(status.verdict, "not run");
     cr_expect_eq(status.code, static_cast<int>(Code::stopping));
     cr_expect_gt(status.retryAfterMs, 0, "the client is told when to come back");
-    cr_expect(attemptsOf(orderId).empty(), "it is sent to no worker");
+    cr_expect(attemptsOf(requestId).empty(), "it is sent to no worker");
   }
 };
 }  // namespace
@@ -47,11 +47,11 @@
   DrainingProxy proxy;
   for (TimePoint at = proxy.now; at < proxy.plan.refusesFrom - 20ms; at += 500ms) {
     proxy.runTo(at);
-    auto orderId = proxy.submit("/stream/x");
+    auto requestId = proxy.submit("/stream/x");
     proxy.run(20ms);
-    cr_expect_eq(proxy.attemptsOf(orderId).size(), 1u);
-    proxy.finishAttempt(orderId);
-    cr_expect_eq(proxy.finalStatusOf(orderId).verdict, "done");
+    cr_expect_eq(proxy.attemptsOf(requestId).size(), 1u);
+    proxy.finishAttempt(requestId);
+    cr_expect_eq(proxy.finalStatusOf(requestId).verdict, "done");
   }
 }
 
@@ -86,8 +86,8 @@
             "no request is ended before");
   auto dropsBefore = proxy.dropCount;
   proxy.run(50ms);
-  for (const auto& orderId : {started, unstarted}) {
-    auto status = proxy.finalStatusOf(orderId);
+  for (const auto& requestId : {started, unstarted}) {
+    auto status = proxy.finalStatusOf(requestId);
     cr_expect_eq(status.verdict, "failed", "it was sent, so it may have run");
     cr_expect_eq(status.code, static_cast<int>(Code::stopping));
   }
@@ -102,11 +102,11 @@
   proxy.runTo(proxy.plan.endsAt - 10ms);
   auto shortRequest = proxy.clientRequest("/stream/x");
   shortRequest.deadlineMs = 5;
-  auto orderId = proxy.submit(shortRequest);
+  auto requestId = proxy.submit(shortRequest);
   proxy.run(50ms);
-  auto status = proxy.finalStatusOf(orderId);
+  auto status = proxy.finalStatusOf(requestId);
   cr_expect_eq(status.verdict, "not run");
-  cr_expect(proxy.attemptsOf(orderId).empty());
+  cr_expect(proxy.attemptsOf(requestId).empty());
 }
 
 /// Submits requests with random deadlines at random times to a draining proxy. Their workers take a random time, or
@@ -118,9 +118,9 @@
     auto randomBelow = [&](std::uint64_t below) { return randomSource() % below; };
     DrainingProxy proxy;
     struct SubmittedRequest {
-      std::string orderId;
+      std::string requestId;
       TimePoint at, deadline, finishAt;
-      OrderOutcome outcome;
+      AttemptOutcome outcome;
     };
     std::vector<SubmittedRequest> submittedRequests;
     while (proxy.now < proxy.plan.exitsBy) {
@@ -133,19 +133,19 @@
         TimePoint deadline = proxy.now + std::min<Duration>(timeout, std::chrono::milliseconds(request.deadlineMs));
         submittedRequests.push_back(SubmittedRequest{proxy.submit(request), proxy.now, deadline,
                                                      proxy.now + std::chrono::milliseconds(20 + randomBelow(6000)),
-                                                     randomBelow(10) ? OrderOutcome::done : OrderOutcome::broken});
+                                                     randomBelow(10) ? AttemptOutcome::done : AttemptOutcome::broken});
       }
       for (const auto& row : submittedRequests)
-        if (proxy.now >= row.finishAt && proxy.finalStatusesOf(row.orderId).empty() &&
-            !proxy.attemptsOf(row.orderId).empty())
-          proxy.finishAttempt(row.orderId, row.outcome);
+        if (proxy.now >= row.finishAt && proxy.finalStatusesOf(row.requestId).empty() &&
+            !proxy.attemptsOf(row.requestId).empty())
+          proxy.finishAttempt(row.requestId, row.outcome);
     }
     cr_expect_eq(proxy.router->openRequests(), 0u, "seed %lu", seed);
     for (const auto& row : submittedRequests) {
-      auto status = proxy.finalStatusOf(row.orderId);
+      auto status = proxy.finalStatusOf(row.requestId);
       bool endedByDrain = status.code == static_cast<int>(Code::stopping) && status.verdict != "not run";
       bool excused = row.at < proxy.plan.refusesFrom || row.deadline <= proxy.plan.endsAt;
-      cr_expect(!endedByDrain || excused, "seed %lu: %s", seed, row.orderId.c_str());
+      cr_expect(!endedByDrain || excused, "seed %lu: %s", seed, row.requestId.c_str());
     }
   }
 }
--- a/tests/fleet_bench.hpp
+++ b/tests/fleet_harness.hpp
@@ -5,7 +5,7 @@
 
 #include "agent.hpp"
 #include "core.hpp"
-#include "timing_kept.hpp"
+#include "timing_guard.hpp"
 
 namespace tt {
 
@@ -58,7 +58,7 @@
     machine.address = name + ":1";
     return machine;
   }
-  void startCore(const std::string& name, bool mayForm) {
+  void startCore(const std::string& name, bool mayBootstrap) {
     auto& machine = findOrCreateMachine(name);
     CoreSettings settings;
     settings.name = name;
@@ -66,7 +66,7 @@
     settings.zone = "north-a";
     settings.seeds = {"core-1:1", "core-2:1", "core-3:1"};
     settings.zones = {"north-a"};
-    settings.mayForm = mayForm;
+    settings.mayBootstrap = mayBootstrap;
     settings.cell.separateStatus = settings.cell.singleLoadCommand = settings.cell.onlySeedsBootstrap = true;
     settings.cell.publishSummaries = false;
     auto core = std::make_unique<Core>(settings, machine.disk, randomSource, now);
@@ -145,7 +145,7 @@
     for (const auto& save : saves) cr_assert(machine.disk.applyRecord(save.record));
     with(machine, [&](Effects& effects) {
       for (auto& save : saves)
-        if (save.then) save.then(effects);
+        if (save.onSynced) save.onSynced(effects);
     });
   }
   void deliver(Envelope envelope, std::uint64_t incarnation) {
--- a/tests/freshness.cpp
+++ b/tests/freshness.cpp
@@ -1,8 +1,8 @@
 #include <algorithm>
 
-#include "fleet_bench.hpp"
-#include "host.hpp"
+#include "fleet_harness.hpp"
 #include "members.hpp"
+#include "node_host.hpp"
 
 using namespace tt;
 
--- a/tests/fuzz_findings.cpp
+++ b/tests/fuzz_findings.cpp
@@ -1,7 +1,7 @@
 #include <criterion/criterion.h>
 
 #include "configuration.hpp"
-#include "contract.hpp"
+#include "json_bodies.hpp"
 #include "manifests.hpp"
 #include "scenario.hpp"
 
--- a/tests/gate.cpp
+++ b/tests/gate.cpp
@@ -1,4 +1,4 @@
-#include "gate_fixture.hpp"
+#include "http_server_fixture.hpp"
 
 using namespace tt;
 using namespace tt::gatetest;
--- a/tests/gate_faults.cpp
+++ b/tests/gate_faults.cpp
@@ -3,7 +3,7 @@
 #include <csignal>
 
 #include "core.hpp"
-#include "gate_fixture.hpp"
+#include "http_server_fixture.hpp"
 #include "web.hpp"
 
 using namespace tt;
@@ -145,7 +145,7 @@
     for (auto& sent : effects.sends) out.push_back(std::move(sent));
     for (auto& save : effects.saves) {
       cr_assert(disk.applyRecord(save.record));
-      if (save.then) with(save.then);
+      if (save.onSynced) with(save.onSynced);
     }
   }
   void handle(const std::string& from, const Message& message) {
--- a/tests/history_lines.cpp
+++ b/tests/history_lines.cpp
@@ -20,19 +20,19 @@
   change.valid = true;
   change.items = {ItemChange{"routes.a", "{\"model\":\"m\"}"}, ItemChange{"routes.b", std::nullopt}};
   change.outcome = OperationOutcome::taken;
-  change.seenRevision = 4;
+  change.resultRevision = 4;
   Operation again = change;
   again.ended.reset();
   again.outcome = OperationOutcome::unclear;
-  again.seenRevision = 0;
+  again.resultRevision = 0;
   Operation read;
   read.client = "reader";
   read.kind = OperationKind::readConfiguration;
   read.began = 3000;
   read.ended = 3001;
   read.outcome = OperationOutcome::seen;
-  read.seenRevision = 4;
-  read.seenDigest = contentDigest({{"routes.a", "{\"model\":\"m\"}"}});
+  read.resultRevision = 4;
+  read.resultDigest = contentDigest({{"routes.a", "{\"model\":\"m\"}"}});
   return {writeInitial(3, {{"routes.b", "{\"model\":\"m\"}"}}), writeOperation(change), writeOperation(again),
           writeOperation(read)};
 }
@@ -49,8 +49,8 @@
     cr_expect_str_eq(written.c_str(), lines[at + 1].c_str());
   }
   auto verdict = checkHistory(history.value());
-  cr_expect(verdict.linearizable, "%s", verdict.trouble.c_str());
-  history.value().operations.back().seenRevision = 3;
+  cr_expect(verdict.linearizable, "%s", verdict.explanation.c_str());
+  history.value().operations.back().resultRevision = 3;
   cr_expect_not(checkHistory(history.value()).linearizable);
 }
 
--- a/tests/gate_fixture.hpp
+++ b/tests/http_server_fixture.hpp
@@ -5,7 +5,7 @@
 #include <future>
 #include <thread>
 
-#include "gate.hpp"
+#include "http_server.hpp"
 
 /// Shared by the tests of HttpServer: a server on its own thread, clients on plain sockets, and handlers.
 namespace tt::gatetest {
--- a/tests/leave_by.cpp
+++ b/tests/leave_by.cpp
@@ -36,8 +36,8 @@
     asio::write(client, asio::buffer("GET /x HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: " + attempt + "\r\n\r\n"));
     cr_assert(until([&] { return lastDelivered<CallerOrder>() != nullptr; }));
     WorkerOrder order;
-    order.callerOrderId = lastDelivered<CallerOrder>()->orderId;
-    order.orderId = order.callerOrderId + ".1";
+    order.clientRequestId = lastDelivered<CallerOrder>()->requestId;
+    order.requestId = order.clientRequestId + ".1";
     order.deadlineMs = 4000;
     return order;
   }
@@ -45,7 +45,7 @@
   std::size_t arrived() const { return worker.copies("X-Attempt-Id: a-" + std::to_string(requestCount) + "\r\n"); }
   void expectUnsent() {
     cr_assert(until([&] { return lastDelivered<WorkerEnd>() != nullptr; }), "the end must be delivered to the router");
-    cr_expect_eq(lastDelivered<WorkerEnd>()->outcome, static_cast<int>(OrderOutcome::brokenBeforeSend));
+    cr_expect_eq(lastDelivered<WorkerEnd>()->outcome, static_cast<int>(AttemptOutcome::brokenBeforeSend));
     pass(50ms);
     cr_expect_eq(arrived(), 0u);
   }
--- a/tests/linearizability.cpp
+++ b/tests/linearizability.cpp
@@ -21,7 +21,7 @@
 }
 Operation taken(Operation operation) {
   operation.outcome = OperationOutcome::taken;
-  operation.seenRevision = operation.revision;
+  operation.resultRevision = operation.revision;
   return operation;
 }
 Operation refused(Operation operation) {
@@ -39,10 +39,10 @@
   operation.began = began;
   operation.ended = ended;
   operation.outcome = OperationOutcome::seen;
-  operation.seenRevision = revision;
+  operation.resultRevision = revision;
   RegisterItems items;
   for (const auto& id : ids) items["routes." + id] = "{\"of\":\"" + id + "\"}";
-  operation.seenDigest = contentDigest(items);
+  operation.resultDigest = contentDigest(items);
   return operation;
 }
 Operation names(std::int64_t began, std::int64_t ended, std::uint64_t revision) {
@@ -59,7 +59,7 @@
   Operation operation = names(began, ended, 0);
   operation.kind = OperationKind::readWeights;
   operation.outcome = OperationOutcome::seen;
-  operation.seenRevision = revision;
+  operation.resultRevision = revision;
   return operation;
 }
 
@@ -71,13 +71,13 @@
 
 void expectGood(const std::vector<Operation>& operations) {
   auto verdict = checkHistory(historyOf(operations));
-  cr_expect(verdict.linearizable && !verdict.undecided, "%s", verdict.trouble.c_str());
+  cr_expect(verdict.linearizable && !verdict.undecided, "%s", verdict.explanation.c_str());
 }
 void expectBad(const std::vector<Operation>& operations, const std::string& reason) {
   auto verdict = checkHistory(historyOf(operations));
   cr_expect_not(verdict.linearizable, "taken for good, should be: %s", reason.c_str());
-  cr_expect_neq(verdict.trouble.find(reason), std::string::npos, "wanted '%s' in: %s", reason.c_str(),
-                verdict.trouble.c_str());
+  cr_expect_neq(verdict.explanation.find(reason), std::string::npos, "wanted '%s' in: %s", reason.c_str(),
+                verdict.explanation.c_str());
 }
 
 /// The register taken word for word: every attempt by itself, in every order, nothing remembered.
@@ -128,7 +128,7 @@
   }
   bool binds(const Operation& earlier, const Operation& later) const {
     bool reads = later.kind == OperationKind::readConfiguration || later.kind == OperationKind::readWeights;
-    if (history.readsInOrder || !reads) return true;
+    if (history.linearizableReads || !reads) return true;
     bool ofWeights = later.kind == OperationKind::readWeights;
     auto change = ofWeights ? OperationKind::nameWeights : OperationKind::change;
     if (earlier.kind == change) return earlier.outcome == OperationOutcome::taken;
@@ -142,12 +142,12 @@
         return afterNaming(std::move(state), operation);
       case OperationKind::readConfiguration:
         if (operation.outcome == OperationOutcome::unclear) return state;
-        if (operation.seenRevision != state.revision) return std::nullopt;
-        if (operation.seenDigest && *operation.seenDigest != contentDigest(state.items)) return std::nullopt;
+        if (operation.resultRevision != state.revision) return std::nullopt;
+        if (operation.resultDigest && *operation.resultDigest != contentDigest(state.items)) return std::nullopt;
         return state;
       case OperationKind::readWeights:
         if (operation.outcome == OperationOutcome::unclear) return state;
-        if (operation.seenRevision != state.weights[operation.model]) return std::nullopt;
+        if (operation.resultRevision != state.weights[operation.model]) return std::nullopt;
         return state;
     }
     return std::nullopt;
@@ -165,12 +165,12 @@
     }
     bool acknowledged = operation.outcome == OperationOutcome::taken;
     if (wasTaken) {
-      if (acknowledged && operation.seenRevision && operation.seenRevision != known->second) return std::nullopt;
+      if (acknowledged && operation.resultRevision && operation.resultRevision != known->second) return std::nullopt;
       return state;
     }
     if (stale || state.refusedIds.count(operation.changeId) || !operation.valid.value_or(true)) return std::nullopt;
     state.revision = operation.revision ? operation.revision : state.revision + 1;
-    if (acknowledged && operation.seenRevision && operation.seenRevision != state.revision) return std::nullopt;
+    if (acknowledged && operation.resultRevision && operation.resultRevision != state.revision) return std::nullopt;
     state.items = itemsAfter(state.items, operation);
     state.revisionOfChange[operation.changeId] = state.revision;
     return state;
@@ -200,7 +200,7 @@
     std::size_t changes = 1 + randomBelow(3);
     for (std::size_t number = 0; number < changes; ++number) pool.push_back(poolChange(number));
     std::size_t count = 2 + randomBelow(5);
-    history.readsInOrder = randomBelow(2) == 0;
+    history.linearizableReads = randomBelow(2) == 0;
     for (std::size_t number = 0; number < count; ++number) addOne();
     return history;
   }
@@ -220,7 +220,7 @@
     auto made = change(std::string(1, static_cast<char>('a' + number)), 0, 0, std::nullopt, 0);
     if (randomBelow(4)) made.base = randomBelow(3);
     if (randomBelow(3)) made.revision = 1 + randomBelow(4);
-    made.whole = randomBelow(4) == 0;
+    made.complete = randomBelow(4) == 0;
     if (randomBelow(3) == 0) made.items = {ItemChange{"routes.shared", "{\"" + made.changeId + "\":1}"}};
     if (randomBelow(6) == 0) made.items.push_back(ItemChange{"routes.a", std::nullopt});
     if (randomBelow(4) == 0) made.valid = randomBelow(2) == 0;
@@ -247,7 +247,7 @@
     bool lies = randomBelow(14) == 0;
     if (revisionOfChange.count(made.changeId)) {
       made.outcome = lies ? OperationOutcome::refusedStale : OperationOutcome::taken;
-      made.seenRevision = revisionOfChange[made.changeId];
+      made.resultRevision = revisionOfChange[made.changeId];
     } else if (!made.valid.value_or(true)) {
       made.outcome = lies ? OperationOutcome::taken : OperationOutcome::refusedInvalid;
     } else if (stale != lies || refusedIds.count(made.changeId)) {
@@ -255,21 +255,21 @@
       refusedIds.insert(made.changeId);
     } else {
       made.outcome = OperationOutcome::taken;
-      made.seenRevision = made.revision ? made.revision : revision + 1;
-      states.emplace_back(made.seenRevision, itemsAfter(states.back().second, made));
-      revisionOfChange[made.changeId] = made.seenRevision;
+      made.resultRevision = made.revision ? made.revision : revision + 1;
+      states.emplace_back(made.resultRevision, itemsAfter(states.back().second, made));
+      revisionOfChange[made.changeId] = made.resultRevision;
     }
-    if (randomBelow(5) == 0) made.seenRevision = 0;
+    if (randomBelow(5) == 0) made.resultRevision = 0;
     if (randomBelow(4) == 0) made.outcome = OperationOutcome::unclear;
     return made;
   }
   Operation answeredRead() {
     auto made = reads(0, 0, 0, {});
     const auto& shown = states[randomBelow(8) ? states.size() - 1 : randomBelow(states.size())];
-    made.seenRevision = shown.first;
-    made.seenDigest = contentDigest(
+    made.resultRevision = shown.first;
+    made.resultDigest = contentDigest(
         states[randomBelow(14) ? std::size_t(&shown - states.data()) : randomBelow(states.size())].second);
-    if (randomBelow(4) == 0) made.seenDigest.reset();
+    if (randomBelow(4) == 0) made.resultDigest.reset();
     made.through = randomBelow(2) ? "core-1" : "core-2";
     if (randomBelow(8) == 0) made.outcome = OperationOutcome::unclear;
     return made;
@@ -319,10 +319,10 @@
   late.through = "core-2";
   auto history = historyOf({taken(change("a", 0, 10, 0, 2)), taken(change("b", 11, 20, 2, 4)), early, late});
   cr_expect_not(checkHistory(history).linearizable);
-  history.readsInOrder = false;
+  history.linearizableReads = false;
   auto verdict = checkHistory(history);
-  cr_expect(verdict.linearizable, "%s", verdict.trouble.c_str());
-  cr_expect_eq(verdict.readsBehind, 1u);
+  cr_expect(verdict.linearizable, "%s", verdict.explanation.c_str());
+  cr_expect_eq(verdict.nonMonotonicReads, 1u);
   history.operations[3].through = "core-1";
   cr_expect_not(checkHistory(history).linearizable);
   history.operations[3].through = "core-2";
@@ -401,9 +401,10 @@
   }
   auto verdict = checkHistory(historyOf(operations));
   cr_assert_not(verdict.linearizable);
-  cr_expect_neq(verdict.trouble.find("older than revision 151"), std::string::npos, "%s", verdict.trouble.c_str());
-  cr_expect_neq(verdict.trouble.find("c150"), std::string::npos, "%s", verdict.trouble.c_str());
-  cr_expect_lt(std::count(verdict.trouble.begin(), verdict.trouble.end(), '\n'), 10);
+  cr_expect_neq(verdict.explanation.find("older than revision 151"), std::string::npos, "%s",
+                verdict.explanation.c_str());
+  cr_expect_neq(verdict.explanation.find("c150"), std::string::npos, "%s", verdict.explanation.c_str());
+  cr_expect_lt(std::count(verdict.explanation.begin(), verdict.explanation.end(), '\n'), 10);
 }
 
 Test(linearizability, a_day_of_hundreds_with_some_unclear_takes_few_steps) {
@@ -425,12 +426,12 @@
     }
     for (int reader = 0; reader < 6; ++reader) {
       auto read = reads(clock + 5, clock + 9, revision, {});
-      read.seenDigest = contentDigest(items);
+      read.resultDigest = contentDigest(items);
       operations.push_back(read);
     }
   }
   auto verdict = checkHistory(historyOf(operations));
-  cr_expect(verdict.linearizable && !verdict.undecided, "%s", verdict.trouble.c_str());
+  cr_expect(verdict.linearizable && !verdict.undecided, "%s", verdict.explanation.c_str());
   cr_expect_lt(verdict.steps, 5000u);
 }
 
@@ -444,7 +445,7 @@
     for (const auto& operation : history.operations) text += "\n  " + describeOperation(operation);
     cr_assert(!verdict.undecided && verdict.linearizable == wanted,
               "seed %llu: every order says %d, the checker %d %s%s", static_cast<unsigned long long>(seed), wanted,
-              verdict.linearizable, verdict.trouble.c_str(), text.c_str());
+              verdict.linearizable, verdict.explanation.c_str(), text.c_str());
     (wanted ? good : bad) += 1;
   }
   cr_expect_gt(good, 2000u);
--- a/tests/list_faults.cpp
+++ b/tests/list_faults.cpp
@@ -1,4 +1,4 @@
-#include "list_reader.hpp"
+#include "machine_list_reader.hpp"
 #include "raw_server.hpp"
 
 using namespace tt;
--- a/tests/load.cpp
+++ b/tests/load.cpp
@@ -1,8 +1,8 @@
 #include <algorithm>
 
-#include "cell_bench.hpp"
+#include "cell_harness.hpp"
 #include "core.hpp"
-#include "routing_bench.hpp"
+#include "proxy_router_harness.hpp"
 
 using namespace tt;
 
@@ -14,7 +14,7 @@
 }
 
 CellNews cellUpdate(Uint64 term, Uint64 sequence, Uint64 base, const std::vector<WorkerView>& workers,
-                    const Strings& gone = {}) {
+                    const Strings& removedWorkers = {}) {
   CellNews update;
   update.zone = "north-a";
   update.term = term;
@@ -22,7 +22,7 @@
   update.base = base;
   update.holder = "holder:1";
   update.workers = workers;
-  update.gone = gone;
+  update.removedWorkers = removedWorkers;
   return update;
 }
 
@@ -35,41 +35,43 @@
 }  // namespace
 
 Test(load, a_delta_update_changes_only_the_rows_it_names) {
-  CellNews kept;
-  cr_assert(applyCellNews(kept, cellUpdate(2, 4, 0, {workerView("w1", 1), workerView("w2", 2), workerView("w3", 3)})));
-  cr_expect(applyCellNews(kept, cellUpdate(2, 5, 4, {workerView("w2", 7), workerView("w4", 4)}, {"w1"})));
-  cr_expect(waitingByWorker(kept) == (Waiting{{"w2", 7}, {"w3", 3}, {"w4", 4}}));
-  cr_expect_eq(kept.sequence, 5u);
-  cr_expect_eq(kept.base, 0u, "the merged state is full and can be passed on as such");
-  cr_expect(kept.gone.empty());
-  cr_expect(applyCellNews(kept, cellUpdate(2, 6, 5, {})));
-  cr_expect(waitingByWorker(kept) == (Waiting{{"w2", 7}, {"w3", 3}, {"w4", 4}}));
-  cr_expect_eq(kept.sequence, 6u);
+  CellNews cachedBlocks;
+  cr_assert(applyCellUpdate(cachedBlocks,
+                            cellUpdate(2, 4, 0, {workerView("w1", 1), workerView("w2", 2), workerView("w3", 3)})));
+  cr_expect(applyCellUpdate(cachedBlocks, cellUpdate(2, 5, 4, {workerView("w2", 7), workerView("w4", 4)}, {"w1"})));
+  cr_expect(waitingByWorker(cachedBlocks) == (Waiting{{"w2", 7}, {"w3", 3}, {"w4", 4}}));
+  cr_expect_eq(cachedBlocks.sequence, 5u);
+  cr_expect_eq(cachedBlocks.base, 0u, "the merged state is full and can be passed on as such");
+  cr_expect(cachedBlocks.removedWorkers.empty());
+  cr_expect(applyCellUpdate(cachedBlocks, cellUpdate(2, 6, 5, {})));
+  cr_expect(waitingByWorker(cachedBlocks) == (Waiting{{"w2", 7}, {"w3", 3}, {"w4", 4}}));
+  cr_expect_eq(cachedBlocks.sequence, 6u);
   CellNews other;
-  cr_expect(applyCellNews(other, kept), "a third reader may apply the merged state");
-  cr_expect(waitingByWorker(other) == waitingByWorker(kept));
+  cr_expect(applyCellUpdate(other, cachedBlocks), "a third reader may apply the merged state");
+  cr_expect(waitingByWorker(other) == waitingByWorker(cachedBlocks));
 }
 
 Test(load, a_delta_with_another_base_or_term_is_rejected_and_a_full_update_after_it_is_applied) {
-  CellNews kept;
-  cr_expect_not(applyCellNews(kept, cellUpdate(2, 5, 4, {workerView("w1")})), "there is nothing to merge with");
-  cr_expect(kept.workers.empty());
-  cr_assert(applyCellNews(kept, cellUpdate(2, 4, 0, {workerView("w1", 1), workerView("w2", 2)})));
-  auto before = waitingByWorker(kept);
+  CellNews cachedBlocks;
+  cr_expect_not(applyCellUpdate(cachedBlocks, cellUpdate(2, 5, 4, {workerView("w1")})),
+                "there is nothing to merge with");
+  cr_expect(cachedBlocks.workers.empty());
+  cr_assert(applyCellUpdate(cachedBlocks, cellUpdate(2, 4, 0, {workerView("w1", 1), workerView("w2", 2)})));
+  auto before = waitingByWorker(cachedBlocks);
   for (const auto& update :
        {cellUpdate(2, 6, 5, {workerView("w1", 9)}, {"w2"}), cellUpdate(3, 5, 4, {workerView("w1", 9)}, {"w2"}),
         cellUpdate(1, 5, 4, {workerView("w1", 9)}, {"w2"}), cellUpdate(2, 4, 3, {workerView("w1", 9)}, {"w2"}),
         cellUpdate(2, 5, 3, {workerView("w1", 9)}, {"w2"})}) {
-    cr_expect_not(applyCellNews(kept, update));
-    cr_expect(waitingByWorker(kept) == before);
-    cr_expect_eq(kept.term, 2u);
-    cr_expect_eq(kept.sequence, 4u);
-  }
-  cr_expect(applyCellNews(kept, cellUpdate(2, 7, 0, {workerView("w3", 5)})));
-  cr_expect(waitingByWorker(kept) == (Waiting{{"w3", 5}}));
-  cr_expect(applyCellNews(kept, cellUpdate(3, 1, 0, {workerView("w4", 6)})),
+    cr_expect_not(applyCellUpdate(cachedBlocks, update));
+    cr_expect(waitingByWorker(cachedBlocks) == before);
+    cr_expect_eq(cachedBlocks.term, 2u);
+    cr_expect_eq(cachedBlocks.sequence, 4u);
+  }
+  cr_expect(applyCellUpdate(cachedBlocks, cellUpdate(2, 7, 0, {workerView("w3", 5)})));
+  cr_expect(waitingByWorker(cachedBlocks) == (Waiting{{"w3", 5}}));
+  cr_expect(applyCellUpdate(cachedBlocks, cellUpdate(3, 1, 0, {workerView("w4", 6)})),
             "another lease holder begins with a full update");
-  cr_expect(waitingByWorker(kept) == (Waiting{{"w4", 6}}));
+  cr_expect(waitingByWorker(cachedBlocks) == (Waiting{{"w4", 6}}));
 }
 
 namespace {
@@ -77,7 +79,7 @@
 struct SingleCellHarness {
   struct TestCacheNode {
     bool store{false};
-    std::set<BlockHash> kept;
+    std::set<BlockHash> cachedBlocks;
     std::vector<CacheEvent> events;
     Uint64 sequence{0};
     int running{0}, waiting{0};
@@ -109,7 +111,7 @@
     cell->publish = [this](Effects&, const CellNews& update) {
       updates.push_back(update);
       updatedAt.push_back(now);
-      rejectedUpdates += !applyCellNews(follower, update);
+      rejectedUpdates += !applyCellUpdate(follower, update);
     };
   }
   void setMachineList(const Strings& workers, const Strings& stores = {}) {
@@ -135,7 +137,7 @@
   }
   void evict(const std::string& cacheNode, const std::string& id) {
     auto& row = cacheNodes.at(cacheNode);
-    row.kept.erase(hashPromptPart("salt", id));
+    row.cachedBlocks.erase(hashPromptPart("salt", id));
     row.events.push_back(
         CacheEvent{++row.sequence, static_cast<int>(CacheEventKind::removed), {hashPromptPart("salt", id)}});
   }
@@ -146,7 +148,7 @@
     for (auto saves = std::move(effects.saves); !saves.empty();) {
       Effects later{now, randomSource, journal, {}, {}};
       for (auto& save : saves)
-        if (save.then) save.then(later);
+        if (save.onSynced) save.onSynced(later);
       for (auto& send : later.sends) sends.push_back(std::move(send));
       saves = std::move(later.saves);
     }
@@ -174,11 +176,11 @@
       report.gaps = true;
       report.incarnation = "1";
       report.sequence = cacheNode.sequence;
-      report.whole = request.whole;
+      report.complete = request.complete;
       report.lost = request.incarnation != "1";
-      if (request.whole) report.kept.assign(cacheNode.kept.begin(), cacheNode.kept.end());
+      if (request.complete) report.cachedBlocks.assign(cacheNode.cachedBlocks.begin(), cacheNode.cachedBlocks.end());
       for (const auto& event : cacheNode.events)
-        if (!request.whole && event.sequence > request.after) report.events.push_back(event);
+        if (!request.complete && event.sequence > request.after) report.events.push_back(event);
     }
     with([&](Effects& effects) { cell->handle(effects, request.worker + ":80", report); });
   }
@@ -237,7 +239,7 @@
   for (std::size_t at = before; at < harness.updates.size(); ++at) {
     cr_expect_eq(harness.updates[at].base, harness.updates[at].sequence - 1);
     cr_expect(harness.updates[at].workers.empty());
-    cr_expect(harness.updates[at].gone.empty());
+    cr_expect(harness.updates[at].removedWorkers.empty());
   }
   before = harness.updates.size();
   harness.cacheNodes["w3"].waiting = 12;
@@ -260,13 +262,13 @@
   std::size_t before = harness.updates.size();
   harness.setMachineList({"w1", "w3", "w5"});
   harness.run(1s);
-  Strings gone;
+  Strings removedWorkers;
   for (std::size_t at = before; at < harness.updates.size(); ++at) {
     cr_expect_gt(harness.updates[at].base, 0u);
-    for (const auto& name : harness.updates[at].gone) gone.push_back(name);
+    for (const auto& name : harness.updates[at].removedWorkers) removedWorkers.push_back(name);
     for (const auto& worker : harness.updates[at].workers) cr_expect_eq(worker.name, "w5");
   }
-  cr_expect(gone == Strings{"w2"});
+  cr_expect(removedWorkers == Strings{"w2"});
   cr_expect(namesOf(harness.follower) == (Strings{"w1", "w3", "w5"}));
   harness.setMachineList({"w1", "w2", "w3", "w5"});
   harness.run(1s);
@@ -297,8 +299,8 @@
 Test(load, a_store_that_evicts_what_is_then_looked_up_is_given_less) {
   SingleCellHarness harness;
   auto& barn = harness.cacheNodes["barn"];
-  for (int at = 0; at < 400; ++at) barn.kept.insert(hashPromptPart("salt", "p" + std::to_string(at)));
-  barn.kept.insert(hashPromptPart("salt", "system"));
+  for (int at = 0; at < 400; ++at) barn.cachedBlocks.insert(hashPromptPart("salt", "p" + std::to_string(at)));
+  barn.cachedBlocks.insert(hashPromptPart("salt", "system"));
   harness.setMachineList({"w1"}, {"barn"});
   harness.runToNextUpdate();
   harness.run(1s);
@@ -340,7 +342,7 @@
 Test(load, prefixes_a_store_never_had_or_evicted_long_ago_do_not_reduce_its_share) {
   SingleCellHarness harness;
   auto& barn = harness.cacheNodes["barn"];
-  barn.kept = {hashPromptPart("salt", "system"), hashPromptPart("salt", "old")};
+  barn.cachedBlocks = {hashPromptPart("salt", "system"), hashPromptPart("salt", "old")};
   harness.setMachineList({"w1"}, {"barn"});
   harness.runToNextUpdate();
   harness.run(1s);
@@ -478,37 +480,37 @@
   }
   void replyToAllLookups(const Hits& hits = {}, const std::string& exceptNode = {}) {
     for (const auto& lookup : newLookups()) {
-      if (lookup.keeper == exceptNode) continue;
-      auto found = hits.find(lookup.keeper);
+      if (lookup.cacheNode == exceptNode) continue;
+      auto found = hits.find(lookup.cacheNode);
       ProxyHarness::replyTo(lookup, found == hits.end() ? std::vector<int>() : found->second);
     }
   }
   std::string submitAndReply(int number, const std::string& path = "/aim/x",
                              const std::vector<int>& tokens = promptTokens, const Hits& hits = {}) {
-    auto orderId = submit(number, path, tokens);
+    auto requestId = submit(number, path, tokens);
     replyToAllLookups(hits);
-    return orderId;
+    return requestId;
   }
-  void sendChunk(const std::string& orderId) {
-    deliver("worker", WorkerChunk{attempts.at(orderId).back().orderId, "piece", ""});
+  void sendChunk(const std::string& requestId) {
+    deliver("worker", WorkerChunk{attempts.at(requestId).back().requestId, "piece", ""});
   }
-  void endAttempt(const std::string& orderId, OrderOutcome outcome = OrderOutcome::done) {
-    ProxyHarness::endAttempt(attempts.at(orderId).back().orderId, outcome);
+  void endAttempt(const std::string& requestId, AttemptOutcome outcome = AttemptOutcome::done) {
+    ProxyHarness::endAttempt(attempts.at(requestId).back().requestId, outcome);
   }
   /// The store to which a request's worker is told to save the prefix; empty if none.
   std::string storeSavedTo(int number, const Hits& hits = {}, const std::vector<int>& tokens = promptTokens) {
-    auto orderId = submitAndReply(number, "/free/x", tokens, hits);
-    auto attempt = onlyAttempt(orderId);
-    endAttempt(orderId);
+    auto requestId = submitAndReply(number, "/free/x", tokens, hits);
+    auto attempt = onlyAttempt(requestId);
+    endAttempt(requestId);
     return attempt.sinkAddress;
   }
   /// The hash of the prefix that a document's prompt shares with others.
   BlockHash prefixOf(int number) {
-    auto orderId = submit(number, "/free/x");
+    auto requestId = submit(number, "/free/x");
     auto lookups = newLookups();
     cr_assert_not(lookups.empty());
     auto prefix = lookups[0].hashes.back();
-    deliver("caller", CallerGone{orderId});
+    deliver("caller", CallerGone{requestId});
     return prefix;
   }
   /// Submits requests whose responses start after `delay`.
@@ -519,28 +521,28 @@
       (void)onlyAttempt(ids.back());
     }
     run(delay);
-    for (const auto& orderId : ids) {
-      sendChunk(orderId);
-      endAttempt(orderId);
+    for (const auto& requestId : ids) {
+      sendChunk(requestId);
+      endAttempt(requestId);
     }
   }
   /// Submits requests and returns how many of them were shed.
   int countShed(int number, const std::vector<int>& tokens = promptTokens, const std::string& path = "/aim/x") {
     int shed = 0;
     for (int at = 0; at < number; ++at) {
-      auto orderId = submitAndReply(at, path, tokens);
-      if (finalStatuses[orderId].empty()) {
-        (void)onlyAttempt(orderId);
-        endAttempt(orderId);
+      auto requestId = submitAndReply(at, path, tokens);
+      if (finalStatuses[requestId].empty()) {
+        (void)onlyAttempt(requestId);
+        endAttempt(requestId);
         continue;
       }
       ++shed;
-      const auto& status = finalStatuses[orderId][0];
-      cr_expect_eq(finalStatuses[orderId].size(), 1u);
+      const auto& status = finalStatuses[requestId][0];
+      cr_expect_eq(finalStatuses[requestId].size(), 1u);
       cr_expect_eq(status.verdict, "not run");
       cr_expect_eq(status.code, static_cast<int>(Code::pendingFull));
       cr_expect_gt(status.retryAfterMs, 0);
-      cr_expect(attempts[orderId].empty());
+      cr_expect(attempts[requestId].empty());
     }
     return shed;
   }
@@ -585,12 +587,12 @@
   LoadHarness harness;
   harness.store();
   harness.addWorkers(3);
-  auto orderId = harness.submit(1, "/free/x");
+  auto requestId = harness.submit(1, "/free/x");
   harness.replyToAllLookups({}, "barn");
-  cr_expect(harness.attempts[orderId].empty());
+  cr_expect(harness.attempts[requestId].empty());
   harness.run(250ms);
-  cr_expect_eq(harness.onlyAttempt(orderId).sinkAddress, "");
-  harness.endAttempt(orderId);
+  cr_expect_eq(harness.onlyAttempt(requestId).sinkAddress, "");
+  harness.endAttempt(requestId);
   harness.run(600ms);
   cr_expect_eq(harness.storeSavedTo(1), "barn:80", "nothing was saved before");
 }
@@ -602,9 +604,9 @@
   harness.delayFirstChunks(40, 4s);
   int shed = 0, lost = 0;
   for (int number = 0; number < 60; ++number) {
-    auto orderId = harness.submitAndReply(number);
-    if (harness.finalStatuses[orderId].empty()) {
-      harness.endAttempt(orderId);
+    auto requestId = harness.submitAndReply(number);
+    if (harness.finalStatuses[requestId].empty()) {
+      harness.endAttempt(requestId);
       continue;
     }
     ++shed;
@@ -618,13 +620,13 @@
   LoadHarness harness;
   harness.store();
   harness.addWorkers(4);
-  auto orderId = harness.submitAndReply(1, "/free/x");
-  cr_expect_eq(harness.onlyAttempt(orderId).sinkAddress, "barn:80");
-  harness.endAttempt(orderId, OrderOutcome::denied);
+  auto requestId = harness.submitAndReply(1, "/free/x");
+  cr_expect_eq(harness.onlyAttempt(requestId).sinkAddress, "barn:80");
+  harness.endAttempt(requestId, AttemptOutcome::denied);
   harness.run(20ms);
   harness.replyToAllLookups();
-  cr_assert_eq(harness.attempts[orderId].size(), 2u);
-  cr_expect_eq(harness.attempts[orderId][1].sinkAddress, "barn:80",
+  cr_assert_eq(harness.attempts[requestId].size(), 2u);
+  cr_expect_eq(harness.attempts[requestId][1].sinkAddress, "barn:80",
                "the first worker has prefilled nothing that it could save");
 }
 
@@ -689,14 +691,14 @@
     (void)harness.onlyAttempt(ids.back());
   }
   harness.delayFirstChunks(60, 4s);
-  for (const auto& orderId : ids) {
+  for (const auto& requestId : ids) {
     cr_expect_gt(harness.countShed(20), 0, "others are shed meanwhile");
-    harness.endAttempt(orderId, OrderOutcome::denied);
+    harness.endAttempt(requestId, AttemptOutcome::denied);
     harness.replyToAllLookups();
     harness.run(20ms);
-    cr_expect(harness.finalStatuses[orderId].empty());
-    cr_expect_eq(harness.attempts[orderId].size(), 2u, "%s was sent %zu times", orderId.c_str(),
-                 harness.attempts[orderId].size());
+    cr_expect(harness.finalStatuses[requestId].empty());
+    cr_expect_eq(harness.attempts[requestId].size(), 2u, "%s was sent %zu times", requestId.c_str(),
+                 harness.attempts[requestId].size());
   }
 }
 
@@ -717,9 +719,9 @@
     harness.addWorkers(4);
     auto ranked = rankedWorkers(number, 4);
     auto selected = [&](const Hits& hits) {
-      auto orderId = harness.submitAndReply(number, "/free/x", promptTokens, hits);
-      auto worker = harness.onlyAttempt(orderId).worker;
-      harness.endAttempt(orderId);
+      auto requestId = harness.submitAndReply(number, "/free/x", promptTokens, hits);
+      auto worker = harness.onlyAttempt(requestId).worker;
+      harness.endAttempt(requestId);
       return worker;
     };
     Hits hits{{ranked[0], {1, 1}}, {ranked[1], {1, 1}}};
--- a/tests/log_fleet.hpp
+++ b/tests/log_fleet.hpp
@@ -152,7 +152,8 @@
         auto entry = decodeEntry(save.record.bytes).value();
         ++machine.entryWrites[{entry.index, entry.term}];
       }
-      machine.snapshotWrites += save.record.kind == RecordKind::snapshot || save.record.kind == RecordKind::installed;
+      machine.snapshotWrites +=
+          save.record.kind == RecordKind::snapshot || save.record.kind == RecordKind::installedSnapshot;
       machine.ringBytes += save.record.bytes.size();
       machine.waiting.push_back(std::move(save));
     }
@@ -192,7 +193,7 @@
       for (const auto& save : done) cr_assert(machine.disk.applyRecord(save.record));
       with(machine, [&](Effects& effects, ReplicatedLog&) {
         for (auto& save : done)
-          if (save.then) save.then(effects);
+          if (save.onSynced) save.onSynced(effects);
       });
     }
     if (machine.syncing.empty() && !machine.waiting.empty()) {
--- a/tests/members.cpp
+++ b/tests/members.cpp
@@ -1,4 +1,4 @@
-#include "core_bench.hpp"
+#include "core_harness.hpp"
 
 using namespace tt;
 
--- a/tests/membership.cpp
+++ b/tests/membership.cpp
@@ -1,4 +1,4 @@
-#include "core_bench.hpp"
+#include "core_harness.hpp"
 #include "members.hpp"
 
 using namespace tt;
@@ -346,7 +346,7 @@
     action(effects);
     for (auto& send : effects.sends) sent.push_back(std::move(send));
     for (auto& save : effects.saves)
-      if (save.then) with(save.then);
+      if (save.onSynced) with(save.onSynced);
   }
   void tick(Duration duration) {
     for (TimePoint until = now + duration; now < until; now += 10ms) with([&](Effects& effects) { log.tick(effects); });
--- a/tests/model.cpp
+++ b/tests/model.cpp
@@ -9,15 +9,15 @@
 /// Tests share one process-wide timing with others in theirs; each test of Criterion has a process of its own.
 Setup faulty(const std::string& defence) {
   Setup setup;
-  setup.without.insert(defence);
-  setup.known = {"no-majority", "refused-by-lost", "refused-in-force"};
+  setup.disabledDefences.insert(defence);
+  setup.ignoredRules = {"no-majority", "refused-by-lost", "refused-in-force"};
   return setup;
 }
 
 Counterexample firstFound(const Setup& setup) {
   WalkLimits limits;
   limits.walks = 400;
-  auto report = walk(setup, limits);
+  auto report = runRandomWalks(setup, limits);
   cr_assert_eq(report.found.size(), 1u);
   return report.found.front();
 }
@@ -27,21 +27,21 @@
 
 Test(model, a_planted_fault_is_found_replayed_and_shortened) {
   auto found = firstFound(faulty("changeIdOnce"));
-  cr_assert_eq(found.broken.rule, "change-twice");
+  cr_assert_eq(found.violation.rule, "change-twice");
   auto again = replay(found.run);
   cr_assert(again.has_value());
-  cr_assert_eq(again->text, found.broken.text);
-  Run shorter = shorten(found.run, found.broken.rule);
+  cr_assert_eq(again->text, found.violation.text);
+  Run shorter = shrink(found.run, found.violation.rule);
   cr_assert_lt(shorter.choices.size(), 20u);
   cr_assert_lt(shorter.choices.size(), found.run.choices.size());
   auto still = replay(shorter);
   cr_assert(still.has_value());
   cr_assert_eq(still->rule, "change-twice");
-  for (std::size_t without = 0; without < shorter.choices.size(); ++without) {
+  for (std::size_t disabledDefences = 0; disabledDefences < shorter.choices.size(); ++disabledDefences) {
     Run fewer = shorter;
-    fewer.choices.erase(fewer.choices.begin() + static_cast<std::ptrdiff_t>(without));
-    auto broken = replay(fewer);
-    cr_assert(!broken || broken->rule != "change-twice", "event %zu is not needed", without);
+    fewer.choices.erase(fewer.choices.begin() + static_cast<std::ptrdiff_t>(disabledDefences));
+    auto violation = replay(fewer);
+    cr_assert(!violation || violation->rule != "change-twice", "event %zu is not needed", disabledDefences);
   }
 }
 
@@ -52,7 +52,7 @@
   cr_assert_eq(read.value().text(), found.run.text());
   auto again = replay(read.value());
   cr_assert(again.has_value());
-  cr_assert_eq(again->text, found.broken.text);
+  cr_assert_eq(again->text, found.violation.text);
 }
 
 Test(model, a_bad_run_is_refused_with_its_reason) {
@@ -68,12 +68,12 @@
 
 Test(model, the_same_seed_is_the_same_walk_with_any_number_of_threads) {
   Setup setup;
-  setup.known = {"no-majority", "refused-by-lost", "refused-in-force"};
+  setup.ignoredRules = {"no-majority", "refused-by-lost", "refused-in-force"};
   WalkLimits limits;
   limits.walks = 40;
-  auto one = walk(setup, limits);
+  auto one = runRandomWalks(setup, limits);
   limits.threads = 3;
-  auto three = walk(setup, limits);
+  auto three = runRandomWalks(setup, limits);
   cr_assert_eq(one.walks, 40u);
   cr_assert_eq(one.events, three.events);
   cr_assert_eq(one.found.size(), three.found.size());
@@ -118,17 +118,17 @@
 
 Test(model, a_breadth_first_search_finds_the_nearest_fault) {
   Setup setup = faulty("changeIdOnce");
-  setup.networkRoom = 16;
-  BreadthLimits limits;
-  limits.opening = leaderStands();
+  setup.maxPacketsInFlight = 16;
+  BreadthFirstLimits limits;
+  limits.initialEvents = leaderStands();
   limits.states = 40000;
   limits.changes = 2;
   limits.crashes = 0;
   limits.drops = 0;
   limits.waits = 0;
-  auto report = searchBreadth(setup, limits);
+  auto report = searchBreadthFirst(setup, limits);
   cr_assert_eq(report.found.size(), 1u);
-  cr_assert_eq(report.found.front().broken.rule, "change-twice");
+  cr_assert_eq(report.found.front().violation.rule, "change-twice");
   auto again = replay(report.found.front().run);
   cr_assert(again.has_value());
   cr_assert_eq(again->rule, "change-twice");
--- a/tests/old_weights_audit.cpp
+++ b/tests/old_weights_audit.cpp
@@ -29,13 +29,13 @@
   Run& named(const std::string& changeId, const std::string& weights, int revision, double at) {
     return sent(changeId, weights, at - 0.1).acknowledged(changeId, weights, revision, at);
   }
-  Run& began(const std::string& orderId, const std::string& weights, double at, const std::string& ofModel = model) {
+  Run& began(const std::string& requestId, const std::string& weights, double at, const std::string& ofModel = model) {
     JsonObject row;
     row["at"] = Json(nanoseconds(at));
     row["worker"] = Json(std::string("worker-1"));
     row["model"] = Json(ofModel);
     row["event"] = Json(std::string("order began"));
-    row["subject"] = Json(orderId + " " + weights);
+    row["subject"] = Json(requestId + " " + weights);
     row["number"] = jsonNumber(0);
     records.workers.push_back(Json(row).serialize());
     return *this;
@@ -45,7 +45,7 @@
   std::vector<std::string> found() const {
     auto result = audit();
     cr_assert_eq(result.unreadable, 0);
-    return result.breaches[breachLine];
+    return result.violations[breachLine];
   }
 
   AuditRecords records;
--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -128,7 +128,7 @@
       for (const auto& save : saves) cr_assert(machine.disk.applyRecord(save.record));
       with(machine, now, [&](Effects& effects, Core&) {
         for (auto& save : saves)
-          if (save.then) save.then(effects);
+          if (save.onSynced) save.onSynced(effects);
       });
     }
   }
@@ -443,7 +443,7 @@
       effects.saves.clear();
       for (auto& save : saves) {
         cr_assert(disk.applyRecord(save.record));
-        if (save.then) save.then(effects);
+        if (save.onSynced) save.onSynced(effects);
       }
     }
     for (auto& [to, message] : effects.sends)
--- a/tests/order_faults.cpp
+++ b/tests/order_faults.cpp
@@ -1,7 +1,7 @@
 #include "raw_server.hpp"
 #include "roles.hpp"
-#include "timing_kept.hpp"
-#include "worker_orders.hpp"
+#include "timing_guard.hpp"
+#include "worker_commands.hpp"
 
 using namespace tt;
 using namespace raw;
@@ -44,8 +44,8 @@
       held->say(responseWith(status));
     });
     auto order = CommandHarness::order(3);
-    order.expects = true;
-    order.expected = 7;
+    order.checksCommandCount = true;
+    order.expectedCommandCount = 7;
     harness.commands.send(server.address(), order);
     cr_assert(harness.until([&] { return harness.replies.size() == 1; }));
     cr_expect_eq(harness.replies[0].code, static_cast<int>(code), "status %d reported as code %d", status,
--- a/tests/parts.cpp
+++ b/tests/parts.cpp
@@ -9,9 +9,9 @@
 #include "cell.hpp"
 #include "chart.hpp"
 #include "configuration.hpp"
-#include "contract.hpp"
-#include "edge.hpp"
+#include "json_bodies.hpp"
 #include "manifests.hpp"
+#include "proxy_router.hpp"
 #include "ring.hpp"
 #include "web.hpp"
 
@@ -248,7 +248,7 @@
   for (const char* name :
        {"consensus/election", "consensus/replicated_log", "consensus/membership", "consensus/snapshot",
         "consensus/change_requests", "index/cell", "cluster/core", "cluster/core_operators", "cluster/core_membership",
-        "cluster/core_report", "agent/agent", "routing/edge", "config/configuration", "config/item_readers",
+        "cluster/core_report", "agent/agent", "routing/proxy_router", "config/configuration", "config/item_readers",
         "config/patch_checks", "config/patch_shape", "sim/standin", "storage/ring", "base/effects"}) {
     std::string path = std::string(TT_SOURCE "/src/") + name + ".cpp", text;
     FILE* file = std::fopen(path.c_str(), "r");
@@ -408,7 +408,7 @@
 
 Test(audit, finds_no_violation_in_a_valid_run) {
   auto result = auditRecords(validRecords());
-  cr_assert_eq(result.breachCount(), 0);
+  cr_assert_eq(result.violationCount(), 0);
   cr_assert_eq(result.orders, 100);
   cr_assert_eq(result.runs, 100);
 }
@@ -475,15 +475,15 @@
       {"two-holders", [](AuditRecords& records) {
          records.workers.push_back(workerLine("worker-1", "command taken", "worker-1 core-2 load", 12, 3));
        }}};
-  for (const auto& line : auditedLines()) {
+  for (const auto& line : auditedInvariants()) {
     cr_assert(injections.count(line) > 0, "no injection for %s", line.c_str());
     auto records = validRecords();
     injections[line](records);
     auto result = auditRecords(records);
-    for (const auto& [found, rows] : result.breaches)
+    for (const auto& [found, rows] : result.violations)
       if (!rows.empty())
         cr_expect_eq(found, line, "injected %s, found %s: %s", line.c_str(), found.c_str(), rows.front().c_str());
-    cr_expect_gt(result.breachCount(), 0, "%s was injected and not found", line.c_str());
+    cr_expect_gt(result.violationCount(), 0, "%s was injected and not found", line.c_str());
   }
 }
 
@@ -548,10 +548,10 @@
     asio::ip::tcp::acceptor acceptor(io, asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
     unreachable = "http://127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()) + "/v1/orders";
   }
-  cr_expect_eq(callClosingWorker(unreachable).outcome, static_cast<int>(OrderOutcome::brokenBeforeSend),
+  cr_expect_eq(callClosingWorker(unreachable).outcome, static_cast<int>(AttemptOutcome::brokenBeforeSend),
                "no process listens there");
   std::string rejection = writeWorkerEnd(
-      WorkerEnd{"send", static_cast<int>(OrderOutcome::denied), static_cast<int>(Code::workerFull), 0, 0, 0});
+      WorkerEnd{"send", static_cast<int>(AttemptOutcome::denied), static_cast<int>(Code::workerFull), 0, 0, 0});
   auto answer = [&](const std::string& body, std::size_t claimed) {
     return "HTTP/1.1 503 Busy\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(claimed) +
            "\r\n\r\n" + body;
@@ -560,19 +560,19 @@
     const char* about;
     std::size_t readBytes;
     std::string answer;
-    OrderOutcome wanted;
+    AttemptOutcome wanted;
   };
   std::vector<Case> cases{
-      {"closed before anything was read", 0, "", OrderOutcome::broken},
-      {"closed within the request head", 10, "", OrderOutcome::broken},
-      {"closed before the last byte of the request", 200000, "", OrderOutcome::broken},
-      {"closed after the last byte of the request", 300100, "", OrderOutcome::broken},
-      {"a truncated rejection", 300100, answer(rejection.substr(0, 5), rejection.size()), OrderOutcome::broken},
-      {"a complete rejection", 300100, answer(rejection, rejection.size()), OrderOutcome::denied}};
+      {"closed before anything was read", 0, "", AttemptOutcome::broken},
+      {"closed within the request head", 10, "", AttemptOutcome::broken},
+      {"closed before the last byte of the request", 200000, "", AttemptOutcome::broken},
+      {"closed after the last byte of the request", 300100, "", AttemptOutcome::broken},
+      {"a truncated rejection", 300100, answer(rejection.substr(0, 5), rejection.size()), AttemptOutcome::broken},
+      {"a complete rejection", 300100, answer(rejection, rejection.size()), AttemptOutcome::denied}};
   for (auto& row : cases) {
     ClosingWorker worker(row.readBytes, row.answer);
     auto end = callClosingWorker(worker.url());
     cr_expect_eq(end.outcome, static_cast<int>(row.wanted), "%s", row.about);
-    if (row.wanted == OrderOutcome::denied) cr_expect_eq(end.code, static_cast<int>(Code::workerFull));
+    if (row.wanted == AttemptOutcome::denied) cr_expect_eq(end.code, static_cast<int>(Code::workerFull));
   }
 }
--- a/tests/path_routes.cpp
+++ b/tests/path_routes.cpp
@@ -1,6 +1,6 @@
 #include <algorithm>
 
-#include "routing_bench.hpp"
+#include "proxy_router_harness.hpp"
 
 using namespace tt;
 
@@ -281,7 +281,7 @@
 Test(path_orders, a_worker_that_leaves_during_a_lookup_gets_no_request) {
   ProxyHarness harness;
   harness.addWorkers(2);
-  auto orderId = harness.submit("/once/x", "key-a", promptOf(1), promptTokens);
+  auto requestId = harness.submit("/once/x", "key-a", promptOf(1), promptTokens);
   auto lookups = harness.newLookups();
   cr_assert_eq(lookups.size(), 2u);
   std::string gone =
@@ -291,7 +291,7 @@
   for (const auto& lookup : lookups) harness.replyTo(lookup, {});
   harness.replyToLookups({});
   harness.run(250ms);
-  cr_expect_eq(harness.onlyAttempt(orderId).worker, stays);
+  cr_expect_eq(harness.onlyAttempt(requestId).worker, stays);
 }
 
 Test(path_orders, paths_and_keys_are_checked) {
@@ -331,21 +331,21 @@
   harness.addWorkers(3);
   harness.store("barn", "north-b");
   harness.publishCells();
-  auto orderId = harness.submit("/once/x", "key-a", promptOf(1), promptTokens);
+  auto requestId = harness.submit("/once/x", "key-a", promptOf(1), promptTokens);
   auto lookups = harness.newLookups();
   std::set<std::string> asked;
   for (const auto& lookup : lookups) {
-    cr_expect(asked.insert(lookup.keeper).second, "%s is looked up twice", lookup.keeper.c_str());
+    cr_expect(asked.insert(lookup.cacheNode).second, "%s is looked up twice", lookup.cacheNode.c_str());
     cr_expect_eq(lookup.hashes.size(), 2u, "the last part is not shared with other requests");
     cr_expect_eq(lookup.weights, "moss/3");
-    cr_expect_eq(lookup.zone, lookup.keeper == "barn" ? "north-b" : "north-a");
+    cr_expect_eq(lookup.zone, lookup.cacheNode == "barn" ? "north-b" : "north-a");
   }
   cr_expect(asked == (std::set<std::string>{"w1", "w2", "w3", "barn"}));
   for (std::size_t at = 0; at < lookups.size(); ++at) {
-    cr_expect(harness.attemptsOf(orderId).empty());
+    cr_expect(harness.attemptsOf(requestId).empty());
     harness.replyTo(lookups[at], {});
   }
-  auto attempt = harness.onlyAttempt(orderId);
+  auto attempt = harness.onlyAttempt(requestId);
   cr_expect_eq(attempt.sourceAddress, "");
 }
 
@@ -356,16 +356,16 @@
   harness.worker("w3");
   harness.publishCells();
   for (int number = 0; number < 20; ++number) {
-    auto orderId = harness.submit("/once/x", "key-a", promptOf(number), promptTokens);
+    auto requestId = harness.submit("/once/x", "key-a", promptOf(number), promptTokens);
     for (const auto& lookup : harness.newLookups()) {
-      cr_expect_eq(lookup.weights, lookup.keeper == "w2" ? "moss/4" : "moss/3");
+      cr_expect_eq(lookup.weights, lookup.cacheNode == "w2" ? "moss/4" : "moss/3");
       harness.replyTo(lookup, {1, 1});
     }
-    auto attempt = harness.onlyAttempt(orderId);
+    auto attempt = harness.onlyAttempt(requestId);
     cr_expect_eq(attempt.weights, attempt.worker == "w2" ? "moss/4" : "moss/3");
     cr_expect_neq(attempt.sourceAddress, "w2:80");
     if (attempt.worker == "w2") cr_expect_eq(attempt.sourceAddress, "");
-    harness.endAttempt(attempt.orderId, OrderOutcome::done);
+    harness.endAttempt(attempt.requestId, AttemptOutcome::done);
   }
 }
 
@@ -381,13 +381,13 @@
     std::map<std::string, std::vector<int>> hits;
     for (const char* name : {"w1", "w2", "w3", "w4", "barn"})
       hits[name] = {static_cast<int>(randomSource() % 2), static_cast<int>(randomSource() % 2)};
-    auto orderId = harness.submit("/once/x", "key-a", promptOf(number), promptTokens);
+    auto requestId = harness.submit("/once/x", "key-a", promptOf(number), promptTokens);
     std::set<std::string> asked;
     for (const auto& lookup : harness.newLookups()) {
-      asked.insert(lookup.keeper);
-      harness.replyTo(lookup, hits[lookup.keeper], static_cast<double>(randomSource() % 20000));
+      asked.insert(lookup.cacheNode);
+      harness.replyTo(lookup, hits[lookup.cacheNode], static_cast<double>(randomSource() % 20000));
     }
-    auto attempt = harness.onlyAttempt(orderId);
+    auto attempt = harness.onlyAttempt(requestId);
     auto own = prefixOf(hits[attempt.worker]);
     long most = 0;
     for (const auto& candidate : asked) most = std::max<long>(most, prefixOf(hits[candidate]));
@@ -403,7 +403,7 @@
       cr_expect_eq(prefixOf(hits[source]), most, "the source is the candidate that has the most");
     }
     if (prefixOf(hits["barn"]) == 2) cr_expect_eq(attempt.sinkAddress, "", "the store has it all");
-    harness.endAttempt(attempt.orderId, OrderOutcome::done);
+    harness.endAttempt(attempt.requestId, AttemptOutcome::done);
     harness.now += 1ms;
   }
   cr_expect_gt(named, 50);
@@ -418,7 +418,7 @@
   auto candidatesAsked = [&] {
     std::set<std::string> candidates;
     for (const auto& lookup : harness.newLookups()) {
-      candidates.insert(lookup.keeper);
+      candidates.insert(lookup.cacheNode);
       if (lookup.zone == "north-a") harness.replyTo(lookup, {});
     }
     return candidates;
@@ -457,12 +457,12 @@
   auto first = harness.submit("/once/x", "key-a", promptOf(1), promptTokens);
   harness.now += 199ms;
   for (const auto& lookup : harness.newLookups())
-    harness.replyTo(lookup, lookup.keeper == "barn" ? std::vector<int>{1, 1} : std::vector<int>{});
+    harness.replyTo(lookup, lookup.cacheNode == "barn" ? std::vector<int>{1, 1} : std::vector<int>{});
   cr_expect_eq(harness.onlyAttempt(first).sourceAddress, "barn:80");
   auto second = harness.submit("/once/x", "key-a", promptOf(2), promptTokens);
   harness.now += 200ms;
   for (const auto& lookup : harness.newLookups())
-    harness.replyTo(lookup, lookup.keeper == "barn" ? std::vector<int>{1, 1} : std::vector<int>{});
+    harness.replyTo(lookup, lookup.cacheNode == "barn" ? std::vector<int>{1, 1} : std::vector<int>{});
   harness.tick();
   cr_expect_eq(harness.onlyAttempt(second).sourceAddress, "");
 }
@@ -472,16 +472,16 @@
   harness.worker("w1");
   harness.publishCells();
   auto saltOf = [&](const std::string& path, const std::string& key) {
-    auto orderId = harness.submit(path, key, promptOf(1), promptTokens);
+    auto requestId = harness.submit(path, key, promptOf(1), promptTokens);
     Hashes hashes;
     for (const auto& lookup : harness.newLookups()) {
       hashes = lookup.hashes;
       harness.replyTo(lookup, {});
     }
-    auto attempt = harness.onlyAttempt(orderId);
+    auto attempt = harness.onlyAttempt(requestId);
     for (std::size_t at = 0; at < hashes.size(); ++at)
       cr_expect(hashes[at] == hashPromptPart(attempt.cacheSalt, promptOf(1)[at]));
-    harness.endAttempt(attempt.orderId, OrderOutcome::done);
+    harness.endAttempt(attempt.requestId, AttemptOutcome::done);
     return attempt.cacheSalt;
   };
   auto shared = saltOf("/once/x", "key-a");
@@ -503,7 +503,7 @@
 
 Test(path_orders, workers_with_old_weights_are_selected_only_while_a_roll_out_may_last) {
   TimingGuard timingGuard;
-  timing.oldWeightsOrderTimeout = 4s;
+  timing.oldWeightsSendTimeout = 4s;
   ProxyHarness harness;
   harness.worker("w1");
   harness.worker("w2");
@@ -523,65 +523,65 @@
   cr_expect(selected() == std::set<std::string>{"w3"});
   harness.worker("w3").alive = false;
   harness.publishCells();
-  auto orderId = harness.submit("/once/x");
+  auto requestId = harness.submit("/once/x");
   harness.run(2s);
-  cr_expect(harness.attemptsOf(orderId).empty());
-  cr_expect_eq(harness.finalStatusOf(orderId).verdict, "not run");
+  cr_expect(harness.attemptsOf(requestId).empty());
+  cr_expect_eq(harness.finalStatusOf(requestId).verdict, "not run");
 }
 
 Test(path_orders, a_denied_request_with_one_attempt_ends_at_once) {
   ProxyHarness harness;
   harness.addWorkers(4);
-  auto orderId = harness.submit("/once/x");
-  auto attempt = harness.onlyAttempt(orderId);
+  auto requestId = harness.submit("/once/x");
+  auto attempt = harness.onlyAttempt(requestId);
   cr_expect(attempt.once, "the HTTP client must not resend it by itself");
-  cr_expect(harness.finalStatusesOf(orderId).empty());
-  harness.endAttempt(attempt.orderId, OrderOutcome::denied);
-  auto status = harness.finalStatusOf(orderId);
+  cr_expect(harness.finalStatusesOf(requestId).empty());
+  harness.endAttempt(attempt.requestId, AttemptOutcome::denied);
+  auto status = harness.finalStatusOf(requestId);
   cr_expect_eq(status.verdict, "not run");
   cr_expect_gt(status.retryAfterMs, 0);
   cr_expect_eq(codeStatus(static_cast<Code>(status.code)), 503);
   harness.run(3s);
-  cr_expect_eq(harness.attemptsOf(orderId).size(), 1u);
-  cr_expect_eq(harness.finalStatusesOf(orderId).size(), 1u);
+  cr_expect_eq(harness.attemptsOf(requestId).size(), 1u);
+  cr_expect_eq(harness.finalStatusesOf(requestId).size(), 1u);
   cr_expect_eq(harness.router->openRequests(), 0u);
 }
 
 Test(path_orders, a_denied_request_with_two_attempts_goes_to_one_other_worker) {
   ProxyHarness harness;
   harness.addWorkers(4);
-  auto orderId = harness.submit("/two/x");
-  harness.endAttempt(harness.onlyAttempt(orderId).orderId, OrderOutcome::denied);
+  auto requestId = harness.submit("/two/x");
+  harness.endAttempt(harness.onlyAttempt(requestId).requestId, AttemptOutcome::denied);
   harness.run(50ms);
-  auto attempts = harness.attemptsOf(orderId);
+  auto attempts = harness.attemptsOf(requestId);
   cr_assert_eq(attempts.size(), 2u);
   cr_expect_neq(attempts[0].worker, attempts[1].worker);
-  cr_expect_neq(attempts[0].orderId, attempts[1].orderId);
-  harness.endAttempt(attempts[1].orderId, OrderOutcome::denied);
+  cr_expect_neq(attempts[0].requestId, attempts[1].requestId);
+  harness.endAttempt(attempts[1].requestId, AttemptOutcome::denied);
   harness.run(3s);
-  cr_expect_eq(harness.attemptsOf(orderId).size(), 2u);
-  cr_expect_eq(harness.finalStatusOf(orderId).verdict, "not run");
+  cr_expect_eq(harness.attemptsOf(requestId).size(), 2u);
+  cr_expect_eq(harness.finalStatusOf(requestId).verdict, "not run");
   auto again = harness.submit("/two/x");
-  harness.endAttempt(harness.onlyAttempt(again).orderId, OrderOutcome::denied);
+  harness.endAttempt(harness.onlyAttempt(again).requestId, AttemptOutcome::denied);
   harness.run(50ms);
-  harness.endAttempt(harness.attemptsOf(again).back().orderId, OrderOutcome::done);
+  harness.endAttempt(harness.attemptsOf(again).back().requestId, AttemptOutcome::done);
   cr_expect_eq(harness.finalStatusOf(again).verdict, "done");
 }
 
 Test(path_orders, a_request_is_sent_to_no_more_workers_than_it_has_attempts) {
-  for (auto outcome : {OrderOutcome::denied, OrderOutcome::broken}) {
+  for (auto outcome : {AttemptOutcome::denied, AttemptOutcome::broken}) {
     ProxyHarness harness;
     harness.addWorkers(8);
-    auto orderId = harness.submit("/safe/x");
+    auto requestId = harness.submit("/safe/x");
     std::set<std::string> names;
-    for (std::size_t tried = 0; tried < harness.attemptsOf(orderId).size(); ++tried) {
-      auto attempt = harness.attemptsOf(orderId)[tried];
+    for (std::size_t tried = 0; tried < harness.attemptsOf(requestId).size(); ++tried) {
+      auto attempt = harness.attemptsOf(requestId)[tried];
       cr_expect(names.insert(attempt.worker).second, "%s was selected twice", attempt.worker.c_str());
-      harness.endAttempt(attempt.orderId, outcome);
+      harness.endAttempt(attempt.requestId, outcome);
       harness.run(50ms);
     }
     cr_expect_eq(names.size(), 3u);
-    cr_expect_eq(harness.finalStatusOf(orderId).verdict, outcome == OrderOutcome::denied ? "not run" : "unknown");
+    cr_expect_eq(harness.finalStatusOf(requestId).verdict, outcome == AttemptOutcome::denied ? "not run" : "unknown");
   }
 }
 
@@ -589,86 +589,86 @@
   ProxyHarness harness;
   harness.addWorkers(4);
   for (const char* path : {"/once/x", "/two/x"}) {
-    auto orderId = harness.submit(path);
-    harness.endAttempt(harness.onlyAttempt(orderId).orderId, OrderOutcome::broken);
-    cr_expect_eq(harness.finalStatusOf(orderId).verdict, "unknown");
+    auto requestId = harness.submit(path);
+    harness.endAttempt(harness.onlyAttempt(requestId).requestId, AttemptOutcome::broken);
+    cr_expect_eq(harness.finalStatusOf(requestId).verdict, "unknown");
     harness.run(1s);
-    cr_expect_eq(harness.attemptsOf(orderId).size(), 1u);
+    cr_expect_eq(harness.attemptsOf(requestId).size(), 1u);
   }
   harness.run(3s);
   auto safe = harness.submit("/safe/x");
-  harness.endAttempt(harness.onlyAttempt(safe).orderId, OrderOutcome::broken);
+  harness.endAttempt(harness.onlyAttempt(safe).requestId, AttemptOutcome::broken);
   harness.run(50ms);
   cr_assert_eq(harness.attemptsOf(safe).size(), 2u);
-  harness.endAttempt(harness.attemptsOf(safe)[1].orderId, OrderOutcome::denied);
+  harness.endAttempt(harness.attemptsOf(safe)[1].requestId, AttemptOutcome::denied);
   harness.run(50ms);
   cr_assert_eq(harness.attemptsOf(safe).size(), 3u);
-  harness.endAttempt(harness.attemptsOf(safe)[2].orderId, OrderOutcome::denied);
+  harness.endAttempt(harness.attemptsOf(safe)[2].requestId, AttemptOutcome::denied);
   cr_expect_eq(harness.finalStatusOf(safe).verdict, "unknown", "the first worker may have run it");
 }
 
 Test(path_orders, a_request_that_was_not_sent_is_retried_elsewhere_and_stays_not_run) {
   ProxyHarness harness;
   harness.addWorkers(3);
-  auto orderId = harness.submit("/once/x");
-  harness.endAttempt(harness.onlyAttempt(orderId).orderId, OrderOutcome::brokenBeforeSend);
+  auto requestId = harness.submit("/once/x");
+  harness.endAttempt(harness.onlyAttempt(requestId).requestId, AttemptOutcome::brokenBeforeSend);
   harness.run(50ms);
-  auto attempts = harness.attemptsOf(orderId);
+  auto attempts = harness.attemptsOf(requestId);
   cr_assert_eq(attempts.size(), 2u);
   cr_expect_neq(attempts[0].worker, attempts[1].worker);
-  harness.endAttempt(attempts[1].orderId, OrderOutcome::denied);
-  cr_expect_eq(harness.finalStatusOf(orderId).verdict, "not run");
+  harness.endAttempt(attempts[1].requestId, AttemptOutcome::denied);
+  cr_expect_eq(harness.finalStatusOf(requestId).verdict, "not run");
 }
 
 Test(path_orders, a_broken_stream_is_resumed_elsewhere_after_its_last_event) {
   ProxyHarness harness;
   harness.addWorkers(4);
-  auto orderId = harness.submit("/stream/x");
-  auto first = harness.onlyAttempt(orderId);
+  auto requestId = harness.submit("/stream/x");
+  auto first = harness.onlyAttempt(requestId);
   cr_expect_eq(first.resumeAfter, "");
-  harness.deliver("worker", WorkerChunk{first.orderId, "one ", "p1"});
-  harness.deliver("worker", WorkerChunk{first.orderId, "two ", "p2"});
-  harness.endAttempt(first.orderId, OrderOutcome::broken);
+  harness.deliver("worker", WorkerChunk{first.requestId, "one ", "p1"});
+  harness.deliver("worker", WorkerChunk{first.requestId, "two ", "p2"});
+  harness.endAttempt(first.requestId, AttemptOutcome::broken);
   harness.run(50ms);
-  auto attempts = harness.attemptsOf(orderId);
+  auto attempts = harness.attemptsOf(requestId);
   cr_assert_eq(attempts.size(), 2u);
   cr_expect_neq(attempts[1].worker, first.worker);
   cr_expect_eq(attempts[1].resumeAfter, "p2");
-  harness.deliver("worker", WorkerChunk{first.orderId, "late ", "p9"});
-  harness.endAttempt(first.orderId, OrderOutcome::broken);
-  cr_expect(harness.finalStatusesOf(orderId).empty());
-  harness.deliver("worker", WorkerChunk{attempts[1].orderId, "three ", "p3"});
-  harness.endAttempt(attempts[1].orderId, OrderOutcome::broken);
+  harness.deliver("worker", WorkerChunk{first.requestId, "late ", "p9"});
+  harness.endAttempt(first.requestId, AttemptOutcome::broken);
+  cr_expect(harness.finalStatusesOf(requestId).empty());
+  harness.deliver("worker", WorkerChunk{attempts[1].requestId, "three ", "p3"});
+  harness.endAttempt(attempts[1].requestId, AttemptOutcome::broken);
   harness.run(50ms);
-  attempts = harness.attemptsOf(orderId);
+  attempts = harness.attemptsOf(requestId);
   cr_assert_eq(attempts.size(), 3u);
   cr_expect_eq(attempts[2].resumeAfter, "p3");
-  harness.deliver("worker", WorkerChunk{attempts[2].orderId, "four", "p4"});
-  harness.endAttempt(attempts[2].orderId, OrderOutcome::done);
+  harness.deliver("worker", WorkerChunk{attempts[2].requestId, "four", "p4"});
+  harness.endAttempt(attempts[2].requestId, AttemptOutcome::done);
   std::string text;
   for (const auto& chunk : harness.all<CallerChunk>()) text += chunk.text;
   cr_expect_eq(text, "one two three four");
-  cr_expect_eq(harness.finalStatusOf(orderId).verdict, "done");
+  cr_expect_eq(harness.finalStatusOf(requestId).verdict, "done");
   cr_expect_eq(harness.router->openRequests(), 0u);
 }
 
 Test(path_orders, a_broken_stream_ends_after_its_last_attempt_and_other_routes_do_not_resume) {
   ProxyHarness harness;
   harness.addWorkers(6);
-  auto orderId = harness.submit("/stream/x");
+  auto requestId = harness.submit("/stream/x");
   for (std::size_t tried = 0; tried < 3; ++tried) {
-    auto attempts = harness.attemptsOf(orderId);
+    auto attempts = harness.attemptsOf(requestId);
     cr_assert_eq(attempts.size(), tried + 1);
-    harness.deliver("worker", WorkerChunk{attempts[tried].orderId, "piece", "p" + std::to_string(tried)});
-    harness.endAttempt(attempts[tried].orderId, OrderOutcome::broken);
+    harness.deliver("worker", WorkerChunk{attempts[tried].requestId, "piece", "p" + std::to_string(tried)});
+    harness.endAttempt(attempts[tried].requestId, AttemptOutcome::broken);
     harness.run(50ms);
   }
-  cr_expect_eq(harness.attemptsOf(orderId).size(), 3u);
-  cr_expect_eq(harness.finalStatusOf(orderId).verdict, "failed");
+  cr_expect_eq(harness.attemptsOf(requestId).size(), 3u);
+  cr_expect_eq(harness.finalStatusOf(requestId).verdict, "failed");
   auto safe = harness.submit("/safe/x");
   auto attempt = harness.onlyAttempt(safe);
-  harness.deliver("worker", WorkerChunk{attempt.orderId, "piece", ""});
-  harness.endAttempt(attempt.orderId, OrderOutcome::broken);
+  harness.deliver("worker", WorkerChunk{attempt.requestId, "piece", ""});
+  harness.endAttempt(attempt.requestId, AttemptOutcome::broken);
   harness.run(50ms);
   cr_expect_eq(harness.attemptsOf(safe).size(), 1u, "its client already has a chunk");
   cr_expect_eq(harness.finalStatusOf(safe).verdict, "failed");
@@ -686,10 +686,10 @@
     for (; seen < harness.sent.size(); ++seen) {
       auto* attempt = std::get_if<WorkerOrder>(&harness.sent[seen].message);
       if (!attempt) continue;
-      if (attempt->orderId.substr(attempt->orderId.rfind('.')) != ".1") retried.push_back(harness.sent[seen].at);
+      if (attempt->requestId.substr(attempt->requestId.rfind('.')) != ".1") retried.push_back(harness.sent[seen].at);
       ++denials;
-      std::string attemptId = attempt->orderId;
-      harness.endAttempt(attemptId, OrderOutcome::denied);
+      std::string attemptId = attempt->requestId;
+      harness.endAttempt(attemptId, AttemptOutcome::denied);
     }
   };
   for (int round = 0; round < 3000; ++round) {
@@ -714,17 +714,17 @@
 
 Test(path_orders, a_pending_request_times_out_after_a_fifth_of_its_target_latency) {
   ProxyHarness harness;
-  harness.worker("w1").held = true;
+  harness.worker("w1").withheld = true;
   harness.publishCells();
-  auto orderId = harness.submit("/aim/x");
+  auto requestId = harness.submit("/aim/x");
   harness.run(190ms);
-  cr_expect(harness.finalStatusesOf(orderId).empty());
+  cr_expect(harness.finalStatusesOf(requestId).empty());
   harness.run(20ms);
-  cr_expect_eq(harness.finalStatusOf(orderId).verdict, "not run");
-  cr_expect_gt(harness.finalStatusOf(orderId).retryAfterMs, 0);
+  cr_expect_eq(harness.finalStatusOf(requestId).verdict, "not run");
+  cr_expect_gt(harness.finalStatusOf(requestId).retryAfterMs, 0);
   auto served = harness.submit("/aim/x");
   harness.run(100ms);
-  harness.worker("w1").held = false;
+  harness.worker("w1").withheld = false;
   harness.publishCells();
   cr_expect_eq(harness.onlyAttempt(served).worker, "w1");
 }
@@ -734,17 +734,17 @@
   harness.addWorkers(4);
   auto request = harness.clientRequest("/once/x");
   request.deadlineMs = 700;
-  auto orderId = harness.submit(request);
-  auto attempt = harness.onlyAttempt(orderId);
+  auto requestId = harness.submit(request);
+  auto attempt = harness.onlyAttempt(requestId);
   cr_expect_leq(attempt.deadlineMs, 700);
   cr_expect_gt(attempt.deadlineMs, 600);
   harness.run(690ms);
-  cr_expect(harness.finalStatusesOf(orderId).empty());
+  cr_expect(harness.finalStatusesOf(requestId).empty());
   harness.run(400ms);
-  cr_expect_eq(harness.finalStatusOf(orderId).verdict, "unknown");
+  cr_expect_eq(harness.finalStatusOf(requestId).verdict, "unknown");
   auto dropCount = harness.all<WorkerDrop>();
   cr_assert_eq(dropCount.size(), 1u);
-  cr_expect_eq(dropCount[0].orderId, attempt.orderId);
+  cr_expect_eq(dropCount[0].requestId, attempt.requestId);
   auto capped = harness.clientRequest("/once/x");
   capped.deadlineMs = 60000;
   cr_expect_leq(harness.onlyAttempt(harness.submit(capped)).deadlineMs, 4000, "the route's own limit is nearer");
@@ -755,53 +755,53 @@
   harness.addWorkers(6);
   auto request = harness.clientRequest("/safe/x");
   request.deadlineMs = 700;
-  auto orderId = harness.submit(request);
+  auto requestId = harness.submit(request);
   harness.run(2s);
-  cr_expect_eq(harness.attemptsOf(orderId).size(), 1u, "sent %zu times", harness.attemptsOf(orderId).size());
-  cr_expect_eq(harness.finalStatusesOf(orderId).size(), 1u);
+  cr_expect_eq(harness.attemptsOf(requestId).size(), 1u, "sent %zu times", harness.attemptsOf(requestId).size());
+  cr_expect_eq(harness.finalStatusesOf(requestId).size(), 1u);
   auto broken = harness.clientRequest("/safe/x");
   broken.deadlineMs = 700;
   auto brokenId = harness.submit(broken);
   harness.run(750ms);
-  harness.endAttempt(harness.attemptsOf(brokenId).front().orderId, OrderOutcome::broken);
+  harness.endAttempt(harness.attemptsOf(brokenId).front().requestId, AttemptOutcome::broken);
   harness.run(50ms);
   cr_expect_eq(harness.attemptsOf(brokenId).size(), 1u, "it broke after its deadline");
 }
 
 Test(path_orders, a_pending_request_ends_at_its_deadline) {
   ProxyHarness harness;
-  harness.worker("w1").held = true;
+  harness.worker("w1").withheld = true;
   harness.publishCells();
   auto request = harness.clientRequest("/two/x");
   request.deadlineMs = 200;
-  auto orderId = harness.submit(request);
+  auto requestId = harness.submit(request);
   harness.run(220ms);
-  cr_expect_eq(harness.finalStatusesOf(orderId).size(), 1u, "it is not pending any more");
-  harness.worker("w1").held = false;
+  cr_expect_eq(harness.finalStatusesOf(requestId).size(), 1u, "it is not pending any more");
+  harness.worker("w1").withheld = false;
   harness.publishCells();
   harness.run(50ms);
-  cr_expect(harness.attemptsOf(orderId).empty(), "no worker gets a request after its deadline");
+  cr_expect(harness.attemptsOf(requestId).empty(), "no worker gets a request after its deadline");
 }
 
 Test(path_orders, a_client_that_disconnects_cancels_the_workers_request) {
   ProxyHarness harness;
   harness.addWorkers(2);
   for (bool streams : {false, true}) {
-    auto orderId = harness.submit("/once/x");
-    auto attempt = harness.onlyAttempt(orderId);
-    if (streams) harness.deliver("worker", WorkerChunk{attempt.orderId, "piece", ""});
+    auto requestId = harness.submit("/once/x");
+    auto attempt = harness.onlyAttempt(requestId);
+    if (streams) harness.deliver("worker", WorkerChunk{attempt.requestId, "piece", ""});
     std::size_t before = harness.all<WorkerDrop>().size();
-    harness.deliver("caller", CallerGone{orderId});
+    harness.deliver("caller", CallerGone{requestId});
     auto dropCount = harness.all<WorkerDrop>();
     cr_assert_eq(dropCount.size(), before + 1);
-    cr_expect_eq(dropCount.back().orderId, attempt.orderId);
+    cr_expect_eq(dropCount.back().requestId, attempt.requestId);
     auto isDrop = [](const auto& row) { return std::holds_alternative<WorkerDrop>(row.message); };
     auto sentLast = std::find_if(harness.sent.rbegin(), harness.sent.rend(), isDrop);
     cr_expect_eq(sentLast->to, attempt.worker + ":80");
-    harness.endAttempt(attempt.orderId, OrderOutcome::broken);
+    harness.endAttempt(attempt.requestId, AttemptOutcome::broken);
     harness.run(1s);
-    cr_expect_eq(harness.attemptsOf(orderId).size(), 1u);
-    cr_expect(harness.finalStatusesOf(orderId).empty());
+    cr_expect_eq(harness.attemptsOf(requestId).size(), 1u);
+    cr_expect(harness.finalStatusesOf(requestId).empty());
   }
   auto waiting = harness.submit("/once/x", "key-a", promptOf(1), promptTokens);
   harness.deliver("caller", CallerGone{waiting});
@@ -814,37 +814,37 @@
 Test(path_orders, a_revoked_key_ends_no_open_stream_and_admits_no_new_one) {
   ProxyHarness harness;
   harness.addWorkers(3);
-  auto orderId = harness.submit("/stream/x");
-  auto attempt = harness.onlyAttempt(orderId);
-  harness.deliver("worker", WorkerChunk{attempt.orderId, "one ", "p1"});
+  auto requestId = harness.submit("/stream/x");
+  auto attempt = harness.onlyAttempt(requestId);
+  harness.deliver("worker", WorkerChunk{attempt.requestId, "one ", "p1"});
   harness.change(R"({"tenants":{"asp":null}})");
   harness.run(3s);
-  cr_expect(harness.finalStatusesOf(orderId).empty());
+  cr_expect(harness.finalStatusesOf(requestId).empty());
   cr_expect(harness.all<WorkerDrop>().empty());
   auto denied = harness.finalStatusOf(harness.submit("/stream/x"));
   cr_expect_eq(denied.verdict, "not run");
   cr_expect_eq(codeStatus(static_cast<Code>(denied.code)), 401);
-  harness.deliver("worker", WorkerChunk{attempt.orderId, "two", "p2"});
-  harness.endAttempt(attempt.orderId, OrderOutcome::done);
+  harness.deliver("worker", WorkerChunk{attempt.requestId, "two", "p2"});
+  harness.endAttempt(attempt.requestId, AttemptOutcome::done);
   std::string text;
   for (const auto& chunk : harness.all<CallerChunk>()) text += chunk.text;
   cr_expect_eq(text, "one two");
-  cr_expect_eq(harness.finalStatusOf(orderId).verdict, "done");
+  cr_expect_eq(harness.finalStatusOf(requestId).verdict, "done");
 }
 
 Test(path_orders, a_stale_proxy_admits_no_requests_and_lets_streams_finish) {
   ProxyHarness harness;
   harness.addWorkers(3);
-  auto orderId = harness.submit("/stream/x");
-  auto attempt = harness.onlyAttempt(orderId);
-  harness.deliver("worker", WorkerChunk{attempt.orderId, "one ", "p1"});
+  auto requestId = harness.submit("/stream/x");
+  auto attempt = harness.onlyAttempt(requestId);
+  harness.deliver("worker", WorkerChunk{attempt.requestId, "one ", "p1"});
   harness.answersFeedPolls = false;
   harness.run(5s);
   auto denied = harness.finalStatusOf(harness.submit("/once/x"));
   cr_expect_eq(denied.verdict, "not run");
   cr_expect_eq(codeStatus(static_cast<Code>(denied.code)), 503);
   cr_expect_gt(denied.retryAfterMs, 0);
-  harness.deliver("worker", WorkerChunk{attempt.orderId, "two", "p2"});
-  harness.endAttempt(attempt.orderId, OrderOutcome::done);
-  cr_expect_eq(harness.finalStatusOf(orderId).verdict, "done");
+  harness.deliver("worker", WorkerChunk{attempt.requestId, "two", "p2"});
+  harness.endAttempt(attempt.requestId, AttemptOutcome::done);
+  cr_expect_eq(harness.finalStatusOf(requestId).verdict, "done");
 }
--- a/tests/placement.cpp
+++ b/tests/placement.cpp
@@ -2,7 +2,7 @@
 
 #include "placement_cost.hpp"
 #include "plain_placement.hpp"
-#include "routing_bench.hpp"
+#include "proxy_router_harness.hpp"
 #include "urgency.hpp"
 
 using namespace tt;
@@ -173,15 +173,15 @@
 }
 
 Test(plain_services, a_worker_that_fails_is_ejected_and_comes_back) {
-  for (auto outcome : {OrderOutcome::broken, OrderOutcome::brokenBeforeSend, OrderOutcome::failed}) {
+  for (auto outcome : {AttemptOutcome::broken, AttemptOutcome::brokenBeforeSend, AttemptOutcome::failed}) {
     MixedServicesHarness harness;
     harness.addPlainRoute();
     auto first = harness.onlyAttempt(harness.submitPlain());
-    harness.endAttempt(first.orderId, outcome);
+    harness.endAttempt(first.requestId, outcome);
     for (int number = 0; number < 5; ++number) {
       auto attempt = harness.onlyAttempt(harness.submitPlain());
       cr_expect_neq(attempt.worker, first.worker);
-      harness.endAttempt(attempt.orderId, OrderOutcome::done);
+      harness.endAttempt(attempt.requestId, AttemptOutcome::done);
     }
     harness.run(3s);
     bool back = false;
@@ -195,12 +195,12 @@
   MixedServicesHarness harness;
   harness.addPlainRoute();
   auto broken = harness.submitPlain();
-  harness.endAttempt(harness.onlyAttempt(broken).orderId, OrderOutcome::broken);
+  harness.endAttempt(harness.onlyAttempt(broken).requestId, AttemptOutcome::broken);
   harness.run(500ms);
   cr_expect_eq(harness.attemptsOf(broken).size(), 1u);
   cr_expect_eq(harness.finalStatusOf(broken).verdict, "unknown");
   auto unsent = harness.submitPlain();
-  harness.endAttempt(harness.onlyAttempt(unsent).orderId, OrderOutcome::brokenBeforeSend);
+  harness.endAttempt(harness.onlyAttempt(unsent).requestId, AttemptOutcome::brokenBeforeSend);
   harness.run(100ms);
   auto attempts = harness.attemptsOf(unsent);
   cr_assert_eq(attempts.size(), 2u);
@@ -211,14 +211,14 @@
 /// Submits a prompt whose candidates' cells report these queues, and returns the attempt that was sent.
 WorkerOrder submitWithQueues(ProxyHarness& harness, int number, const std::map<std::string, double>& waitingTokens,
                              const std::map<std::string, int>& pending = {}) {
-  auto orderId = harness.submit("/once/x", "key-a", promptOf(number), {300, 13000, 3000});
+  auto requestId = harness.submit("/once/x", "key-a", promptOf(number), {300, 13000, 3000});
   for (const auto& lookup : harness.newLookups()) {
-    auto waits = waitingTokens.find(lookup.keeper);
-    auto hits = pending.find(lookup.keeper);
+    auto waits = waitingTokens.find(lookup.cacheNode);
+    auto hits = pending.find(lookup.cacheNode);
     harness.replyTo(lookup, {}, waits == waitingTokens.end() ? 0 : waits->second, 30,
                     hits == pending.end() ? 0 : hits->second);
   }
-  return harness.onlyAttempt(orderId);
+  return harness.onlyAttempt(requestId);
 }
 }  // namespace
 
@@ -231,7 +231,7 @@
     waiting[idle] = 0;
     auto attempt = submitWithQueues(harness, number, waiting);
     cr_expect_eq(attempt.worker, idle);
-    harness.endAttempt(attempt.orderId, OrderOutcome::done);
+    harness.endAttempt(attempt.requestId, AttemptOutcome::done);
   }
 }
 
@@ -243,11 +243,11 @@
     auto attempt = submitWithQueues(harness, number, {{prefilling, 4000}}, {{prefilling, 2}});
     cr_expect_eq(attempt.worker, prefilling);
     cr_expect_eq(attempt.sourceAddress, "");
-    harness.endAttempt(attempt.orderId, OrderOutcome::done);
+    harness.endAttempt(attempt.requestId, AttemptOutcome::done);
     auto elsewhere = submitWithQueues(harness, number + 1000, {{prefilling, 900000}}, {{prefilling, 2}});
     cr_expect_neq(elsewhere.worker, prefilling);
     cr_expect_eq(elsewhere.sourceAddress, "", "a prefix that is not confirmed is not fetched");
-    harness.endAttempt(elsewhere.orderId, OrderOutcome::done);
+    harness.endAttempt(elsewhere.requestId, AttemptOutcome::done);
   }
 }
 
@@ -259,18 +259,18 @@
     auto attempt = submitWithQueues(harness, number, {});
     switch (randomSource() % 4) {
       case 0:
-        harness.deliver("worker", WorkerChunk{attempt.orderId, "piece", "1"});
-        harness.endAttempt(attempt.orderId, OrderOutcome::done);
+        harness.deliver("worker", WorkerChunk{attempt.requestId, "piece", "1"});
+        harness.endAttempt(attempt.requestId, AttemptOutcome::done);
         break;
       case 1:
-        harness.endAttempt(attempt.orderId, OrderOutcome::broken);
+        harness.endAttempt(attempt.requestId, AttemptOutcome::broken);
         harness.run(3s, 100ms);
         break;
       case 2:
-        harness.deliver("caller", CallerGone{attempt.callerOrderId});
+        harness.deliver("caller", CallerGone{attempt.clientRequestId});
         break;
       default:
-        harness.endAttempt(attempt.orderId, OrderOutcome::failed);
+        harness.endAttempt(attempt.requestId, AttemptOutcome::failed);
     }
     harness.run(10ms);
   }
--- a/tests/plain_cells.cpp
+++ b/tests/plain_cells.cpp
@@ -1,5 +1,5 @@
-#include "cell_bench.hpp"
-#include "list_reader.hpp"
+#include "cell_harness.hpp"
+#include "machine_list_reader.hpp"
 #include "raw_server.hpp"
 
 using namespace tt;
@@ -34,7 +34,7 @@
 CellNews publishedBy(CellHarness& harness) {
   CellNews state;
   for (auto& [address, core] : harness.cores)
-    for (const auto& update : core.news) applyCellNews(state, update);
+    for (const auto& update : core.news) applyCellUpdate(state, update);
   return state;
 }
 }  // namespace
@@ -51,7 +51,7 @@
   auto state = publishedBy(harness);
   cr_assert_not_null(findWorker(state, "c1"));
   cr_expect(findWorker(state, "c1")->alive);
-  cr_expect_not(findWorker(state, "c1")->held);
+  cr_expect_not(findWorker(state, "c1")->withheld);
   cr_expect_eq(findWorker(state, "c1")->slots, 6);
   for (auto& [address, core] : harness.cores) core.cell->setMachines({plainMachine("c2")});
   harness.run(1s);
@@ -98,8 +98,8 @@
 Test(plain_cells, the_machine_list_distinguishes_engines_from_plain_workers) {
   raw::Bench harness;
   std::vector<MachinesReply> lists;
-  raw::RawServer server(harness.io, [](const raw::RawServer::ConnectionPtr& held, const std::string&) {
-    held->say(raw::successResponse(
+  raw::RawServer server(harness.io, [](const raw::RawServer::ConnectionPtr& withheld, const std::string&) {
+    withheld->say(raw::successResponse(
         R"({"Instances":[{"Id":"e","Backend":"mill","Address":"10.1.0.1:80","Zone":"z","Models":[{"Name":"moss","Revision":3}]},)"
         R"({"Id":"p","Backend":"weir","Address":"10.1.0.2:80","Zone":"z","Slots":6}],"NextToken":null})"));
   });
--- a/tests/proxy_fixture.hpp
+++ b/tests/proxy_fixture.hpp
@@ -5,7 +5,7 @@
 
 #include <csignal>
 
-#include "gate_fixture.hpp"
+#include "http_server_fixture.hpp"
 #include "roles.hpp"
 
 /// Fixture for tests of a proxy process: a proxy in a process of its own, an agent that sends it updates, and workers
--- a/tests/proxy_bench.hpp
+++ b/tests/proxy_harness.hpp
@@ -1,6 +1,6 @@
 #pragma once
-#include "edge.hpp"
 #include "exchanges.hpp"
+#include "proxy_router.hpp"
 #include "raw_server.hpp"
 
 /// Test harness for a proxy's path between clients and workers over real sockets: HTTP server, router, calls, and
--- a/tests/routing_bench.hpp
+++ b/tests/proxy_router_harness.hpp
@@ -1,8 +1,8 @@
 #pragma once
 #include <criterion/criterion.h>
 
-#include "edge.hpp"
-#include "timing_kept.hpp"
+#include "proxy_router.hpp"
+#include "timing_guard.hpp"
 
 /// A harness that drives a ProxyRouter step by step, for the tests of routing.
 namespace tt {
@@ -130,8 +130,8 @@
     std::vector<FeedAsk> polls;
     for (auto& [to, message] : effects.sends) {
       if (auto* poll = std::get_if<FeedAsk>(&message)) polls.push_back(*poll);
-      if (auto* attempt = std::get_if<WorkerOrder>(&message)) attempts[attempt->callerOrderId].push_back(*attempt);
-      if (auto* status = std::get_if<CallerVerdict>(&message)) finalStatuses[status->orderId].push_back(*status);
+      if (auto* attempt = std::get_if<WorkerOrder>(&message)) attempts[attempt->clientRequestId].push_back(*attempt);
+      if (auto* status = std::get_if<CallerVerdict>(&message)) finalStatuses[status->requestId].push_back(*status);
       if (auto* lookup = std::get_if<LookupMsg>(&message)) lookups.push_back(*lookup);
       dropCount += std::holds_alternative<WorkerDrop>(message);
       sent.push_back(SentMessage{now, to, std::move(message)});
@@ -197,7 +197,7 @@
   CallerOrder clientRequest(const std::string& path, const std::string& key = "key-a", const Strings& parts = {},
                             const std::vector<int>& tokens = {}) {
     CallerOrder request;
-    request.orderId = "o/" + std::to_string(++requestCount);
+    request.requestId = "o/" + std::to_string(++requestCount);
     request.host = "h";
     request.path = path;
     request.key = key;
@@ -208,7 +208,7 @@
   }
   std::string submit(const CallerOrder& request) {
     deliver("caller", request);
-    return request.orderId;
+    return request.requestId;
   }
   std::string submit(const std::string& path, const std::string& key = "key-a", const Strings& parts = {},
                      const std::vector<int>& tokens = {}) {
@@ -221,32 +221,32 @@
       if (auto* found = std::get_if<T>(&row.message)) rows.push_back(*found);
     return rows;
   }
-  std::vector<WorkerOrder> attemptsOf(const std::string& orderId) const {
-    auto found = attempts.find(orderId);
+  std::vector<WorkerOrder> attemptsOf(const std::string& requestId) const {
+    auto found = attempts.find(requestId);
     return found == attempts.end() ? std::vector<WorkerOrder>() : found->second;
   }
-  std::vector<CallerVerdict> finalStatusesOf(const std::string& orderId) const {
-    auto found = finalStatuses.find(orderId);
+  std::vector<CallerVerdict> finalStatusesOf(const std::string& requestId) const {
+    auto found = finalStatuses.find(requestId);
     return found == finalStatuses.end() ? std::vector<CallerVerdict>() : found->second;
   }
-  CallerVerdict finalStatusOf(const std::string& orderId) const {
-    auto rows = finalStatusesOf(orderId);
-    cr_assert_eq(rows.size(), 1u, "%s has %zu final statuses", orderId.c_str(), rows.size());
+  CallerVerdict finalStatusOf(const std::string& requestId) const {
+    auto rows = finalStatusesOf(requestId);
+    cr_assert_eq(rows.size(), 1u, "%s has %zu final statuses", requestId.c_str(), rows.size());
     return rows[0];
   }
-  WorkerOrder onlyAttempt(const std::string& orderId) const {
-    auto rows = attemptsOf(orderId);
-    cr_assert_eq(rows.size(), 1u, "%s was sent %zu times", orderId.c_str(), rows.size());
+  WorkerOrder onlyAttempt(const std::string& requestId) const {
+    auto rows = attemptsOf(requestId);
+    cr_assert_eq(rows.size(), 1u, "%s was sent %zu times", requestId.c_str(), rows.size());
     return rows[0];
   }
-  void endAttempt(const std::string& attemptId, OrderOutcome outcome) {
+  void endAttempt(const std::string& attemptId, AttemptOutcome outcome) {
     deliver("worker", WorkerEnd{attemptId, static_cast<int>(outcome), static_cast<int>(Code::workerFull), 0, 0, 0});
   }
   std::string submitAndFinish(const CallerOrder& request) {
-    auto orderId = submit(request);
+    auto requestId = submit(request);
     replyToLookups({});
-    auto attempt = onlyAttempt(orderId);
-    endAttempt(attempt.orderId, OrderOutcome::done);
+    auto attempt = onlyAttempt(requestId);
+    endAttempt(attempt.requestId, AttemptOutcome::done);
     return attempt.worker;
   }
   std::size_t repliedLookups{0};
@@ -261,11 +261,12 @@
   void replyTo(const LookupMsg& lookup, std::vector<int> hits, double waitingTokens = 0, double tokensPerMs = 30,
                int pendingHits = 0) {
     hits.resize(lookup.hashes.size());
-    deliver(agentAddress, LookupReply{lookup.lookupId, lookup.keeper, hits, waitingTokens, tokensPerMs, pendingHits});
+    deliver(agentAddress,
+            LookupReply{lookup.lookupId, lookup.cacheNode, hits, waitingTokens, tokensPerMs, pendingHits});
   }
   void replyToLookups(const std::map<std::string, std::vector<int>>& hits) {
     for (const auto& lookup : newLookups()) {
-      auto found = hits.find(lookup.keeper);
+      auto found = hits.find(lookup.cacheNode);
       replyTo(lookup, found == hits.end() ? std::vector<int>() : found->second);
     }
   }
--- a/tests/raw_server.hpp
+++ b/tests/raw_server.hpp
@@ -2,7 +2,7 @@
 #include <criterion/criterion.h>
 #include <sys/socket.h>
 
-#include "calls.hpp"
+#include "http_client.hpp"
 
 /// Shared by the tests of HttpClient: a server that answers with scripted raw bytes, and a client whose callbacks are
 /// recorded.
--- a/tests/snapshots.cpp
+++ b/tests/snapshots.cpp
@@ -77,7 +77,7 @@
     for (const auto& save : saves) cr_assert(disk.applyRecord(save.record));
     with([&](Effects& effects) {
       for (auto& save : saves)
-        if (save.then) save.then(effects);
+        if (save.onSynced) save.onSynced(effects);
     });
   }
   template <class Kind>
--- a/tests/timing.cpp
+++ b/tests/timing.cpp
@@ -2,7 +2,7 @@
 
 #include "roles.hpp"
 #include "timing_check.hpp"
-#include "timing_kept.hpp"
+#include "timing_guard.hpp"
 
 using namespace tt;
 
--- a/tests/version_ends_cell.cpp
+++ b/tests/version_ends_cell.cpp
@@ -1,6 +1,6 @@
 #include <algorithm>
 
-#include "cell_bench.hpp"
+#include "cell_harness.hpp"
 
 using namespace tt;
 
@@ -24,7 +24,7 @@
 
   explicit RolloutHarness(int workerCount, int coreCount = 1, CellSettings settings = cellSettings())
       : CellHarness(coreCount, settings) {
-    timing.oldWeightsOrderTimeout = maxUse;
+    timing.oldWeightsSendTimeout = maxUse;
     announcements.push_back(Announcement{"moss/3", now});
     listWorkers(workerCount);
   }
--- a/tests/version_ends_proxy.cpp
+++ b/tests/version_ends_proxy.cpp
@@ -1,6 +1,6 @@
 #include <algorithm>
 
-#include "routing_bench.hpp"
+#include "proxy_router_harness.hpp"
 
 using namespace tt;
 
@@ -24,8 +24,8 @@
   VersionHarness() : VersionHarness(pathSettings("proxy-1"), proxyConfiguration) {}
   VersionHarness(const ProxyRouterSettings& settings, const std::string& configuration)
       : ProxyHarness(settings, configuration) {
-    timing.oldWeightsOrderTimeout = oldWeightsUse;
-    timing.unstartedOrderTimeout = dropTimeout;
+    timing.oldWeightsSendTimeout = oldWeightsUse;
+    timing.unstartedRequestTimeout = dropTimeout;
     timing.oldWeightsTimeout = dropTimeout + 500ms;
     announcements.push_back(Announcement{"moss/3", now});
   }
@@ -66,8 +66,8 @@
     for (TimePoint until = now + duration; now < until;) {
       run(50ms);
       for (int number = 0; number < 4; ++number) {
-        auto orderId = submitNext();
-        for (const auto& attempt : attemptsOf(orderId)) endAttempt(attempt.orderId, OrderOutcome::done);
+        auto requestId = submitNext();
+        for (const auto& attempt : attemptsOf(requestId)) endAttempt(attempt.requestId, AttemptOutcome::done);
       }
     }
   }
@@ -105,8 +105,8 @@
     Strings waiting;
     for (int number = 0; number < 12; ++number) {
       std::size_t before = lookups.size();
-      auto orderId = submitNext(path, promptTokens);
-      if (lookups.size() > before && lookups.back().weights == weights) waiting.push_back(orderId);
+      auto requestId = submitNext(path, promptTokens);
+      if (lookups.size() > before && lookups.back().weights == weights) waiting.push_back(requestId);
     }
     cr_assert_not(waiting.empty());
     return waiting;
@@ -114,10 +114,10 @@
   /// A request that was sent to a worker that has these weights.
   WorkerOrder attemptAt(const std::string& weights, const std::string& path) {
     for (int number = 0; number < 60; ++number) {
-      auto orderId = submitNext(path);
-      auto attempt = onlyAttempt(orderId);
+      auto requestId = submitNext(path);
+      auto attempt = onlyAttempt(requestId);
       if (attempt.weights == weights) return attempt;
-      endAttempt(attempt.orderId, OrderOutcome::done);
+      endAttempt(attempt.requestId, AttemptOutcome::done);
     }
     cr_assert_fail("no request went to %s", weights.c_str());
     return {};
@@ -148,7 +148,7 @@
 
 CallerOrder transferRequest(int number) {
   CallerOrder request;
-  request.orderId = "move/" + std::to_string(number);
+  request.requestId = "move/" + std::to_string(number);
   request.key = "key-a";
   request.route = "talk";
   request.model = "moss";
@@ -222,7 +222,7 @@
       harness.run(700ms);
       harness.replyToLookups({});
       harness.run(700ms);
-      for (const auto& orderId : waiting) cr_expect_eq(harness.onlyAttempt(orderId).weights, versions.back());
+      for (const auto& requestId : waiting) cr_expect_eq(harness.onlyAttempt(requestId).weights, versions.back());
       harness.expectNoUseAfterEnd();
     }
 }
@@ -230,22 +230,23 @@
 Test(version_ends_proxy, a_request_pending_past_the_end_is_not_sent_to_the_old_version) {
   for (const auto& versions : oneAndTwoAnnouncements) {
     VersionHarness harness;
-    harness.worker("w3").held = true;
-    harness.worker("w4", "north-a", versions.back()).held = true;
+    harness.worker("w3").withheld = true;
+    harness.worker("w4", "north-a", versions.back()).withheld = true;
     harness.publishCells();
     harness.run(300ms);
     harness.announce(versions, 1s);
     harness.run(harness.useEndsAt("moss/3") - 200ms - harness.now);
-    auto orderId = harness.submitNext();
-    cr_expect(harness.attemptsOf(orderId).empty());
+    auto requestId = harness.submitNext();
+    cr_expect(harness.attemptsOf(requestId).empty());
     harness.run(300ms);
-    harness.worker("w3").held = false;
+    harness.worker("w3").withheld = false;
     harness.publishCells();
     harness.run(100ms);
-    cr_expect(harness.attemptsOf(orderId).empty());
-    harness.worker("w4").held = false;
+    cr_expect(harness.attemptsOf(requestId).empty());
+    harness.worker("w4").withheld = false;
     harness.publishCells();
-    if (harness.finalStatusesOf(orderId).empty()) cr_expect_eq(harness.onlyAttempt(orderId).weights, versions.back());
+    if (harness.finalStatusesOf(requestId).empty())
+      cr_expect_eq(harness.onlyAttempt(requestId).weights, versions.back());
     harness.expectNoUseAfterEnd();
   }
 }
@@ -262,27 +263,27 @@
       harness.run(300ms);
       harness.announce(versions, 1s);
       harness.run(harness.useEndsAt("moss/3") - 250ms - harness.now);
-      std::string moveId, orderId;
+      std::string moveId, requestId;
       for (int number = 0; number < 20 && moveId.empty(); ++number) {
-        orderId = harness.submit(transferRequest(number));
+        requestId = harness.submit(transferRequest(number));
         harness.replyToLookups({{"w33", std::vector<int>(64, 1)}});
         for (const auto& watch : harness.all<WatchMsg>()) moveId = watch.moveId;
       }
       cr_assert_not(moveId.empty(), "no request is worth a transfer");
-      cr_expect(harness.attemptsOf(orderId).empty());
+      cr_expect(harness.attemptsOf(requestId).empty());
       harness.run(350ms);
       harness.worker("w4", "north-a", versions.back());
       harness.publishCells();
       harness.deliver(agentAddress, TransferDone{moveId, moved});
       harness.run(100ms);
-      cr_expect_eq(harness.onlyAttempt(orderId).weights, versions.back());
+      cr_expect_eq(harness.onlyAttempt(requestId).weights, versions.back());
       harness.expectNoUseAfterEnd();
     }
 }
 
 Test(version_ends_proxy, a_retry_after_the_end_goes_to_newer_weights) {
   for (const auto& versions : oneAndTwoAnnouncements)
-    for (auto outcome : {OrderOutcome::denied, OrderOutcome::broken}) {
+    for (auto outcome : {AttemptOutcome::denied, AttemptOutcome::broken}) {
       VersionHarness harness;
       for (const char* name : {"w3", "w33", "w333", "w3333"}) harness.worker(name);
       harness.worker("w4", "north-a", versions.back());
@@ -292,9 +293,9 @@
       harness.run(harness.useEndsAt("moss/3") - 20ms - harness.now);
       auto attempt = harness.attemptAt("moss/3", "/safe/x");
       harness.run(30ms);
-      harness.endAttempt(attempt.orderId, outcome);
+      harness.endAttempt(attempt.requestId, outcome);
       harness.run(100ms);
-      auto attempts = harness.attemptsOf(attempt.callerOrderId);
+      auto attempts = harness.attemptsOf(attempt.clientRequestId);
       cr_assert_eq(attempts.size(), 2u);
       cr_expect_eq(attempts[1].weights, versions.back());
       harness.expectNoUseAfterEnd();
@@ -311,11 +312,11 @@
     harness.announce(versions, 1s);
     harness.run(harness.useEndsAt("moss/3") - 500ms - harness.now);
     auto attempt = harness.attemptAt("moss/3", "/stream/x");
-    harness.deliver("worker", WorkerChunk{attempt.orderId, "one ", "p1"});
+    harness.deliver("worker", WorkerChunk{attempt.requestId, "one ", "p1"});
     harness.run(600ms);
-    harness.endAttempt(attempt.orderId, OrderOutcome::broken);
+    harness.endAttempt(attempt.requestId, AttemptOutcome::broken);
     harness.run(100ms);
-    auto attempts = harness.attemptsOf(attempt.callerOrderId);
+    auto attempts = harness.attemptsOf(attempt.clientRequestId);
     cr_assert_eq(attempts.size(), 2u);
     cr_expect_eq(attempts[1].weights, versions.back());
     harness.expectNoUseAfterEnd();
@@ -335,7 +336,7 @@
   FrozenHarness() {
     for (const char* name : {"w3", "w33", "w333"}) worker(name);
     worker("w4", "north-a", "moss/4");
-    worker("v3", "north-a", "moss/3", "weir").held = true;
+    worker("v3", "north-a", "moss/3", "weir").withheld = true;
     publishCells();
     run(300ms);
     announce("moss/4");
@@ -350,17 +351,17 @@
   }
   /// A request that only a withheld worker of the other service could take.
   std::string submitPending() {
-    std::string orderId;
+    std::string requestId;
     for (int number = 0; number < 40; ++number) {
-      orderId = submitNext("/split/x");
-      if (attemptsOf(orderId).empty()) return orderId;
-      endAttempt(onlyAttempt(orderId).orderId, OrderOutcome::done);
+      requestId = submitNext("/split/x");
+      if (attemptsOf(requestId).empty()) return requestId;
+      endAttempt(onlyAttempt(requestId).requestId, AttemptOutcome::done);
     }
     cr_assert_fail("all requests went to the first service");
-    return orderId;
+    return requestId;
   }
   CellNews releasingUpdate() {
-    worker("v3").held = false;
+    worker("v3").withheld = false;
     auto& news = cells["north-a"];
     ++news.sequence;
     return news;
@@ -408,11 +409,11 @@
 }
 
 Test(version_ends_proxy, after_a_freeze_over_the_end_a_denied_request_is_not_sent_to_the_old_version) {
-  for (auto outcome : {OrderOutcome::denied, OrderOutcome::brokenBeforeSend, OrderOutcome::broken}) {
+  for (auto outcome : {AttemptOutcome::denied, AttemptOutcome::brokenBeforeSend, AttemptOutcome::broken}) {
     FrozenHarness harness;
-    harness.endAttempt(harness.atWorker.orderId, outcome);
+    harness.endAttempt(harness.atWorker.requestId, outcome);
     harness.expectNoStaleAttempts();
-    cr_expect_leq(harness.finalStatusesOf(harness.atWorker.callerOrderId).size(), 1u);
+    cr_expect_leq(harness.finalStatusesOf(harness.atWorker.clientRequestId).size(), 1u);
   }
 }
 
@@ -459,9 +460,9 @@
     if (newerAvailable) used.insert("moss/4");
     cr_expect(restarted.weightsUsedSince(since) == used);
     if (newerAvailable) continue;
-    auto orderId = restarted.submitNext();
+    auto requestId = restarted.submitNext();
     restarted.run(2s);
-    auto status = restarted.finalStatusOf(orderId);
+    auto status = restarted.finalStatusOf(requestId);
     cr_expect_eq(status.verdict, "not run");
     cr_expect_gt(status.retryAfterMs, 0);
   }
@@ -495,10 +496,10 @@
     cr_expect(harness.weightsUsedSince(harness.now - 200ms) == std::set<std::string>{"moss/3"}, "still within its use");
     harness.run(600ms);
     for (const char* path : {"/once/x", "/safe/x", "/stream/x"}) {
-      auto orderId = harness.submitNext(path);
+      auto requestId = harness.submitNext(path);
       harness.run(2s);
-      cr_expect(harness.attemptsOf(orderId).empty());
-      auto status = harness.finalStatusOf(orderId);
+      cr_expect(harness.attemptsOf(requestId).empty());
+      auto status = harness.finalStatusOf(requestId);
       cr_expect_eq(status.verdict, "not run");
       cr_expect_gt(status.retryAfterMs, 0);
       cr_expect_eq(codeStatus(static_cast<Code>(status.code)), 503);
@@ -522,7 +523,7 @@
         request.model.clear();
         auto attempt = harness.onlyAttempt(harness.submit(request));
         weightsByWorker[attempt.worker] = attempt.weights;
-        harness.endAttempt(attempt.orderId, OrderOutcome::done);
+        harness.endAttempt(attempt.requestId, AttemptOutcome::done);
       }
       return weightsByWorker;
     };
@@ -569,7 +570,7 @@
   void expectDropped() const {
     std::vector<SentMessage> rows;
     for (const auto& row : sent)
-      if (auto* drop = std::get_if<WorkerDrop>(&row.message); drop && drop->orderId == attempt.orderId)
+      if (auto* drop = std::get_if<WorkerDrop>(&row.message); drop && drop->requestId == attempt.requestId)
         rows.push_back(row);
     cr_assert_eq(rows.size(), 1u);
     cr_expect_eq(rows[0].to, attempt.worker + ":80");
@@ -586,14 +587,14 @@
       harness.runPastDropTimeout();
       harness.run(100ms);
       harness.expectDropped();
-      auto attempts = harness.attemptsOf(harness.attempt.callerOrderId);
+      auto attempts = harness.attemptsOf(harness.attempt.clientRequestId);
       cr_assert_eq(attempts.size(), 2u, "%s was sent %zu times", path, attempts.size());
       cr_expect_eq(attempts[1].weights, versions.back());
-      harness.deliver("worker", WorkerChunk{harness.attempt.orderId, "late ", "p9"});
+      harness.deliver("worker", WorkerChunk{harness.attempt.requestId, "late ", "p9"});
       cr_expect(harness.all<CallerChunk>().empty(), "the response of the dropped attempt reaches no client");
-      harness.deliver("worker", WorkerChunk{attempts[1].orderId, "one", "p1"});
-      harness.endAttempt(attempts[1].orderId, OrderOutcome::done);
-      cr_expect_eq(harness.finalStatusOf(harness.attempt.callerOrderId).verdict, "done");
+      harness.deliver("worker", WorkerChunk{attempts[1].requestId, "one", "p1"});
+      harness.endAttempt(attempts[1].requestId, AttemptOutcome::done);
+      cr_expect_eq(harness.finalStatusOf(harness.attempt.clientRequestId).verdict, "done");
       harness.expectNoUseAfterEnd();
     }
 }
@@ -604,10 +605,10 @@
       SentBeforeEndHarness harness(versions, path);
       harness.runPastDropTimeout();
       harness.expectDropped();
-      cr_expect_eq(harness.finalStatusOf(harness.attempt.callerOrderId).verdict, "unknown", "it may have run");
+      cr_expect_eq(harness.finalStatusOf(harness.attempt.clientRequestId).verdict, "unknown", "it may have run");
       harness.run(1s);
-      cr_expect_eq(harness.attemptsOf(harness.attempt.callerOrderId).size(), 1u);
-      cr_expect_eq(harness.finalStatusesOf(harness.attempt.callerOrderId).size(), 1u);
+      cr_expect_eq(harness.attemptsOf(harness.attempt.clientRequestId).size(), 1u);
+      cr_expect_eq(harness.finalStatusesOf(harness.attempt.clientRequestId).size(), 1u);
     }
 }
 
@@ -615,13 +616,13 @@
   for (const auto& versions : oneAndTwoAnnouncements)
     for (const char* path : {"/once/x", "/safe/x", "/stream/x"}) {
       SentBeforeEndHarness harness(versions, path, 600ms);
-      harness.deliver("worker", WorkerChunk{harness.attempt.orderId, "one ", "p1"});
+      harness.deliver("worker", WorkerChunk{harness.attempt.requestId, "one ", "p1"});
       harness.runPastDropTimeout();
       harness.run(500ms);
       cr_expect_eq(harness.dropCount, 0u);
-      harness.deliver("worker", WorkerChunk{harness.attempt.orderId, "two", "p2"});
-      harness.endAttempt(harness.attempt.orderId, OrderOutcome::done);
-      cr_expect_eq(harness.finalStatusOf(harness.attempt.callerOrderId).verdict, "done");
+      harness.deliver("worker", WorkerChunk{harness.attempt.requestId, "two", "p2"});
+      harness.endAttempt(harness.attempt.requestId, AttemptOutcome::done);
+      cr_expect_eq(harness.finalStatusOf(harness.attempt.clientRequestId).verdict, "done");
       cr_expect_eq(harness.all<CallerChunk>().size(), 2u);
     }
 }
@@ -635,9 +636,9 @@
   auto attempt = harness.attemptAt("moss/4", "/once/x");
   harness.run(1500ms);
   cr_expect_eq(harness.dropCount, 0u);
-  cr_expect(harness.finalStatusesOf(attempt.callerOrderId).empty());
-  harness.endAttempt(attempt.orderId, OrderOutcome::done);
-  cr_expect_eq(harness.finalStatusOf(attempt.callerOrderId).verdict, "done");
+  cr_expect(harness.finalStatusesOf(attempt.clientRequestId).empty());
+  harness.endAttempt(attempt.requestId, AttemptOutcome::done);
+  cr_expect_eq(harness.finalStatusOf(attempt.clientRequestId).verdict, "done");
 }
 
 Test(version_ends_proxy, an_announcement_learned_after_a_gap_counts_from_the_start_of_the_gap) {
@@ -691,10 +692,10 @@
       std::set<std::string> weights;
       for (int number = 0; number < 30; ++number) {
         auto request = transferRequest(0);
-        request.orderId = "talk/" + std::to_string(++submittedRequests);
+        request.requestId = "talk/" + std::to_string(++submittedRequests);
         auto attempt = harness.onlyAttempt(harness.submit(request));
         weights.insert(attempt.weights);
-        harness.endAttempt(attempt.orderId, OrderOutcome::done);
+        harness.endAttempt(attempt.requestId, AttemptOutcome::done);
       }
       return weights;
     };
@@ -708,7 +709,7 @@
     auto last = transferRequest(1);
     harness.submit(last);
     harness.run(2s);
-    cr_expect(harness.attemptsOf(last.orderId).empty());
-    cr_expect_eq(harness.finalStatusOf(last.orderId).verdict, "not run");
+    cr_expect(harness.attemptsOf(last.requestId).empty());
+    cr_expect_eq(harness.finalStatusOf(last.requestId).verdict, "not run");
   }
 }
--- a/tests/version_namings.cpp
+++ b/tests/version_namings.cpp
@@ -1,5 +1,5 @@
-#include "fleet_bench.hpp"
-#include "routing_bench.hpp"
+#include "fleet_harness.hpp"
+#include "proxy_router_harness.hpp"
 
 using namespace tt;
 
@@ -35,7 +35,7 @@
     outside.clear();
     with(machines.at(name), [&](Effects& effects) { machines.at(name).node->handle(effects, "reader:1", request); });
     for (const auto& [to, message] : outside)
-      if (auto* reply = std::get_if<Reply>(&message)) return reply->namings;
+      if (auto* reply = std::get_if<Reply>(&message)) return reply->weightsAnnouncements;
     cr_assert_fail("%s does not reply", name.c_str());
     return {};
   }
@@ -168,7 +168,7 @@
   TimePoint lastOldUseAt{};
 
   InformedProxyHarness() {
-    timing.oldWeightsOrderTimeout = oldWeightsUse;
+    timing.oldWeightsSendTimeout = oldWeightsUse;
     answersFeedPolls = false;
     configuration.change(R"({"models":{"moss":{"weights":"moss/4"}}})");
     router = std::make_unique<ProxyRouter>(pathSettings("proxy-1"));
@@ -185,7 +185,7 @@
       FeedReply reply{poll.sentAt, 0, configuration.view.index(), true};
       for (auto announcement : announcements) {
         if (announcement.age >= 0) announcement.age += (now - reportedAt).count();
-        reply.namings.push_back(announcement);
+        reply.weightsAnnouncements.push_back(announcement);
       }
       replies.emplace_back(now + replyDelay, reply);
     }
@@ -201,10 +201,10 @@
     for (TimePoint until = now + duration; now < until;) {
       run(10ms);
       answerFeedPolls();
-      auto orderId = submit("/once/x", "key-a", promptOf(++prompts));
-      for (const auto& attempt : attemptsOf(orderId)) {
+      auto requestId = submit("/once/x", "key-a", promptOf(++prompts));
+      for (const auto& attempt : attemptsOf(requestId)) {
         if (attempt.weights == "moss/3") lastOldUseAt = now;
-        endAttempt(attempt.orderId, OrderOutcome::done);
+        endAttempt(attempt.requestId, AttemptOutcome::done);
       }
     }
   }
--- a/tests/version_span.cpp
+++ b/tests/version_span.cpp
@@ -2,7 +2,7 @@
 
 #include <criterion/criterion.h>
 
-#include "timing_kept.hpp"
+#include "timing_guard.hpp"
 
 using namespace tt;
 
@@ -11,8 +11,8 @@
   timing = Timing{};
   cr_assert(bool(setVersionSpan(versionMsUsual)));
   cr_assert(timing.oldWeightsTimeout == Timing{}.oldWeightsTimeout);
-  cr_assert(timing.oldWeightsOrderTimeout == Timing{}.oldWeightsOrderTimeout);
-  cr_assert(timing.unstartedOrderTimeout == Timing{}.unstartedOrderTimeout);
+  cr_assert(timing.oldWeightsSendTimeout == Timing{}.oldWeightsSendTimeout);
+  cr_assert(timing.unstartedRequestTimeout == Timing{}.unstartedRequestTimeout);
 }
 
 Test(version_span, every_span_that_a_program_takes_keeps_the_inequalities) {
@@ -20,9 +20,9 @@
   for (double versionMs = versionMsLeast; versionMs <= versionMsMost; versionMs += 37) {
     timing = Timing{};
     cr_assert(bool(setVersionSpan(versionMs)), "%f ms", versionMs);
-    cr_assert(timing.rolloutStartTimeout() < timing.oldWeightsOrderTimeout &&
-              timing.oldWeightsOrderTimeout < timing.unstartedOrderTimeout &&
-              timing.unstartedOrderTimeout < timing.oldWeightsTimeout);
+    cr_assert(timing.rolloutStartTimeout() < timing.oldWeightsSendTimeout &&
+              timing.oldWeightsSendTimeout < timing.unstartedRequestTimeout &&
+              timing.unstartedRequestTimeout < timing.oldWeightsTimeout);
   }
 }
 
