--- a/src/cluster/core.hpp
+++ b/src/cluster/core.hpp
@@ -28,7 +28,7 @@
   Core(CoreSettings coreSettings, const RecoveredState& recovered, std::mt19937_64& randomSource, TimePoint now);
   void handle(Effects& effects, const std::string& from, const Message& message) override;
   void tick(Effects& effects) override;
-  /// Prepares a clean shutdown: gives up all duties, hands the leadership to a peer that has the whole log, and
+  /// Prepares a clean shutdown: gives up all duties, hands the leadership to the peer with the longest log, and
   /// acknowledges no further entries.
   void resign(Effects& effects);
   /// Whether all that this core has synced is stored on enough other cores' disks for this core to shut down.
--- a/src/consensus/election.hpp
+++ b/src/consensus/election.hpp
@@ -31,11 +31,11 @@
   /// How long a command may take to reach a worker.
   Duration commandTimeout{2s};
   /// Limits for work with old weights, measured from the announcement of newer weights for the model.
-  /// `oldWeightsTimeout`: last start of a request with the old weights, as the settings promise.
-  /// `oldWeightsSendTimeout`: last time a request may be sent to a worker that still has them.
-  /// `unstartedRequestTimeout`: time at which requests that were sent there but have not started are withdrawn.
+  /// `oldWeightsTimeout`: until when a request may start on the old weights, as the settings promise.
+  /// `oldWeightsSendTimeout`: until when a request may be sent to a worker that still has them.
+  /// `unstartedRequestTimeout`: when requests that were sent there but have not started are withdrawn.
   Duration oldWeightsTimeout{20s}, oldWeightsSendTimeout{18s}, unstartedRequestTimeout{19500ms};
-  /// Time after an announcement by which a worker must have started to load the newer weights.
+  /// How long after an announcement a worker must have started to load the newer weights.
   Duration rolloutStartTimeout() const { return oldWeightsSendTimeout * 17 / 20; }
   /// How long a voter must be silent before it is removed permanently (0: never), and how many voters must remain.
   Duration memberRemovalTimeout{0};
--- a/src/index/cell.hpp
+++ b/src/index/cell.hpp
@@ -23,12 +23,12 @@
   Report lastReport;
   TimePoint lastReportAt{}, reportRequestedAt{}, fullReportRequestedAt{}, statusAt{}, statusRequestedAt{};
   /// `known`: a report was received under the current lease. `confirmed`: the index was built from a full report and no
-  /// event has been missed since, so the cached blocks in `kept` can be relied on.
+  /// event has been missed since, so that `cachedBlocks` can be relied on.
   bool known{false}, confirmed{false}, reportPending{false};
-  /// The sequence number of the last cache event that was applied to `kept`.
+  /// The sequence number of the last cache event that was applied to `cachedBlocks`.
   std::uint64_t appliedSequence{0};
   std::unordered_set<BlockHash, BlockHashHasher> cachedBlocks;
-  /// The last Bloom filter that was made of `kept`.
+  /// The last Bloom filter that was made of `cachedBlocks`.
   std::string summary;
   bool summaryStale{true};
   /// For a store only: the prefixes that it evicted recently, and when.
--- a/src/routing/proxy_report.cpp
+++ b/src/routing/proxy_report.cpp
@@ -5,18 +5,18 @@
 
 namespace tt {
 std::string ProxyRouter::condition(TimePoint now) const {
-  JsonObject whole;
-  whole["proxy"] = Json(settings.name);
-  whole["fresh"] = Json(fresh(now));
-  whole["revision"] = jsonNumber(static_cast<double>(config.revision()));
-  whole["applied"] = jsonNumber(static_cast<double>(config.index()));
-  whole["orders"] = jsonNumber(static_cast<double>(requests.size()));
-  whole["pending"] = jsonNumber(static_cast<double>(pending.size()));
+  JsonObject report;
+  report["proxy"] = Json(settings.name);
+  report["fresh"] = Json(fresh(now));
+  report["revision"] = jsonNumber(static_cast<double>(config.revision()));
+  report["applied"] = jsonNumber(static_cast<double>(config.index()));
+  report["orders"] = jsonNumber(static_cast<double>(requests.size()));
+  report["pending"] = jsonNumber(static_cast<double>(pending.size()));
   JsonObject tenants;
   for (const auto& [tenant, open] : openByTenant) tenants[tenant] = jsonNumber(open);
-  whole["openByTenant"] = Json(tenants);
-  whole["retriesLately"] = jsonNumber(static_cast<double>(retryTimes.size()));
-  whole["admittedLately"] = jsonNumber(static_cast<double>(admissionTimes.size()));
+  report["openByTenant"] = Json(tenants);
+  report["retriesLately"] = jsonNumber(static_cast<double>(retryTimes.size()));
+  report["admittedLately"] = jsonNumber(static_cast<double>(admissionTimes.size()));
   JsonObject workers;
   for (const auto& [zone, cell] : cells)
     for (const auto& worker : cell.workers) {
@@ -31,11 +31,11 @@
       row["open"] = jsonNumber(stats == workerStats.end() ? 0 : stats->second.open);
       workers[worker.name] = Json(row);
     }
-  whole["workers"] = Json(workers);
+  report["workers"] = Json(workers);
   JsonObject counters;
   for (const auto& [kind, count] : journal.counts()) counters[kind] = jsonNumber(static_cast<double>(count));
-  whole["counters"] = Json(counters);
-  return Json(whole).serialize(true);
+  report["counters"] = Json(counters);
+  return Json(report).serialize(true);
 }
 
 }  // namespace tt
--- a/src/routing/proxy_router.cpp
+++ b/src/routing/proxy_router.cpp
@@ -403,12 +403,12 @@
 void ProxyRouter::handleFromAgent(Effects& effects, const Message& message) {
   if (auto* feed = std::get_if<FeedReply>(&message)) {
     onFeedReply(*feed, effects.now);
-  } else if (auto* news = std::get_if<NewsMsg>(&message)) {
-    onConfigurationUpdate(effects, *news);
-  } else if (auto* cellNews = std::get_if<CellNews>(&message)) {
-    onCellUpdate(effects, *cellNews);
-  } else if (auto* marks = std::get_if<MarksMsg>(&message)) {
-    onMachineList(*marks, effects.now);
+  } else if (auto* update = std::get_if<NewsMsg>(&message)) {
+    onConfigurationUpdate(effects, *update);
+  } else if (auto* cellUpdate = std::get_if<CellNews>(&message)) {
+    onCellUpdate(effects, *cellUpdate);
+  } else if (auto* machineList = std::get_if<MarksMsg>(&message)) {
+    onMachineList(*machineList, effects.now);
   } else if (auto* reply = std::get_if<LookupReply>(&message)) {
     onLookupReply(effects, *reply);
   } else if (auto* done = std::get_if<TransferDone>(&message)) {
--- a/src/storage/ring.cpp
+++ b/src/storage/ring.cpp
@@ -17,7 +17,7 @@
 namespace tt {
 namespace {
 
-/// The smallest unit that a disk writes or loses as a whole.
+/// The smallest unit that a disk writes or loses completely.
 constexpr std::size_t sectorSize = 512;
 
 Error diskFault(const std::string& what) { return makeError(Code::diskFault, what, std::strerror(errno)); }
--- a/tests/cell_harness.hpp
+++ b/tests/cell_harness.hpp
@@ -148,11 +148,11 @@
   }
   void deliverToWorker(TestWorker& worker, const std::string& from, const Message& message) {
     if (!worker.reachable) return;
-    if (auto* ask = std::get_if<ReportAsk>(&message)) {
+    if (auto* request = std::get_if<ReportAsk>(&message)) {
       Report report;
       report.worker = worker.name;
-      report.scope = ask->scope;
-      if (ask->scope == static_cast<int>(ReportScope::condition)) {
+      report.scope = request->scope;
+      if (request->scope == static_cast<int>(ReportScope::condition)) {
         report.weights = worker.weights;
         report.model = "moss";
         report.draining = !worker.loadingWeights.empty();
@@ -163,29 +163,29 @@
       report.gaps = true;
       report.incarnation = worker.incarnation;
       report.sequence = worker.sequence;
-      report.complete = ask->complete;
-      if (ask->complete) {
+      report.complete = request->complete;
+      if (request->complete) {
         report.cachedBlocks.assign(worker.cachedBlocks.begin(), worker.cachedBlocks.end());
       } else {
-        report.lost = worker.losesEvents || ask->incarnation != worker.incarnation;
+        report.lost = worker.losesEvents || request->incarnation != worker.incarnation;
         for (const auto& event : worker.events)
-          if (event.sequence > ask->after) report.events.push_back(event);
+          if (event.sequence > request->after) report.events.push_back(event);
       }
       return sendReply(worker, from, report);
     }
-    auto* control = std::get_if<ControlAsk>(&message);
-    if (!control) return;
+    auto* command = std::get_if<ControlAsk>(&message);
+    if (!command) return;
     worker.commandsAt.push_back(now);
-    bool outdated = control->term < worker.highestTerm;
-    worker.highestTerm = std::max(worker.highestTerm, control->term);
-    if (!outdated && worker.executesCommands && worker.loadingWeights.empty() && worker.weights != control->weights) {
-      worker.loadingWeights = control->weights;
+    bool outdated = command->term < worker.highestTerm;
+    worker.highestTerm = std::max(worker.highestTerm, command->term);
+    if (!outdated && worker.executesCommands && worker.loadingWeights.empty() && worker.weights != command->weights) {
+      worker.loadingWeights = command->weights;
       worker.loadedAt = now + worker.loadDuration;
     }
     if (worker.repliesToCommands)
       sendReply(worker, from,
-                ControlReply{worker.name, control->term, static_cast<int>(outdated ? Code::termOld : Code::done),
-                             control->number});
+                ControlReply{worker.name, command->term, static_cast<int>(outdated ? Code::termOld : Code::done),
+                             command->number});
   }
   void step() {
     now += 10ms;
@@ -241,10 +241,11 @@
   /// The hits in the reply to a lookup, one for each block; {-1} if the core does not reply.
   std::vector<int> lookup(const std::string& worker, const Strings& ids, const std::string& weights = "moss/3",
                           std::string to = {}) {
-    LookupMsg ask{"l", "north-a", worker, weights, {}, "asker"};
-    for (const auto& id : ids) ask.hashes.push_back(blockHash(id));
+    LookupMsg request{"l", "north-a", worker, weights, {}, "asker"};
+    for (const auto& id : ids) request.hashes.push_back(blockHash(id));
     std::size_t before = sent.size();
-    runOn(to.empty() ? leaseHolder() : to, [&](Effects& effects, Cell& cell) { cell.handle(effects, "agent", ask); });
+    runOn(to.empty() ? leaseHolder() : to,
+          [&](Effects& effects, Cell& cell) { cell.handle(effects, "agent", request); });
     for (std::size_t at = before; at < sent.size(); ++at)
       if (auto* reply = std::get_if<LookupReply>(&sent[at].message)) return reply->hits;
     return {-1};
@@ -255,8 +256,8 @@
   std::size_t fullReportRequests(const std::string& worker, TimePoint since) const {
     std::size_t count = 0;
     for (const auto& row : sentMessages<ReportAsk>(since)) {
-      const auto& ask = std::get<ReportAsk>(row.message);
-      count += ask.worker == worker && ask.complete;
+      const auto& request = std::get<ReportAsk>(row.message);
+      count += request.worker == worker && request.complete;
     }
     return count;
   }
--- a/tests/cells.cpp
+++ b/tests/cells.cpp
@@ -157,9 +157,9 @@
         maxLoadingCount,
         static_cast<std::size_t>(std::count_if(harness.workers.begin(), harness.workers.end(),
                                                [](const auto& row) { return !row.second.loadingWeights.empty(); })));
-    const auto& news = harness.cores.begin()->second.news.back();
+    const auto& update = harness.cores.begin()->second.news.back();
     maxWithheld = std::max<std::size_t>(
-        maxWithheld, static_cast<std::size_t>(std::count_if(news.workers.begin(), news.workers.end(),
+        maxWithheld, static_cast<std::size_t>(std::count_if(update.workers.begin(), update.workers.end(),
                                                             [](const auto& row) { return row.withheld; })));
   });
   auto commands = harness.sentMessages<ControlAsk>();
--- a/tests/load.cpp
+++ b/tests/load.cpp
@@ -35,43 +35,42 @@
 }  // namespace
 
 Test(load, a_delta_update_changes_only_the_rows_it_names) {
-  CellNews cachedBlocks;
-  cr_assert(applyCellUpdate(cachedBlocks,
-                            cellUpdate(2, 4, 0, {workerView("w1", 1), workerView("w2", 2), workerView("w3", 3)})));
-  cr_expect(applyCellUpdate(cachedBlocks, cellUpdate(2, 5, 4, {workerView("w2", 7), workerView("w4", 4)}, {"w1"})));
-  cr_expect(waitingByWorker(cachedBlocks) == (Waiting{{"w2", 7}, {"w3", 3}, {"w4", 4}}));
-  cr_expect_eq(cachedBlocks.sequence, 5u);
-  cr_expect_eq(cachedBlocks.base, 0u, "the merged state is full and can be passed on as such");
-  cr_expect(cachedBlocks.removedWorkers.empty());
-  cr_expect(applyCellUpdate(cachedBlocks, cellUpdate(2, 6, 5, {})));
-  cr_expect(waitingByWorker(cachedBlocks) == (Waiting{{"w2", 7}, {"w3", 3}, {"w4", 4}}));
-  cr_expect_eq(cachedBlocks.sequence, 6u);
+  CellNews merged;
+  cr_assert(
+      applyCellUpdate(merged, cellUpdate(2, 4, 0, {workerView("w1", 1), workerView("w2", 2), workerView("w3", 3)})));
+  cr_expect(applyCellUpdate(merged, cellUpdate(2, 5, 4, {workerView("w2", 7), workerView("w4", 4)}, {"w1"})));
+  cr_expect(waitingByWorker(merged) == (Waiting{{"w2", 7}, {"w3", 3}, {"w4", 4}}));
+  cr_expect_eq(merged.sequence, 5u);
+  cr_expect_eq(merged.base, 0u, "the merged state is full and can be passed on as such");
+  cr_expect(merged.removedWorkers.empty());
+  cr_expect(applyCellUpdate(merged, cellUpdate(2, 6, 5, {})));
+  cr_expect(waitingByWorker(merged) == (Waiting{{"w2", 7}, {"w3", 3}, {"w4", 4}}));
+  cr_expect_eq(merged.sequence, 6u);
   CellNews other;
-  cr_expect(applyCellUpdate(other, cachedBlocks), "a third reader may apply the merged state");
-  cr_expect(waitingByWorker(other) == waitingByWorker(cachedBlocks));
+  cr_expect(applyCellUpdate(other, merged), "a third reader may apply the merged state");
+  cr_expect(waitingByWorker(other) == waitingByWorker(merged));
 }
 
 Test(load, a_delta_with_another_base_or_term_is_rejected_and_a_full_update_after_it_is_applied) {
-  CellNews cachedBlocks;
-  cr_expect_not(applyCellUpdate(cachedBlocks, cellUpdate(2, 5, 4, {workerView("w1")})),
-                "there is nothing to merge with");
-  cr_expect(cachedBlocks.workers.empty());
-  cr_assert(applyCellUpdate(cachedBlocks, cellUpdate(2, 4, 0, {workerView("w1", 1), workerView("w2", 2)})));
-  auto before = waitingByWorker(cachedBlocks);
+  CellNews merged;
+  cr_expect_not(applyCellUpdate(merged, cellUpdate(2, 5, 4, {workerView("w1")})), "there is nothing to merge with");
+  cr_expect(merged.workers.empty());
+  cr_assert(applyCellUpdate(merged, cellUpdate(2, 4, 0, {workerView("w1", 1), workerView("w2", 2)})));
+  auto before = waitingByWorker(merged);
   for (const auto& update :
        {cellUpdate(2, 6, 5, {workerView("w1", 9)}, {"w2"}), cellUpdate(3, 5, 4, {workerView("w1", 9)}, {"w2"}),
         cellUpdate(1, 5, 4, {workerView("w1", 9)}, {"w2"}), cellUpdate(2, 4, 3, {workerView("w1", 9)}, {"w2"}),
         cellUpdate(2, 5, 3, {workerView("w1", 9)}, {"w2"})}) {
-    cr_expect_not(applyCellUpdate(cachedBlocks, update));
-    cr_expect(waitingByWorker(cachedBlocks) == before);
-    cr_expect_eq(cachedBlocks.term, 2u);
-    cr_expect_eq(cachedBlocks.sequence, 4u);
-  }
-  cr_expect(applyCellUpdate(cachedBlocks, cellUpdate(2, 7, 0, {workerView("w3", 5)})));
-  cr_expect(waitingByWorker(cachedBlocks) == (Waiting{{"w3", 5}}));
-  cr_expect(applyCellUpdate(cachedBlocks, cellUpdate(3, 1, 0, {workerView("w4", 6)})),
+    cr_expect_not(applyCellUpdate(merged, update));
+    cr_expect(waitingByWorker(merged) == before);
+    cr_expect_eq(merged.term, 2u);
+    cr_expect_eq(merged.sequence, 4u);
+  }
+  cr_expect(applyCellUpdate(merged, cellUpdate(2, 7, 0, {workerView("w3", 5)})));
+  cr_expect(waitingByWorker(merged) == (Waiting{{"w3", 5}}));
+  cr_expect(applyCellUpdate(merged, cellUpdate(3, 1, 0, {workerView("w4", 6)})),
             "another lease holder begins with a full update");
-  cr_expect(waitingByWorker(cachedBlocks) == (Waiting{{"w4", 6}}));
+  cr_expect(waitingByWorker(merged) == (Waiting{{"w4", 6}}));
 }
 
 namespace {
@@ -418,7 +417,7 @@
     askedAt = at;
   }
   core.now += 1s;
-  cr_expect(core.requestsAfter(cellUpdate(1, 2, 1, {})).empty(), "an old update is no reason to ask");
+  cr_expect(core.requestsAfter(cellUpdate(1, 2, 1, {})).empty(), "an old update causes no request");
   cr_expect(core.requestsAfter(cellUpdate(1, 29, 0, {workerView("w1"), workerView("w2", 5)})).empty());
   cr_expect(core.requestsAfter(cellUpdate(1, 30, 29, {})).empty(), "after a full update it can apply deltas again");
 }
--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -449,7 +449,7 @@
     for (auto& [to, message] : effects.sends)
       if (auto* reply = std::get_if<ChangeResponse>(&message)) responses.push_back(*reply);
   };
-  auto ask = [&](const OperatorRequest& change) {
+  auto propose = [&](const OperatorRequest& change) {
     ChangeRequest request;
     request.requestId = "a";
     request.body = change.body;
@@ -469,15 +469,15 @@
   }
   cr_assert(log.leads(now));
   auto first = serviceChange(0, 1, "first");
-  cr_assert_eq(ask(first), Code::changeTaken);
+  cr_assert_eq(propose(first), Code::changeTaken);
   std::int64_t revision = 1;
   for (int more = 0; more < 4095; ++more, ++revision)
-    cr_assert_eq(ask(serviceChange(revision, revision + 1, "later")), Code::changeTaken);
-  cr_expect_eq(ask(first), Code::changeTaken);
+    cr_assert_eq(propose(serviceChange(revision, revision + 1, "later")), Code::changeTaken);
+  cr_expect_eq(propose(first), Code::changeTaken);
   for (int more = 0; more < 10; ++more, ++revision)
-    cr_assert_eq(ask(serviceChange(revision, revision + 1, "later")), Code::changeTaken);
-  cr_expect_eq(ask(first), Code::changeUnsure, "a change that is too old to be remembered may have been accepted");
-  cr_expect_eq(ask(serviceChange(3000, 3001, "rival")), Code::staleRevision);
+    cr_assert_eq(propose(serviceChange(revision, revision + 1, "later")), Code::changeTaken);
+  cr_expect_eq(propose(first), Code::changeUnsure, "a change that is too old to be remembered may have been accepted");
+  cr_expect_eq(propose(serviceChange(3000, 3001, "rival")), Code::staleRevision);
 }
 
 Test(operators, a_patch_through_a_lagging_core_keeps_what_it_does_not_name) {
--- a/tests/path_routes.cpp
+++ b/tests/path_routes.cpp
@@ -742,9 +742,9 @@
   cr_expect(harness.finalStatusesOf(requestId).empty());
   harness.run(400ms);
   cr_expect_eq(harness.finalStatusOf(requestId).verdict, "unknown");
-  auto dropCount = harness.all<WorkerDrop>();
-  cr_assert_eq(dropCount.size(), 1u);
-  cr_expect_eq(dropCount[0].requestId, attempt.requestId);
+  auto drops = harness.all<WorkerDrop>();
+  cr_assert_eq(drops.size(), 1u);
+  cr_expect_eq(drops[0].requestId, attempt.requestId);
   auto capped = harness.clientRequest("/once/x");
   capped.deadlineMs = 60000;
   cr_expect_leq(harness.onlyAttempt(harness.submit(capped)).deadlineMs, 4000, "the route's own limit is nearer");
@@ -792,9 +792,9 @@
     if (streams) harness.deliver("worker", WorkerChunk{attempt.requestId, "piece", ""});
     std::size_t before = harness.all<WorkerDrop>().size();
     harness.deliver("caller", CallerGone{requestId});
-    auto dropCount = harness.all<WorkerDrop>();
-    cr_assert_eq(dropCount.size(), before + 1);
-    cr_expect_eq(dropCount.back().requestId, attempt.requestId);
+    auto drops = harness.all<WorkerDrop>();
+    cr_assert_eq(drops.size(), before + 1);
+    cr_expect_eq(drops.back().requestId, attempt.requestId);
     auto isDrop = [](const auto& row) { return std::holds_alternative<WorkerDrop>(row.message); };
     auto sentLast = std::find_if(harness.sent.rbegin(), harness.sent.rend(), isDrop);
     cr_expect_eq(sentLast->to, attempt.worker + ":80");
--- a/tests/version_ends_cell.cpp
+++ b/tests/version_ends_cell.cpp
@@ -180,10 +180,11 @@
     harness.announceEvery(100ms, 3);
     harness.runAndCheck(16s);
     for (const auto& row : harness.sentMessages<ControlAsk>()) {
-      const auto& ask = std::get<ControlAsk>(row.message);
-      TimePoint successorAt = harness.supersededAt(ask.weights);
+      const auto& command = std::get<ControlAsk>(row.message);
+      TimePoint successorAt = harness.supersededAt(command.weights);
       cr_expect(row.at <= successorAt || row.at - successorAt <= 20ms,
-                "%s was commanded to load %s, which had been superseded", ask.worker.c_str(), ask.weights.c_str());
+                "%s was commanded to load %s, which had been superseded", command.worker.c_str(),
+                command.weights.c_str());
     }
     harness.expectAllNewest();
   }
--- a/tests/version_ends_proxy.cpp
+++ b/tests/version_ends_proxy.cpp
@@ -362,9 +362,9 @@
   }
   CellNews releasingUpdate() {
     worker("v3").withheld = false;
-    auto& news = cells["north-a"];
-    ++news.sequence;
-    return news;
+    auto& update = cells["north-a"];
+    ++update.sequence;
+    return update;
   }
   /// Nothing may be sent before the configuration is known to be complete again, and nothing to the old version after
   /// that.
