--- a/src/cluster/core.hpp
+++ b/src/cluster/core.hpp
@@ -43,8 +43,8 @@
   const std::string& id() const { return self.id; }
   /// Whether a command to a worker may still be sent now.
   bool mayCommand(const ControlAsk& command, TimePoint now) const;
-  /// Whether this core's view of the configuration is fresh, in the sense in which an agent's view is. Reads by
-  /// operators need more: see ReadRequest and completeReads().
+  /// Whether this core's view of the configuration is fresh, in the same sense as an agent's view. Reads by operators
+  /// need more than this: see completeReads().
   bool readsConfirmed(TimePoint now) const { return clusterView->fresh(now); }
 
  private:
--- a/src/rollout/rollout_plan.hpp
+++ b/src/rollout/rollout_plan.hpp
@@ -32,12 +32,12 @@
 /// Returns the workers of one model that should start to change to the newest weights now, ordered by when their
 /// weights were superseded, the earliest first.
 ///
-/// Let w of the N workers wait that were superseded at time T or earlier. The next of them is due at T + `settleDelay`
-/// + `spread` * (N - w) / N; the earliest such time over all T counts. So a worker is due within `settleDelay` +
-/// `spread` of the time at which its own weights were superseded, however often newer ones are announced, and at most
-/// once in that time. If loads have failed and none has succeeded, neither here nor in another zone
-/// (`provenElsewhere`), the weights may be bad. The other workers then keep the old weights, so that the operator can
-/// go back to them at once.
+/// Let N be the number of workers, and w the number of waiting workers whose weights were superseded at time T or
+/// earlier. The next of these is due at T + `settleDelay` + `spread` * (N - w) / N; the earliest such time over all T
+/// counts. So a worker is due within `settleDelay` + `spread` of the time at which its own weights were superseded,
+/// however often newer ones are announced, and at most once in that time. If loads have failed and none has succeeded,
+/// neither here nor in another zone (`provenElsewhere`), the weights may be bad. The other workers then keep the old
+/// weights, so that the operator can go back to them at once.
 std::vector<std::string> workersToStart(const std::vector<RolloutWorker>& workers, const RolloutLimits& limits,
                                         TimePoint now, bool provenElsewhere = false);
 
--- a/src/storage/ring_format.hpp
+++ b/src/storage/ring_format.hpp
@@ -31,7 +31,7 @@
 /// The valid batch of either format that starts at an offset; no value if there is no magic number or the checksum does
 /// not match.
 std::optional<StoredBatch> batchAt(const std::string& bytes, std::size_t offset);
-/// Whether there is the magic number of a batch of either format at an offset. The batch itself may be invalid.
+/// Whether the bytes at an offset are the magic number of either format. The batch itself may be invalid.
 bool hasMagicAt(const std::string& bytes, std::size_t offset);
 /// All valid batches that start at or after an offset, without their records.
 std::vector<StoredBatch> findBatches(const std::string& bytes, std::size_t offset);
