--- a/src/cluster/core.cpp
+++ b/src/cluster/core.cpp
@@ -31,17 +31,18 @@
 
 Strings selectUpstreams(const std::string& agent, const Strings& peers, std::size_t maxCount) {
   std::uint64_t ownRank = rendezvousHash("rank", agent);
-  std::vector<std::pair<std::uint64_t, std::string>> lower;
+  std::vector<std::pair<std::uint64_t, std::string>> lowerRanked;
   for (const auto& peer : peers)
     if (std::uint64_t rank = rendezvousHash("rank", peer); peer != agent && rank < ownRank)
-      lower.emplace_back(rank, peer);
-  if (lower.size() < rootCount) return {};
-  std::sort(lower.begin(), lower.end());
-  lower.resize(std::max(rootCount, lower.size() * 3 / 4));
-  for (auto& [score, peer] : lower) score = rendezvousHash(agent, peer);
-  std::sort(lower.rbegin(), lower.rend());
+      lowerRanked.emplace_back(rank, peer);
+  if (lowerRanked.size() < rootCount) return {};
+  std::sort(lowerRanked.begin(), lowerRanked.end());
+  lowerRanked.resize(std::max(rootCount, lowerRanked.size() * 3 / 4));
+  for (auto& [score, peer] : lowerRanked) score = rendezvousHash(agent, peer);
+  std::sort(lowerRanked.rbegin(), lowerRanked.rend());
   Strings selected;
-  for (std::size_t at = 0; at < lower.size() && at < maxCount; ++at) selected.push_back(lower[at].second);
+  for (std::size_t index = 0; index < lowerRanked.size() && index < maxCount; ++index)
+    selected.push_back(lowerRanked[index].second);
   return selected;
 }
 
--- a/src/consensus/replicated_log.cpp
+++ b/src/consensus/replicated_log.cpp
@@ -210,8 +210,8 @@
     update.snapshots.push_back(lastSnapshot);
     index = lastSnapshot.index;
   }
-  for (std::uint64_t at = index + 1; at <= commitIndex && update.entries.size() < maxEntries; ++at)
-    if (auto* entry = entryAt(at)) update.entries.push_back(*entry);
+  for (std::uint64_t next = index + 1; next <= commitIndex && update.entries.size() < maxEntries; ++next)
+    if (auto* entry = entryAt(next)) update.entries.push_back(*entry);
   return update;
 }
 
--- a/src/storage/ring.cpp
+++ b/src/storage/ring.cpp
@@ -168,10 +168,10 @@
   return opened;
 }
 
-Result<void> Ring::writeAndSync(int file, std::size_t at, std::string_view bytes) {
+Result<void> Ring::writeAndSync(int file, std::size_t start, std::string_view bytes) {
   auto& used = usedBytes[static_cast<std::size_t>(file)];
-  used = std::max(used, at + bytes.size());
-  auto written = files.write(file, at, bytes);
+  used = std::max(used, start + bytes.size());
+  auto written = files.write(file, start, bytes);
   if (!written) return written.error();
   return files.sync(file);
 }
--- a/src/storage/ring.hpp
+++ b/src/storage/ring.hpp
@@ -103,7 +103,7 @@
   /// Writes a checkpoint to the next file and continues there. The arguments name the last batch known to be synced.
   Result<void> rotate(std::uint64_t syncedGeneration, std::uint64_t syncedSequence);
   Result<void> writeBatch(const std::vector<Record>& records);
-  Result<void> writeAndSync(int file, std::size_t at, std::string_view bytes);
+  Result<void> writeAndSync(int file, std::size_t start, std::string_view bytes);
 };
 
 struct Ring::Opened {
--- a/tests/drain_plan.cpp
+++ b/tests/drain_plan.cpp
@@ -25,7 +25,7 @@
     auto status = finalStatusOf(requestId);
     cr_expect_eq(status.verdict, "not run");
     cr_expect_eq(status.code, static_cast<int>(Code::stopping));
-    cr_expect_gt(status.retryAfterMs, 0, "the client is told when to come back");
+    cr_expect_gt(status.retryAfterMs, 0, "the client gets a retry delay");
     cr_expect(attemptsOf(requestId).empty(), "it is sent to no worker");
   }
 };
@@ -91,7 +91,7 @@
     cr_expect_eq(status.verdict, "failed", "it was sent, so it may have run");
     cr_expect_eq(status.code, static_cast<int>(Code::stopping));
   }
-  cr_expect_eq(proxy.dropCount - dropsBefore, 2u, "their workers are told to drop them");
+  cr_expect_eq(proxy.dropCount - dropsBefore, 2u, "each worker gets a request to drop its attempt");
   cr_expect_eq(proxy.router->openRequests(), 0u);
 }
 
--- a/tests/load.cpp
+++ b/tests/load.cpp
@@ -411,7 +411,7 @@
     for (std::size_t at = core.requestsAfter(cellUpdate(1, sequence, sequence - 1, {})).size(); at > 0; --at)
       asked.push_back(core.now);
   }
-  cr_expect_geq(asked.size(), 3u, "it goes on asking while updates are missing");
+  cr_expect_geq(asked.size(), 3u, "it repeats the request while updates are missing");
   for (TimePoint at : asked) {
     cr_expect_geq(toMilliseconds(at - askedAt), 200);
     askedAt = at;
