--- a/tests/cells.cpp
+++ b/tests/cells.cpp
@@ -123,7 +123,7 @@
                 "a worker that was silent is asked for a full report");
 }
 
-/// A command of the previous lease holder may still be on its way when a new one is elected.
+/// A command of the previous lease holder may still be in transit when a new one is elected.
 Test(cells, no_command_is_sent_during_the_hold_off_after_an_election) {
   CellHarness harness;
   harness.listWorkers(3);
@@ -157,9 +157,9 @@
         maxLoadingCount,
         static_cast<std::size_t>(std::count_if(harness.workers.begin(), harness.workers.end(),
                                                [](const auto& row) { return !row.second.loadingWeights.empty(); })));
-    const auto& news = harness.cores.begin()->second.news.back();
+    const auto& update = harness.cores.begin()->second.news.back();
     maxWithheld = std::max<std::size_t>(
-        maxWithheld, static_cast<std::size_t>(std::count_if(news.workers.begin(), news.workers.end(),
+        maxWithheld, static_cast<std::size_t>(std::count_if(update.workers.begin(), update.workers.end(),
                                                             [](const auto& row) { return row.withheld; })));
   });
   auto commands = harness.sentMessages<ControlAsk>();
--- a/tests/load.cpp
+++ b/tests/load.cpp
@@ -35,47 +35,46 @@
 }  // namespace
 
 Test(load, a_delta_update_changes_only_the_rows_it_names) {
-  CellNews cachedBlocks;
-  cr_assert(applyCellUpdate(cachedBlocks,
-                            cellUpdate(2, 4, 0, {workerView("w1", 1), workerView("w2", 2), workerView("w3", 3)})));
-  cr_expect(applyCellUpdate(cachedBlocks, cellUpdate(2, 5, 4, {workerView("w2", 7), workerView("w4", 4)}, {"w1"})));
-  cr_expect(waitingByWorker(cachedBlocks) == (Waiting{{"w2", 7}, {"w3", 3}, {"w4", 4}}));
-  cr_expect_eq(cachedBlocks.sequence, 5u);
-  cr_expect_eq(cachedBlocks.base, 0u, "the merged state is full and can be passed on as such");
-  cr_expect(cachedBlocks.removedWorkers.empty());
-  cr_expect(applyCellUpdate(cachedBlocks, cellUpdate(2, 6, 5, {})));
-  cr_expect(waitingByWorker(cachedBlocks) == (Waiting{{"w2", 7}, {"w3", 3}, {"w4", 4}}));
-  cr_expect_eq(cachedBlocks.sequence, 6u);
+  CellNews merged;
+  cr_assert(
+      applyCellUpdate(merged, cellUpdate(2, 4, 0, {workerView("w1", 1), workerView("w2", 2), workerView("w3", 3)})));
+  cr_expect(applyCellUpdate(merged, cellUpdate(2, 5, 4, {workerView("w2", 7), workerView("w4", 4)}, {"w1"})));
+  cr_expect(waitingByWorker(merged) == (Waiting{{"w2", 7}, {"w3", 3}, {"w4", 4}}));
+  cr_expect_eq(merged.sequence, 5u);
+  cr_expect_eq(merged.base, 0u, "the merged state is full and can be passed on as such");
+  cr_expect(merged.removedWorkers.empty());
+  cr_expect(applyCellUpdate(merged, cellUpdate(2, 6, 5, {})));
+  cr_expect(waitingByWorker(merged) == (Waiting{{"w2", 7}, {"w3", 3}, {"w4", 4}}));
+  cr_expect_eq(merged.sequence, 6u);
   CellNews other;
-  cr_expect(applyCellUpdate(other, cachedBlocks), "a third reader may apply the merged state");
-  cr_expect(waitingByWorker(other) == waitingByWorker(cachedBlocks));
+  cr_expect(applyCellUpdate(other, merged), "a third reader may apply the merged state");
+  cr_expect(waitingByWorker(other) == waitingByWorker(merged));
 }
 
 Test(load, a_delta_with_another_base_or_term_is_rejected_and_a_full_update_after_it_is_applied) {
-  CellNews cachedBlocks;
-  cr_expect_not(applyCellUpdate(cachedBlocks, cellUpdate(2, 5, 4, {workerView("w1")})),
-                "there is nothing to merge with");
-  cr_expect(cachedBlocks.workers.empty());
-  cr_assert(applyCellUpdate(cachedBlocks, cellUpdate(2, 4, 0, {workerView("w1", 1), workerView("w2", 2)})));
-  auto before = waitingByWorker(cachedBlocks);
+  CellNews merged;
+  cr_expect_not(applyCellUpdate(merged, cellUpdate(2, 5, 4, {workerView("w1")})), "there is nothing to merge with");
+  cr_expect(merged.workers.empty());
+  cr_assert(applyCellUpdate(merged, cellUpdate(2, 4, 0, {workerView("w1", 1), workerView("w2", 2)})));
+  auto before = waitingByWorker(merged);
   for (const auto& update :
        {cellUpdate(2, 6, 5, {workerView("w1", 9)}, {"w2"}), cellUpdate(3, 5, 4, {workerView("w1", 9)}, {"w2"}),
         cellUpdate(1, 5, 4, {workerView("w1", 9)}, {"w2"}), cellUpdate(2, 4, 3, {workerView("w1", 9)}, {"w2"}),
         cellUpdate(2, 5, 3, {workerView("w1", 9)}, {"w2"})}) {
-    cr_expect_not(applyCellUpdate(cachedBlocks, update));
-    cr_expect(waitingByWorker(cachedBlocks) == before);
-    cr_expect_eq(cachedBlocks.term, 2u);
-    cr_expect_eq(cachedBlocks.sequence, 4u);
-  }
-  cr_expect(applyCellUpdate(cachedBlocks, cellUpdate(2, 7, 0, {workerView("w3", 5)})));
-  cr_expect(waitingByWorker(cachedBlocks) == (Waiting{{"w3", 5}}));
-  cr_expect(applyCellUpdate(cachedBlocks, cellUpdate(3, 1, 0, {workerView("w4", 6)})),
+    cr_expect_not(applyCellUpdate(merged, update));
+    cr_expect(waitingByWorker(merged) == before);
+    cr_expect_eq(merged.term, 2u);
+    cr_expect_eq(merged.sequence, 4u);
+  }
+  cr_expect(applyCellUpdate(merged, cellUpdate(2, 7, 0, {workerView("w3", 5)})));
+  cr_expect(waitingByWorker(merged) == (Waiting{{"w3", 5}}));
+  cr_expect(applyCellUpdate(merged, cellUpdate(3, 1, 0, {workerView("w4", 6)})),
             "another lease holder begins with a full update");
-  cr_expect(waitingByWorker(cachedBlocks) == (Waiting{{"w4", 6}}));
+  cr_expect(waitingByWorker(merged) == (Waiting{{"w4", 6}}));
 }
 
 namespace {
-/// A single cell whose workers and stores report at once.
+/// A single cell whose workers and stores reply to report requests without delay.
 struct SingleCellHarness {
   struct TestCacheNode {
     bool store{false};
@@ -244,12 +243,12 @@
   before = harness.updates.size();
   harness.cacheNodes["w3"].waiting = 12;
   harness.run(1s);
-  std::size_t told = 0;
+  std::size_t publishedRows = 0;
   for (std::size_t at = before; at < harness.updates.size(); ++at) {
-    told += harness.updates[at].workers.size();
+    publishedRows += harness.updates[at].workers.size();
     for (const auto& worker : harness.updates[at].workers) cr_expect_eq(worker.name, "w3");
   }
-  cr_expect_eq(told, 1u, "published once");
+  cr_expect_eq(publishedRows, 1u, "published once");
   cr_expect(waitingByWorker(harness.follower) == (Waiting{{"w1", 0}, {"w2", 0}, {"w3", 12}, {"w4", 0}}));
   cr_expect_eq(harness.rejectedUpdates, 0u);
 }
@@ -412,13 +411,13 @@
     for (std::size_t at = core.requestsAfter(cellUpdate(1, sequence, sequence - 1, {})).size(); at > 0; --at)
       asked.push_back(core.now);
   }
-  cr_expect_geq(asked.size(), 3u, "it goes on asking while updates are missing");
+  cr_expect_geq(asked.size(), 3u, "it repeats the request while updates are missing");
   for (TimePoint at : asked) {
     cr_expect_geq(toMilliseconds(at - askedAt), 200);
     askedAt = at;
   }
   core.now += 1s;
-  cr_expect(core.requestsAfter(cellUpdate(1, 2, 1, {})).empty(), "an old update is no reason to ask");
+  cr_expect(core.requestsAfter(cellUpdate(1, 2, 1, {})).empty(), "an old update causes no request");
   cr_expect(core.requestsAfter(cellUpdate(1, 29, 0, {workerView("w1"), workerView("w2", 5)})).empty());
   cr_expect(core.requestsAfter(cellUpdate(1, 30, 29, {})).empty(), "after a full update it can apply deltas again");
 }
@@ -431,18 +430,18 @@
   holder.deliver("holder:1", cellUpdate(1, 3, 2, {workerView("w2", 5)}));
   auto requests = other.requestsAfter(cellUpdate(1, 3, 2, {workerView("w2", 5)}));
   cr_assert_eq(requests.size(), 1u);
-  std::vector<CellNews> given;
+  std::vector<CellNews> received;
   for (const auto& [to, message] : holder.deliver("core-2:1", requests[0]))
     if (auto* update = std::get_if<CellNews>(&message)) {
       cr_expect_eq(to, "core-2:1");
-      given.push_back(*update);
+      received.push_back(*update);
     }
-  cr_assert_eq(given.size(), 1u);
-  cr_expect_eq(given[0].base, 0u);
-  cr_expect_eq(given[0].sequence, 3u);
-  cr_expect(waitingByWorker(given[0]) == (Waiting{{"w1", 3}, {"w2", 5}}));
+  cr_assert_eq(received.size(), 1u);
+  cr_expect_eq(received[0].base, 0u);
+  cr_expect_eq(received[0].sequence, 3u);
+  cr_expect(waitingByWorker(received[0]) == (Waiting{{"w1", 3}, {"w2", 5}}));
   other.now += 1s;
-  cr_expect(other.requestsAfter(given[0]).empty());
+  cr_expect(other.requestsAfter(received[0]).empty());
   cr_expect(other.requestsAfter(cellUpdate(1, 4, 3, {})).empty());
 }
 
@@ -454,7 +453,7 @@
     "free":{"host":"h","prefix":"/free/","service":"mill","repeat":"safe","tries":3,"timeoutMs":60000}}})";
 using Hits = std::map<std::string, std::vector<int>>;
 
-/// A proxy whose workers report load and whose clients ask for numbered documents.
+/// A proxy whose workers report load and whose clients request numbered documents.
 struct LoadHarness : ProxyHarness {
   explicit LoadHarness(double maxShedRatio = 0) : ProxyHarness(loadHarnessSettings(maxShedRatio), loadConfiguration) {}
   static ProxyRouterSettings loadHarnessSettings(double maxShedRatio) {
@@ -513,7 +512,7 @@
     deliver("caller", CallerGone{requestId});
     return prefix;
   }
-  /// Submits requests whose responses start this late.
+  /// Submits requests whose responses start after `delay`.
   void delayFirstChunks(int number, Duration delay, const std::vector<int>& tokens = promptTokens) {
     Strings ids;
     for (int at = 0; at < number; ++at) {
@@ -572,14 +571,14 @@
   probe.store();
   probe.addWorkers(3);
   for (int number = 1; number <= 20; ++number) {
-    int place = static_cast<int>(probe.prefixOf(number).high % 1000);
+    int permille = static_cast<int>(probe.prefixOf(number).high % 1000);
     LoadHarness harness;
-    harness.store().savedPermille = place;
+    harness.store().savedPermille = permille;
     harness.addWorkers(3);
-    cr_expect_eq(harness.storeSavedTo(number), "", "share %d", place);
-    harness.store().savedPermille = place + 1;
+    cr_expect_eq(harness.storeSavedTo(number), "", "share %d", permille);
+    harness.store().savedPermille = permille + 1;
     harness.publishCells();
-    cr_expect_eq(harness.storeSavedTo(number), "barn:80", "share %d", place + 1);
+    cr_expect_eq(harness.storeSavedTo(number), "barn:80", "share %d", permille + 1);
   }
 }
 
