--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -65,7 +65,7 @@
     }
   }
   reportedApplied = lowestApplied(effects.now);
-  clusterView.ask(effects, reportedApplied, lowest, view);
+  clusterView.requestLogEnds(effects, reportedApplied, lowest, view);
 }
 
 /// The candidates that the cores propose come first, then all cores, in an order that differs from agent to agent to
--- a/src/base/messages.hpp
+++ b/src/base/messages.hpp
@@ -250,9 +250,9 @@
   lostOnIdleConnection = 6
 };
 /// The content of a log entry. empty: nothing (the first entry of a leader's term). change: a configuration change.
-/// members: the members of the group. complete: stands for all entries that an installed snapshot covers. refusal: the
-/// rejection of a change.
-enum class EntryKind : int { empty = 0, change = 1, members = 2, complete = 3, refusal = 4 };
+/// members: the members of the group. snapshotBoundary: stands for all entries that an installed snapshot covers.
+/// refusal: the rejection of a change.
+enum class EntryKind : int { empty = 0, change = 1, members = 2, snapshotBoundary = 3, refusal = 4 };
 /// What a worker's report covers: all, only its cached blocks, or only its load and weights.
 enum class ReportScope : int { all = 0, index = 1, condition = 2 };
 /// The format of the body of a configuration change.
--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -20,8 +20,8 @@
   return Strings(addresses.begin(), addresses.end());
 }
 
-void ClusterView::ask(Effects& effects, Uint64 applied, const std::vector<CellVersion>& cells,
-                      const Configuration& view) {
+void ClusterView::requestLogEnds(Effects& effects, Uint64 applied, const std::vector<CellVersion>& cells,
+                                 const Configuration& view) {
   wasStale = !fresh(effects.now);
   if (!settings.defences.isEnabled(Defence::freshnessWeighed)) updateCompleteness(effects.now, view);
   auto addresses = coreAddresses(view);
--- a/src/cluster/cluster_view.hpp
+++ b/src/cluster/cluster_view.hpp
@@ -24,7 +24,8 @@
  public:
   explicit ClusterView(ReaderSettings readerSettings);
   /// Requests the log end of every known core. `applied` and `cells` tell the cores what this reader has applied.
-  void ask(Effects& effects, Uint64 applied, const std::vector<CellVersion>& cells, const Configuration& view);
+  void requestLogEnds(Effects& effects, Uint64 applied, const std::vector<CellVersion>& cells,
+                      const Configuration& view);
   /// Handles a core's response; responses to unknown requests are ignored.
   void handle(Effects& effects, const std::string& from, const LogEndResponse& reply, const Configuration& view);
   /// Recomputes the completeness time after the view or the responses have changed.
--- a/src/cluster/core.cpp
+++ b/src/cluster/core.cpp
@@ -69,7 +69,7 @@
     effects.note("applied", self.id, static_cast<std::int64_t>(entry.index));
     clusterView->recordAnnouncements(replicatedLog->configuration());
     if (entry.kind == static_cast<int>(EntryKind::members)) membershipChangedAt = effects.now;
-    if (entry.kind == static_cast<int>(EntryKind::complete)) return;
+    if (entry.kind == static_cast<int>(EntryKind::snapshotBoundary)) return;
     broadcast(effects, NewsMsg{replicatedLog->commit(), {entry}, {}});
   };
   replicatedLog->onMembersChanged = [this](Effects& effects) {
--- a/src/cluster/core_reads.cpp
+++ b/src/cluster/core_reads.cpp
@@ -12,7 +12,7 @@
 
 void Core::requestLogEnds(Effects& effects) {
   logEndsRequestedAt = effects.now;
-  clusterView->ask(effects, replicatedLog->configuration().index(), {}, replicatedLog->configuration());
+  clusterView->requestLogEnds(effects, replicatedLog->configuration().index(), {}, replicatedLog->configuration());
 }
 
 void Core::onReadRequest(Effects& effects, const std::string& from, const ReadRequest& request) {
--- a/src/consensus/snapshot.cpp
+++ b/src/consensus/snapshot.cpp
@@ -137,8 +137,9 @@
   reloadMembers(&effects);
   effects.note("caught up by capture", selfMember.id, static_cast<std::int64_t>(index));
   if (onEntryApplied)
-    onEntryApplied(effects,
-                   LogEntry{lastSnapshot.index, lastSnapshot.term, static_cast<int>(EntryKind::complete), {}, {}});
+    onEntryApplied(
+        effects,
+        LogEntry{lastSnapshot.index, lastSnapshot.term, static_cast<int>(EntryKind::snapshotBoundary), {}, {}});
 }
 
 }  // namespace tt
--- a/src/fuzz/ring.cpp
+++ b/src/fuzz/ring.cpp
@@ -125,21 +125,21 @@
       firstRecords.clear();
       for (const auto& record : batch) written.add(record);
       if (!ring.value()->append(batch)) return broken("a batch cannot be appended", {});
-      expected = ring.value()->held();
+      expected = ring.value()->recoveredState();
     }
   }
   MemoryFiles copy = files;
   auto undamaged = Ring::open(copy);
   if (!undamaged) return broken("an undamaged ring cannot be opened", {});
-  if (undamaged.value()->held().entries.size() != expected.entries.size() ||
-      !written.findUnwritten(undamaged.value()->held()).empty())
+  if (undamaged.value()->recoveredState().entries.size() != expected.entries.size() ||
+      !written.findUnwritten(undamaged.value()->recoveredState()).empty())
     return broken("synced records are not recovered", {});
   damageFiles(mutator, files.contents);
   std::string input;
   for (const auto& content : files.contents) input += content.substr(0, content.find_last_not_of('\0') + 1) + "|";
   auto opened = Ring::open(files);
   if (!opened) return rejectedWith(opened.error(), input);
-  auto unwritten = written.findUnwritten(opened.value()->held());
+  auto unwritten = written.findUnwritten(opened.value()->recoveredState());
   if (!unwritten.empty()) return broken("recovery returned " + unwritten + " that was never written", input);
   LogEntry lastEntry{index + 1, term, 1, "more", {}, 0};
   written.add(entryRecord(lastEntry));
@@ -148,7 +148,7 @@
     return broken("a damaged ring that was recovered cannot be appended to", input);
   auto reopened = Ring::open(files);
   if (!reopened) return rejectedWith(reopened.error(), input);
-  const auto& held = reopened.value()->held();
+  const auto& held = reopened.value()->recoveredState();
   if (held.entries.empty() || held.entries.back().body != "more")
     return broken("an entry that was appended after recovery is lost", input);
   return accepted();
--- a/src/model/fixed_sets.cpp
+++ b/src/model/fixed_searches.cpp
@@ -1,4 +1,4 @@
-#include "fixed_sets.hpp"
+#include "fixed_searches.hpp"
 
 namespace tt::model {
 namespace {
--- a/src/model/model_world.cpp
+++ b/src/model/model_world.cpp
@@ -91,7 +91,7 @@
                       initialSetup.maxRecordBytes, defences);
   machine.log->onEntryApplied = [this, number](Effects&, const LogEntry& entry) {
     const auto& log = *machines[static_cast<std::size_t>(number)].log;
-    if (entry.kind == static_cast<int>(EntryKind::complete))
+    if (entry.kind == static_cast<int>(EntryKind::snapshotBoundary))
       return mutableHistory().snapshotInstalled(idOf(number), entry.index, entry.term);
     checkCommitted(entry);
     mutableHistory().committed(idOf(number), entry, log.election.term());
--- a/src/sim/scale/simulated_fleet.cpp
+++ b/src/sim/scale/simulated_fleet.cpp
@@ -95,7 +95,7 @@
     settings.seeds = seeds;
     settings.zones = zones;
     settings.cell = platformCellSettings();
-    process.node = std::make_unique<Core>(settings, process.ring->held(), randomSource, simulatedTime);
+    process.node = std::make_unique<Core>(settings, process.ring->recoveredState(), randomSource, simulatedTime);
   });
 }
 
--- a/src/sim/sim.cpp
+++ b/src/sim/sim.cpp
@@ -183,7 +183,7 @@
       std::string other = "core-" + std::to_string(number);
       if (other != name) settings.seeds.push_back(actors.at(other)->address);
     }
-    actor.node = std::make_unique<Core>(settings, actor.ring->held(), random, now);
+    actor.node = std::make_unique<Core>(settings, actor.ring->recoveredState(), random, now);
   } else if (startsWith(name, "agent-")) {
     AgentSettings settings{name, actor.address, actor.zone, {}, defences};
     for (int at = 0; at < std::min(3, shape.cores); ++at)
--- a/src/storage/ring.hpp
+++ b/src/storage/ring.hpp
@@ -74,7 +74,7 @@
   /// currently be read or written, nothing is erased.
   static Result<Opened> openOrReset(RingFiles& files);
   /// The state after all records up to the last append.
-  const RecoveredState& held() const { return logState; }
+  const RecoveredState& recoveredState() const { return logState; }
   /// Writes records as one batch and syncs them. After a failure every further append fails until the ring is opened
   /// again.
   Result<void> append(const std::vector<Record>& records);
--- a/src/tools/audit.cpp
+++ b/src/tools/audit.cpp
@@ -195,7 +195,7 @@
 
   std::map<std::string, std::int64_t> runsByIntent;
   for (const auto& attempt : callers) {
-    ++result.orders;
+    ++result.requests;
     auto runs = runsByMark.find(attempt.mark);
     std::int64_t runCount = runs == runsByMark.end() ? 0 : static_cast<std::int64_t>(runs->second.size());
     if (!attempt.repeatable) {
--- a/src/tools/audit.hpp
+++ b/src/tools/audit.hpp
@@ -18,7 +18,7 @@
 /// What an audit found: the violations of each invariant, and how much was examined.
 struct AuditResult {
   std::map<std::string, std::vector<std::string>> violations;
-  std::int64_t orders{0}, runs{0}, retries{0}, unreadable{0};
+  std::int64_t requests{0}, runs{0}, retries{0}, unreadable{0};
   /// The requests that workers started, and the announcements of weights that were acknowledged.
   std::int64_t startedRequests{0}, announcements{0};
   /// The longest time after the acknowledgement of newer weights at which a request started on older ones.
--- a/src/tools/main_audit.cpp
+++ b/src/tools/main_audit.cpp
@@ -153,7 +153,7 @@
         if (boolOr(row, "isolated", false)) records.isolated.insert(tenant);
   }
   auto result = auditRecords(records);
-  std::cout << "audit: " << result.orders << " requests, " << result.runs << " runs, " << result.retries
+  std::cout << "audit: " << result.requests << " requests, " << result.runs << " runs, " << result.retries
             << " retries (worst window " << static_cast<int>(1000 * result.worstRetryRatio) / 10.0 << " %), "
             << result.unreadable << " unreadable lines\n";
   printStarts(result, records);
--- a/src/tools/main_core.cpp
+++ b/src/tools/main_core.cpp
@@ -89,7 +89,7 @@
 
   asio::io_context context;
   std::mt19937_64 randomSource(std::random_device{}());
-  Core core(options.settings, ring->held(), randomSource, Clock::now());
+  Core core(options.settings, ring->recoveredState(), randomSource, Clock::now());
   WebClient calls;
   PendingResponses pendingResponses;
   NodeHost host(core, context, 20ms);
--- a/src/tools/main_model.cpp
+++ b/src/tools/main_model.cpp
@@ -5,7 +5,7 @@
 
 #include <CLI/CLI.hpp>
 
-#include "fixed_sets.hpp"
+#include "fixed_searches.hpp"
 
 using namespace tt;
 using namespace tt::model;
--- a/tests/cell_harness.hpp
+++ b/tests/cell_harness.hpp
@@ -63,7 +63,7 @@
     std::unique_ptr<Cell> cell;
     Journal journal;
     bool alive{true};
-    std::vector<CellNews> news;
+    std::vector<CellNews> updates;
   };
   TimingGuard timingGuard;
   TimePoint now{std::chrono::hours(9)};
@@ -90,7 +90,7 @@
       core.cell->election.restore(Vote{}, now);
       core.cell->election.setVoters(members);
       core.cell->versions = &versions;
-      core.cell->publish = [&core](Effects&, const CellNews& news) { core.news.push_back(news); };
+      core.cell->publish = [&core](Effects&, const CellNews& updates) { core.updates.push_back(updates); };
     }
     announce("moss/3");
   }
--- a/tests/cells.cpp
+++ b/tests/cells.cpp
@@ -157,7 +157,7 @@
         maxLoadingCount,
         static_cast<std::size_t>(std::count_if(harness.workers.begin(), harness.workers.end(),
                                                [](const auto& row) { return !row.second.loadingWeights.empty(); })));
-    const auto& update = harness.cores.begin()->second.news.back();
+    const auto& update = harness.cores.begin()->second.updates.back();
     maxWithheld = std::max<std::size_t>(
         maxWithheld, static_cast<std::size_t>(std::count_if(update.workers.begin(), update.workers.end(),
                                                             [](const auto& row) { return row.withheld; })));
@@ -173,7 +173,7 @@
   cr_expect_leq(maxWithheld, 3u);
   cr_expect_geq(maxLoadingCount, 2u);
   for (const auto& [name, worker] : harness.workers) cr_expect_eq(worker.weights, "moss/4");
-  for (const auto& view : harness.cores.begin()->second.news.back().workers) {
+  for (const auto& view : harness.cores.begin()->second.updates.back().workers) {
     cr_expect_eq(view.weights, "moss/4");
     cr_expect_not(view.withheld, "%s is released", view.name.c_str());
   }
@@ -187,7 +187,7 @@
   harness.announce("moss/4");
   std::map<std::string, TimePoint> withheldAt;
   harness.run(12s, [&] {
-    for (const auto& view : harness.cores.begin()->second.news.back().workers)
+    for (const auto& view : harness.cores.begin()->second.updates.back().workers)
       if (view.withheld) withheldAt.emplace(view.name, harness.now);
   });
   for (const auto& [name, worker] : harness.workers) {
@@ -391,5 +391,5 @@
   harness.run(16s);
   for (const auto& [name, worker] : harness.workers)
     cr_expect_eq(worker.weights, "moss/5", "%s has %s", name.c_str(), worker.weights.c_str());
-  for (const auto& view : harness.cores.begin()->second.news.back().workers) cr_expect_not(view.withheld);
+  for (const auto& view : harness.cores.begin()->second.updates.back().workers) cr_expect_not(view.withheld);
 }
--- a/tests/fleet_harness.hpp
+++ b/tests/fleet_harness.hpp
@@ -217,9 +217,9 @@
   bool agentFresh(const std::string& name) { return machines.at(name).agent->fresh(now); }
   /// Requests a change that adds weights with the name of the change. Returns the id of the request.
   std::string requestChange(const std::string& name, const std::string& changeName) {
-    return askWith(name, changeName, R"({"weights":{")" + changeName + R"(":{"model":"moss"}}})");
+    return requestChangeWith(name, changeName, R"({"weights":{")" + changeName + R"(":{"model":"moss"}}})");
   }
-  std::string askWith(const std::string& name, const std::string& changeName, const std::string& body) {
+  std::string requestChangeWith(const std::string& name, const std::string& changeName, const std::string& body) {
     std::string requestId = "ask-" + std::to_string(++requestCount);
     OperatorRequest change;
     change.requestId = requestId;
--- a/tests/freshness.cpp
+++ b/tests/freshness.cpp
@@ -220,7 +220,7 @@
   bool completeAfter(unsigned responding, const std::function<LogEndResponse(std::size_t)>& responseOf) {
     reader = ClusterView(ReaderSettings{"reader", "reader:1", "north-a", {}, true, {}});
     Effects asking{now, randomSource, journal, {}, {}};
-    reader.ask(asking, 5, {}, view);
+    reader.requestLogEnds(asking, 5, {}, view);
     for (const auto& [to, message] : asking.sends)
       for (std::size_t at = 0; at < voters; ++at) {
         if (to != nameOf(at) + ":1" || !(responding >> at & 1)) continue;
--- a/tests/membership.cpp
+++ b/tests/membership.cpp
@@ -505,7 +505,7 @@
   view.apply(LogEntry{1, 1, static_cast<int>(EntryKind::members), encodeMembers(voters), {}, 0});
   ClusterView reader(ReaderSettings{"reader", "reader:1", "north-a", {}, false, {}});
   Effects effects{now, randomSource, journal, {}, {}};
-  reader.ask(effects, 1, {}, view);
+  reader.requestLogEnds(effects, 1, {}, view);
   for (const auto& [to, message] : effects.sends)
     for (std::size_t at = 0; at < voters.size(); ++at) {
       if (voters[at].address != to || !(responding & (1u << at))) continue;
--- a/tests/model.cpp
+++ b/tests/model.cpp
@@ -1,6 +1,6 @@
 #include <criterion/criterion.h>
 
-#include "fixed_sets.hpp"
+#include "fixed_searches.hpp"
 
 using namespace tt;
 using namespace tt::model;
--- a/tests/parts.cpp
+++ b/tests/parts.cpp
@@ -54,11 +54,11 @@
   }
   auto reopened = Ring::open(files);
   cr_assert(bool(reopened));
-  cr_assert_eq(reopened.value()->held().identity, "core-x");
-  cr_assert_eq(reopened.value()->held().votes.at("accord").term, 3u);
-  cr_assert_eq(reopened.value()->held().snapshot->index, 1990u);
-  cr_assert_eq(reopened.value()->held().entries.back().index, 2000u);
-  cr_assert_eq(reopened.value()->held().entries.size(), 10u);
+  cr_assert_eq(reopened.value()->recoveredState().identity, "core-x");
+  cr_assert_eq(reopened.value()->recoveredState().votes.at("accord").term, 3u);
+  cr_assert_eq(reopened.value()->recoveredState().snapshot->index, 1990u);
+  cr_assert_eq(reopened.value()->recoveredState().entries.back().index, 2000u);
+  cr_assert_eq(reopened.value()->recoveredState().entries.size(), 10u);
 }
 
 Test(ring, drops_a_torn_tail_and_reports_damage_before_the_tail) {
@@ -75,9 +75,9 @@
   auto opened = Ring::open(torn);
   cr_assert(bool(opened), "a torn tail is no damage");
   cr_assert(opened.value()->tornTailDropped());
-  cr_assert_eq(opened.value()->held().entries.back().index, 19u);
+  cr_assert_eq(opened.value()->recoveredState().entries.back().index, 19u);
   cr_assert(bool(opened.value()->append({entryRecord(entryWithIndex(20))})));
-  cr_assert_eq(Ring::open(torn).value()->held().entries.back().index, 20u);
+  cr_assert_eq(Ring::open(torn).value()->recoveredState().entries.back().index, 20u);
 
   MemoryFiles damaged = files;
   damaged.rows[file][damaged.rows[file].find("body 7") + 3] ^= 1;
@@ -103,7 +103,7 @@
       ++rejected;
       continue;
     }
-    const auto& held = opened.value()->held();
+    const auto& held = opened.value()->recoveredState();
     for (const auto& entry : held.entries) cr_assert_eq(entry.body, "body " + std::to_string(entry.index));
   }
   cr_assert_gt(rejected, 20);
@@ -410,7 +410,7 @@
 Test(audit, finds_no_violation_in_a_valid_run) {
   auto result = auditRecords(validRecords());
   cr_assert_eq(result.violationCount(), 0);
-  cr_assert_eq(result.orders, 100);
+  cr_assert_eq(result.requests, 100);
   cr_assert_eq(result.runs, 100);
 }
 
--- a/tests/plain_cells.cpp
+++ b/tests/plain_cells.cpp
@@ -34,7 +34,7 @@
 CellNews publishedBy(CellHarness& harness) {
   CellNews state;
   for (auto& [address, core] : harness.cores)
-    for (const auto& update : core.news) applyCellUpdate(state, update);
+    for (const auto& update : core.updates) applyCellUpdate(state, update);
   return state;
 }
 }  // namespace
@@ -98,8 +98,8 @@
 Test(plain_cells, the_machine_list_distinguishes_engines_from_plain_workers) {
   raw::HttpClientHarness harness;
   std::vector<MachinesReply> lists;
-  raw::RawServer server(harness.io, [](const raw::RawServer::ConnectionPtr& withheld, const std::string&) {
-    withheld->send(raw::successResponse(
+  raw::RawServer server(harness.io, [](const raw::RawServer::ConnectionPtr& client, const std::string&) {
+    client->send(raw::successResponse(
         R"({"Instances":[{"Id":"e","Backend":"mill","Address":"10.1.0.1:80","Zone":"z","Models":[{"Name":"moss","Revision":3}]},)"
         R"({"Id":"p","Backend":"weir","Address":"10.1.0.2:80","Zone":"z","Slots":6}],"NextToken":null})"));
   });
--- a/tests/ring.cpp
+++ b/tests/ring.cpp
@@ -121,13 +121,13 @@
     }
     if (opened) {
       ++counts.opened;
-      std::string found = serialize(opened.value()->held());
+      std::string found = serialize(opened.value()->recoveredState());
       bool matchesKnown = found == serialize(known);
       if (!matchesKnown && !(inFlight && found == serialize(*inFlight))) {
-        ++(opened.value()->held().empty() && !known.empty() ? counts.lost : counts.unknown);
+        ++(opened.value()->recoveredState().empty() && !known.empty() ? counts.lost : counts.unknown);
         return counts;
       }
-      known = opened.value()->held();
+      known = opened.value()->recoveredState();
       inFlight.reset();
       files.operationsLeft = randomSource() % 40;
       while (true) {
@@ -228,7 +228,7 @@
   std::string bytes = encodeLegacyRecords(3, 40, checkpoint);
   harness.files.cache[3].replace(0, bytes.size(), bytes);
   harness.reopen();
-  cr_assert_eq(serialize(harness.ring->held()), [&] {
+  cr_assert_eq(serialize(harness.ring->recoveredState()), [&] {
     RecoveredState expected;
     for (const auto& record : rows(9)) expected.applyRecord(record);
     return serialize(expected);
@@ -252,7 +252,7 @@
   harness.files.cache[1].replace(0, bytes.size(), tornBytes);
   harness.reopen();
   cr_assert(harness.ring->tornTailDropped());
-  cr_assert_eq(harness.ring->held().entries.back().index, 8u);
+  cr_assert_eq(harness.ring->recoveredState().entries.back().index, 8u);
 }
 
 Test(ring_damage, a_flipped_bit_before_a_synced_batch_is_reported_and_the_ring_is_reset) {
@@ -265,10 +265,10 @@
   cr_assert(bool(opened));
   cr_assert(opened.value().damage.has_value());
   cr_assert_eq(opened.value().damage->code, Code::ringDamaged);
-  cr_assert(opened.value().ring->held().empty());
+  cr_assert(opened.value().ring->recoveredState().empty());
   cr_assert(bool(opened.value().ring->append({identityRecord("core-new")})));
   harness.reopen();
-  cr_assert_eq(harness.ring->held().identity, "core-new");
+  cr_assert_eq(harness.ring->recoveredState().identity, "core-new");
 }
 
 /// The previous file still contains a valid but older checkpoint. Recovering from that one would silently lose synced
@@ -297,7 +297,7 @@
   cr_assert_eq(refused.error().code, Code::diskFault);
   harness.files.diskFull = false;
   harness.reopen();
-  cr_assert_eq(harness.ring->held().entries.back().index, 20u);
+  cr_assert_eq(harness.ring->recoveredState().entries.back().index, 20u);
 }
 
 Test(ring_damage, after_a_failed_write_appends_fail_until_the_ring_is_reopened) {
@@ -308,7 +308,7 @@
   harness.files.diskFull = false;
   cr_assert_not(bool(harness.ring->append({entryRecord(makeEntry(2))})));
   harness.reopen();
-  cr_assert(harness.ring->held().entries.empty());
+  cr_assert(harness.ring->recoveredState().entries.empty());
   harness.fill(1, 3);
 }
 
@@ -334,7 +334,7 @@
       cr_assert_eq(after.error().code, Code::ringDamaged);
       continue;
     }
-    const auto& state = after.value()->held();
+    const auto& state = after.value()->recoveredState();
     cr_assert(state.empty() || (state.snapshot && state.snapshot->index == last),
               "seed %d: the state up to entry %d was recovered, %d had been synced", static_cast<int>(seed),
               state.snapshot ? static_cast<int>(state.snapshot->index) : 0, static_cast<int>(last));
--- a/tests/version_namings.cpp
+++ b/tests/version_namings.cpp
@@ -24,7 +24,7 @@
   }
   void announce(const std::string& weights) {
     TimePoint askedAt = now;
-    auto requestId = askWith(
+    auto requestId = requestChangeWith(
         leader(), weights,
         R"({"weights":{")" + weights + R"(":{"model":"moss"}},"models":{"moss":{"weights":")" + weights + R"("}}})");
     cr_assert(runUntil([&] { return acknowledged(requestId); }, 5s));
