--- a/src/sim/scale/sweep.hpp
+++ b/src/sim/scale/sweep.hpp
@@ -10,16 +10,18 @@
 
 namespace tt {
 
-/// What is measured, at which sizes, and where the report is written. Each combination of the listed sizes is measured.
+/// What is measured, at which sizes, and where the report is written. A fleet trial measures every combination of the
+/// listed sizes; the other trials sweep one size each.
 struct SweepOptions {
-  /// `trial`: fleet, index, draw (worker selection), blueprint (configuration) or links. `out`: the folder of the
-  /// report. `label`: the start of its file names; the name of the trial if empty.
+  /// The trial (fleet, index, draw for worker selection, blueprint for the configuration, or links), the folder of the
+  /// report, and the start of its file names, which is the name of the trial if empty.
   std::string trial{"fleet"}, out{"capacity"}, label;
   std::vector<int> daemons{36}, cores{16}, workers{600}, tenants{200};
   /// Cached blocks, and the rates of cache events, configuration changes, requests and machine list changes.
   std::vector<double> blocks{0}, events{0}, changes{0}, requests{0}, marks{0};
   /// `threads`: fleets measured at a time. `frames`: frames that the link trial sends.
   int zones{40}, regions{4}, repeats{3}, threads{1}, frames{20000}, seed{1};
+  /// Simulated time that is measured, and the one-way delay between hosts.
   double seconds{3}, linkMs{1};
 };
 
