--- a/src/sim/scale/resource_meters.cpp
+++ b/src/sim/scale/resource_meters.cpp
@@ -7,7 +7,7 @@
 
 namespace tt {
 
-thread_local std::int64_t* heapAccount = nullptr;
+thread_local std::int64_t* heapByteCounter = nullptr;
 
 std::int64_t threadCpuNs() {
   constexpr std::int64_t nsPerSecond = 1000000000;
--- a/src/sim/scale/sweep.cpp
+++ b/src/sim/scale/sweep.cpp
@@ -36,10 +36,12 @@
       {"workers", toDoubles(options.workers), [](FleetSize& s, double value) { s.workers = static_cast<int>(value); }},
       {"tenants", toDoubles(options.tenants), [](FleetSize& s, double value) { s.tenants = static_cast<int>(value); }},
       {"blocks", options.blocks, [](FleetSize& s, double value) { s.blocks = static_cast<std::int64_t>(value); }},
-      {"events per second", options.events, [](FleetSize& s, double value) { s.eventsPerSecond = value; }},
-      {"changes per hour", options.changes, [](FleetSize& s, double value) { s.changesPerHour = value; }},
-      {"requests per second", options.requests, [](FleetSize& s, double value) { s.requestsPerSecond = value; }},
-      {"list changes per hour", options.marks, [](FleetSize& s, double value) { s.machineListChangesPerHour = value; }},
+      {"events per second", options.eventsPerSecond, [](FleetSize& s, double value) { s.eventsPerSecond = value; }},
+      {"changes per hour", options.changesPerHour, [](FleetSize& s, double value) { s.changesPerHour = value; }},
+      {"requests per second", options.requestsPerSecond,
+       [](FleetSize& s, double value) { s.requestsPerSecond = value; }},
+      {"list changes per hour", options.machineListChangesPerHour,
+       [](FleetSize& s, double value) { s.machineListChangesPerHour = value; }},
   };
 }
 
@@ -103,12 +105,12 @@
 
 int Sweep::run() {
   std::error_code ignored;
-  std::filesystem::create_directories(options.out, ignored);
+  std::filesystem::create_directories(options.outputFolder, ignored);
   bool started = options.trial == "fleet" ? runFleets() : runTrials();
   if (!started) return 2;
   std::string label = options.label.empty() ? options.trial : options.label;
-  writeReport({options.out, label, axis}, samples);
-  std::cout << "Written to " << options.out << " as " << label << ".\n";
+  writeReport({options.outputFolder, label, axis}, samples);
+  std::cout << "Written to " << options.outputFolder << " as " << label << ".\n";
   return failed ? 1 : 0;
 }
 
@@ -130,7 +132,7 @@
   size.zones = options.zones;
   size.regions = options.regions;
   size.measuredDuration = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(options.seconds));
-  size.linkDelay = std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(options.linkMs));
+  size.linkDelay = std::chrono::duration_cast<Duration>(std::chrono::duration<double, std::milli>(options.linkDelayMs));
   return size;
 }
 
--- a/src/sim/scale/sweep.hpp
+++ b/src/sim/scale/sweep.hpp
@@ -15,14 +15,15 @@
 struct SweepOptions {
   /// The trial (fleet, index, draw for worker selection, blueprint for the configuration, or links), the folder of the
   /// report, and the start of its file names, which is the name of the trial if empty.
-  std::string trial{"fleet"}, out{"capacity"}, label;
+  std::string trial{"fleet"}, outputFolder{"capacity"}, label;
   std::vector<int> daemons{36}, cores{16}, workers{600}, tenants{200};
   /// Cached blocks, and the rates of cache events, configuration changes, requests and machine list changes.
-  std::vector<double> blocks{0}, events{0}, changes{0}, requests{0}, marks{0};
+  std::vector<double> blocks{0}, eventsPerSecond{0}, changesPerHour{0}, requestsPerSecond{0},
+      machineListChangesPerHour{0};
   /// `threads`: fleets measured at a time. `frames`: frames that the link trial sends.
   int zones{40}, regions{4}, repeats{3}, threads{1}, frames{20000}, seed{1};
   /// Simulated time that is measured, and the one-way delay between hosts.
-  double seconds{3}, linkMs{1};
+  double seconds{3}, linkDelayMs{1};
 };
 
 /// Runs one trial at all requested sizes and writes the report. It refuses sizes that would take more than half of the
--- a/src/tools/counting_allocator.cpp
+++ b/src/tools/counting_allocator.cpp
@@ -5,8 +5,8 @@
 
 #include "resource_meters.hpp"
 
-/// Replaces the global allocation functions to add the size of each allocation to the thread's current heapAccount, and
-/// to subtract it when the memory is freed. Memory still comes from malloc.
+/// Replaces the global allocation functions to add the size of each allocation to the thread's current heapByteCounter,
+/// and to subtract it when the memory is freed. Memory still comes from malloc.
 
 namespace {
 /// Bytes that glibc's malloc stores in front of each block.
@@ -19,13 +19,13 @@
 void* allocate(std::size_t bytes) {
   void* block = std::malloc(bytes ? bytes : 1);
   if (!block) std::abort();
-  if (tt::heapAccount) *tt::heapAccount += allocatedSize(block);
+  if (tt::heapByteCounter) *tt::heapByteCounter += allocatedSize(block);
   return block;
 }
 
 void release(void* block) {
   if (!block) return;
-  if (tt::heapAccount) *tt::heapAccount -= allocatedSize(block);
+  if (tt::heapByteCounter) *tt::heapByteCounter -= allocatedSize(block);
   std::free(block);
 }
 }  // namespace
--- a/src/tools/main_scale.cpp
+++ b/src/tools/main_scale.cpp
@@ -19,10 +19,11 @@
   addListOption(app, "--workers", options.workers, "workers in the platform's machine list", 1, 50000);
   addListOption(app, "--tenants", options.tenants, "tenants in the configuration, each with a route", 1, 20000);
   addListOption(app, "--blocks", options.blocks, "cached blocks in the whole index", 0.0, 1e9);
-  addListOption(app, "--eventsPerSecond", options.events, "cache events in the whole fleet", 0.0, 1e7);
-  addListOption(app, "--changesPerHour", options.changes, "changes of the configuration", 0.0, 1e6);
-  addListOption(app, "--requestsPerSecond", options.requests, "requests to all proxies", 0.0, 1e5);
-  addListOption(app, "--markChangesPerHour", options.marks, "changes of the platform's machine list", 0.0, 1e6);
+  addListOption(app, "--eventsPerSecond", options.eventsPerSecond, "cache events in the whole fleet", 0.0, 1e7);
+  addListOption(app, "--changesPerHour", options.changesPerHour, "changes of the configuration", 0.0, 1e6);
+  addListOption(app, "--requestsPerSecond", options.requestsPerSecond, "requests to all proxies", 0.0, 1e5);
+  addListOption(app, "--markChangesPerHour", options.machineListChangesPerHour,
+                "changes of the platform's machine list", 0.0, 1e6);
   app.add_option("--zones", options.zones, "zones, each with a cell")->check(CLI::Range(1, 250));
   app.add_option("--regions", options.regions, "regions")->check(CLI::Range(1, 50));
 }
@@ -30,7 +31,7 @@
 void addRunOptions(CLI::App& app, SweepOptions& options) {
   app.add_option("--seconds", options.seconds, "duration of the measurement in simulated time")
       ->check(CLI::Range(0.1, 600.0));
-  app.add_option("--linkMs", options.linkMs, "one-way network latency between daemons")
+  app.add_option("--linkMs", options.linkDelayMs, "one-way network latency between daemons")
       ->check(CLI::Range(0.01, 1000.0));
   app.add_option("--repeats", options.repeats, "runs of each size, each with its own seed")->check(CLI::Range(1, 100));
   app.add_option("--seed", options.seed, "the first run's seed");
@@ -38,7 +39,7 @@
   app.add_option("--frames", options.frames, "frames sent over real connections in the links trial")
       ->check(CLI::Range(1, 10000000));
   app.add_option("--label", options.label, "base name of the report files");
-  app.add_option("--out", options.out, "directory for the report: CSV, JSON, a table and SVG plots");
+  app.add_option("--out", options.outputFolder, "directory for the report: CSV, JSON, a table and SVG plots");
 }
 
 }  // namespace
