--- a/src/consensus/replicated_log.hpp
+++ b/src/consensus/replicated_log.hpp
@@ -55,7 +55,7 @@
   /// further entries.
   void leave(Effects& effects);
   Election election;
-  /// Called for each entry when it is applied; with an entry of kind `complete` when a snapshot was installed.
+  /// Called for each entry when it is applied; with an entry of kind `snapshotBoundary` when a snapshot was installed.
   std::function<void(Effects&, const LogEntry&)> onEntryApplied;
   /// Called when the members or the previous members may have changed.
   std::function<void(Effects&)> onMembersChanged;
