--- a/src/sim/version_check.cpp
+++ b/src/sim/version_check.cpp
@@ -8,15 +8,15 @@
   namingsByModel[model].emplace(index, weights);
 }
 
-void VersionCheck::acknowledged(std::uint64_t index, Moment at) { acknowledgedAt.emplace(index, at); }
+void VersionCheck::acknowledged(std::uint64_t index, TimePoint at) { acknowledgedAt.emplace(index, at); }
 
-std::optional<Moment> VersionCheck::supersededAt(const std::string& model, const std::string& weights) const {
+std::optional<TimePoint> VersionCheck::supersededAt(const std::string& model, const std::string& weights) const {
   auto found = namingsByModel.find(model);
   if (found == namingsByModel.end()) return std::nullopt;
   const auto& namings = found->second;
   auto lastNaming =
       std::find_if(namings.rbegin(), namings.rend(), [&](const auto& naming) { return naming.second == weights; });
-  std::optional<Moment> first;
+  std::optional<TimePoint> first;
   for (auto newer = lastNaming.base(); newer != namings.end(); ++newer) {
     auto acknowledgement = acknowledgedAt.find(newer->first);
     if (acknowledgement == acknowledgedAt.end()) continue;
@@ -35,8 +35,8 @@
   });
 }
 
-std::optional<Span> VersionCheck::supersededFor(const std::string& model, const std::string& weights,
-                                                Moment now) const {
+std::optional<Duration> VersionCheck::supersededFor(const std::string& model, const std::string& weights,
+                                                    TimePoint now) const {
   auto since = supersededAt(model, weights);
   if (!since) return std::nullopt;
   return now - *since;
--- a/src/sim/version_check.hpp
+++ b/src/sim/version_check.hpp
@@ -17,17 +17,17 @@
   /// Notes that the log entry at this index names these weights for the model. Entries may be noted in any order.
   void agreed(const std::string& model, std::uint64_t index, const std::string& weights);
   /// Notes that the entry at this index was acknowledged to an operator; only the first acknowledgement counts.
-  void acknowledged(std::uint64_t index, Moment at);
+  void acknowledged(std::uint64_t index, TimePoint at);
   /// When the first naming newer than these weights was acknowledged; nothing if none was.
-  std::optional<Moment> supersededAt(const std::string& model, const std::string& weights) const;
+  std::optional<TimePoint> supersededAt(const std::string& model, const std::string& weights) const;
   /// Whether the naming at this index is the model's newest: no other weights were named after it and acknowledged.
   bool isNewest(const std::string& model, std::uint64_t index) const;
   /// How long ago, as of `now`, these weights were superseded by an acknowledged naming; nothing if they were not.
-  std::optional<Span> supersededFor(const std::string& model, const std::string& weights, Moment now) const;
+  std::optional<Duration> supersededFor(const std::string& model, const std::string& weights, TimePoint now) const;
 
  private:
   std::map<std::string, std::map<std::uint64_t, std::string>> namingsByModel;
-  std::map<std::uint64_t, Moment> acknowledgedAt;
+  std::map<std::uint64_t, TimePoint> acknowledgedAt;
 };
 
 }  // namespace tt
--- a/src/tools/audit.cpp
+++ b/src/tools/audit.cpp
@@ -10,7 +10,7 @@
 constexpr std::int64_t second = 1'000'000'000;
 constexpr std::int64_t revokedWithin = 5 * second;
 constexpr std::int64_t leavingWithin = 3 * second;
-constexpr Span weightsWithin = 25s;
+constexpr Duration weightsWithin = 25s;
 constexpr double retryShareMost = 0.2;
 constexpr std::int64_t ordersEnough = 40;
 
@@ -36,7 +36,7 @@
 /// Takes an event about a naming of weights into the records; says whether it holds all that is needed.
 bool readNaming(const Json& event, NamingRecords& namings) {
   std::string changeId = textOr(event, "change"), weights = textOr(event, "name"), model = textOr(event, "model");
-  Moment at = fromNs(momentOf(event, "at"));
+  TimePoint at = fromNanoseconds(momentOf(event, "at"));
   if (changeId.empty() || weights.empty()) return false;
   if (textOr(event, "event") == "naming") {
     namings.sent(changeId, model, weights, at);
@@ -48,9 +48,9 @@
 }
 
 /// For how long the weights that a worker's row tells had been superseded at its moment.
-std::optional<Span> supersededFor(const NamingRecords& namings, const WorkerRow& row, const std::string& weights) {
+std::optional<Duration> supersededFor(const NamingRecords& namings, const WorkerRow& row, const std::string& weights) {
   if (weights == "-") return std::nullopt;
-  return namings.supersededFor(row.model, weights, fromNs(row.at));
+  return namings.supersededFor(row.model, weights, fromNanoseconds(row.at));
 }
 }  // namespace
 
@@ -141,7 +141,8 @@
       if (late && (!result.latestOldBegin || *late > *result.latestOldBegin)) result.latestOldBegin = late;
       if (late && *late > records.versionMost)
         breach("old-weights-began", words[0] + " began on " + words[1] + " at " + row.worker + ", " +
-                                        std::to_string(inMs(*late)) + " ms after newer weights were acknowledged");
+                                        std::to_string(toMilliseconds(*late)) +
+                                        " ms after newer weights were acknowledged");
     }
     if ((row.event == "ran for" || row.event == "worker denied") && !words.empty()) {
       auto dot = words[0].rfind('.');
--- a/src/tools/audit.hpp
+++ b/src/tools/audit.hpp
@@ -12,7 +12,7 @@
   /// Tenants that share with nobody.
   std::set<std::string> isolated;
   /// How long after the acknowledgement of newer weights orders may begin on older ones.
-  Span versionMost{20s};
+  Duration versionMost{20s};
 };
 /// What the records show of each line of "what must never happen".
 struct AuditResult {
@@ -21,7 +21,7 @@
   /// How many orders began, and how many namings of weights were acknowledged.
   std::int64_t begins{0}, namings{0};
   /// The longest time after the acknowledgement of newer weights at which an order began on older ones.
-  std::optional<Span> latestOldBegin;
+  std::optional<Duration> latestOldBegin;
   double worstRetryShare{0};
   std::int64_t breachCount() const;
 };
--- a/src/tools/main_audit.cpp
+++ b/src/tools/main_audit.cpp
@@ -33,7 +33,7 @@
 /// The line for the events' file, of this moment.
 std::string writeNote(const EventNote& note) {
   JsonObject row;
-  row["at"] = Json(std::to_string(inNs(Clock::now())));
+  row["at"] = Json(std::to_string(toNanoseconds(Clock::now())));
   row["event"] = Json(note.event);
   row["name"] = Json(note.name);
   if (note.isNaming()) {
@@ -49,10 +49,10 @@
   std::cout << "audit: " << result.begins << " orders began, " << result.namings
             << " namings; latest begin on old weights: ";
   if (result.latestOldBegin)
-    std::cout << inMs(*result.latestOldBegin) << " ms after newer ones were acknowledged";
+    std::cout << toMilliseconds(*result.latestOldBegin) << " ms after newer ones were acknowledged";
   else
     std::cout << "none";
-  std::cout << " (" << inMs(records.versionMost) << " ms promised)\n";
+  std::cout << " (" << toMilliseconds(records.versionMost) << " ms promised)\n";
 }
 
 Result<std::vector<std::string>> readLines(const std::vector<std::string>& files) {
--- a/src/tools/main_core.cpp
+++ b/src/tools/main_core.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 /// How long operators' calls that are open when the process is told to stop may take, and the last answers to leave.
-constexpr Span answersMost = 3s, lastAnswers = 100ms;
+constexpr Duration answersMost = 3s, lastAnswers = 100ms;
 
 struct CoreMain {
   CoreSettings settings;
@@ -93,7 +93,7 @@
     });
   };
   host.ring = ring.get();
-  host.diskWaits = [&](Span span) { core.diskWaits(span); };
+  host.diskWaits = [&](Duration span) { core.diskWaits(span); };
   host.diskFailed = [](const Fault& trouble) { std::_Exit(failDisk(trouble)); };
   host.carry = [&](const std::string& to, Message&& message) {
     if (auto* machinesAsk = std::get_if<MachinesAsk>(&message)) {
@@ -209,7 +209,7 @@
           ".");
   runPool(context, static_cast<std::size_t>(given.threads), [&] {
     host.with([&](Effects& effects) { core.resign(effects); });
-    Moment answersBy = Clock::now() + answersMost;
+    TimePoint answersBy = Clock::now() + answersMost;
     do {
       std::this_thread::sleep_for(lastAnswers);
     } while (answers.count() > 0 && Clock::now() < answersBy);
--- a/src/tools/main_ctl.cpp
+++ b/src/tools/main_ctl.cpp
@@ -133,7 +133,7 @@
   (void)get;
   if (lag->parsed()) {
     call.wholeWait = 3s;
-    Moment until = Clock::now() + std::chrono::duration_cast<Span>(std::chrono::duration<double>(waitSeconds));
+    TimePoint until = Clock::now() + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(waitSeconds));
     while (true) {
       std::vector<std::string> lines;
       std::map<std::string, std::pair<std::int64_t, bool>> agents;
--- a/src/tools/main_keeper.cpp
+++ b/src/tools/main_keeper.cpp
@@ -64,7 +64,7 @@
                                                "cross tenant", "command taken", "weights loaded"};
       if (!kinds.count(event.kind)) return;
       JsonObject row;
-      row["at"] = Json(std::to_string(inNs(event.at)));
+      row["at"] = Json(std::to_string(toNanoseconds(event.at)));
       row["worker"] = Json(settings.name);
       row["model"] = Json(settings.model);
       row["event"] = Json(event.kind);
--- a/src/tools/main_link.cpp
+++ b/src/tools/main_link.cpp
@@ -9,7 +9,7 @@
 
 struct Rule {
   std::string from, to, mode;
-  Span delay{};
+  Duration delay{};
 };
 
 class Links {
--- a/src/tools/main_loadgen.cpp
+++ b/src/tools/main_loadgen.cpp
@@ -26,7 +26,7 @@
 };
 struct Shot {
   std::size_t kind{0}, prefix{0};
-  Moment due{};
+  TimePoint due{};
   std::string key, proxy, intent;
   int attempt{1};
   std::uint64_t own{0};
@@ -35,7 +35,7 @@
   bool first{false}, last{false}, gone{false};
   std::string text, verdict;
   int retryAfterMs{0};
-  Moment lastAt{};
+  TimePoint lastAt{};
 };
 
 Result<std::vector<Kind>> readKinds(const std::string& text) {
@@ -113,7 +113,7 @@
 
   std::mt19937_64 randomSource(static_cast<std::uint64_t>(seed));
   std::vector<Shot> shots;
-  Moment start = Clock::now() + 200ms;
+  TimePoint start = Clock::now() + 200ms;
   std::vector<std::vector<std::string>> shared(kinds.size());
   for (std::size_t at = 0; at < kinds.size(); ++at) {
     const auto& kind = kinds[at];
@@ -123,7 +123,7 @@
     for (double when = gap(randomSource); when < seconds; when += gap(randomSource)) {
       Shot shot;
       shot.kind = at;
-      shot.due = start + std::chrono::duration_cast<Span>(std::chrono::duration<double>(when));
+      shot.due = start + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(when));
       shot.key = kind.keys[randomSource() % kind.keys.size()];
       shot.proxy = proxies[randomSource() % proxies.size()];
       shot.prefix = randomSource() % shared[at].size();
@@ -140,11 +140,11 @@
   }
   std::mutex lock;
   std::condition_variable wake;
-  std::multimap<Moment, Shot> due;
-  std::multimap<Moment, std::uint64_t> drops;
+  std::multimap<TimePoint, Shot> due;
+  std::multimap<TimePoint, std::uint64_t> drops;
   std::map<std::uint64_t, std::function<void()>> dropped;
   std::string runMark = "mark-" + std::to_string(static_cast<std::uint64_t>(seed)) + "-" +
-                        std::to_string(inNs(start) / 1000000 % 100000000) + "-";
+                        std::to_string(toNanoseconds(start) / 1000000 % 100000000) + "-";
   std::size_t shotNumber = 0;
   for (auto& shot : shots) {
     shot.intent = runMark + std::to_string(++shotNumber);
@@ -156,7 +156,7 @@
   std::map<int, std::pair<std::int64_t, std::int64_t>> blocksAt;
   std::int64_t open = 0, cameBack = 0;
   WebCalls calls;
-  auto tell = [&](const Shot& shot, const Seen& seen, Moment sentAt) {
+  auto tell = [&](const Shot& shot, const Seen& seen, TimePoint sentAt) {
     if (!record.is_open()) return;
     const auto& kind = kinds[shot.kind];
     JsonObject row;
@@ -167,8 +167,8 @@
     row["proxy"] = Json(shot.proxy);
     row["repeatable"] = Json(kind.repeatable);
     row["tokens"] = jsonNumber(kind.tokens);
-    row["sentAt"] = Json(std::to_string(inNs(sentAt)));
-    row["lastAt"] = Json(std::to_string(inNs(seen.lastAt)));
+    row["sentAt"] = Json(std::to_string(toNanoseconds(sentAt)));
+    row["lastAt"] = Json(std::to_string(toNanoseconds(seen.lastAt)));
     row["verdict"] = Json(seen.gone ? std::string("hung up") : seen.verdict);
     row["text"] = Json(seen.text);
     record << Json(row).serialize() << "\n" << std::flush;
@@ -182,8 +182,8 @@
     if (share >= obey + ignore + move) return;
     Shot again = shot;
     ++again.attempt;
-    again.due =
-        Clock::now() + (share < obey ? Span(std::chrono::milliseconds(std::max(seen.retryAfterMs, 200))) : Span(20ms));
+    again.due = Clock::now() +
+                (share < obey ? Duration(std::chrono::milliseconds(std::max(seen.retryAfterMs, 200))) : Duration(20ms));
     if (share >= obey + ignore)
       for (std::size_t at = 0; at < proxies.size(); ++at)
         if (proxies[at] == shot.proxy) {
@@ -214,7 +214,7 @@
     call.wholeWait = 30s;
     call.onceOnly = true;
     auto seen = std::make_shared<Seen>();
-    Moment sentAt = Clock::now();
+    TimePoint sentAt = Clock::now();
     auto count_ = [&, shot, seen](const Json& verdict) {
       seen->last = true;
       auto& tally = tallies[shot.kind];
@@ -223,7 +223,7 @@
       ++tally.verdicts[seen->verdict + " " + std::to_string(numberOr(verdict, "code", 0)) + " " +
                        textOr(verdict, "name")];
       tally.tries += std::max<std::int64_t>(0, numberOr(verdict, "tries", 0) - 1);
-      int second = static_cast<int>(inMs(shot.due - start) / 1000);
+      int second = static_cast<int>(toMilliseconds(shot.due - start) / 1000);
       if (seen->verdict == "done") {
         ++tally.done;
         ++seconds_[second].first;
@@ -259,7 +259,7 @@
               ++(seen->first ? tallies[shot.kind].torn : tallies[shot.kind].unfinished);
               seen->verdict = result.nothingSent ? "no connection" : seen->first ? "stream torn" : "no verdict";
               ++tallies[shot.kind].verdicts[seen->verdict];
-              ++failedAt[static_cast<int>(inMs(shot.due - start) / 1000)];
+              ++failedAt[static_cast<int>(toMilliseconds(shot.due - start) / 1000)];
             }
           }
           tell(shot, *seen, sentAt);
@@ -280,7 +280,7 @@
           seen->first = true;
           double firstMs = std::chrono::duration<double, std::milli>(Clock::now() - shot.due).count();
           tallies[shot.kind].firstMs.push_back(firstMs);
-          seconds_[static_cast<int>(inMs(shot.due - start) / 1000)].second.push_back(firstMs);
+          seconds_[static_cast<int>(toMilliseconds(shot.due - start) / 1000)].second.push_back(firstMs);
         });
     if (static_cast<double>(randomSource() % 10000) / 100 < hangUps) {
       drops.emplace(Clock::now() + std::chrono::milliseconds(randomSource() % 600), callId);
@@ -293,7 +293,7 @@
       };
     }
   };
-  Moment last = start + std::chrono::duration_cast<Span>(std::chrono::duration<double>(seconds)) + 35s;
+  TimePoint last = start + std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds)) + 35s;
   while (Clock::now() < last) {
     std::optional<Shot> next;
     {
@@ -306,7 +306,7 @@
         dropped.erase(callId);
       }
       if (due.empty() && open == 0) break;
-      Moment until = Clock::now() + 100ms;
+      TimePoint until = Clock::now() + 100ms;
       if (!due.empty()) until = std::min(until, due.begin()->first);
       if (!drops.empty()) until = std::min(until, drops.begin()->first);
       if (due.empty() || due.begin()->first > Clock::now()) {
--- a/src/tools/main_model.cpp
+++ b/src/tools/main_model.cpp
@@ -168,7 +168,7 @@
     std::cerr << checked.error().subject << ": " << checked.error().text << "\n";
     return false;
   }
-  options.walks.longest = std::chrono::duration_cast<Span>(std::chrono::duration<double>(options.seconds));
+  options.walks.longest = std::chrono::duration_cast<Duration>(std::chrono::duration<double>(options.seconds));
   options.breadth.longest = options.walks.longest;
   if (options.openingFile.empty()) return true;
   auto opening = readRun(options.openingFile);
--- a/src/tools/main_operators.cpp
+++ b/src/tools/main_operators.cpp
@@ -13,7 +13,7 @@
 using namespace tt;
 
 namespace {
-constexpr Span callWait = 8s;
+constexpr Duration callWait = 8s;
 constexpr int mostTries = 60;
 constexpr double mostCount = 100000;
 
--- a/src/tools/main_proxy.cpp
+++ b/src/tools/main_proxy.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 /// How long orders that are open when the process is told to stop may take, and the last answers to leave.
-constexpr Span openOrdersMost = 10s, lastAnswers = 100ms;
+constexpr Duration openOrdersMost = 10s, lastAnswers = 100ms;
 
 class WorkerCalls {
  public:
@@ -76,8 +76,8 @@
       call.wholeWait = 120s;
       std::string sendId = order->orderId;
       if (order->leaveBy != 0) {
-        Span left = fromNs(order->leaveBy) - Clock::now();
-        if (left <= Span(0)) {
+        Duration left = fromNanoseconds(order->leaveBy) - Clock::now();
+        if (left <= Duration(0)) {
           WorkerEnd unsent{sendId, static_cast<int>(Outcome::brokenUnsent), static_cast<int>(Code::workerBroke), 0, 0,
                            0};
           return asio::post(context, [&host, unsent] { host.take("worker", unsent); });
@@ -148,7 +148,7 @@
       if (!order) return deny(order.error());
       order.value().key = ask.bearer;
       order.value().orderId =
-          settings.name + "/" + std::to_string(inNs(Clock::now())) + "/" + answers.freshName().substr(5);
+          settings.name + "/" + std::to_string(toNanoseconds(Clock::now())) + "/" + answers.freshName().substr(5);
       answers.addAs(order.value().orderId, answer);
       return host.take("caller", order.value());
     }
--- a/src/tools/naming_records.cpp
+++ b/src/tools/naming_records.cpp
@@ -6,7 +6,7 @@
 
 namespace tt {
 namespace {
-void keepEarliest(std::optional<Moment>& kept, Moment at) {
+void keepEarliest(std::optional<TimePoint>& kept, TimePoint at) {
   if (!kept || at < *kept) kept = at;
 }
 }  // namespace
@@ -19,19 +19,20 @@
   return naming;
 }
 
-void NamingRecords::sent(const std::string& changeId, const std::string& model, const std::string& weights, Moment at) {
+void NamingRecords::sent(const std::string& changeId, const std::string& model, const std::string& weights,
+                         TimePoint at) {
   keepEarliest(namingOf(changeId, model, weights).firstSent, at);
 }
 
 void NamingRecords::acknowledged(const std::string& changeId, const std::string& model, const std::string& weights,
-                                 std::uint64_t revision, Moment at) {
+                                 std::uint64_t revision, TimePoint at) {
   auto& naming = namingOf(changeId, model, weights);
   naming.revision = revision;
   keepEarliest(naming.firstAcknowledged, at);
 }
 
-std::optional<Span> NamingRecords::supersededFor(const std::string& model, const std::string& weights,
-                                                 Moment now) const {
+std::optional<Duration> NamingRecords::supersededFor(const std::string& model, const std::string& weights,
+                                                     TimePoint now) const {
   VersionCheck check;
   for (const auto& [changeId, naming] : namingsByChange) {
     if (naming.firstSent && *naming.firstSent > now) continue;
--- a/src/tools/naming_records.hpp
+++ b/src/tools/naming_records.hpp
@@ -14,14 +14,14 @@
 class NamingRecords {
  public:
   /// Notes that a change that names these weights was sent.
-  void sent(const std::string& changeId, const std::string& model, const std::string& weights, Moment at);
+  void sent(const std::string& changeId, const std::string& model, const std::string& weights, TimePoint at);
   /// Notes that a change that names these weights was acknowledged with this revision.
   void acknowledged(const std::string& changeId, const std::string& model, const std::string& weights,
-                    std::uint64_t revision, Moment at);
+                    std::uint64_t revision, TimePoint at);
   /// How long before `now` the first naming newer than these weights was acknowledged; nothing if none was, or if it
   /// cannot be told, since a change that names these weights was sent and never acknowledged. A change that was first
   /// sent after `now` does not make its weights newer; one whose sending was not noted counts as sent before.
-  std::optional<Span> supersededFor(const std::string& model, const std::string& weights, Moment now) const;
+  std::optional<Duration> supersededFor(const std::string& model, const std::string& weights, TimePoint now) const;
   /// How many namings were acknowledged.
   std::size_t acknowledgedCount() const;
 
@@ -29,7 +29,7 @@
   struct Naming {
     std::string model, weights;
     std::uint64_t revision{0};
-    std::optional<Moment> firstSent, firstAcknowledged;
+    std::optional<TimePoint> firstSent, firstAcknowledged;
   };
   std::map<std::string, Naming> namingsByChange;
 
--- a/tests/calls.cpp
+++ b/tests/calls.cpp
@@ -451,8 +451,8 @@
     auto from = Clock::now();
     auto seen = bench.finish(call);
     cr_assert(seen->end.how == HttpHow::broken);
-    cr_assert_geq(inMs(Clock::now() - from), 29);
-    cr_assert_lt(inMs(Clock::now() - from), 1000);
+    cr_assert_geq(toMilliseconds(Clock::now() - from), 29);
+    cr_assert_lt(toMilliseconds(Clock::now() - from), 1000);
     cr_assert_eq(server.copies(target), 1u);
   }
 }
--- a/tests/catch_up.cpp
+++ b/tests/catch_up.cpp
@@ -16,7 +16,7 @@
 struct Case {
   bool empty;
   std::uint64_t changes;
-  Span syncSpan;
+  Duration syncSpan;
   double linkRate;
   std::size_t recordRoom{1 << 20};
   double stormPerSecond{20};
@@ -52,8 +52,8 @@
   machine.snapshotWrites = machine.ringBytes = machine.mostWaitingBytes = machine.mostLogBytes = 0;
   int before = begunAgain(fleet);
   fleet.start(away);
-  Moment startedAt = fleet.now, nextChange = fleet.now;
-  std::deque<std::pair<Moment, std::uint64_t>> commits;
+  TimePoint startedAt = fleet.now, nextChange = fleet.now;
+  std::deque<std::pair<TimePoint, std::uint64_t>> commits;
   CatchUp result;
   while (fleet.now - startedAt < 120s && !result.reached) {
     if (fleet.now >= nextChange) {
@@ -65,7 +65,7 @@
     while (commits.size() > 1 && commits[1].first <= fleet.now - 500ms) commits.pop_front();
     result.reached = commits.front().first <= fleet.now - 500ms && machine.log->syncedEnd() >= commits.front().second;
   }
-  result.seconds = static_cast<double>(inMs(fleet.now - startedAt)) / 1000;
+  result.seconds = static_cast<double>(toMilliseconds(fleet.now - startedAt)) / 1000;
   result.linkBytes = fleet.links[{leader, away}].total;
   result.mostQueued = fleet.links[{leader, away}].mostQueued;
   result.mostWaiting = machine.mostWaitingBytes;
@@ -79,7 +79,7 @@
 
 void print(const Case& given, const CatchUp& result) {
   std::printf("| %s | %d | %d ms | %.0f | %s%.2f | %zu | %zu | %zu | %zu | %zu | %d |\n", given.empty ? "empty" : "old",
-              static_cast<int>(given.changes), static_cast<int>(inMs(given.syncSpan)), given.linkRate / 1000,
+              static_cast<int>(given.changes), static_cast<int>(toMilliseconds(given.syncSpan)), given.linkRate / 1000,
               result.reached ? "" : "not in ", result.seconds, result.linkBytes / 1000, result.mostQueued / 1000,
               result.ringBytes / 1000, result.mostLog / 1000, result.twice, result.begunAgain);
 }
@@ -91,7 +91,7 @@
       "| replica | changes | sync | link kB/s | seconds | sent kB | most under way kB | written kB | log kB |"
       " written twice | begun again |\n|---|---|---|---|---|---|---|---|---|---|---|\n");
   for (double rate : {10e6, 100e3})
-    for (Span syncSpan : {Span(2ms), Span(120ms)})
+    for (Duration syncSpan : {Duration(2ms), Duration(120ms)})
       for (bool empty : {true, false})
         for (std::uint64_t changes : {50, 500, 5000}) {
           Case given{empty, changes, syncSpan, rate};
--- a/tests/cell_bench.hpp
+++ b/tests/cell_bench.hpp
@@ -32,10 +32,10 @@
   std::set<BlockHash> kept;
   std::vector<KeptEvent> events;
   bool answers{true}, answersCommands{true}, obeys{true}, lost{false};
-  Span loadSpan{700ms};
+  Duration loadSpan{700ms};
   std::string loading;
-  Moment loadedAt{};
-  std::vector<Moment> commandsAt;
+  TimePoint loadedAt{};
+  std::vector<TimePoint> commandsAt;
 
   void store(const std::string& id, Count skip = 1) {
     sequence += skip;
@@ -52,7 +52,7 @@
 /// Cores that hold one cell, and its workers, all under one clock that the test moves.
 struct CellBench {
   struct Sent {
-    Moment at;
+    TimePoint at;
     std::string from, to;
     Message message;
   };
@@ -64,15 +64,15 @@
     std::vector<CellNews> news;
   };
   TimingKept kept;
-  Moment now{std::chrono::hours(9)};
+  TimePoint now{std::chrono::hours(9)};
   std::mt19937_64 randomSource{3};
   Configuration configuration;
   VersionTimeline versions;
   std::map<std::string, CellCore> cores;
   std::map<std::string, TestWorker> workers;
-  std::multimap<Moment, Sent> due;
+  std::multimap<TimePoint, Sent> due;
   std::vector<Sent> sent;
-  Span transit{4ms};
+  Duration transit{4ms};
 
   explicit CellBench(int coreNumber = 1, CellSettings settings = cellSettings()) {
     timing.commandRest = 3300ms;
@@ -203,8 +203,8 @@
     for (auto& [address, core] : cores)
       if (core.alive) with(address, [&](Effects& effects, Cell& cell) { cell.tick(effects, configuration); });
   }
-  void run(Span span, const std::function<void()>& look = {}) {
-    for (Moment until = now + span; now < until;) {
+  void run(Duration span, const std::function<void()>& look = {}) {
+    for (TimePoint until = now + span; now < until;) {
       step();
       if (look) look();
     }
@@ -214,13 +214,13 @@
       if (core.alive && core.cell->election.holds(now)) return address;
     return {};
   }
-  Moment runToHolder(Span most = 6s) {
-    for (Moment until = now + most; now < until && holder().empty();) step();
+  TimePoint runToHolder(Duration most = 6s) {
+    for (TimePoint until = now + most; now < until && holder().empty();) step();
     cr_assert_not(holder().empty());
     return now;
   }
   template <class T>
-  std::vector<Sent> all(Moment since = {}) const {
+  std::vector<Sent> all(TimePoint since = {}) const {
     std::vector<Sent> rows;
     for (const auto& row : sent)
       if (row.at >= since && std::holds_alternative<T>(row.message)) rows.push_back(row);
@@ -243,7 +243,7 @@
     return {-1};
   }
   bool confirmed(const std::string& worker) const { return cores.at(holder()).cell->keepers().at(worker).confirmed; }
-  std::size_t wholeAsks(const std::string& worker, Moment since) const {
+  std::size_t wholeAsks(const std::string& worker, TimePoint since) const {
     std::size_t count = 0;
     for (const auto& row : all<ReportAsk>(since)) {
       const auto& ask = std::get<ReportAsk>(row.message);
--- a/tests/cells.cpp
+++ b/tests/cells.cpp
@@ -18,7 +18,7 @@
   bench.runToHolder();
   bench.run(500ms);
   cr_assert(bench.confirmed("w1"));
-  Moment since = bench.now;
+  TimePoint since = bench.now;
   worker.store("b", 7);
   worker.store("c", 100);
   bench.run(300ms);
@@ -41,7 +41,7 @@
     bench.runToHolder();
     bench.run(500ms);
     cr_expect(bench.lookup("w1", {"a", "b"}) == bothHeld);
-    Moment since = bench.now;
+    TimePoint since = bench.now;
     worker.kept = {part("b"), part("c")};
     if (restarts) {
       worker.incarnation = "2";
@@ -110,7 +110,7 @@
   cr_expect(bench.lookup("w1", {"a", "b"}) == bothHeld);
   bench.run(300ms);
   cr_expect(bench.lookup("w1", {"a", "b"}) == noneHeld);
-  Moment since = bench.now;
+  TimePoint since = bench.now;
   worker.answers = true;
   bench.run(1200ms);
   cr_expect(bench.lookup("w1", {"a", "b"}) == bothHeld);
@@ -121,7 +121,7 @@
   CellBench bench;
   bench.list(3);
   bench.name("moss/4");
-  Moment wonAt = bench.runToHolder();
+  TimePoint wonAt = bench.runToHolder();
   bench.run(3200ms);
   cr_expect(bench.all<ControlAsk>().empty());
   bench.run(2s);
@@ -143,7 +143,7 @@
   bench.run(4s);
   cr_expect(bench.all<ControlAsk>().empty(), "nothing to do, nothing to command");
   bench.name("moss/4");
-  Moment namedAt = bench.now;
+  TimePoint namedAt = bench.now;
   std::size_t most = 0, mostHeld = 0;
   bench.run(14s, [&] {
     most = std::max<std::size_t>(
@@ -158,7 +158,7 @@
   cr_expect_eq(commands.size(), 7u, "one command for each worker");
   for (std::size_t at = 0; at < commands.size(); ++at) {
     cr_expect(commands[at].at - namedAt >= 7800ms * static_cast<int>(at) / 7, "command %zu came after %d ms", at,
-              static_cast<int>(inMs(commands[at].at - namedAt)));
+              static_cast<int>(toMilliseconds(commands[at].at - namedAt)));
     cr_expect_eq(std::get<ControlAsk>(commands[at].message).term, std::get<ControlAsk>(commands[0].message).term);
   }
   cr_expect_leq(most, 3u);
@@ -177,7 +177,7 @@
   bench.runToHolder();
   bench.run(4s);
   bench.name("moss/4");
-  std::map<std::string, Moment> heldAt;
+  std::map<std::string, TimePoint> heldAt;
   bench.run(12s, [&] {
     for (const auto& view : bench.cores.begin()->second.news.back().workers)
       if (view.held) heldAt.emplace(view.name, bench.now);
@@ -306,10 +306,10 @@
       bench.workers.begin(), bench.workers.end(), [](const auto& row) { return row.second.weights == "moss/4"; }));
   cr_assert(done > 0 && done < 6);
   bench.cores.at(first).alive = false;
-  Moment lostAt = bench.now;
+  TimePoint lostAt = bench.now;
   bench.runToHolder();
   std::string second = bench.holder();
-  Moment wonAt = bench.now;
+  TimePoint wonAt = bench.now;
   bench.run(14s, looks);
   auto after = bench.all<ControlAsk>(lostAt);
   cr_assert_not(after.empty());
@@ -333,7 +333,7 @@
   bench.runToHolder();
   bench.name("moss/4");
   bench.cores.at(first).alive = true;
-  Moment wokenAt = bench.now;
+  TimePoint wokenAt = bench.now;
   bench.run(20s);
   for (const auto& row : bench.all<ControlAsk>(wokenAt)) cr_expect_neq(row.from, first);
   for (const auto& [name, worker] : bench.workers) cr_expect_eq(worker.weights, "moss/4");
@@ -352,16 +352,16 @@
   };
   while (doneCount() < 4) bench.step();
   bench.cores.at(first).alive = false;
-  Moment lostAt = bench.now;
+  TimePoint lostAt = bench.now;
   bench.runToHolder();
-  Moment mayAt = bench.now + timing.commandRest;
+  TimePoint mayAt = bench.now + timing.commandRest;
   bench.run(14s);
   auto after = bench.all<ControlAsk>(lostAt);
   cr_assert_eq(after.size(), 2u);
   cr_expect(after[0].at - mayAt < 1500ms, "the next worker waited %d ms more",
-            static_cast<int>(inMs(after[0].at - mayAt)));
+            static_cast<int>(toMilliseconds(after[0].at - mayAt)));
   cr_expect(after[1].at - mayAt < 1500ms + 7800ms / 6, "the last worker waited %d ms more",
-            static_cast<int>(inMs(after[1].at - mayAt)));
+            static_cast<int>(toMilliseconds(after[1].at - mayAt)));
 }
 
 Test(cells, weights_named_while_a_worker_loads_reach_it_too) {
--- a/tests/core_bench.hpp
+++ b/tests/core_bench.hpp
@@ -19,21 +19,21 @@
     std::unique_ptr<Core> core;
     Recovered disk;
     std::vector<Effects::Save> syncing;
-    Moment syncedAt{};
+    TimePoint syncedAt{};
     bool alive{false}, mayForm{false};
     std::uint64_t life{0};
   };
   TimingKept kept;
-  Moment now{std::chrono::hours(3)};
+  TimePoint now{std::chrono::hours(3)};
   std::mt19937_64 randomSource;
   std::map<std::string, Machine> machines;
-  std::multimap<Moment, std::pair<std::uint64_t, Mail>> due;
+  std::multimap<TimePoint, std::pair<std::uint64_t, Mail>> due;
   std::set<std::string> cutOff;
   /// What the next process to start is told.
   Strings seeds{"core-1:1", "core-2:1", "core-3:1"};
   std::map<std::string, OperatorResponse> replies;
   std::map<std::string, int> notes;
-  std::map<std::string, Moment> lastNote;
+  std::map<std::string, TimePoint> lastNote;
   /// Told after each step, for what must hold all the time.
   std::function<void()> watch;
   int askCount{0};
@@ -140,11 +140,11 @@
     }
     if (watch) watch();
   }
-  void run(Span span) {
-    for (Moment until = now + span; now < until;) step();
+  void run(Duration span) {
+    for (TimePoint until = now + span; now < until;) step();
   }
-  bool runUntil(const std::function<bool()>& reached, Span most) {
-    for (Moment until = now + most; now < until && !reached();) step();
+  bool runUntil(const std::function<bool()>& reached, Duration most) {
+    for (TimePoint until = now + most; now < until && !reached();) step();
     return reached();
   }
   std::vector<Member> membersOf(const std::string& name) const { return machines.at(name).core->agreement().members(); }
--- a/tests/drain.cpp
+++ b/tests/drain.cpp
@@ -9,7 +9,7 @@
 /// A worker that answers each request some time after it came, on every connection that the proxy makes.
 class SlowWorker {
  public:
-  SlowWorker(Proxy& calledBy, Span answersAfter) : proxy(calledBy), delay(answersAfter) {}
+  SlowWorker(Proxy& calledBy, Duration answersAfter) : proxy(calledBy), delay(answersAfter) {}
   void step() {
     if (proxy.isCalled(0ms)) sides.push_back(Side{proxy.accept(), {}, {}});
     for (auto& side : sides) {
@@ -24,10 +24,10 @@
   struct Side {
     WorkerSide connection;
     std::string request;
-    Moment answerAt;
+    TimePoint answerAt;
   };
   Proxy& proxy;
-  Span delay;
+  Duration delay;
   std::vector<Side> sides;
 
   void take(Side& side) {
@@ -57,7 +57,7 @@
 /// A core that waits for seeds that never come, in a process of its own.
 class LonelyCore {
  public:
-  explicit LonelyCore(Span grace) : base(freePorts(3)) {
+  explicit LonelyCore(Duration grace) : base(freePorts(3)) {
     cr_assert(::mkdtemp(folder) != nullptr);
     SiteSettings settings;
     settings.nodeName = "core-1";
@@ -75,7 +75,7 @@
   }
   unsigned short control() const { return static_cast<unsigned short>(base + 1); }
   void signal(int number) { process->signal(number); }
-  bool hasEnded(Span wait) { return process->hasEnded(wait); }
+  bool hasEnded(Duration wait) { return process->hasEnded(wait); }
 
  private:
   unsigned short base;
--- a/tests/drain_plan.cpp
+++ b/tests/drain_plan.cpp
@@ -4,7 +4,7 @@
 using namespace tt;
 
 namespace {
-constexpr Span grace = 8s;
+constexpr Duration grace = 8s;
 
 /// A proxy with one worker that is told to stop.
 struct LeavingProxy : ProxyBench {
@@ -14,7 +14,7 @@
     plan = planDrain(now, grace);
     edge->drain(plan);
   }
-  void runTo(Moment moment) { run(moment - now); }
+  void runTo(TimePoint moment) { run(moment - now); }
   void say(const std::string& orderId, const std::string& text, const std::string& piece = {}) {
     give("worker", WorkerChunk{sendsOf(orderId).back().orderId, text, piece});
   }
@@ -32,8 +32,8 @@
 }  // namespace
 
 Test(drain_plan, its_moments_are_in_order_and_before_the_kill_for_any_grace) {
-  const Moment now(1h);
-  for (Span told = 100ms; told <= 60s; told += 100ms) {
+  const TimePoint now(1h);
+  for (Duration told = 100ms; told <= 60s; told += 100ms) {
     auto made = planDrain(now, told);
     cr_expect_eq((made.startedAt - now).count(), 0);
     cr_expect(made.startedAt < made.refusesFrom && made.refusesFrom < made.endsAt && made.endsAt < made.exitsBy &&
@@ -45,7 +45,7 @@
 
 Test(drain_plan, until_clients_are_led_elsewhere_everything_is_taken) {
   LeavingProxy proxy;
-  for (Moment at = proxy.now; at < proxy.plan.refusesFrom - 20ms; at += 500ms) {
+  for (TimePoint at = proxy.now; at < proxy.plan.refusesFrom - 20ms; at += 500ms) {
     proxy.runTo(at);
     auto orderId = proxy.place("/stream/x");
     proxy.run(20ms);
@@ -60,7 +60,7 @@
   proxy.runTo(proxy.plan.refusesFrom);
   proxy.expectRefused(proxy.place("/stream/x"));
   auto brief = proxy.order("/stream/x");
-  brief.deadlineMs = inMs(proxy.plan.endsAt - proxy.now);
+  brief.deadlineMs = toMilliseconds(proxy.plan.endsAt - proxy.now);
   auto briefId = proxy.place(brief);
   auto once = proxy.place("/once/x");
   proxy.run(20ms);
@@ -68,7 +68,7 @@
   cr_expect_eq(proxy.sendsOf(once).size(), 1u, "its route's timeout ends in time");
   proxy.finish(briefId);
   proxy.finish(once);
-  for (Moment at = proxy.now + 1s; at < proxy.plan.exitsBy; at += 500ms) {
+  for (TimePoint at = proxy.now + 1s; at < proxy.plan.exitsBy; at += 500ms) {
     proxy.runTo(at);
     for (const char* path : {"/stream/x", "/once/x", "/safe/x", "/aim/x"}) proxy.expectRefused(proxy.place(path));
   }
@@ -117,7 +117,7 @@
     LeavingProxy proxy;
     struct Placed {
       std::string orderId;
-      Moment at, deadline, finishAt;
+      TimePoint at, deadline, finishAt;
       Outcome outcome;
     };
     std::vector<Placed> placed;
@@ -127,8 +127,8 @@
         bool streams = roll(2);
         auto ask = proxy.order(streams ? "/stream/x" : "/safe/x");
         ask.deadlineMs = static_cast<std::int64_t>(100 + roll(8000));
-        Span timeout = streams ? 8s : 4s;
-        Moment deadline = proxy.now + std::min<Span>(timeout, std::chrono::milliseconds(ask.deadlineMs));
+        Duration timeout = streams ? 8s : 4s;
+        TimePoint deadline = proxy.now + std::min<Duration>(timeout, std::chrono::milliseconds(ask.deadlineMs));
         placed.push_back(Placed{proxy.place(ask), proxy.now, deadline,
                                 proxy.now + std::chrono::milliseconds(20 + roll(6000)),
                                 roll(10) ? Outcome::done : Outcome::broken});
--- a/tests/fleet_bench.hpp
+++ b/tests/fleet_bench.hpp
@@ -22,15 +22,15 @@
     Agent* agent{nullptr};
     Recovered disk;
     std::vector<Effects::Save> syncing;
-    Moment syncedAt{};
+    TimePoint syncedAt{};
     std::uint64_t life{0};
     bool alive() const { return node != nullptr; }
   };
   TimingKept kept;
-  Moment now{std::chrono::hours(3)};
+  TimePoint now{std::chrono::hours(3)};
   std::mt19937_64 randomSource;
   std::map<std::string, Machine> machines;
-  std::multimap<Moment, std::pair<std::uint64_t, Mail>> due;
+  std::multimap<TimePoint, std::pair<std::uint64_t, Mail>> due;
   std::set<std::pair<std::string, std::string>> cutLinks;
   std::map<std::string, OperatorResponse> replies;
   /// What was sent to addresses at which nothing runs, such as proxies.
@@ -166,11 +166,11 @@
     }
     watchReaders();
   }
-  void run(Span span) {
-    for (Moment until = now + span; now < until;) step();
+  void run(Duration span) {
+    for (TimePoint until = now + span; now < until;) step();
   }
-  bool runUntil(const std::function<bool()>& reached, Span most) {
-    for (Moment until = now + most; now < until && !reached();) step();
+  bool runUntil(const std::function<bool()>& reached, Duration most) {
+    for (TimePoint until = now + most; now < until && !reached();) step();
     return reached();
   }
   const ReplicatedLog& logOf(const std::string& name) { return machines.at(name).core->agreement(); }
--- a/tests/freshness.cpp
+++ b/tests/freshness.cpp
@@ -133,7 +133,7 @@
       bench.run(1s);
       bench.with(bench.machines.at(old),
                  [&](Effects& effects) { bench.machines.at(old).node->take(effects, "operator", stale); });
-      bench.run(hears ? Span(5s) : Span(12s));
+      bench.run(hears ? Duration(5s) : Duration(12s));
       cr_expect_not(bench.readThrough(old).confirmed);
       for (const auto* askId : {&lone, &stale.askId}) {
         if (!bench.replies.count(*askId)) continue;
@@ -196,7 +196,7 @@
   ClusterView reader{ReaderSettings{"reader", "reader:1", "north-a", {}, true, {}}};
   Journal journal;
   std::mt19937_64 randomSource{1};
-  Moment now{std::chrono::hours(3)};
+  TimePoint now{std::chrono::hours(3)};
 
   explicit HeardVoters(std::size_t count) : voters(count) {
     std::vector<Member> members;
@@ -219,7 +219,7 @@
         Effects taking{now, randomSource, journal, {}, {}};
         reader.take(taking, to, word, view);
       }
-    return reader.stamp() != Moment{};
+    return reader.stamp() != TimePoint{};
   }
 };
 std::size_t countOf(unsigned set) { return static_cast<std::size_t>(__builtin_popcount(set)); }
@@ -270,7 +270,7 @@
   settings.seeds = {"core-1:1"};
   Agent agent(settings);
   std::mt19937_64 randomSource(1);
-  Moment now{std::chrono::hours(3)};
+  TimePoint now{std::chrono::hours(3)};
   std::optional<Count> told;
   auto with = [&](const std::function<void(Effects&)>& action) {
     Effects effects{now, randomSource, agent.journal, {}, {}};
@@ -278,8 +278,8 @@
     for (const auto& [to, message] : effects.sends)
       if (auto* ask = std::get_if<LogEndRequest>(&message)) told = ask->applied;
   };
-  auto passTime = [&](Span span) {
-    for (Moment until = now + span; now < until; now += 10ms) with([&](Effects& effects) { agent.tick(effects); });
+  auto passTime = [&](Duration span) {
+    for (TimePoint until = now + span; now < until; now += 10ms) with([&](Effects& effects) { agent.tick(effects); });
   };
   with([&](Effects& effects) { agent.tick(effects); });
   NewsMsg news;
@@ -288,7 +288,7 @@
       Entry{1, 1, static_cast<int>(EntryKind::members), packMembers({Member{"a", "a", "core-1:1", "n", true}}), {}, 0});
   with([&](Effects& effects) { agent.take(effects, "core-1:1", news); });
   auto feedFrom = [&](const std::string& proxy, Count applied) {
-    with([&](Effects& effects) { agent.take(effects, proxy, FeedAsk{inNs(now), applied, {}, 0}); });
+    with([&](Effects& effects) { agent.take(effects, proxy, FeedAsk{toNanoseconds(now), applied, {}, 0}); });
   };
   feedFrom("proxy-1", 1);
   passTime(300ms);
@@ -301,7 +301,7 @@
 
 Test(freshness, logic_is_given_a_moment_read_after_it_may_run) {
   struct Clocked : Node {
-    std::vector<Moment> moments;
+    std::vector<TimePoint> moments;
     void take(Effects& effects, const std::string&, const Message&) override { moments.push_back(effects.now); }
     void tick(Effects&) override {}
   };
@@ -310,7 +310,7 @@
   Host host(node, context, 20ms);
   host.carry = [](const std::string&, Message&&) {};
   std::atomic<bool> comes{false};
-  Moment released{};
+  TimePoint released{};
   std::thread late;
   host.with([&](Effects&) {
     late = std::thread([&] {
--- a/tests/fuzz_findings.cpp
+++ b/tests/fuzz_findings.cpp
@@ -26,7 +26,7 @@
   cr_assert(route->timeout > 1h && route->aim > 1h && route->gap > 1h);
   const auto& limits = view.callerLimits();
   cr_assert(limits.headerWait > 1h);
-  cr_assert(limits.idleWait == Span(0));
+  cr_assert(limits.idleWait == Duration(0));
   cr_assert_eq(limits.bodyBytes, 0u);
   cr_assert_eq(limits.headerBytes, 16384u, "a number beyond all whole ones is as if it were not there");
 }
--- a/tests/gate.cpp
+++ b/tests/gate.cpp
@@ -334,12 +334,12 @@
     cr_assert_eq(statusOf(got), 408, "got \"%s\"", got.c_str());
   }
   Caller dribble(door.port);
-  Moment began = Clock::now();
+  TimePoint began = Clock::now();
   for (char letter : get) {
     dribble.send(std::string_view(&letter, 1));
     if (dribble.receive(20ms) != "") break;
   }
-  cr_assert_lt(inMs(Clock::now() - began), 450, "a head that dribbles has no more time");
+  cr_assert_lt(toMilliseconds(Clock::now() - began), 450, "a head that dribbles has no more time");
   Caller slow(door.port);
   slow.send(post("Content-Length: 8\r\n"));
   for (int part = 0; part < 8; ++part) {
@@ -607,7 +607,7 @@
           cr_assert(has(caller.until("abc\r\n"), "abc"));
         }
         cr_assert_eq(kept.gone.load(), 0);
-        Moment left = Clock::now();
+        TimePoint left = Clock::now();
         if (way == closing)
           caller.close();
         else if (way == resetting)
@@ -615,7 +615,7 @@
         else
           caller.socket.shutdown(asio::ip::tcp::socket::shutdown_send);
         cr_assert(soon([&] { return kept.gone == 1; }), "way %d, mid-stream %d", way, midStream);
-        cr_assert_lt(inMs(Clock::now() - left), 200);
+        cr_assert_lt(toMilliseconds(Clock::now() - left), 200);
         std::atomic<int> told{0};
         door.run([&] {
           cr_assert_eq(answer->started(), midStream);
@@ -732,7 +732,7 @@
   cr_assert(has(late.until("ok"), "keep-alive"));
   busy.send(get);
   cr_assert(soon([&] { return kept.taken == 3; }));
-  Moment left = Clock::now();
+  TimePoint left = Clock::now();
   door.run([&] { door.gate.leave(); });
   late.send(get);
   cr_assert(soon([&] { return kept.taken == 4; }));
@@ -742,8 +742,8 @@
   cr_assert(!late.timedOut && !late.reset);
   cr_assert_eq(idle.all(), "");
   cr_assert(!idle.timedOut);
-  cr_assert_geq(inMs(Clock::now() - left), 145);
-  cr_assert_lt(inMs(Clock::now() - left), 600);
+  cr_assert_geq(toMilliseconds(Clock::now() - left), 145);
+  cr_assert_lt(toMilliseconds(Clock::now() - left), 600);
   Caller fresh(door.port);
   fresh.send(get);
   cr_assert(soon([&] { return kept.taken == 5; }), "new connections are still served");
--- a/tests/gate_faults.cpp
+++ b/tests/gate_faults.cpp
@@ -124,7 +124,7 @@
 
 /// One core that is its own majority, over lives on the same disk.
 struct LoneCore {
-  Moment now{std::chrono::hours(1)};
+  TimePoint now{std::chrono::hours(1)};
   std::mt19937_64 randomSource{1};
   Recovered disk;
   std::unique_ptr<Core> core;
--- a/tests/gate_fixture.hpp
+++ b/tests/gate_fixture.hpp
@@ -60,8 +60,8 @@
     asio::write(socket, asio::buffer(text.data(), text.size()), ignored);
   }
   /// What has come within the wait, or null at the connection's end.
-  std::optional<std::string> receive(Span wait = 3s) {
-    timeval span{inMs(wait) / 1000, inMs(wait) % 1000 * 1000};
+  std::optional<std::string> receive(Duration wait = 3s) {
+    timeval span{toMilliseconds(wait) / 1000, toMilliseconds(wait) % 1000 * 1000};
     ::setsockopt(socket.native_handle(), SOL_SOCKET, SO_RCVTIMEO, &span, sizeof span);
     char bytes[16384];
     auto size = ::recv(socket.native_handle(), bytes, sizeof bytes, 0);
@@ -109,8 +109,8 @@
 };
 
 template <class Condition>
-bool soon(Condition condition, Span wait = 3s) {
-  for (Moment end = Clock::now() + wait; Clock::now() < end; std::this_thread::sleep_for(2ms))
+bool soon(Condition condition, Duration wait = 3s) {
+  for (TimePoint end = Clock::now() + wait; Clock::now() < end; std::this_thread::sleep_for(2ms))
     if (condition()) return true;
   return condition();
 }
--- a/tests/leave_by.cpp
+++ b/tests/leave_by.cpp
@@ -53,7 +53,7 @@
 
 Test(leave_by, an_order_without_a_last_moment_or_before_it_leaves) {
   LeaveBench bench;
-  for (std::int64_t leaveBy : {std::int64_t{0}, inNs(Clock::now() + 1h)}) {
+  for (std::int64_t leaveBy : {std::int64_t{0}, toNanoseconds(Clock::now() + 1h)}) {
     auto order = bench.nextOrder();
     order.leaveBy = leaveBy;
     bench.send(order);
@@ -64,7 +64,7 @@
 Test(leave_by, an_order_past_its_last_moment_is_not_sent) {
   LeaveBench bench;
   auto order = bench.nextOrder();
-  order.leaveBy = inNs(Clock::now() - 1ms);
+  order.leaveBy = toNanoseconds(Clock::now() - 1ms);
   bench.send(order);
   bench.expectUnsent();
 }
@@ -72,7 +72,7 @@
 Test(leave_by, an_order_whose_last_moment_passes_before_it_is_written_is_not_sent) {
   LeaveBench bench;
   auto order = bench.nextOrder();
-  order.leaveBy = inNs(Clock::now() + 20ms);
+  order.leaveBy = toNanoseconds(Clock::now() + 20ms);
   bench.send(order);
   std::this_thread::sleep_for(30ms);
   bench.expectUnsent();
--- a/tests/load.cpp
+++ b/tests/load.cpp
@@ -80,14 +80,14 @@
     Count sequence{0};
     int running{0}, waiting{0};
   };
-  Moment now{std::chrono::hours(9)};
+  TimePoint now{std::chrono::hours(9)};
   std::mt19937_64 randomSource{3};
   Journal journal;
   Configuration configuration;
   std::unique_ptr<Cell> cell;
   std::map<std::string, TestKeeper> keepers;
   std::vector<CellNews> news;
-  std::vector<Moment> newsAt;
+  std::vector<TimePoint> newsAt;
   CellNews follower;
   std::size_t missed{0};
   std::vector<Message> replies;
@@ -179,15 +179,15 @@
     }
     with([&](Effects& effects) { cell->take(effects, ask.worker + ":80", report); });
   }
-  void run(Span span) {
-    for (Moment until = now + span; now < until;) {
+  void run(Duration span) {
+    for (TimePoint until = now + span; now < until;) {
       now += 10ms;
       with([&](Effects& effects) { cell->tick(effects, configuration); });
     }
   }
   void runToNews() {
     std::size_t before = news.size();
-    for (Moment until = now + 15s; now < until && news.size() == before;) run(10ms);
+    for (TimePoint until = now + 15s; now < until && news.size() == before;) run(10ms);
     cr_assert_gt(news.size(), before);
   }
   std::vector<int> lookup(const std::string& keeper, const std::string& id) {
@@ -351,7 +351,7 @@
 
 namespace {
 struct LoneCore {
-  Moment now{std::chrono::hours(3)};
+  TimePoint now{std::chrono::hours(3)};
   std::mt19937_64 randomSource{5};
   Core core;
   std::string address;
@@ -395,16 +395,16 @@
   cr_expect_eq(asks[0].cells[0].locality, "north-a");
   cr_expect_eq(asks[0].cells[0].term, 1u);
   cr_expect_eq(asks[0].cells[0].sequence, 2u);
-  Moment askedAt = core.now;
-  std::vector<Moment> asked;
+  TimePoint askedAt = core.now;
+  std::vector<TimePoint> asked;
   for (Count sequence = 5; sequence < 30; ++sequence) {
     core.now += 30ms;
     for (std::size_t at = core.asksAt(newsOf(1, sequence, sequence - 1, {})).size(); at > 0; --at)
       asked.push_back(core.now);
   }
   cr_expect_geq(asked.size(), 3u, "it asks on while it lacks them");
-  for (Moment at : asked) {
-    cr_expect_geq(inMs(at - askedAt), 200);
+  for (TimePoint at : asked) {
+    cr_expect_geq(toMilliseconds(at - askedAt), 200);
     askedAt = at;
   }
   core.now += 1s;
@@ -499,7 +499,7 @@
     give("caller", CallerGone{orderId});
     return prefix;
   }
-  void slow(int number, Span late, const std::vector<int>& tokens = promptTokens) {
+  void slow(int number, Duration late, const std::vector<int>& tokens = promptTokens) {
     Strings ids;
     for (int at = 0; at < number; ++at) {
       ids.push_back(placeAndAnswer(100000 + at, "/free/x", tokens));
--- a/tests/log_fleet.hpp
+++ b/tests/log_fleet.hpp
@@ -17,21 +17,21 @@
     Recovered disk;
     std::unique_ptr<ReplicatedLog> log;
     std::vector<Effects::Save> waiting, syncing;
-    Moment syncedAt{};
+    TimePoint syncedAt{};
     std::uint64_t life{0};
-    Span syncSpan{2ms};
+    Duration syncSpan{2ms};
     /// How often each entry was written, the most records that waited for the disk, and their bytes.
     std::map<std::pair<std::uint64_t, std::uint64_t>, int> entryWrites;
     std::size_t mostWaitingBytes{0}, snapshotWrites{0}, ringBytes{0}, mostLogBytes{0};
   };
   struct Link {
     double bytesPerSecond{10e6};
-    Span delay{1ms};
-    Moment busyUntil{};
+    Duration delay{1ms};
+    TimePoint busyUntil{};
     std::size_t queued{0}, mostQueued{0}, total{0}, messages{0};
     bool up{true};
   };
-  Moment now{std::chrono::hours(9)};
+  TimePoint now{std::chrono::hours(9)};
   std::mt19937_64 randomSource;
   std::map<std::string, Machine> machines;
   std::map<std::pair<std::string, std::string>, Link> links;
@@ -100,11 +100,11 @@
       }
     }
   }
-  void run(Span span) {
-    for (Moment until = now + span; now < until;) step();
+  void run(Duration span) {
+    for (TimePoint until = now + span; now < until;) step();
   }
-  bool runUntil(const std::function<bool()>& reached, Span most) {
-    for (Moment until = now + most; now < until && !reached();) step();
+  bool runUntil(const std::function<bool()>& reached, Duration most) {
+    for (TimePoint until = now + most; now < until && !reached();) step();
     return reached();
   }
   void formed() {
@@ -131,7 +131,7 @@
  private:
   std::size_t room;
   std::uint64_t steps{0};
-  std::multimap<Moment, std::function<void()>> due;
+  std::multimap<TimePoint, std::function<void()>> due;
 
   void with(Machine& machine, const std::function<void(Effects&, ReplicatedLog&)>& action) {
     Effects effects{now, randomSource, machine.journal, {}, {}};
--- a/tests/members.cpp
+++ b/tests/members.cpp
@@ -73,7 +73,7 @@
   bench.run(1s);
   std::string first = bench.follower(), firstId = bench.machines[first].core->id();
   bench.stop(first);
-  Moment stoppedAt = bench.now;
+  TimePoint stoppedAt = bench.now;
   std::string watcher = bench.leader();
   bench.run(5800ms);
   cr_expect_eq(bench.votersAt(watcher), 4u, "not before its time");
@@ -109,7 +109,7 @@
 
 Test(members, with_no_span_set_none_is_taken_out) {
   CoreBench bench;
-  timing.memberGone = Span(0);
+  timing.memberGone = Duration(0);
   bench.formFour();
   std::string gone = bench.follower();
   bench.stop(gone);
--- a/tests/membership.cpp
+++ b/tests/membership.cpp
@@ -8,7 +8,7 @@
 struct Deployment {
   int count;
   std::size_t budget;
-  Span contact, catchUp;
+  Duration contact, catchUp;
 };
 const Deployment small{4, 1, 3s, 4s}, grownFive{5, 2, 4s, 6s}, grownEight{8, 2, 4s, 6s};
 const std::vector<Deployment> deployments{small, grownFive, grownEight};
@@ -119,11 +119,11 @@
         DeploymentBench bench(deployment, seed);
         auto gone = bench.drawLiving();
         bench.replace(gone, kind);
-        Moment startedAt = bench.now;
+        TimePoint startedAt = bench.now;
         bool done = bench.runUntil([&] { return bench.allVote(bench.names()); }, 3 * deployment.catchUp);
-        auto took = inMs(bench.now - startedAt);
+        auto took = toMilliseconds(bench.now - startedAt);
         cr_log_info("%s: %lld ms", bench.label(kind, seed).c_str(), static_cast<long long>(took));
-        cr_expect(done && took <= inMs(deployment.catchUp), "%s: %lld ms%s", bench.label(kind, seed).c_str(),
+        cr_expect(done && took <= toMilliseconds(deployment.catchUp), "%s: %lld ms%s", bench.label(kind, seed).c_str(),
                   static_cast<long long>(took), done ? "" : bench.told().c_str());
       }
 }
@@ -188,7 +188,8 @@
       auto kind = successors[seed % successors.size()];
       bench.change("first");
       auto successor = bench.replace(bench.follower(), kind);
-      bench.run(std::chrono::milliseconds(bench.randomSource() % static_cast<std::uint64_t>(inMs(deployment.catchUp))));
+      bench.run(std::chrono::milliseconds(bench.randomSource() %
+                                          static_cast<std::uint64_t>(toMilliseconds(deployment.catchUp))));
       bench.replace(successor, kind);
       bench.run(std::chrono::milliseconds(bench.randomSource() % 400));
       bench.change("second", bench.drawLiving());
@@ -248,11 +249,11 @@
       bench.change("meanwhile");
       bench.cutOff.clear();
       if (seed % 2 == 0) bench.start(away, false);
-      Moment backAt = bench.now;
+      TimePoint backAt = bench.now;
       bool back = bench.runUntil([&] { return bench.allVote(bench.names()); }, 3 * deployment.catchUp);
       cr_expect(back && bench.now - backAt <= deployment.catchUp, "%s: %lld ms%s",
-                bench.label(Successor::sameAddress, seed).c_str(), static_cast<long long>(inMs(bench.now - backAt)),
-                back ? "" : bench.told().c_str());
+                bench.label(Successor::sameAddress, seed).c_str(),
+                static_cast<long long>(toMilliseconds(bench.now - backAt)), back ? "" : bench.told().c_str());
     }
 }
 
@@ -263,14 +264,14 @@
       DeploymentBench bench(deployment, seed);
       auto leaves = bench.leader();
       bench.with(bench.machines.at(leaves), [](Effects& effects, Core& core) { core.resign(effects); });
-      Moment leftAt = bench.now;
+      TimePoint leftAt = bench.now;
       cr_assert(bench.runUntil(
           [&] {
             auto who = bench.leader();
             return !who.empty() && who != leaves && bench.machines.at(who).core->agreement().speaksForTerm();
           },
           20s));
-      gaps.push_back(inMs(bench.now - leftAt));
+      gaps.push_back(toMilliseconds(bench.now - leftAt));
     }
   std::sort(gaps.begin(), gaps.end());
   cr_log_info("hand-over: median %lld ms, most %lld ms of %zu", static_cast<long long>(gaps[gaps.size() / 2]),
@@ -306,7 +307,7 @@
 /// One replica's log, whose fellows are played by hand.
 struct HandDrivenLog {
   TimingKept kept;
-  Moment now{std::chrono::hours(3)};
+  TimePoint now{std::chrono::hours(3)};
   std::mt19937_64 randomSource{7};
   Journal journal;
   Member self;
@@ -336,8 +337,8 @@
     for (auto& save : effects.saves)
       if (save.then) with(save.then);
   }
-  void tick(Span span) {
-    for (Moment until = now + span; now < until; now += 10ms) with([&](Effects& effects) { log.tick(effects); });
+  void tick(Duration span) {
+    for (TimePoint until = now + span; now < until; now += 10ms) with([&](Effects& effects) { log.tick(effects); });
   }
   void take(const std::string& from, const Message& message) {
     with([&](Effects& effects) { log.take(effects, from + ":1", message); });
@@ -355,7 +356,9 @@
   void acknowledge(const std::string& id, Count index) {
     take(id, AppendResponse{log.election.term(), id, true, index});
   }
-  void renew(const std::string& id) { take(id, HeartbeatResponse{"accord", log.election.term(), id, inNs(now), true}); }
+  void renew(const std::string& id) {
+    take(id, HeartbeatResponse{"accord", log.election.term(), id, toNanoseconds(now), true});
+  }
 };
 const std::vector<Member> before = HandDrivenLog::voters({"a", "b", "c", "d", "f"});
 const std::vector<Member> after = HandDrivenLog::voters({"a", "b", "c", "e", "f"});
@@ -482,7 +485,7 @@
 /// Whether a reader that has applied entry 1 only, which names the voters of before, calls itself fresh after hearing
 /// some of them, when the replacement at entry 2 is on some disks.
 bool freshInOldView(const std::vector<Member>& voters, unsigned holding, unsigned heard, bool oldLeader) {
-  Moment now{std::chrono::hours(3)};
+  TimePoint now{std::chrono::hours(3)};
   std::mt19937_64 randomSource{1};
   Journal journal;
   Configuration view;
--- a/tests/old_weights_audit.cpp
+++ b/tests/old_weights_audit.cpp
@@ -173,7 +173,7 @@
   run.began("one", "w1", 103).began("two", "w2", 109).began("newest", "w5", 200);
   auto result = run.audit();
   cr_assert_eq(result.begins, 3);
-  cr_assert(result.latestOldBegin == Span(5s));
+  cr_assert(result.latestOldBegin == Duration(5s));
 }
 
 Test(old_weights_audit, a_naming_without_change_or_revision_is_said_to_be_unreadable) {
--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -20,10 +20,10 @@
     Recovered disk;
     std::vector<Effects::Save> syncing;
   };
-  Moment now{std::chrono::hours(3)};
+  TimePoint now{std::chrono::hours(3)};
   std::mt19937_64 randomSource{7};
   std::map<std::string, Machine> machines;
-  std::multimap<Moment, Mail> due;
+  std::multimap<TimePoint, Mail> due;
   std::vector<Mail> held;
   /// Which messages wait in `held` until they are released.
   std::function<bool(const Mail&)> holds = [](const Mail&) { return false; };
@@ -94,7 +94,7 @@
     for (auto& save : effects.saves) machine.syncing.push_back(std::move(save));
   }
   std::uint64_t transit() { return 1 + randomSource() % (randomSource() % 1000 < lateOfThousand ? 800 : 5); }
-  void with(Machine& machine, Moment seenNow, const std::function<void(Effects&, Core&)>& action) {
+  void with(Machine& machine, TimePoint seenNow, const std::function<void(Effects&, Core&)>& action) {
     Effects effects{seenNow, randomSource, machine.core->journal, {}, {}};
     action(effects, *machine.core);
     collect(machine, effects);
@@ -102,7 +102,7 @@
   void give(const std::string& name, const std::string& from, const Message& message) {
     give(name, from, message, now);
   }
-  void give(const std::string& name, const std::string& from, const Message& message, Moment seenNow) {
+  void give(const std::string& name, const std::string& from, const Message& message, TimePoint seenNow) {
     with(machines.at(name), seenNow, [&](Effects& effects, Core& core) { core.take(effects, from, message); });
   }
   void step() {
@@ -130,11 +130,11 @@
       });
     }
   }
-  void run(Span span) {
-    for (Moment until = now + span; now < until;) step();
+  void run(Duration span) {
+    for (TimePoint until = now + span; now < until;) step();
   }
-  bool runUntil(const std::function<bool()>& reached, Span most) {
-    for (Moment until = now + most; now < until && !reached();) step();
+  bool runUntil(const std::function<bool()>& reached, Duration most) {
+    for (TimePoint until = now + most; now < until && !reached();) step();
     return reached();
   }
   /// Lets what was held back go on its way.
@@ -166,7 +166,7 @@
     if (found == replies.end()) return std::nullopt;
     return static_cast<Code>(found->second.front().code);
   }
-  Code answered(const std::string& askId, Span most = 10s) {
+  Code answered(const std::string& askId, Duration most = 10s) {
     cr_assert(runUntil([&] { return answer(askId).has_value(); }, most), "%s got no answer", askId.c_str());
     return *answer(askId);
   }
@@ -268,7 +268,7 @@
   OperatorFleet fleet;
   fleet.mustTake(numbered(0, 1, "first"));
   std::string old = fleet.leader();
-  Moment beforeItStood = fleet.now;
+  TimePoint beforeItStood = fleet.now;
   fleet.cutOff = {old};
   cr_assert(fleet.runUntil([&] { return !fleet.leader().empty(); }, 10s));
   fleet.mustTake(numbered(1, 5, "second"));
@@ -411,9 +411,9 @@
   fleet.stop(fleet.leader());
   cr_assert(fleet.runUntil([&] { return !fleet.leader().empty(); }, 10s));
   fleet.run(5s);
-  Moment before = fleet.now;
+  TimePoint before = fleet.now;
   cr_assert_eq(fleet.answered(fleet.ask(fleet.leader(), change)), Code::changeTaken);
-  cr_expect_lt(inMs(fleet.now - before), 1000);
+  cr_expect_lt(toMilliseconds(fleet.now - before), 1000);
 }
 
 Test(operators, a_change_that_may_have_been_forgotten_is_not_refused) {
@@ -422,7 +422,7 @@
   Member self{"only", "only", "only:1", "north-a", true};
   ReplicatedLog log(self, 1 << 20);
   Journal journal;
-  Moment now{std::chrono::hours(3)};
+  TimePoint now{std::chrono::hours(3)};
   std::vector<ChangeResponse> answers;
   Recovered disk;
   auto with = [&](const std::function<void(Effects&)>& action) {
@@ -611,14 +611,14 @@
   struct Change {
     OperatorRequest request;
     std::vector<std::string> asks;
-    Moment begunAt{}, sentAt{};
+    TimePoint begunAt{}, sentAt{};
     bool open{true}, taken{false}, refused{false};
   };
   OperatorFleet fleet;
   std::mt19937_64 dice;
   std::vector<Change> changes;
   std::vector<std::int64_t> knownRevisions{1};
-  Moment troubleUntil{};
+  TimePoint troubleUntil{};
   std::string stopped;
 
   explicit StormyDay(std::uint64_t seed) : dice(seed) {
@@ -683,8 +683,8 @@
         break;
     }
   }
-  void play(Span span) {
-    for (Moment until = fleet.now + span; fleet.now < until;) {
+  void play(Duration span) {
+    for (TimePoint until = fleet.now + span; fleet.now < until;) {
       trouble();
       begin();
       for (auto& change : changes) hear(change);
--- a/tests/order_faults.cpp
+++ b/tests/order_faults.cpp
@@ -142,7 +142,7 @@
   TimingKept kept;
   SiteSettings settings;
   for (bool checked : {true, false})
-    for (Span lease : {600ms, 3000ms, 9000ms}) {
+    for (Duration lease : {600ms, 3000ms, 9000ms}) {
       settings.bounds.fenceChecked = checked;
       settings.bounds.lease = lease;
       cr_expect(bool(setTiming(settings)));
--- a/tests/path_routes.cpp
+++ b/tests/path_routes.cpp
@@ -420,7 +420,7 @@
   bench.run(190ms);
   cr_expect(bench.sendsOf(first).empty());
   bench.run(10ms);
-  Moment settledAt = bench.now;
+  TimePoint settledAt = bench.now;
   cr_expect_eq(bench.onlySend(first).sourceAddress, "");
   for (const auto& ask : lookups)
     if (ask.locality == "north-b") bench.answer(ask, {1, 1});
@@ -664,7 +664,7 @@
 
 Test(path_orders, repeats_keep_to_their_budget_in_every_span) {
   ProxyBench bench;
-  std::deque<Moment> admitted, repeated;
+  std::deque<TimePoint> admitted, repeated;
   bench.edge->journal.appended.connect([&](const Event& event) {
     if (event.kind == "admitted") admitted.push_back(event.at);
   });
@@ -688,10 +688,10 @@
   }
   cr_expect_gt(denials, 500u);
   cr_expect_gt(repeated.size(), 20u, "the budget is there to be used");
-  auto within = [](const std::deque<Moment>& moments, Moment after, Moment until) {
-    return std::count_if(moments.begin(), moments.end(), [&](Moment at) { return at > after && at <= until; });
+  auto within = [](const std::deque<TimePoint>& moments, TimePoint after, TimePoint until) {
+    return std::count_if(moments.begin(), moments.end(), [&](TimePoint at) { return at > after && at <= until; });
   };
-  for (Moment at : repeated) {
+  for (TimePoint at : repeated) {
     cr_expect_leq(static_cast<double>(within(repeated, at - 10s, at)),
                   0.15 * static_cast<double>(within(admitted, at - 10s, at)) + 2.9);
     cr_expect_leq(static_cast<double>(within(repeated, at - 1ns, at + 10s)),
--- a/tests/prefill_ledger.cpp
+++ b/tests/prefill_ledger.cpp
@@ -5,14 +5,14 @@
 using namespace tt;
 
 namespace {
-constexpr Moment begin{std::chrono::hours(3)};
+constexpr TimePoint begin{std::chrono::hours(3)};
 
 /// A worker that reads one prompt after the other at a fixed rate.
 struct SteadyWorker {
   PrefillLedger& ledger;
   std::string worker;
   double tokensPerMs;
-  Moment now{begin};
+  TimePoint now{begin};
   int count{0};
   Hashes hashesOf(int number) const { return {hashPart(worker, std::to_string(number))}; }
   void start(int tokens) {
--- a/tests/proxy_bench.hpp
+++ b/tests/proxy_bench.hpp
@@ -67,7 +67,7 @@
  public:
   using Script = std::function<void(const RawServer::Held& held, const std::string& request)>;
 
-  explicit ProxyBench(std::size_t workers = 2, Span pendingWait = 1500ms) {
+  explicit ProxyBench(std::size_t workers = 2, Duration pendingWait = 1500ms) {
     EdgeSettings settings;
     settings.name = "proxy-1";
     settings.address = "proxy-1:1";
@@ -110,7 +110,7 @@
     gate->close();
     calls.reset();
   }
-  bool until(const std::function<bool()>& done, Span most = 5s) {
+  bool until(const std::function<bool()>& done, Duration most = 5s) {
     auto limit = Clock::now() + most;
     while (!done() && Clock::now() < limit) {
       io.restart();
@@ -118,7 +118,7 @@
     }
     return done();
   }
-  void pass(Span span) {
+  void pass(Duration span) {
     until([] { return false; }, span);
   }
 
--- a/tests/proxy_fixture.hpp
+++ b/tests/proxy_fixture.hpp
@@ -42,7 +42,7 @@
   }
   ~WorkerSide() { close(); }
   /// The next request with its body; empty if none comes or the connection ends.
-  std::string request(Span wait = 5s) {
+  std::string request(Duration wait = 5s) {
     while (true) {
       auto end = unread.find("\r\n\r\n");
       if (end != std::string::npos) {
@@ -58,7 +58,7 @@
     }
   }
   /// Whether the proxy has ended the connection.
-  bool ended(Span wait = 5s) {
+  bool ended(Duration wait = 5s) {
     while (fill(wait)) {
     }
     return over;
@@ -78,9 +78,9 @@
   int handle{-1};
   std::string unread;
   bool over{false};
-  bool fill(Span wait) {
+  bool fill(Duration wait) {
     pollfd facts{handle, POLLIN, 0};
-    if (::poll(&facts, 1, static_cast<int>(inMs(wait))) <= 0) return false;
+    if (::poll(&facts, 1, static_cast<int>(toMilliseconds(wait))) <= 0) return false;
     char bytes[16384];
     auto size = ::recv(handle, bytes, sizeof bytes, 0);
     over = size <= 0;
@@ -119,7 +119,7 @@
   }
   void signal(int number) { ::kill(id, number); }
   /// Waits for the process's own end.
-  bool hasEnded(Span wait) {
+  bool hasEnded(Duration wait) {
     bool over = soon([this] { return ::waitpid(id, nullptr, WNOHANG) == id; }, wait);
     if (over) id = 0;
     return over;
@@ -131,7 +131,7 @@
 
 class Proxy {
  public:
-  explicit Proxy(std::size_t workers = 1, Span grace = 8s)
+  explicit Proxy(std::size_t workers = 1, Duration grace = 8s)
       : base(freePorts(5)), doors(workers), context(), work(context.get_executor()) {
     SiteSettings settings;
     settings.nodeName = "edge-1";
@@ -184,18 +184,19 @@
     cr_assert(soon([&] { return fed >= enough; }, 10s));
   }
   /// The next connection that the proxy makes to any worker.
-  WorkerSide accept(Span wait = 5s) {
+  WorkerSide accept(Duration wait = 5s) {
     std::vector<pollfd> facts;
     for (auto& door : doors) facts.push_back(pollfd{door.handle(), POLLIN, 0});
-    cr_assert_gt(::poll(facts.data(), facts.size(), static_cast<int>(inMs(wait))), 0, "the proxy calls a worker");
+    cr_assert_gt(::poll(facts.data(), facts.size(), static_cast<int>(toMilliseconds(wait))), 0,
+                 "the proxy calls a worker");
     for (const auto& row : facts)
       if (row.revents & POLLIN) return WorkerSide(::accept(row.fd, nullptr, nullptr));
     return WorkerSide(-1);
   }
-  bool isCalled(Span wait = 100ms) {
+  bool isCalled(Duration wait = 100ms) {
     std::vector<pollfd> facts;
     for (auto& door : doors) facts.push_back(pollfd{door.handle(), POLLIN, 0});
-    return ::poll(facts.data(), facts.size(), static_cast<int>(inMs(wait))) > 0;
+    return ::poll(facts.data(), facts.size(), static_cast<int>(toMilliseconds(wait))) > 0;
   }
   /// Whether it says that it takes new connections.
   bool isReady() {
@@ -209,7 +210,7 @@
     return has(caller.until("\r\n\r\n"), " 200 ");
   }
   void signal(int number) { process->signal(number); }
-  bool hasEnded(Span wait) { return process->hasEnded(wait); }
+  bool hasEnded(Duration wait) { return process->hasEnded(wait); }
 
  private:
   unsigned short base;
--- a/tests/raw_server.hpp
+++ b/tests/raw_server.hpp
@@ -140,7 +140,7 @@
         });
     return seen;
   }
-  bool until(const std::function<bool()>& done, Span most = 5s) {
+  bool until(const std::function<bool()>& done, Duration most = 5s) {
     auto limit = Clock::now() + most;
     while (!done() && Clock::now() < limit) {
       io.restart();
@@ -148,7 +148,7 @@
     }
     return done();
   }
-  void pass(Span span) {
+  void pass(Duration span) {
     until([] { return false; }, span);
   }
   std::shared_ptr<Seen> finish(HttpCall made) {
--- a/tests/rollout_plan.cpp
+++ b/tests/rollout_plan.cpp
@@ -7,14 +7,14 @@
 using namespace tt;
 
 namespace {
-const Moment start{std::chrono::hours(3)};
+const TimePoint start{std::chrono::hours(3)};
 const RolloutLimits limits{0ms, 7800ms, 8500ms, 20s, 3};
 
-RolloutWorker workerAt(int number, Moment supersededAt, RolloutStep step = RolloutStep::serving) {
+RolloutWorker workerAt(int number, TimePoint supersededAt, RolloutStep step = RolloutStep::serving) {
   return RolloutWorker{"w" + std::to_string(number), supersededAt, step};
 }
 
-std::vector<RolloutWorker> workersAt(int number, Moment supersededAt) {
+std::vector<RolloutWorker> workersAt(int number, TimePoint supersededAt) {
   std::vector<RolloutWorker> workers;
   for (int at = 1; at <= number; ++at) workers.push_back(workerAt(at, supersededAt));
   return workers;
@@ -23,20 +23,20 @@
 /// A model's workers under the plan alone: who is started loads for a drawn span and then has the newest weights.
 class PlannedFleet {
  public:
-  Moment now{start};
+  TimePoint now{start};
   std::size_t mostChanging{0};
-  Span latestStart{0};
+  Duration latestStart{0};
   int starts{0};
 
-  PlannedFleet(int number, std::uint64_t seed, Span loadLeast, Span loadMost)
+  PlannedFleet(int number, std::uint64_t seed, Duration loadLeast, Duration loadMost)
       : drawn(seed), least(loadLeast), most(loadMost), workers(static_cast<std::size_t>(number)) {}
   void name() {
     ++newest;
     for (auto& worker : workers)
-      if (worker.version < newest && worker.supersededAt == Moment::max()) worker.supersededAt = now;
+      if (worker.version < newest && worker.supersededAt == TimePoint::max()) worker.supersededAt = now;
   }
-  void run(Span span) {
-    for (Moment until = now + span; now < until; now += 10ms) step();
+  void run(Duration span) {
+    for (TimePoint until = now + span; now < until; now += 10ms) step();
   }
   bool allNewest() const {
     return std::all_of(workers.begin(), workers.end(), [this](const Row& row) { return row.version == newest; });
@@ -45,18 +45,18 @@
  private:
   struct Row {
     int version{0}, loading{0};
-    Moment supersededAt{Moment::max()}, loadedAt{};
+    TimePoint supersededAt{TimePoint::max()}, loadedAt{};
   };
   std::mt19937_64 drawn;
-  Span least, most;
+  Duration least, most;
   int newest{0};
   std::vector<Row> workers;
   /// When each version but the first was named.
-  std::map<int, Moment> namedAt;
+  std::map<int, TimePoint> namedAt;
 
-  Moment successorOf(int version) const {
+  TimePoint successorOf(int version) const {
     auto next = namedAt.find(version + 1);
-    return next == namedAt.end() ? Moment::max() : next->second;
+    return next == namedAt.end() ? TimePoint::max() : next->second;
   }
   void step() {
     if (newest > 0) namedAt.try_emplace(newest, now);
@@ -78,19 +78,19 @@
   }
   void begin(Row& row) {
     cr_assert_eq(row.loading, 0, "one that changes is not started again");
-    cr_assert(row.supersededAt != Moment::max(), "one on the newest weights is not started");
+    cr_assert(row.supersededAt != TimePoint::max(), "one on the newest weights is not started");
     latestStart = std::max(latestStart, now - row.supersededAt);
     ++starts;
     row.loading = newest;
     auto width = static_cast<std::uint64_t>((most - least).count()) + 1;
-    row.loadedAt = now + least + Span(static_cast<std::int64_t>(drawn() % width));
+    row.loadedAt = now + least + Duration(static_cast<std::int64_t>(drawn() % width));
   }
 };
 }  // namespace
 
 Test(rollout_plan, nobody_is_started_where_all_have_the_newest_weights) {
   cr_expect(workersToStart({}, limits, start).empty());
-  cr_expect(workersToStart(workersAt(5, Moment::max()), limits, start + 1h).empty());
+  cr_expect(workersToStart(workersAt(5, TimePoint::max()), limits, start + 1h).empty());
 }
 
 Test(rollout_plan, one_is_started_at_once_and_the_others_in_turn) {
@@ -98,7 +98,7 @@
   auto first = workersToStart(workers, limits, start);
   cr_assert_eq(first.size(), 1u);
   for (auto& worker : workers)
-    if (worker.name == first[0]) worker.supersededAt = Moment::max();
+    if (worker.name == first[0]) worker.supersededAt = TimePoint::max();
   cr_expect(workersToStart(workers, limits, start + 1290ms).empty());
   cr_expect_eq(workersToStart(workers, limits, start + 1300ms).size(), 1u);
 }
@@ -114,7 +114,7 @@
 
 Test(rollout_plan, one_whose_moment_nobody_knows_is_started_at_once) {
   auto workers = workersAt(6, start);
-  workers[4].supersededAt = Moment::min();
+  workers[4].supersededAt = TimePoint::min();
   auto started = workersToStart(workers, limits, start);
   cr_assert_not(started.empty());
   cr_expect_eq(started[0], "w5");
@@ -145,7 +145,7 @@
   cr_expect(workersToStart(suspect, limits, start + limits.suspectRest).empty());
   suspect[3].step = RolloutStep::serving;
   cr_expect_not(workersToStart(suspect, limits, start + limits.latest - 1ms, true).empty(), "one elsewhere could");
-  suspect[2].supersededAt = Moment::max();
+  suspect[2].supersededAt = TimePoint::max();
   cr_expect_not(workersToStart(suspect, limits, start + limits.latest - 1ms).empty(), "one could load them");
 }
 
@@ -162,7 +162,7 @@
     fleet.run(30s);
     cr_assert(fleet.allNewest(), "seed %d", static_cast<int>(seed));
     cr_assert(fleet.latestStart <= limits.latest + 10ms, "seed %d: started after %d ms", static_cast<int>(seed),
-              static_cast<int>(inMs(fleet.latestStart)));
+              static_cast<int>(toMilliseconds(fleet.latestStart)));
     cr_assert_leq(fleet.starts, number * namings, "seed %d", static_cast<int>(seed));
   }
 }
@@ -176,6 +176,6 @@
     cr_expect_eq(fleet.starts, number);
     cr_expect_leq(fleet.mostChanging, static_cast<std::size_t>((number + 2) / 3), "%d workers", number);
     cr_expect(fleet.latestStart <= limits.spread, "%d workers: started after %d ms", number,
-              static_cast<int>(inMs(fleet.latestStart)));
+              static_cast<int>(toMilliseconds(fleet.latestStart)));
   }
 }
--- a/tests/routing_bench.hpp
+++ b/tests/routing_bench.hpp
@@ -67,11 +67,11 @@
 /// A proxy's logic driven by hand: its agent, its workers and its clock are the test's.
 struct ProxyBench {
   struct Sent {
-    Moment at;
+    TimePoint at;
     std::string to;
     Message message;
   };
-  Moment now{std::chrono::hours(5)};
+  TimePoint now{std::chrono::hours(5)};
   std::mt19937_64 randomSource{11};
   Declared declared;
   std::unique_ptr<Edge> edge;
@@ -136,8 +136,8 @@
     if (feeds)
       for (const auto& ask : asks) give(agentAddress, FeedReply{ask.sentAt, 0, declared.view.index(), true});
   }
-  void run(Span span, Span step = 10ms) {
-    for (Moment until = now + span; now < until;) {
+  void run(Duration span, Duration step = 10ms) {
+    for (TimePoint until = now + span; now < until;) {
       now += step;
       tick();
     }
--- a/tests/snapshots.cpp
+++ b/tests/snapshots.cpp
@@ -35,7 +35,7 @@
 
 /// One replica by hand: what it sends is kept, and its disk syncs when told to.
 struct Replica {
-  Moment now{std::chrono::hours(5)};
+  TimePoint now{std::chrono::hours(5)};
   std::mt19937_64 randomSource{3};
   Journal journal;
   Recovered disk;
@@ -63,7 +63,7 @@
   void take(const std::string& from, const Message& message) {
     with([&](Effects& effects) { log->take(effects, from, message); });
   }
-  void tick(Span span) {
+  void tick(Duration span) {
     now += span;
     with([&](Effects& effects) { log->tick(effects); });
   }
@@ -109,7 +109,8 @@
   }
   void renew() {
     for (const char* other : {"b", "c"})
-      take(std::string(other) + ":1", HeartbeatResponse{"accord", log->election.term(), other, inNs(now), true});
+      take(std::string(other) + ":1",
+           HeartbeatResponse{"accord", log->election.term(), other, toNanoseconds(now), true});
   }
   void change(std::size_t bytes = 4) {
     ChangeRequest request;
@@ -253,16 +254,16 @@
 /// Sends one snapshot over a way that loses, repeats and reorders, to a follower that at times forgets what it had.
 Way sendOver(std::uint64_t seed, int lossPerCent, int forgetPerMille) {
   std::mt19937_64 randomSource(seed);
-  Moment now{std::chrono::hours(1)};
+  TimePoint now{std::chrono::hours(1)};
   Snapshot snapshot = largeSnapshot(700000, seed);
   SnapshotSender sender(imageOf(snapshot));
   SnapshotReceiver receiver;
-  std::multimap<Moment, InstallSnapshot> there;
-  std::multimap<Moment, InstallSnapshotResponse> back;
+  std::multimap<TimePoint, InstallSnapshot> there;
+  std::multimap<TimePoint, InstallSnapshotResponse> back;
   Way way;
   auto drawn = [&](int share) { return static_cast<int>(randomSource() % 100) < share; };
   auto arrival = [&] { return now + std::chrono::milliseconds(1 + randomSource() % 60); };
-  for (Moment end = now + 600s; now < end && !way.arrived; now += 5ms) {
+  for (TimePoint end = now + 600s; now < end && !way.arrived; now += 5ms) {
     if (auto piece = sender.due(now)) {
       way.pieces += !piece->bytes.empty();
       way.payload += piece->bytes.size();
@@ -308,7 +309,7 @@
   Snapshot snapshot = largeSnapshot(700000);
   SnapshotSender sender(imageOf(snapshot));
   SnapshotReceiver receiver;
-  Moment now{std::chrono::hours(1)};
+  TimePoint now{std::chrono::hours(1)};
   std::size_t payload = 0;
   std::optional<Snapshot> whole;
   while (auto piece = sender.due(now)) {
@@ -327,7 +328,7 @@
 
 Test(snapshot_pieces, a_piece_that_is_long_on_its_way_is_asked_after_and_not_sent_again) {
   SnapshotSender sender(imageOf(largeSnapshot(700000)));
-  Moment now{std::chrono::hours(1)};
+  TimePoint now{std::chrono::hours(1)};
   std::size_t payload = sender.due(now)->bytes.size(), questions = 0;
   for (int step = 0; step < 10000; ++step) {
     now += 1ms;
@@ -343,7 +344,7 @@
 Test(snapshot_pieces, another_leader_with_the_same_snapshot_goes_on_where_the_first_stopped) {
   auto image = imageOf(largeSnapshot(700000));
   SnapshotReceiver receiver;
-  Moment now{std::chrono::hours(1)};
+  TimePoint now{std::chrono::hours(1)};
   auto pass = [&](SnapshotSender& sender) {
     auto piece = sender.due(now);
     InstallSnapshotResponse response;
@@ -366,7 +367,7 @@
   auto image = imageOf(largeSnapshot(200000));
   SnapshotSender sender(image);
   SnapshotReceiver receiver;
-  Moment now{std::chrono::hours(1)};
+  TimePoint now{std::chrono::hours(1)};
   auto piece = sender.due(now);
   cr_expect_eq(receiver.take(*piece, 100000), 0u);
   cr_expect_eq(receiver.heldBytes(), 0u);
--- a/tests/timing.cpp
+++ b/tests/timing.cpp
@@ -34,7 +34,7 @@
 Test(timing, the_spans_fit_for_any_bounds) {
   std::mt19937_64 randomSource(7);
   auto pick = [&](std::int64_t leastMs, std::int64_t mostMs) {
-    return Span(std::chrono::milliseconds(
+    return Duration(std::chrono::milliseconds(
         leastMs + static_cast<std::int64_t>(randomSource() % static_cast<std::uint64_t>(mostMs - leastMs))));
   };
   for (int round = 0; round < 20000; ++round) {
@@ -55,8 +55,9 @@
     bounds.version = pick(1000, 60000);
     auto text = brokenAt(settings);
     cr_assert_str_eq(text.c_str(), "", "round %d: %s; AckMs %d, ConfigApplyMs %d, RevokeMs %d, DrainMs %d", round,
-                     text.c_str(), static_cast<int>(inMs(bounds.ack)), static_cast<int>(inMs(bounds.configApply)),
-                     static_cast<int>(inMs(bounds.revoke)), static_cast<int>(inMs(bounds.drain)));
+                     text.c_str(), static_cast<int>(toMilliseconds(bounds.ack)),
+                     static_cast<int>(toMilliseconds(bounds.configApply)),
+                     static_cast<int>(toMilliseconds(bounds.revoke)), static_cast<int>(toMilliseconds(bounds.drain)));
   }
 }
 
--- a/tests/version_check.cpp
+++ b/tests/version_check.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 constexpr const char* model = "rooster-llm";
-Moment at(int seconds) { return Moment(std::chrono::hours(1) + std::chrono::seconds(seconds)); }
+TimePoint at(int seconds) { return TimePoint(std::chrono::hours(1) + std::chrono::seconds(seconds)); }
 
 /// w1, w2 and w3 named at entries 1 to 3.
 VersionCheck threeVersions() {
@@ -26,7 +26,7 @@
   cr_assert(check.supersededAt(model, "w1") == at(10), "a later naming set the clock anew");
   cr_assert(check.supersededAt(model, "w2") == at(14));
   cr_assert(!check.supersededAt(model, "w3"));
-  cr_assert(check.supersededFor(model, "w1", at(31)) == Span(21s));
+  cr_assert(check.supersededFor(model, "w1", at(31)) == Duration(21s));
 }
 
 Test(version_check, naming_back_makes_a_version_the_newest_again) {
--- a/tests/version_ends_cell.cpp
+++ b/tests/version_ends_cell.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 /// How long a version may be used once a newer one is named; workers are to be commanded before that.
-constexpr Span useMost = 10s;
+constexpr Duration useMost = 10s;
 
 /// A cell whose workers are given newer weights again and again.
 struct RollOutBench : CellBench {
   struct Naming {
     std::string weights;
-    Moment at;
+    TimePoint at;
   };
   std::vector<Naming> namings;
   /// How long after its version's end a worker stood uncommanded, at the most.
-  std::map<std::string, Span> overdueByWorker;
+  std::map<std::string, Duration> overdueByWorker;
   std::map<std::string, int> loadsByWorker;
   std::map<std::string, std::string> loadingBefore;
   std::size_t mostLoading{0};
@@ -27,7 +27,7 @@
     namings.push_back(Naming{"moss/3", now});
     list(workerNumber);
   }
-  void start(Span settled = 4s) {
+  void start(Duration settled = 4s) {
     runToHolder();
     run(settled);
     cr_assert(all<ControlAsk>().empty(), "nothing to do, nothing to command");
@@ -37,7 +37,7 @@
     namings.push_back(Naming{weights, now});
     name(weights);
   }
-  void nameEvery(Span apart, int times) {
+  void nameEvery(Duration apart, int times) {
     for (int number = 0; number < times; ++number) {
       nameNext();
       watch(apart);
@@ -45,8 +45,8 @@
   }
   const std::string& newest() const { return namings.back().weights; }
   /// When the first version newer than this one was named; Moment::max() if it is the newest.
-  Moment supersededAt(const std::string& weights) const {
-    Moment successorAt = Moment::max();
+  TimePoint supersededAt(const std::string& weights) const {
+    TimePoint successorAt = TimePoint::max();
     for (auto naming = namings.rbegin(); naming != namings.rend(); ++naming) {
       if (naming->weights == weights) return successorAt;
       successorAt = naming->at;
@@ -58,14 +58,14 @@
         std::count_if(workers.begin(), workers.end(), [](const auto& row) { return !row.second.loading.empty(); }));
   }
   /// Lets time pass and takes note of workers that still serve a version whose use has ended.
-  void watch(Span span) {
+  void watch(Duration span) {
     run(span, [this] {
       mostLoading = std::max(mostLoading, loadingNumber());
       for (const auto& [name, worker] : workers) {
         if (worker.loading != loadingBefore[name] && !worker.loading.empty()) ++loadsByWorker[name];
         loadingBefore[name] = worker.loading;
-        Moment successorAt = supersededAt(worker.weights);
-        if (!worker.loading.empty() || successorAt == Moment::max() || now - successorAt <= useMost) continue;
+        TimePoint successorAt = supersededAt(worker.weights);
+        if (!worker.loading.empty() || successorAt == TimePoint::max() || now - successorAt <= useMost) continue;
         overdueByWorker[name] = std::max(overdueByWorker[name], now - successorAt - useMost);
       }
     });
@@ -73,20 +73,20 @@
   void expectNoneOverdue() const {
     for (const auto& [name, span] : overdueByWorker)
       cr_expect(false, "%s served a version for %d ms after its use had ended", name.c_str(),
-                static_cast<int>(inMs(span)));
+                static_cast<int>(toMilliseconds(span)));
   }
   void expectAllNewest() const {
     for (const auto& [name, worker] : workers)
       cr_expect_eq(worker.weights, newest(), "%s has %s", name.c_str(), worker.weights.c_str());
   }
-  void loadWithin(Span least, Span most) {
-    std::uniform_int_distribution<std::int64_t> drawn(inMs(least), inMs(most));
+  void loadWithin(Duration least, Duration most) {
+    std::uniform_int_distribution<std::int64_t> drawn(toMilliseconds(least), toMilliseconds(most));
     for (auto& [name, worker] : workers) worker.loadSpan = std::chrono::milliseconds(drawn(randomSource));
   }
-  Moment firstCommandTo(const std::string& worker, const std::string& weights) const {
+  TimePoint firstCommandTo(const std::string& worker, const std::string& weights) const {
     for (const auto& row : commandsTo(worker))
       if (std::get<ControlAsk>(row.message).weights == weights) return row.at;
-    return Moment::max();
+    return TimePoint::max();
   }
 };
 
@@ -108,7 +108,7 @@
       bench.watch(14s);
       for (const auto& [name, span] : bench.overdueByWorker)
         cr_expect(false, "%d workers, seed %d: %s served a version for %d ms after its use had ended", number,
-                  static_cast<int>(seed), name.c_str(), static_cast<int>(inMs(span)));
+                  static_cast<int>(seed), name.c_str(), static_cast<int>(toMilliseconds(span)));
       bench.expectAllNewest();
     }
 }
@@ -137,7 +137,7 @@
     bench.watch(16s);
     for (const auto& [name, span] : bench.overdueByWorker)
       cr_expect(false, "seed %d: %s served a version for %d ms after its use had ended", static_cast<int>(seed),
-                name.c_str(), static_cast<int>(inMs(span)));
+                name.c_str(), static_cast<int>(toMilliseconds(span)));
     bench.expectAllNewest();
   }
 }
@@ -161,11 +161,11 @@
   cr_assert_not(behind.empty());
   bench.nameNext();
   bench.watch(20s);
-  Moment lastBehind{}, firstAhead = Moment::max();
+  TimePoint lastBehind{}, firstAhead = TimePoint::max();
   for (const auto& name : behind) lastBehind = std::max(lastBehind, bench.firstCommandTo(name, bench.newest()));
   for (const auto& name : ahead) firstAhead = std::min(firstAhead, bench.firstCommandTo(name, bench.newest()));
   cr_expect(lastBehind <= firstAhead, "one on the newer version was commanded %d ms before one on the oldest",
-            static_cast<int>(inMs(lastBehind - firstAhead)));
+            static_cast<int>(toMilliseconds(lastBehind - firstAhead)));
   bench.expectNoneOverdue();
   bench.expectAllNewest();
 }
@@ -178,7 +178,7 @@
     bench.watch(16s);
     for (const auto& row : bench.all<ControlAsk>()) {
       const auto& ask = std::get<ControlAsk>(row.message);
-      Moment successorAt = bench.supersededAt(ask.weights);
+      TimePoint successorAt = bench.supersededAt(ask.weights);
       cr_expect(row.at <= successorAt || row.at - successorAt <= 20ms, "%s was commanded to %s, which was superseded",
                 ask.worker.c_str(), ask.weights.c_str());
     }
@@ -205,7 +205,7 @@
 
 Test(version_ends_cell, a_holder_that_is_lost_does_not_prolong_the_use_of_a_version) {
   for (bool returns : {false, true})
-    for (Span lostAfter : {500ms, 2000ms, 4000ms}) {
+    for (Duration lostAfter : {500ms, 2000ms, 4000ms}) {
       RollOutBench bench(6, 3);
       bench.loadWithin(1s, 2s);
       bench.start();
@@ -220,8 +220,8 @@
       bench.watch(18s);
       for (const auto& [name, span] : bench.overdueByWorker)
         cr_expect(false, "holder lost after %d ms%s: %s served a version for %d ms after its use had ended",
-                  static_cast<int>(inMs(lostAfter)), returns ? " for a while" : "", name.c_str(),
-                  static_cast<int>(inMs(span)));
+                  static_cast<int>(toMilliseconds(lostAfter)), returns ? " for a while" : "", name.c_str(),
+                  static_cast<int>(toMilliseconds(span)));
       bench.expectAllNewest();
       cr_expect_neq(bench.holder(), "");
     }
@@ -259,7 +259,7 @@
       }
       bench.start();
       bench.nameNext();
-      Moment namedAt = bench.now;
+      TimePoint namedAt = bench.now;
       bench.watch(useMost);
       for (const auto& [name, worker] : bench.workers)
         cr_expect(bench.firstCommandTo(name, bench.newest()) <= namedAt + useMost,
@@ -283,12 +283,12 @@
     worker.incarnation = "2";
     worker.weights = "moss/3";
     worker.loading.clear();
-    Moment backAt = bench.now;
+    TimePoint backAt = bench.now;
     std::size_t before = worker.commandsAt.size();
     bench.watch(2s);
     cr_assert_gt(worker.commandsAt.size(), before, "it is not commanded; named again: %d", namedAgain);
     cr_expect(worker.commandsAt[before] - backAt <= 1500ms, "it was commanded after %d ms",
-              static_cast<int>(inMs(worker.commandsAt[before] - backAt)));
+              static_cast<int>(toMilliseconds(worker.commandsAt[before] - backAt)));
     bench.watch(14s);
     bench.expectAllNewest();
   }
@@ -340,7 +340,7 @@
     bench.watch(14s);
     for (const auto& [name, span] : bench.overdueByWorker)
       cr_expect(false, "%d namings: %s served a version for %d ms after its use had ended", namingNumber, name.c_str(),
-                static_cast<int>(inMs(span)));
+                static_cast<int>(toMilliseconds(span)));
     bench.expectAllNewest();
   }
 }
--- a/tests/version_ends_proxy.cpp
+++ b/tests/version_ends_proxy.cpp
@@ -7,15 +7,15 @@
 namespace {
 /// How long a proxy may use a version that is no longer the newest, and within how long an order that has not begun at
 /// a worker of that version must have been dropped there.
-constexpr Span useMost = 4s;
-constexpr Span dropMost = 4500ms;
-constexpr Span tickLength = 10ms;
+constexpr Duration useMost = 4s;
+constexpr Duration dropMost = 4500ms;
+constexpr Duration tickLength = 10ms;
 
 /// A proxy whose model is given newer weights while workers still have older ones.
 struct VersionBench : ProxyBench {
   struct Naming {
     std::string weights;
-    Moment at;
+    TimePoint at;
   };
   TimingKept kept;
   std::vector<Naming> namings;
@@ -35,7 +35,7 @@
     namings.push_back(Naming{weights, now});
     change(patchNaming(weights));
   }
-  void name(const Strings& versions, Span apart) {
+  void name(const Strings& versions, Duration apart) {
     for (const auto& weights : versions) {
       if (weights != versions.front()) run(apart);
       name(weights);
@@ -47,8 +47,8 @@
     tell();
   }
   /// When the first version newer than this one was named; Moment::max() if it is the newest.
-  Moment supersededAt(const std::string& weights, Moment asOf) const {
-    Moment successorAt = Moment::max();
+  TimePoint supersededAt(const std::string& weights, TimePoint asOf) const {
+    TimePoint successorAt = TimePoint::max();
     for (auto naming = namings.rbegin(); naming != namings.rend(); ++naming) {
       if (naming->at > asOf) continue;
       if (naming->weights == weights) return successorAt;
@@ -56,13 +56,13 @@
     }
     return successorAt;
   }
-  Moment endOf(const std::string& weights) const { return supersededAt(weights, now) + useMost; }
+  TimePoint endOf(const std::string& weights) const { return supersededAt(weights, now) + useMost; }
   std::string placeNext(const std::string& path = "/once/x", const std::vector<int>& tokens = {}) {
     return place(path, "key-a", promptOf(++prompts), tokens);
   }
   /// Places orders that end at once if they are sent, so that every worker that may be drawn is.
-  void serve(Span span) {
-    for (Moment until = now + span; now < until;) {
+  void serve(Duration span) {
+    for (TimePoint until = now + span; now < until;) {
       run(50ms);
       for (int number = 0; number < 4; ++number) {
         auto orderId = placeNext();
@@ -70,31 +70,31 @@
       }
     }
   }
-  std::vector<Sent> sendsSince(Moment since) const {
+  std::vector<Sent> sendsSince(TimePoint since) const {
     std::vector<Sent> rows;
     for (const auto& row : sent)
       if (row.at >= since && std::holds_alternative<WorkerOrder>(row.message)) rows.push_back(row);
     return rows;
   }
-  std::set<std::string> weightsSentSince(Moment since) const {
+  std::set<std::string> weightsSentSince(TimePoint since) const {
     std::set<std::string> weights;
     for (const auto& row : sendsSince(since)) weights.insert(std::get<WorkerOrder>(row.message).weights);
     return weights;
   }
-  Moment lastSentWith(const std::string& weights) const {
-    Moment last{};
-    for (const auto& row : sendsSince(Moment{}))
+  TimePoint lastSentWith(const std::string& weights) const {
+    TimePoint last{};
+    for (const auto& row : sendsSince(TimePoint{}))
       if (std::get<WorkerOrder>(row.message).weights == weights) last = row.at;
     return last;
   }
   /// No order may have been sent to weights whose use had ended.
   void expectEndsKept() const {
     int late = 0, latestMs = 0;
-    for (const auto& row : sendsSince(Moment{})) {
-      Moment successorAt = supersededAt(std::get<WorkerOrder>(row.message).weights, row.at);
-      if (successorAt == Moment::max() || row.at - successorAt <= useMost) continue;
+    for (const auto& row : sendsSince(TimePoint{})) {
+      TimePoint successorAt = supersededAt(std::get<WorkerOrder>(row.message).weights, row.at);
+      if (successorAt == TimePoint::max() || row.at - successorAt <= useMost) continue;
       ++late;
-      latestMs = std::max(latestMs, static_cast<int>(inMs(row.at - successorAt - useMost)));
+      latestMs = std::max(latestMs, static_cast<int>(toMilliseconds(row.at - successorAt - useMost)));
     }
     cr_expect_eq(late, 0, "%d orders were sent to weights whose use had ended, up to %d ms after the end", late,
                  latestMs);
@@ -122,7 +122,7 @@
     return {};
   }
   /// The clock goes on without a tick and without news.
-  void freeze(Span span) {
+  void freeze(Duration span) {
     feeds = false;
     now += span;
   }
@@ -167,9 +167,9 @@
   bench.serve(5s);
   bench.expectEndsKept();
   for (const char* weights : {"moss/3", "moss/4", "moss/5", "moss/6"}) {
-    Moment last = bench.lastSentWith(weights);
+    TimePoint last = bench.lastSentWith(weights);
     cr_expect(bench.endOf(weights) - last < 1s, "%s was last used %d ms before its end", weights,
-              static_cast<int>(inMs(bench.endOf(weights) - last)));
+              static_cast<int>(toMilliseconds(bench.endOf(weights) - last)));
   }
   cr_expect(bench.weightsSentSince(bench.now - 500ms) == std::set<std::string>{"moss/7"});
 }
@@ -327,7 +327,7 @@
   std::vector<LookupMsg> asked;
   std::string isPending;
   WorkerOrder atWorker;
-  Moment wokenAt{};
+  TimePoint wokenAt{};
 
   FrozenBench() {
     for (const char* name : {"w3", "w33", "w333"}) worker(name);
@@ -447,7 +447,7 @@
     restarted.adoptSnapshot();
     restarted.tick();
     restarted.workersWith(newOnes ? Strings{"moss/3", "moss/4"} : Strings{"moss/3"});
-    Moment since = restarted.now;
+    TimePoint since = restarted.now;
     restarted.serve(2s);
     std::set<std::string> used;
     if (newOnes) used.insert("moss/4");
@@ -468,7 +468,7 @@
   bench.adoptSnapshot();
   bench.tick();
   bench.workersWith({"moss/3", "moss/4", "moss/5"});
-  Moment since = bench.now;
+  TimePoint since = bench.now;
   bench.serve(1s);
   bench.name("moss/5");
   bench.serve(1s);
@@ -549,7 +549,7 @@
 /// An order that was sent to the old version just before its use ended.
 struct SentBeforeEnd : VersionBench {
   WorkerOrder made;
-  SentBeforeEnd(const Strings& versions, const std::string& path, Span before = 300ms) {
+  SentBeforeEnd(const Strings& versions, const std::string& path, Duration before = 300ms) {
     for (const char* name : {"w3", "w33", "w333"}) worker(name);
     worker("w4", "north-a", versions.back());
     tell();
@@ -635,21 +635,21 @@
 }
 
 Test(version_ends_proxy, a_naming_learned_after_a_gap_counts_from_the_gaps_beginning) {
-  for (Span gap : {1000ms, 1400ms, 3000ms}) {
+  for (Duration gap : {1000ms, 1400ms, 3000ms}) {
     VersionBench bench;
     bench.workersWith({"moss/3", "moss/4"});
     bench.serve(500ms);
-    Moment completeAt = bench.now;
+    TimePoint completeAt = bench.now;
     bench.feeds = false;
     bench.run(gap);
     bench.feeds = true;
     bench.name("moss/4");
     bench.serve(completeAt + useMost + 2s - bench.now);
-    Moment last = bench.lastSentWith("moss/3");
+    TimePoint last = bench.lastSentWith("moss/3");
     cr_expect(last <= completeAt + useMost, "after %d ms without news it was used %d ms too long",
-              static_cast<int>(inMs(gap)), static_cast<int>(inMs(last - completeAt - useMost)));
+              static_cast<int>(toMilliseconds(gap)), static_cast<int>(toMilliseconds(last - completeAt - useMost)));
     cr_expect(last > completeAt + useMost - 500ms, "after %d ms without news its use ended %d ms early",
-              static_cast<int>(inMs(gap)), static_cast<int>(inMs(completeAt + useMost - last)));
+              static_cast<int>(toMilliseconds(gap)), static_cast<int>(toMilliseconds(completeAt + useMost - last)));
   }
 }
 
@@ -657,7 +657,7 @@
   VersionBench bench;
   bench.workersWith({"moss/3", "moss/4", "moss/5"});
   bench.run(500ms);
-  Moment completeAt = bench.now;
+  TimePoint completeAt = bench.now;
   bench.feeds = false;
   bench.run(1s);
   bench.declared.change(VersionBench::patchNaming("moss/4"));
--- a/tests/version_namings.cpp
+++ b/tests/version_namings.cpp
@@ -5,13 +5,13 @@
 
 namespace {
 /// How much older than it is a naming may be told to be.
-constexpr Span roundsSlack = 800ms;
+constexpr Duration roundsSlack = 800ms;
 
 /// Cores and agents that are asked when weights were named.
 struct NamingBench : FleetBench {
   struct Naming {
     std::string weights;
-    Moment askedAt, ackedAt;
+    TimePoint askedAt, ackedAt;
   };
   std::vector<Naming> namings;
 
@@ -23,7 +23,7 @@
     run(1s);
   }
   void name(const std::string& weights) {
-    Moment askedAt = now;
+    TimePoint askedAt = now;
     auto askId = askWith(
         leader(), weights,
         R"({"weights":{")" + weights + R"(":{"model":"moss"}},"models":{"moss":{"weights":")" + weights + R"("}}})");
@@ -41,7 +41,7 @@
   }
   std::vector<VersionNaming> toldByAgent(const std::string& name) {
     FeedAsk ask;
-    ask.sentAt = inNs(now);
+    ask.sentAt = toNanoseconds(now);
     return askedOf<FeedReply>(name, ask);
   }
   std::vector<VersionNaming> toldByCore(const std::string& name) {
@@ -51,7 +51,8 @@
     return askedOf<LogEndResponse>(name, ask);
   }
   /// Each naming must be told, in order, and none as younger than it is or as much older.
-  void expectTold(const std::vector<VersionNaming>& told, const std::string& teller, Span slack = roundsSlack) const {
+  void expectTold(const std::vector<VersionNaming>& told, const std::string& teller,
+                  Duration slack = roundsSlack) const {
     std::vector<VersionNaming> rows;
     for (const auto& row : told)
       if (row.model == "moss") rows.push_back(row);
@@ -63,10 +64,10 @@
       cr_expect_eq(row.weights, naming.weights, "%s", teller.c_str());
       cr_expect(row.age >= (now - naming.ackedAt).count(), "%s tells %s as younger than it is: %d ms of %d",
                 teller.c_str(), row.weights.c_str(), static_cast<int>(row.age / 1000000),
-                static_cast<int>(inMs(now - naming.ackedAt)));
+                static_cast<int>(toMilliseconds(now - naming.ackedAt)));
       cr_expect(row.age <= (now - naming.askedAt + slack).count(), "%s tells %s as older than it is: %d ms of %d",
                 teller.c_str(), row.weights.c_str(), static_cast<int>(row.age / 1000000),
-                static_cast<int>(inMs(now - naming.ackedAt)));
+                static_cast<int>(toMilliseconds(now - naming.ackedAt)));
     }
   }
   void expectToldByAll() {
@@ -154,17 +155,17 @@
 }
 
 namespace {
-constexpr Span useMost = 4s;
+constexpr Duration useMost = 4s;
 
 /// A proxy that began after moss/4 was named, and is told how long ago by its agent.
 struct ToldBench : ProxyBench {
   TimingKept kept;
   std::vector<VersionNaming> namings;
-  Moment toldAt{};
-  Span replyLate{0};
-  std::vector<std::pair<Moment, FeedReply>> replies;
+  TimePoint toldAt{};
+  Duration replyLate{0};
+  std::vector<std::pair<TimePoint, FeedReply>> replies;
   int prompts{0};
-  Moment lastOld{};
+  TimePoint lastOld{};
 
   ToldBench() {
     timing.rolloutMost = useMost;
@@ -196,8 +197,8 @@
         replies.push_back(row);
     }
   }
-  void serve(Span span) {
-    for (Moment until = now + span; now < until;) {
+  void serve(Duration span) {
+    for (TimePoint until = now + span; now < until;) {
       run(10ms);
       answerFeeds();
       auto orderId = place("/once/x", "key-a", promptOf(++prompts));
@@ -211,15 +212,15 @@
 }  // namespace
 
 Test(version_namings, a_proxy_that_is_told_a_namings_age_uses_the_older_version_until_its_end) {
-  for (Span late : {0ms, 300ms}) {
+  for (Duration late : {0ms, 300ms}) {
     ToldBench bench;
     bench.replyLate = late;
-    bench.namings = {VersionNaming{"moss", "moss/3", -1}, VersionNaming{"moss", "moss/4", Span(1500ms).count()}};
-    Moment endsAt = bench.now - 1500ms + useMost;
+    bench.namings = {VersionNaming{"moss", "moss/3", -1}, VersionNaming{"moss", "moss/4", Duration(1500ms).count()}};
+    TimePoint endsAt = bench.now - 1500ms + useMost;
     bench.serve(5s);
-    cr_expect(bench.lastOld < endsAt, "used %d ms too long", static_cast<int>(inMs(bench.lastOld - endsAt)));
+    cr_expect(bench.lastOld < endsAt, "used %d ms too long", static_cast<int>(toMilliseconds(bench.lastOld - endsAt)));
     cr_expect(bench.lastOld > endsAt - 700ms, "its use ended %d ms early",
-              static_cast<int>(inMs(endsAt - bench.lastOld)));
+              static_cast<int>(toMilliseconds(endsAt - bench.lastOld)));
   }
 }
 
@@ -228,11 +229,11 @@
                            {VersionNaming{"moss", "moss/3", 0}},
                            {VersionNaming{"moss", "moss/5", 0}},
                            {VersionNaming{"fern", "moss/4", 0}},
-                           {VersionNaming{"moss", "moss/4", Span(useMost).count()}}}) {
+                           {VersionNaming{"moss", "moss/4", Duration(useMost).count()}}}) {
     ToldBench bench;
     bench.namings = told;
     bench.serve(2s);
-    cr_expect(bench.lastOld == Moment{}, "an older version was used");
+    cr_expect(bench.lastOld == TimePoint{}, "an older version was used");
   }
 }
 
@@ -254,7 +255,7 @@
       if (row.weights == "moss/4" && row.age >= 0)
         cr_expect(row.age >= (bench.now - bench.namings[0].ackedAt).count(),
                   "told as %d ms old, %d ms after it was made", static_cast<int>(row.age / 1000000),
-                  static_cast<int>(inMs(bench.now - bench.namings[0].ackedAt)));
+                  static_cast<int>(toMilliseconds(bench.now - bench.namings[0].ackedAt)));
   for (const auto& core : cores) bench.join("edge-2", core);
   bench.run(4s);
   bench.expectToldByAll();
--- a/tests/version_timeline.cpp
+++ b/tests/version_timeline.cpp
@@ -7,14 +7,14 @@
 using namespace tt;
 
 namespace {
-constexpr Span useMost = 10s;
-const Moment start{std::chrono::hours(3)};
+constexpr Duration useMost = 10s;
+const TimePoint start{std::chrono::hours(3)};
 
-bool mayUse(const VersionTimeline& timeline, const std::string& weights, Moment now) {
+bool mayUse(const VersionTimeline& timeline, const std::string& weights, TimePoint now) {
   return now < endOfUse(timeline.supersededAt("moss", weights), useMost);
 }
 
-VersionNaming told(const std::string& weights, Span age, const std::string& model = "moss") {
+VersionNaming told(const std::string& weights, Duration age, const std::string& model = "moss") {
   return VersionNaming{model, weights, age.count()};
 }
 VersionNaming toldUnknown(const std::string& weights) { return VersionNaming{"moss", weights, -1}; }
@@ -23,7 +23,7 @@
 Test(version_timeline, nothing_named_restricts_nothing) {
   VersionTimeline timeline;
   cr_expect(timeline.isNewest("moss", "moss/3"));
-  cr_expect(timeline.supersededAt("moss", "moss/3") == Moment::max());
+  cr_expect(timeline.supersededAt("moss", "moss/3") == TimePoint::max());
   cr_expect(mayUse(timeline, "moss/3", start + 1h));
   cr_expect(timeline.tell(start, useMost, true).empty());
 }
@@ -39,7 +39,7 @@
   }
   for (int number = 4; number < 12; ++number)
     cr_expect(timeline.supersededAt("moss", "moss/" + std::to_string(number)) == start + 3s * (number - 3));
-  cr_expect(timeline.supersededAt("moss", "moss/12") == Moment::max());
+  cr_expect(timeline.supersededAt("moss", "moss/12") == TimePoint::max());
   cr_expect(mayUse(timeline, "moss/3", start + useMost - 1ns));
   cr_expect_not(mayUse(timeline, "moss/3", start + useMost));
 }
@@ -59,7 +59,7 @@
   timeline.observe("moss", "moss/4", start, 0);
   timeline.observe("moss", "moss/3", start + 2s, 0);
   cr_expect(timeline.isNewest("moss", "moss/3"));
-  cr_expect(timeline.supersededAt("moss", "moss/3") == Moment::max());
+  cr_expect(timeline.supersededAt("moss", "moss/3") == TimePoint::max());
   cr_expect(timeline.supersededAt("moss", "moss/4") == start + 2s);
   timeline.observe("moss", "moss/5", start + 6s, 0);
   cr_expect(timeline.supersededAt("moss", "moss/3") == start + 6s);
@@ -69,10 +69,10 @@
 Test(version_timeline, what_was_superseded_at_an_unknown_moment_ended_long_ago) {
   VersionTimeline timeline;
   timeline.observe("moss", "moss/4", std::nullopt, 0);
-  cr_expect(timeline.supersededAt("moss", "moss/3") == Moment::min());
+  cr_expect(timeline.supersededAt("moss", "moss/3") == TimePoint::min());
   cr_expect_not(mayUse(timeline, "moss/3", start));
   timeline.observe("moss", "moss/5", start, 0);
-  cr_expect(timeline.supersededAt("moss", "moss/3") == Moment::min(), "it is older than what was named at first");
+  cr_expect(timeline.supersededAt("moss", "moss/3") == TimePoint::min(), "it is older than what was named at first");
   cr_expect(timeline.supersededAt("moss", "moss/4") == start);
 }
 
@@ -84,7 +84,7 @@
   timeline.learn({told("fern/1", 1s, "fern")}, start);
   cr_expect(timeline.isNewest("fern", "fern/1"));
   cr_expect(timeline.supersededAt("moss", "moss/3") == start);
-  cr_expect(timeline.supersededAt("oak", "oak/1") == Moment::max());
+  cr_expect(timeline.supersededAt("oak", "oak/1") == TimePoint::max());
 }
 
 Test(version_timeline, an_unknown_moment_is_learned_on_the_owners_own_clock) {
@@ -126,7 +126,7 @@
   timeline.observe("moss", "moss/4", std::nullopt, 0);
   timeline.observe("fern", "fern/2", start + 3s, 0);
   timeline.settleUnknown(start, start + 10s - 1ms, 10s);
-  cr_expect(timeline.supersededAt("moss", "moss/3") == Moment::min());
+  cr_expect(timeline.supersededAt("moss", "moss/3") == TimePoint::min());
   timeline.settleUnknown(start, start + 10s, 10s);
   cr_expect(timeline.supersededAt("moss", "moss/3") == start, "whose use of 10 s has ended");
   cr_expect(timeline.tell(start + 10s, 10s, true).size() == 1u, "nothing is left to be asked for moss");
@@ -141,11 +141,11 @@
   teller.observe("moss", "moss/3", std::nullopt, 0);
   for (int number = 4; number <= 8; ++number)
     teller.observe("moss", "moss/" + std::to_string(number), start + 4s * (number - 4), 0);
-  Moment now = start + 17s;
+  TimePoint now = start + 17s;
   VersionTimeline learner;
   learner.observe("moss", "moss/8", std::nullopt, 0);
   learner.learn(teller.tell(now, useMost, true), now);
-  for (Moment at = now; at < now + 2 * useMost; at += 500ms)
+  for (TimePoint at = now; at < now + 2 * useMost; at += 500ms)
     for (int number = 1; number <= 8; ++number) {
       std::string weights = "moss/" + std::to_string(number);
       cr_expect_eq(mayUse(learner, weights, at), mayUse(teller, weights, at), "%s", weights.c_str());
@@ -156,11 +156,11 @@
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     std::mt19937_64 drawn(seed);
     VersionTimeline whole, forgetful;
-    Moment now = start;
+    TimePoint now = start;
     for (int step = 0; step < 60; ++step) {
       now += std::chrono::milliseconds(drawn() % 5000);
       std::string weights = "moss/" + std::to_string(drawn() % 6);
-      std::optional<Moment> notBefore;
+      std::optional<TimePoint> notBefore;
       if (step > 0) notBefore = now - std::chrono::milliseconds(drawn() % 300);
       whole.observe("moss", weights, notBefore, 0);
       forgetful.observe("moss", weights, notBefore, 0);
@@ -173,21 +173,22 @@
       }
     }
     forgetful.forgetEnded(now + 1h, useMost);
-    cr_expect_leq(forgetful.tell(now + 1h, Span(2h), true).size(), 2u, "what can end nothing any more is forgotten");
+    cr_expect_leq(forgetful.tell(now + 1h, Duration(2h), true).size(), 2u,
+                  "what can end nothing any more is forgotten");
   }
 }
 
 namespace {
 struct TrueNaming {
   std::string weights;
-  Moment at;
+  TimePoint at;
 };
 
 /// One process that follows the namings on a clock of its own, with gaps and restarts.
 struct Follower {
   VersionTimeline timeline;
-  Span clockAhead{0};
-  std::optional<Moment> completeAt;
+  Duration clockAhead{0};
+  std::optional<TimePoint> completeAt;
   /// How many of the true namings it has heard of from the configuration, and how many those had whom it learned from.
   std::size_t heard{0}, learned{0};
 };
@@ -229,7 +230,7 @@
 
  private:
   std::mt19937_64 drawn;
-  Moment now{start};
+  TimePoint now{start};
   std::vector<TrueNaming> namings;
   std::vector<Follower> followers;
 
@@ -255,7 +256,7 @@
   }
   void learn(Follower& follower, const Follower& teller) {
     if (&follower == &teller || follower.heard == 0) return;
-    Moment askedAt = now + follower.clockAhead;
+    TimePoint askedAt = now + follower.clockAhead;
     now += std::chrono::milliseconds(below(200));
     auto rows = teller.timeline.tell(now + teller.clockAhead, useMost, below(2) == 0);
     now += std::chrono::milliseconds(below(200));
@@ -263,15 +264,16 @@
     follower.learned = std::max(follower.learned, teller.learned);
   }
   /// When, on the follower's clock, the first version newer than this one was named, of so many namings.
-  std::optional<Moment> trueSuccessorAt(const Follower& follower, const std::string& weights, std::size_t known) const {
+  std::optional<TimePoint> trueSuccessorAt(const Follower& follower, const std::string& weights,
+                                           std::size_t known) const {
     for (std::size_t at = known; at-- > 0;)
       if (namings[at].weights == weights)
-        return at + 1 == known ? Moment::max() : namings[at + 1].at + follower.clockAhead;
+        return at + 1 == known ? TimePoint::max() : namings[at + 1].at + follower.clockAhead;
     return std::nullopt;
   }
   /// The latest of these moments as of what it has heard or learned: a version may have been named back since.
-  Moment latestSuccessorAt(const Follower& follower, const std::string& weights) const {
-    Moment latest = Moment::min();
+  TimePoint latestSuccessorAt(const Follower& follower, const std::string& weights) const {
+    TimePoint latest = TimePoint::min();
     for (std::size_t known = follower.heard; known <= follower.learned; ++known)
       if (auto successorAt = trueSuccessorAt(follower, weights, known)) latest = std::max(latest, *successorAt);
     return latest;
@@ -279,15 +281,15 @@
   void checkVersion(const Follower& follower, const std::string& weights, std::uint64_t seed, int step) const {
     auto successorAt = trueSuccessorAt(follower, weights, follower.heard);
     if (!successorAt) return;
-    Moment claimed = follower.timeline.supersededAt("moss", weights);
-    bool newest = *successorAt == Moment::max();
+    TimePoint claimed = follower.timeline.supersededAt("moss", weights);
+    bool newest = *successorAt == TimePoint::max();
     cr_assert_eq(follower.timeline.isNewest("moss", weights), newest, "seed %d step %d: %s", static_cast<int>(seed),
                  step, weights.c_str());
-    cr_assert_eq(claimed == Moment::max(), newest);
-    if (newest || claimed == Moment::min() || claimed + useMost <= now + follower.clockAhead) return;
-    Moment latest = latestSuccessorAt(follower, weights);
+    cr_assert_eq(claimed == TimePoint::max(), newest);
+    if (newest || claimed == TimePoint::min() || claimed + useMost <= now + follower.clockAhead) return;
+    TimePoint latest = latestSuccessorAt(follower, weights);
     cr_assert(claimed <= latest, "seed %d step %d: %s is believed to be superseded %d ms late", static_cast<int>(seed),
-              step, weights.c_str(), static_cast<int>(inMs(claimed - latest)));
+              step, weights.c_str(), static_cast<int>(toMilliseconds(claimed - latest)));
   }
 };
 }  // namespace
@@ -306,8 +308,8 @@
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     std::mt19937_64 drawn(seed);
     VersionTimeline timeline;
-    std::vector<std::pair<std::string, Moment>> namings;
-    Moment now = start, completeAt = start;
+    std::vector<std::pair<std::string, TimePoint>> namings;
+    TimePoint now = start, completeAt = start;
     timeline.observe("moss", "moss/0", std::nullopt, 0);
     namings.emplace_back("moss/0", start);
     for (int number = 1; number <= 40; ++number) {
@@ -318,10 +320,10 @@
       namings.emplace_back(weights, now);
       if (drawn() % 4 == 0) timeline.learn(timeline.tell(now, useMost, true), now);
       for (std::size_t at = 0; at + 1 < namings.size(); ++at) {
-        Moment claimed = timeline.supersededAt("moss", namings[at].first);
+        TimePoint claimed = timeline.supersededAt("moss", namings[at].first);
         cr_assert(claimed <= namings[at + 1].second && namings[at + 1].second - claimed <= 100ms,
                   "seed %d, %s: %d ms early", static_cast<int>(seed), namings[at].first.c_str(),
-                  static_cast<int>(inMs(namings[at + 1].second - claimed)));
+                  static_cast<int>(toMilliseconds(namings[at + 1].second - claimed)));
       }
     }
   }
