--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -18,9 +18,9 @@
       clusterView(ReaderSettings{settings.name, settings.address, settings.locality, settings.seeds, true,
                                  settings.defences}) {}
 
-std::vector<CellMark> Agent::cellMarks() const {
-  std::vector<CellMark> rows;
-  for (const auto& [locality, news] : cells) rows.push_back(CellMark{locality, news.term, news.sequence});
+std::vector<CellVersion> Agent::cellMarks() const {
+  std::vector<CellVersion> rows;
+  for (const auto& [locality, news] : cells) rows.push_back(CellVersion{locality, news.term, news.sequence});
   return rows;
 }
 
@@ -38,7 +38,7 @@
   for (const auto& [address, at] : proxies) {
     if (effects.now - at > 1s) continue;
     for (auto& row : rows) {
-      CellMark known{row.locality, 0, 0};
+      CellVersion known{row.locality, 0, 0};
       for (const auto& mark : proxyMarks[address])
         if (mark.locality == row.locality) known = mark;
       if (std::make_pair(known.term, known.sequence) < std::make_pair(row.term, row.sequence)) row = known;
@@ -113,7 +113,7 @@
 }
 
 void Agent::onNewsAsk(Effects& effects, const std::string& from, std::uint64_t applied,
-                      const std::vector<CellMark>& known) {
+                      const std::vector<CellVersion>& known) {
   NewsMsg news{clusterView.knownCommit(), {}, {}};
   std::uint64_t reach = recent.empty() ? view.index() : recent.front().index - 1;
   if (applied < reach) {
@@ -182,7 +182,7 @@
     onNewsAsk(effects, from, ask->applied, ask->cells);
   } else if (auto* cellNews = std::get_if<CellNews>(&message)) {
     auto& kept = cells[cellNews->locality];
-    if (!takeCellNews(kept, *cellNews)) return;
+    if (!applyCellNews(kept, *cellNews)) return;
     spread(effects, message);
   } else if (auto* feed = std::get_if<FeedAsk>(&message)) {
     proxies[from] = effects.now;
@@ -195,8 +195,8 @@
         lags =
             lags || std::make_pair(mark.term, mark.sequence) < std::make_pair(kept->second.term, kept->second.sequence);
     if (lags) onNewsAsk(effects, from, feed->applied, feed->cells);
-    if (clusterView.marksKnown() && feed->marksDigest != clusterView.marksDigest())
-      effects.send(from, MarksMsg{(effects.now - clusterView.marksAt()).count(), clusterView.machines()});
+    if (clusterView.machineListKnown() && feed->machineListDigest != clusterView.machineListDigest())
+      effects.send(from, MarksMsg{(effects.now - clusterView.machineListAt()).count(), clusterView.machines()});
     effects.send(from, FeedReply{feed->sentAt, known ? (effects.now - clusterView.stamp()).count() : 0, view.index(),
                                  known, clusterView.versions().tell(effects.now, timing.versionMost, false)});
   } else if (auto* lookup = std::get_if<LookupMsg>(&message)) {
@@ -216,7 +216,7 @@
   }
 }
 
-bool Agent::feeds(TimePoint now) const {
+bool Agent::feedsProxy(TimePoint now) const {
   return std::any_of(proxies.begin(), proxies.end(), [&](const auto& row) { return now - row.second < 1s; });
 }
 
--- a/src/agent/agent.hpp
+++ b/src/agent/agent.hpp
@@ -24,8 +24,8 @@
   bool fresh(TimePoint now) const { return clusterView.fresh(now); }
   std::string condition(TimePoint now) const;
   /// Whether a proxy has asked to be fed of late.
-  bool feeds(TimePoint now) const;
-  const std::string& followed() const { return parent; }
+  bool feedsProxy(TimePoint now) const;
+  const std::string& parentAddress() const { return parent; }
 
  private:
   AgentSettings settings;
@@ -36,7 +36,7 @@
   std::string parent;
   TimePoint startedAt{}, parentHeard{}, parentSince{}, roundAt{}, newsAt{}, behindSince{}, mendAt{};
   std::map<std::string, TimePoint> suspects, followers, proxies;
-  std::map<std::string, std::vector<CellMark>> proxyMarks;
+  std::map<std::string, std::vector<CellVersion>> proxyMarks;
   std::map<std::string, std::uint64_t> proxyApplied;
   std::uint64_t toldApplied{0};
   bool wasFresh{false};
@@ -45,11 +45,12 @@
   std::uint64_t appliedBelow(TimePoint now) const;
   void drawParent(Effects& effects);
   void onNews(Effects& effects, const NewsMsg& news);
-  void onNewsAsk(Effects& effects, const std::string& from, std::uint64_t applied, const std::vector<CellMark>& known);
+  void onNewsAsk(Effects& effects, const std::string& from, std::uint64_t applied,
+                 const std::vector<CellVersion>& known);
   void spread(Effects& effects, const Message& message);
   /// Passes what a proxy tells of a worker on to the holder of that worker's cell.
   void passToCell(Effects& effects, const std::string& locality, const Message& message);
-  std::vector<CellMark> cellMarks() const;
+  std::vector<CellVersion> cellMarks() const;
 };
 
 }  // namespace tt
--- a/src/base/effects.cpp
+++ b/src/base/effects.cpp
@@ -12,7 +12,7 @@
   appended(copy);
 }
 
-Uint64 digestOf(const std::vector<Machine>& machines) {
+Uint64 digestOfMachineList(const std::vector<Machine>& machines) {
   Uint64 digest = 1;
   for (const auto& machine : machines) {
     std::string row = machine.name + "\n" + machine.address + "\n" + machine.locality + "\n" + machine.kind +
@@ -22,7 +22,7 @@
   return digest;
 }
 
-bool takeCellNews(CellNews& kept, const CellNews& news) {
+bool applyCellNews(CellNews& kept, const CellNews& news) {
   if (std::make_pair(news.term, news.sequence) <= std::make_pair(kept.term, kept.sequence)) return false;
   if (news.base > 0) {
     if (kept.term != news.term || kept.sequence != news.base) return false;
@@ -38,12 +38,12 @@
     return true;
   }
   CellNews taken = news;
-  if (news.light)
+  if (news.omitsSummaries)
     for (auto& worker : taken.workers)
       for (const auto& known : kept.workers)
         if (known.name == worker.name && known.weights == worker.weights && worker.confirmed)
           worker.summary = known.summary;
-  taken.light = false;
+  taken.omitsSummaries = false;
   kept = std::move(taken);
   return true;
 }
--- a/src/base/messages.hpp
+++ b/src/base/messages.hpp
@@ -33,14 +33,14 @@
                    ((std::string, service))((std::string, model))((std::string, weights))((int, slots)))
 /// Weights that were named for a model, how long ago in ns (-1 where that is unknown), and an index of the log by which
 /// they were named.
-TT_STRUCT(VersionNaming, ((std::string, model))((std::string, weights))((std::int64_t, age))((Uint64, index)))
-TT_STRUCT(CellMark, ((std::string, locality))((Uint64, term))((Uint64, sequence)))
+TT_STRUCT(WeightsAnnouncement, ((std::string, model))((std::string, weights))((std::int64_t, age))((Uint64, index)))
+TT_STRUCT(CellVersion, ((std::string, locality))((Uint64, term))((Uint64, sequence)))
 TT_STRUCT(WorkerView,
           ((std::string, name))((std::string, address))((std::string, locality))((std::string, kind))
           ((std::string, weights))((std::string, model))((int, running))((int, slots))((bool, held))((bool, alive))
-          ((bool, confirmed))((Uint64, kept))((Uint64, reportSequence))((std::string, summary))((std::string, service))((int, waiting))((int, memory))((int, savedShare)))
+          ((bool, confirmed))((Uint64, kept))((Uint64, reportSequence))((std::string, summary))((std::string, service))((int, waiting))((int, memory))((int, savedPermille)))
 TT_STRUCT(LinkSpeed, ((std::string, source))((std::string, target))((double, blocksPerSecond)))
-TT_STRUCT(KeptEvent, ((Uint64, sequence))((int, kind))((Hashes, hashes)))
+TT_STRUCT(CacheEvent, ((Uint64, sequence))((int, kind))((Hashes, hashes)))
 TT_STRUCT(Reader, ((std::string, address))((Uint64, applied))((std::int64_t, age)))
 /// A change that was refused, the entry that says so, and why.
 TT_STRUCT(Refusal, ((std::string, changeId))((Uint64, index))((int, code))((std::string, subject))((std::string, text))
@@ -68,27 +68,27 @@
   X(HelloResponse, ((Member, self))((bool, formed))((std::vector<Member>, members)))                                   \
   X(FormRequest, ((std::vector<Member>, members)))                                                                      \
   X(JoinRequest, ((Member, self)))                                                                                      \
-  X(ChangeRequest, ((std::string, askId))((std::string, body))((bool, whole))((std::int64_t, ifRevision))               \
-                   ((std::string, changeId))((std::int64_t, sinceRevision))((int, manner))((std::int64_t, toRevision))((Uint64, seen)))                                        \
-  X(ChangeResponse, ((std::string, askId))((int, code))((std::string, subject))((std::string, text))((Uint64, revision))\
+  X(ChangeRequest, ((std::string, requestId))((std::string, body))((bool, whole))((std::int64_t, ifRevision))               \
+                   ((std::string, changeId))((std::int64_t, sinceRevision))((int, changeFormat))((std::int64_t, toRevision))((Uint64, seen)))                                        \
+  X(ChangeResponse, ((std::string, requestId))((int, code))((std::string, subject))((std::string, text))((Uint64, revision))\
                      ((Uint64, index))((Uint64, term)))                                                                              \
   /* news */                                                                                                        \
-  X(LogEndRequest, ((Uint64, askId))((std::string, agent))((std::string, locality))((Uint64, applied))                      \
-                 ((std::vector<CellMark>, cells))((bool, fresh))((bool, relays))((Uint64, marksDigest)))             \
-  X(LogEndResponse, ((Uint64, askId))((std::string, core))((Uint64, term))((bool, leads))((Uint64, lastIndex))              \
-                   ((Uint64, commit))((std::vector<Member>, members))((Strings, watch))((bool, marksKnown))          \
-                   ((std::int64_t, marksAge))((Uint64, marksDigest))((std::vector<Machine>, machines))               \
-                   ((std::vector<VersionNaming>, namings)))              \
+  X(LogEndRequest, ((Uint64, requestId))((std::string, agent))((std::string, locality))((Uint64, applied))                      \
+                 ((std::vector<CellVersion>, cells))((bool, fresh))((bool, relays))((Uint64, machineListDigest)))             \
+  X(LogEndResponse, ((Uint64, requestId))((std::string, core))((Uint64, term))((bool, leads))((Uint64, lastIndex))              \
+                   ((Uint64, commit))((std::vector<Member>, members))((Strings, watch))((bool, machineListKnown))          \
+                   ((std::int64_t, machineListAgeNs))((Uint64, machineListDigest))((std::vector<Machine>, machines))               \
+                   ((std::vector<WeightsAnnouncement>, namings)))              \
   X(ReadersRequest, ((Uint64, roundId))((Uint64, index))((Uint64, term)))                                                  \
   X(ReadersResponse, ((Uint64, roundId))((std::string, core))((bool, has))((std::vector<Reader>, readers)))             \
-  X(NewsAsk, ((std::string, agent))((Uint64, applied))((std::vector<CellMark>, cells)))                              \
+  X(NewsAsk, ((std::string, agent))((Uint64, applied))((std::vector<CellVersion>, cells)))                              \
   X(NewsMsg, ((Uint64, commit))((std::vector<LogEntry>, entries))((std::vector<Snapshot>, snapshots)))                    \
   X(CellNews, ((std::string, locality))((Uint64, term))((Uint64, sequence))((std::string, holder))                    \
-                  ((std::vector<WorkerView>, workers))((std::vector<LinkSpeed>, links))((bool, light))((Uint64, base))((Strings, gone)))        \
+                  ((std::vector<WorkerView>, workers))((std::vector<LinkSpeed>, links))((bool, omitsSummaries))((Uint64, base))((Strings, gone)))        \
   X(MarksMsg, ((std::int64_t, age))((std::vector<Machine>, machines)))                                              \
-  X(FeedAsk, ((std::int64_t, sentAt))((Uint64, applied))((std::vector<CellMark>, cells))((Uint64, marksDigest)))      \
+  X(FeedAsk, ((std::int64_t, sentAt))((Uint64, applied))((std::vector<CellVersion>, cells))((Uint64, machineListDigest)))      \
   X(FeedReply, ((std::int64_t, sentAt))((std::int64_t, age))((Uint64, needed))((bool, known))                        \
-               ((std::vector<VersionNaming>, namings)))                                                            \
+               ((std::vector<WeightsAnnouncement>, namings)))                                                            \
   /* kept blocks */                                                                                                 \
   X(LookupMsg, ((std::string, lookupId))((std::string, locality))((std::string, keeper))((std::string, weights))    \
                    ((Hashes, hashes))((std::string, replyTo)))                                                      \
@@ -102,14 +102,14 @@
                      ((Strings, parts))((Hashes, hashes))((int, maxTokens))((bool, moves))((std::string, transferId))\
                      ((std::string, sourceAddress))((std::string, tenant))((bool, app))((std::string, params))       \
                      ((std::string, callerOrderId))((std::string, worker))((std::string, sinkAddress))((int, urgency)) \
-                     ((std::int64_t, deadlineMs))((std::string, resumeAfter))((bool, once))((std::int64_t, leaveBy)))                        \
+                     ((std::int64_t, deadlineMs))((std::string, resumeAfter))((bool, once))((std::int64_t, sendDeadline)))                        \
   X(WorkerDrop, ((std::string, orderId)))                                                                           \
   X(WorkerLoad, ((std::string, orderId))((int, running))((int, waiting))((int, slots)))                                      \
   X(WorkerChunk, ((std::string, orderId))((std::string, text))((std::string, piece)))                                                    \
   X(WorkerEnd, ((std::string, orderId))((int, outcome))((int, code))((int, local))((int, fetched))((int, computed)))\
   X(ReportAsk, ((Uint64, after))((std::string, incarnation))((bool, whole))((int, scope))((std::string, worker)))                                        \
   X(Report, ((std::string, worker))((std::string, incarnation))((std::string, weights))((std::string, model))       \
-                ((int, running))((int, slots))((Uint64, sequence))((std::vector<KeptEvent>, events))((bool, whole))  \
+                ((int, running))((int, slots))((Uint64, sequence))((std::vector<CacheEvent>, events))((bool, whole))  \
                 ((Hashes, kept))((bool, draining))((Uint64, term))((int, scope))((bool, gaps))((bool, lost))((int, waiting))((int, memory))\
                 ((bool, countsOrders))((Uint64, orders)))                                                           \
   X(ControlAsk, ((Uint64, term))((std::string, holder))((std::string, action))((std::string, model))                 \
@@ -132,17 +132,17 @@
   X(CallerVerdict, ((std::string, orderId))((std::string, verdict))((int, code))((std::string, subject))            \
                        ((std::string, text))((int, retryAfterMs))((int, tries))((int, local))((int, fetched))       \
                        ((int, computed))((std::string, worker))((bool, began)))                                    \
-  X(OperatorRequest, ((std::string, askId))((std::string, body))((bool, whole))((std::int64_t, ifRevision))             \
-                     ((std::string, changeId))((std::int64_t, sinceRevision))((int, manner))((std::int64_t, toRevision)))                                      \
-  X(OperatorResponse, ((std::string, askId))((int, code))((std::string, subject))((std::string, text))                 \
+  X(OperatorRequest, ((std::string, requestId))((std::string, body))((bool, whole))((std::int64_t, ifRevision))             \
+                     ((std::string, changeId))((std::int64_t, sinceRevision))((int, changeFormat))((std::int64_t, toRevision)))                                      \
+  X(OperatorResponse, ((std::string, requestId))((int, code))((std::string, subject))((std::string, text))                 \
                        ((Uint64, revision))((Uint64, reached)))                                                       \
-  X(ReadRequest, ((std::string, askId)))                                                                            \
-  X(ReadResponse, ((std::string, askId))((bool, confirmed))((Uint64, revision))((Uint64, index))) \
+  X(ReadRequest, ((std::string, requestId)))                                                                            \
+  X(ReadResponse, ((std::string, requestId))((bool, confirmed))((Uint64, revision))((Uint64, index))) \
   /* a snapshot's pieces */                                                                                         \
   X(InstallSnapshotResponse, ((Uint64, term))((std::string, voter))((std::string, digest))((Uint64, offset))          \
                                  ((Uint64, attempt)))                                                               \
   /* when weights were named, for who has forgotten it */                                                           \
-  X(NamingsMsg, ((std::vector<VersionNaming>, namings)))                                                           \
+  X(NamingsMsg, ((std::vector<WeightsAnnouncement>, namings)))                                                           \
   /* prompts placed at workers and not read yet, told to the cells of those workers */                            \
   X(PrefillStarted, ((std::string, sendId))((std::string, locality))((std::string, worker))((Hashes, hashes))       \
                         ((int, tokens)))                                                                            \
@@ -162,9 +162,9 @@
 const char* messageName(const Message& message);
 /// Takes newer cell news in. Light ones carry no summaries, so those that were known stay. Ones with a base hold only
 /// what has changed since that sequence, and are not taken by who does not have just that.
-bool takeCellNews(CellNews& kept, const CellNews& news);
+bool applyCellNews(CellNews& kept, const CellNews& news);
 /// Tells one list of machines from another.
-Uint64 digestOf(const std::vector<Machine>& machines);
+Uint64 digestOfMachineList(const std::vector<Machine>& machines);
 /// A refusal as the body of the entry that agrees on it.
 std::string encodeRefusal(const Refusal& refusal);
 Result<Refusal> decodeRefusal(std::string_view bytes);
@@ -179,10 +179,10 @@
 Result<LogEntry> decodeEntry(std::string_view bytes);
 
 /// How a worker's order ended.
-enum class Outcome : int {
+enum class OrderOutcome : int {
   done = 0,
   denied = 1,
-  brokenUnsent = 2,
+  brokenBeforeSend = 2,
   broken = 3,
   failed = 4,
   silent = 5,
@@ -192,12 +192,12 @@
 /// What an entry in the log is.
 enum class EntryKind : int { empty = 0, change = 1, members = 2, whole = 3, refusal = 4 };
 /// What a report tells of: all, the kept blocks only, or the worker's condition only.
-enum class Scope : int { all = 0, index = 1, condition = 2 };
+enum class ReportScope : int { all = 0, index = 1, condition = 2 };
 /// What a change's body is: a patch that is merged; the whole; sections that are each made to be just this; items that
 /// each replace what stood under their name; edits, which are items that say nothing of the version that they build on
 /// (see resolveEdits); weights that are named by number and only rise.
-enum class Manner : int { patch = 0, whole = 1, sections = 2, items = 3, edits = 4, weights = 5 };
+enum class ChangeFormat : int { patch = 0, whole = 1, sections = 2, items = 3, edits = 4, weights = 5 };
 /// What happened to kept blocks.
-enum class KeptKind : int { stored = 0, removed = 1, cleared = 2 };
+enum class CacheEventKind : int { stored = 0, removed = 1, cleared = 2 };
 
 }  // namespace tt
--- a/src/cluster/cluster_view.cpp
+++ b/src/cluster/cluster_view.cpp
@@ -14,7 +14,8 @@
   return Strings(addresses.begin(), addresses.end());
 }
 
-void ClusterView::ask(Effects& effects, Uint64 applied, const std::vector<CellMark>& cells, const Configuration& view) {
+void ClusterView::ask(Effects& effects, Uint64 applied, const std::vector<CellVersion>& cells,
+                      const Configuration& view) {
   outOfTouch = !fresh(effects.now);
   if (!settings.defences.isEnabled(Defence::freshnessWeighed)) weigh(effects.now, view);
   auto addresses = coreAddresses(view);
@@ -35,17 +36,17 @@
   auto found = cores.find(from);
   if (found == cores.end()) return;
   auto& core = found->second;
-  auto asked = core.asks.find(reply.askId);
+  auto asked = core.asks.find(reply.requestId);
   if (asked == core.asks.end()) return;
   TimePoint askedAt = asked->second;
   core.asks.erase(core.asks.begin(), std::next(asked));
-  if (reply.marksKnown && reply.marksAge >= 0) {
-    TimePoint listedAt = askedAt - Duration(reply.marksAge);
-    if (reply.marksDigest == digest && marksKnown())
+  if (reply.machineListKnown && reply.machineListAgeNs >= 0) {
+    TimePoint listedAt = askedAt - Duration(reply.machineListAgeNs);
+    if (reply.machineListDigest == digest && machineListKnown())
       marksAskedAt = std::max(marksAskedAt, listedAt);
-    else if (digestOf(reply.machines) == reply.marksDigest)
+    else if (digestOfMachineList(reply.machines) == reply.machineListDigest)
       offerMarks(reply.machines, listedAt);
-  } else if (!reply.marksKnown && marksKnown()) {
+  } else if (!reply.machineListKnown && machineListKnown()) {
     effects.send(from, MarksMsg{(effects.now - marksAskedAt).count(), machineRows});
   }
   if (!core.heard || askedAt >= core.askedAt) {
@@ -67,9 +68,9 @@
 
 bool ClusterView::offerMarks(const std::vector<Machine>& machines, TimePoint askedAt) {
   if (machines.empty()) return false;
-  if (marksKnown() && askedAt <= marksAskedAt && settings.defences.isEnabled(Defence::listOrder)) return false;
+  if (machineListKnown() && askedAt <= marksAskedAt && settings.defences.isEnabled(Defence::listOrder)) return false;
   marksAskedAt = askedAt;
-  Uint64 newDigest = digestOf(machines);
+  Uint64 newDigest = digestOfMachineList(machines);
   if (newDigest == digest) return false;
   digest = newDigest;
   machineRows = machines;
@@ -128,7 +129,7 @@
 void ClusterView::noteVersions(const Configuration& view) {
   if (view.index() == notedIndex) return;
   notedIndex = view.index();
-  const auto* models = view.sectionAt("models");
+  const auto* models = view.findSection("models");
   if (!models) return;
   auto complete = completeUntil == TimePoint{} ? std::nullopt : std::optional<TimePoint>(completeUntil);
   for (const auto& [model, item] : *models) timeline.observe(model, stringOr(item, "weights"), complete, view.index());
@@ -140,8 +141,8 @@
     if (forgot(reply, mine)) return effects.send(from, NamingsMsg{timeline.tellAll(effects.now)});
 }
 
-bool ClusterView::forgot(const LogEndResponse& reply, const VersionNaming& newest) {
-  return std::any_of(reply.namings.begin(), reply.namings.end(), [&](const VersionNaming& naming) {
+bool ClusterView::forgot(const LogEndResponse& reply, const WeightsAnnouncement& newest) {
+  return std::any_of(reply.namings.begin(), reply.namings.end(), [&](const WeightsAnnouncement& naming) {
     return naming.model == newest.model && naming.weights == newest.weights && naming.age < 0;
   });
 }
--- a/src/cluster/cluster_view.hpp
+++ b/src/cluster/cluster_view.hpp
@@ -21,7 +21,7 @@
  public:
   explicit ClusterView(ReaderSettings readerSettings);
   /// Asks every core known for its log's end.
-  void ask(Effects& effects, Uint64 applied, const std::vector<CellMark>& cells, const Configuration& view);
+  void ask(Effects& effects, Uint64 applied, const std::vector<CellVersion>& cells, const Configuration& view);
   void handle(Effects& effects, const std::string& from, const LogEndResponse& reply, const Configuration& view);
   /// Looks again at how complete the view is, after it has moved on.
   void weigh(TimePoint now, const Configuration& view);
@@ -39,15 +39,15 @@
   Uint64 knownCommit() const { return highestCommit; }
   const Strings& watch() const { return watchRows; }
   const std::vector<Machine>& machines() const { return machineRows; }
-  bool marksKnown() const { return marksAskedAt != TimePoint{}; }
-  TimePoint marksAt() const { return marksAskedAt; }
-  Uint64 marksDigest() const { return digest; }
+  bool machineListKnown() const { return marksAskedAt != TimePoint{}; }
+  TimePoint machineListAt() const { return marksAskedAt; }
+  Uint64 machineListDigest() const { return digest; }
   /// When weights were named. The view's own namings are noted at each weigh(); to be called besides after each entry,
   /// while the view is known to be complete up to just before it.
   void noteVersions(const Configuration& view);
   const VersionTimeline& versions() const { return timeline; }
   /// Learns when weights were named from a reader that remembers it.
-  void learnVersions(const std::vector<VersionNaming>& namings, TimePoint now) { timeline.learn(namings, now); }
+  void learnVersions(const std::vector<WeightsAnnouncement>& namings, TimePoint now) { timeline.learn(namings, now); }
   /// Settles namings of unknown moment once this process has run for longer than any old version may be used.
   void settleVersions(TimePoint ownStart, TimePoint now) { timeline.settleUnknown(ownStart, now, timing.versionMost); }
   /// Learns of a commit by another way than an answer of its own.
@@ -74,7 +74,7 @@
   std::vector<const CoreRow*> heardOf(const std::vector<Member>& members) const;
   /// Takes the moments of namings from a core, and tells it those that it has forgotten.
   void learnFrom(Effects& effects, const std::string& from, const LogEndResponse& reply, TimePoint askedAt);
-  static bool forgot(const LogEndResponse& reply, const VersionNaming& newest);
+  static bool forgot(const LogEndResponse& reply, const WeightsAnnouncement& newest);
   /// Up to which index a reader must have applied, by the word of some of the voters; none if these are too few.
   std::optional<Uint64> neededBy(const std::vector<const CoreRow*>& heard, std::size_t voters) const;
   /// When the oldest was asked of the newest words, at least so many, by which an index is complete.
--- a/src/cluster/core.cpp
+++ b/src/cluster/core.cpp
@@ -84,7 +84,7 @@
 
 void Core::keepNews(Effects& effects, const CellNews& news, bool own) {
   auto& kept = lastNews[news.locality];
-  if (!takeCellNews(kept, news)) return askMissed(effects, news);
+  if (!applyCellNews(kept, news)) return askMissed(effects, news);
   spread(effects, news);
   if (!own) return;
   for (const auto& member : replicatedLog->members())
@@ -97,8 +97,8 @@
       effects.now - missedAt < missedEvery)
     return;
   missedAt = effects.now;
-  std::vector<CellMark> marks;
-  for (const auto& [locality, row] : lastNews) marks.push_back(CellMark{locality, row.term, row.sequence});
+  std::vector<CellVersion> marks;
+  for (const auto& [locality, row] : lastNews) marks.push_back(CellVersion{locality, row.term, row.sequence});
   effects.send(news.holder, NewsAsk{self.address, replicatedLog->configuration().index(), marks});
 }
 
@@ -125,7 +125,7 @@
     row.watch = watchFor(from, effects.now);
     row.watchAt = effects.now;
   }
-  LogEndResponse reply{ask.askId,
+  LogEndResponse reply{ask.requestId,
                        self.id,
                        replicatedLog->election.term(),
                        replicatedLog->speaksForTerm(),
@@ -133,13 +133,14 @@
                        replicatedLog->commit(),
                        replicatedLog->members(),
                        ask.relays ? row.watch : Strings{},
-                       clusterView->marksKnown(),
+                       clusterView->machineListKnown(),
                        0,
-                       clusterView->marksDigest(),
+                       clusterView->machineListDigest(),
                        {},
                        clusterView->versions().tell(effects.now, timing.versionMost, true)};
-  if (reply.marksKnown) reply.marksAge = (effects.now - clusterView->marksAt()).count();
-  if (reply.marksKnown && ask.marksDigest != reply.marksDigest) reply.machines = clusterView->machines();
+  if (reply.machineListKnown) reply.machineListAgeNs = (effects.now - clusterView->machineListAt()).count();
+  if (reply.machineListKnown && ask.machineListDigest != reply.machineListDigest)
+    reply.machines = clusterView->machines();
   effects.send(from, reply);
 }
 
@@ -147,7 +148,7 @@
   followers[from] = effects.now;
   auto news = replicatedLog->newsAfter(ask.applied);
   effects.send(from, news);
-  std::map<std::string, CellMark> marksByLocality;
+  std::map<std::string, CellVersion> marksByLocality;
   for (const auto& mark : ask.cells) marksByLocality[mark.locality] = mark;
   for (const auto& [locality, kept] : lastNews) {
     auto found = marksByLocality.find(locality);
@@ -159,8 +160,8 @@
 
 void Core::takeMarks(Effects& effects) {
   Uint64 services = digestOfServices();
-  if (cellDigest == clusterView->marksDigest() && services == servicesDigest) return;
-  cellDigest = clusterView->marksDigest();
+  if (cellDigest == clusterView->machineListDigest() && services == servicesDigest) return;
+  cellDigest = clusterView->machineListDigest();
   servicesDigest = services;
   auto machines = machinesWithStores();
   for (const auto& machine : machines) cellFor(machine.locality);
@@ -207,8 +208,8 @@
   clusterView->noteVersions(replicatedLog->configuration());
   clusterView->settleVersions(startedAt, effects.now);
   for (auto& [locality, cell] : cells) cell->tick(effects, replicatedLog->configuration());
-  bool lists = replicatedLog->leads(effects.now) || !clusterView->marksKnown() ||
-               effects.now - clusterView->marksAt() >= timing.listOld;
+  bool lists = replicatedLog->leads(effects.now) || !clusterView->machineListKnown() ||
+               effects.now - clusterView->machineListAt() >= timing.listOld;
   if (!settings.platformAddress.empty() && lists && effects.now - platformAt >= timing.listEvery) {
     platformAt = effects.now;
     effects.send(settings.platformAddress, MachinesAsk{toNanoseconds(effects.now)});
--- a/src/cluster/core.hpp
+++ b/src/cluster/core.hpp
@@ -54,7 +54,7 @@
     TimePoint at{};
   };
   struct Asked {
-    std::string from, askId, leaderAddress;
+    std::string from, requestId, leaderAddress;
     TimePoint at{}, agreedAt{};
     std::uint64_t revision{0}, index{0}, term{0};
     OperatorRequest ask;
@@ -64,7 +64,7 @@
   };
   /// A read of the configuration that waits until this core knows all that was agreed before it was asked for.
   struct PendingRead {
-    std::string from, askId;
+    std::string from, requestId;
     TimePoint at{};
   };
   CoreSettings settings;
--- a/src/cluster/core_operators.cpp
+++ b/src/cluster/core_operators.cpp
@@ -31,13 +31,13 @@
 
 void Core::onOperator(Effects& effects, const std::string& from, const OperatorRequest& ask) {
   if (asked.size() >= mostAsked) {
-    effects.send(from, OperatorResponse{ask.askId, static_cast<int>(Code::changesFull), "changes",
+    effects.send(from, OperatorResponse{ask.requestId, static_cast<int>(Code::changesFull), "changes",
                                         codeText(Code::changesFull), 0, 0});
     return;
   }
   Asked row;
   row.from = from;
-  row.askId = ask.askId;
+  row.requestId = ask.requestId;
   row.at = effects.now;
   row.ask = ask;
   row.seen = seenBefore(effects.now);
@@ -62,7 +62,7 @@
 }
 
 void Core::onChangeReply(Effects& effects, const std::string& from, const ChangeResponse& reply) {
-  auto found = asked.find(reply.askId);
+  auto found = asked.find(reply.requestId);
   if (found == asked.end()) return;
   auto& row = found->second;
   auto code = static_cast<Code>(reply.code);
@@ -77,7 +77,7 @@
     return;
   }
   if (row.agreed || code == Code::notLeading || code == Code::changeUnsure) return;
-  effects.send(row.from, OperatorResponse{row.askId, reply.code, reply.subject, reply.text, reply.revision, 0});
+  effects.send(row.from, OperatorResponse{row.requestId, reply.code, reply.subject, reply.text, reply.revision, 0});
   asked.erase(found);
 }
 
@@ -92,7 +92,7 @@
   effects.send(
       row.from,
       OperatorResponse{
-          row.askId, static_cast<int>(Code::changeTaken), {}, codeText(Code::changeTaken), row.revision, reached});
+          row.requestId, static_cast<int>(Code::changeTaken), {}, codeText(Code::changeTaken), row.revision, reached});
 }
 
 void Core::passOn(Effects& effects, const std::string& name, Asked& row) {
@@ -100,7 +100,7 @@
   if (leader.empty() || (leader == self.address && !replicatedLog->leads(effects.now))) return;
   row.sentAt = effects.now;
   effects.send(leader, ChangeRequest{name, row.ask.body, row.ask.whole, row.ask.ifRevision, row.ask.changeId,
-                                     row.ask.sinceRevision, row.ask.manner, row.ask.toRevision, row.seen});
+                                     row.ask.sinceRevision, row.ask.changeFormat, row.ask.toRevision, row.seen});
 }
 
 void Core::settleAsked(Effects& effects) {
@@ -113,7 +113,7 @@
       confirm(effects, row);
     } else if (late) {
       Code code = row.sentAt == TimePoint{} ? Code::notLeading : Code::changeUnsure;
-      effects.send(row.from, OperatorResponse{row.askId, static_cast<int>(code), "accord", codeText(code), 0, 0});
+      effects.send(row.from, OperatorResponse{row.requestId, static_cast<int>(code), "accord", codeText(code), 0, 0});
     } else if (!row.agreed && (row.sentAt == TimePoint{} || effects.now - row.sentAt >= passAgain)) {
       passOn(effects, found->first, row);
     }
@@ -136,7 +136,7 @@
 void Core::askReaders(Effects& effects) {
   if (effects.now - round.at < readersEvery) return;
   const Asked* furthest = nullptr;
-  for (const auto& [askId, row] : asked)
+  for (const auto& [requestId, row] : asked)
     if (row.agreed && (!furthest || row.index > furthest->index)) furthest = &row;
   if (!furthest) return;
   round = ReadersRound{round.id + 1, furthest->index, furthest->term, effects.now, {}, {}, {}};
--- a/src/cluster/core_reads.cpp
+++ b/src/cluster/core_reads.cpp
@@ -16,10 +16,10 @@
 
 void Core::onRead(Effects& effects, const std::string& from, const ReadRequest& ask) {
   if (pendingReads.size() >= mostReads || !replicatedLog->formed()) {
-    effects.send(from, ReadResponse{ask.askId, false, 0, 0});
+    effects.send(from, ReadResponse{ask.requestId, false, 0, 0});
     return;
   }
-  pendingReads.push_back(PendingRead{from, ask.askId, effects.now});
+  pendingReads.push_back(PendingRead{from, ask.requestId, effects.now});
   settleReads(effects);
 }
 
@@ -31,7 +31,7 @@
     const auto& read = pendingReads.front();
     bool confirmed = clusterView->majorityStamp() >= read.at;
     if (!confirmed && effects.now - read.at < readMost) break;
-    effects.send(read.from, ReadResponse{read.askId, confirmed, view.revision(), view.index()});
+    effects.send(read.from, ReadResponse{read.requestId, confirmed, view.revision(), view.index()});
     pendingReads.pop_front();
   }
   bool asksAgain = !pendingReads.empty() && effects.now - endsAt >= readAgain;
--- a/src/cluster/core_report.cpp
+++ b/src/cluster/core_report.cpp
@@ -9,8 +9,8 @@
   whole["formed"] = Json(replicatedLog->formed());
   whole["diskStalled"] = Json(diskStalled);
   whole["confirmed"] = Json(readsConfirmed(now));
-  whole["listAgeMs"] =
-      jsonNumber(clusterView->marksKnown() ? static_cast<double>(toMilliseconds(now - clusterView->marksAt())) : -1);
+  whole["listAgeMs"] = jsonNumber(
+      clusterView->machineListKnown() ? static_cast<double>(toMilliseconds(now - clusterView->machineListAt())) : -1);
   whole["revision"] = jsonNumber(static_cast<double>(replicatedLog->configuration().revision()));
   whole["commit"] = jsonNumber(static_cast<double>(replicatedLog->commit()));
   whole["logEnd"] = jsonNumber(static_cast<double>(replicatedLog->logEnd()));
--- a/src/config/configuration.cpp
+++ b/src/config/configuration.cpp
@@ -11,18 +11,19 @@
 constexpr std::size_t refusalsRemembered = 1024;
 }  // namespace
 
-Result<std::string> Configuration::preparePatch(const std::string& text, Manner manner) const {
+Result<std::string> Configuration::preparePatch(const std::string& text, ChangeFormat changeFormat) const {
   auto read = parseJson(text);
   if (!read) return read.error();
   if (!read.value().is<JsonObject>()) return fault(Code::badField, "body", "must be an object");
   JsonObject patch = read.value().get<JsonObject>();
-  if (manner == Manner::edits)
+  if (changeFormat == ChangeFormat::edits)
     if (auto resolved = resolveEdits(patch, sections); !resolved) return resolved.error();
-  auto normalized = normalizeShape(patch, sections, manner == Manner::whole);
+  auto normalized = normalizeShape(patch, sections, changeFormat == ChangeFormat::whole);
   if (!normalized) return normalized.error();
-  if (manner == Manner::whole) reduceWhole(patch, sections);
-  if (manner == Manner::sections || manner == Manner::items || manner == Manner::edits)
-    reduceItems(patch, sections, manner == Manner::sections);
+  if (changeFormat == ChangeFormat::whole) reduceWhole(patch, sections);
+  if (changeFormat == ChangeFormat::sections || changeFormat == ChangeFormat::items ||
+      changeFormat == ChangeFormat::edits)
+    reduceItems(patch, sections, changeFormat == ChangeFormat::sections);
   if (auto checked = PatchChecks(sections, keyIdByHash, patch).run(); !checked) return checked.error();
   return Json(patch).serialize();
 }
@@ -69,12 +70,12 @@
 
 void Configuration::foldRoute(const std::string& name, const Json* value) {
   if (auto known = routeRows.find(name); known != routeRows.end()) {
-    if (known->second.byPath()) forgetPrefix(known->second);
+    if (known->second.matchesPath()) forgetPrefix(known->second);
     routeRows.erase(known);
   }
   if (!value || !value->is<JsonObject>()) return;
   auto route = readRoute(name, *value);
-  if (route.byPath()) routeByPrefix[route.host][route.prefix] = name;
+  if (route.matchesPath()) routeByPrefix[route.host][route.prefix] = name;
   routeRows[name] = std::move(route);
 }
 
@@ -191,7 +192,7 @@
   return boost::outcome_v2::success();
 }
 
-std::optional<std::uint64_t> Configuration::takenAs(const std::string& changeId) const {
+std::optional<std::uint64_t> Configuration::revisionOfChange(const std::string& changeId) const {
   auto found = changeRevisions.find(changeId);
   if (changeId.empty() || found == changeRevisions.end()) return std::nullopt;
   return found->second;
@@ -240,15 +241,15 @@
   return found == sections.end() ? JsonObject() : found->second;
 }
 
-const JsonObject* Configuration::sectionAt(const std::string& name) const {
+const JsonObject* Configuration::findSection(const std::string& name) const {
   auto found = sections.find(name);
   return found == sections.end() || found->second.empty() ? nullptr : &found->second;
 }
 
-bool Configuration::asksKeys() const { return sectionAt("tenants") || sectionAt("keys"); }
+bool Configuration::requiresKeys() const { return findSection("tenants") || findSection("keys"); }
 
 std::optional<TenantView> Configuration::findTenant(const std::string& name) const {
-  const auto* tenants = sectionAt("tenants");
+  const auto* tenants = findSection("tenants");
   if (!tenants) return std::nullopt;
   auto found = tenants->find(name);
   if (found == tenants->end()) return std::nullopt;
@@ -291,7 +292,7 @@
 
 bool Configuration::knowsModel(const std::string& model) const { return weightsOf(model).has_value(); }
 
-std::string Configuration::domainOf(const std::string& tenant) const {
+std::string Configuration::cacheDomainOf(const std::string& tenant) const {
   auto found = sections.find("tenants");
   if (found == sections.end() || !found->second.count(tenant)) return "own:" + tenant;
   return boolOr(found->second.at(tenant), "isolated", false) ? "own:" + tenant : "shared";
--- a/src/config/configuration.hpp
+++ b/src/config/configuration.hpp
@@ -13,7 +13,7 @@
   std::string tenant;
 };
 /// What may be done with an order that a worker broke off: run it again, never, or go on after the last piece.
-enum class Repeat { once, safe, stream };
+enum class RetryMode { once, safe, stream };
 struct RouteView {
   std::string name, model;
   bool app{false};
@@ -22,11 +22,11 @@
   /// A route by host and path leads to services, each with its weight; the others lead to a model.
   std::string host, prefix;
   std::vector<std::pair<std::string, double>> split;
-  Repeat repeat{Repeat::once};
-  Duration timeout{0}, aim{0}, gap{0};
+  RetryMode repeat{RetryMode::once};
+  Duration timeout{0}, targetLatency{0}, gap{0};
   int tries{0}, priority{5};
   bool open{false}, resumable{false};
-  bool byPath() const { return !prefix.empty(); }
+  bool matchesPath() const { return !prefix.empty(); }
 };
 struct TenantView {
   std::optional<int> priority;
@@ -55,9 +55,9 @@
   /// Turns an operator's text into a patch ready for the log: secrets hashed, a whole one made into a difference,
   /// everything it touches checked. Nothing is applied.
   Result<std::string> preparePatch(const std::string& text, bool whole) const {
-    return preparePatch(text, whole ? Manner::whole : Manner::patch);
+    return preparePatch(text, whole ? ChangeFormat::whole : ChangeFormat::patch);
   }
-  Result<std::string> preparePatch(const std::string& text, Manner manner) const;
+  Result<std::string> preparePatch(const std::string& text, ChangeFormat changeFormat) const;
   /// Applies one agreed entry; entries come in order and are never undone.
   void apply(const LogEntry& entry);
   Snapshot snapshot() const;
@@ -68,7 +68,7 @@
   std::uint64_t revision() const { return currentRevision; }
   const std::vector<Member>& members() const { return memberRows; }
   /// The revision that a change made, if it is among the last 4096 taken.
-  std::optional<std::uint64_t> takenAs(const std::string& changeId) const;
+  std::optional<std::uint64_t> revisionOfChange(const std::string& changeId) const;
   /// Changes up to this revision are no longer known by their ids.
   std::uint64_t forgottenRevision() const;
   /// The newest refusal of a change that was agreed after an index of the log, if it is among the last 1024.
@@ -85,7 +85,7 @@
   /// Of a host's routes the one whose prefix begins the path and is longest.
   const RouteView* routeFor(const std::string& host, const std::string& path) const;
   /// Whether any tenant or key is declared: without, orders need no key.
-  bool asksKeys() const;
+  bool requiresKeys() const;
   std::optional<TenantView> findTenant(const std::string& name) const;
   const std::vector<StoreView>& stores() const { return storeRows; }
   /// A declared service; null where no service has that name.
@@ -93,11 +93,11 @@
   const std::map<std::string, ServiceView>& services() const { return serviceRows; }
   const CallerLimits& callerLimits() const { return limitsRow; }
   /// A section by name, without a copy; null if it has no items.
-  const JsonObject* sectionAt(const std::string& name) const;
+  const JsonObject* findSection(const std::string& name) const;
   std::optional<std::string> weightsOf(const std::string& model) const;
   bool knowsModel(const std::string& model) const;
   /// What tells a tenant's blocks from another's: its own name when isolated, else one that sharers have in common.
-  std::string domainOf(const std::string& tenant) const;
+  std::string cacheDomainOf(const std::string& tenant) const;
   Policy policyOf(const std::string& name) const;
   JsonObject section(const std::string& name) const;
 
--- a/src/config/item_readers.cpp
+++ b/src/config/item_readers.cpp
@@ -37,11 +37,11 @@
   return found != fields.end() && found->second.is<JsonArray>() ? found->second.get<JsonArray>() : none;
 }
 
-Repeat readRepeat(const Json& item) {
+RetryMode readRepeat(const Json& item) {
   std::string repeat = stringOr(item, "repeat");
-  if (repeat == "safe") return Repeat::safe;
-  if (repeat == "stream") return Repeat::stream;
-  return Repeat::once;
+  if (repeat == "safe") return RetryMode::safe;
+  if (repeat == "stream") return RetryMode::stream;
+  return RetryMode::once;
 }
 
 std::vector<std::pair<std::string, double>> readSplit(const Json& item) {
@@ -83,7 +83,7 @@
   route.split = readSplit(item);
   route.repeat = readRepeat(item);
   route.timeout = spanOr(item, "timeoutMs", 0);
-  route.aim = spanOr(item, "aimMs", 0);
+  route.targetLatency = spanOr(item, "aimMs", 0);
   route.gap = spanOr(item, "gapMs", 0);
   route.tries = intOr(item, "tries", 0);
   route.priority = intOr(item, "priority", 5);
--- a/src/config/policy.cpp
+++ b/src/config/policy.cpp
@@ -59,7 +59,7 @@
   return policy;
 }
 
-bool Policy::fetches(const FetchFacts& facts) const {
+bool Policy::fetches(const FetchCandidate& facts) const {
   for (const auto& line : lines) {
     if (line.action == Line::Action::fetchPeer && facts.fromStore) continue;
     if (line.action == Line::Action::fetchStore && !facts.fromStore) continue;
--- a/src/config/policy.hpp
+++ b/src/config/policy.hpp
@@ -4,7 +4,7 @@
 namespace tt {
 
 /// What a policy may look at for one candidate source.
-struct FetchFacts {
+struct FetchCandidate {
   bool fromStore{false};
   double hits{0};
   double speed{0};
@@ -16,7 +16,7 @@
  public:
   /// Reads a policy; a fault names the line and the reason.
   static Result<Policy> read(const std::string& text);
-  bool fetches(const FetchFacts& facts) const;
+  bool fetches(const FetchCandidate& facts) const;
 
  private:
   struct Test {
--- a/src/consensus/change_requests.cpp
+++ b/src/consensus/change_requests.cpp
@@ -10,7 +10,8 @@
 
 void ReplicatedLog::respond(Effects& effects, const std::string& from, const ChangeRequest& ask, Code code,
                             std::string subject) {
-  effects.send(from, ChangeResponse{ask.askId, static_cast<int>(code), std::move(subject), codeText(code), 0, 0, 0});
+  effects.send(from,
+               ChangeResponse{ask.requestId, static_cast<int>(code), std::move(subject), codeText(code), 0, 0, 0});
 }
 
 void ReplicatedLog::respondOnceAgreed(Effects& effects, const std::string& from, ChangeResponse response,
@@ -22,7 +23,7 @@
     return;
   }
   bool waits = std::any_of(waiters.begin(), waiters.end(), [&](const Waiter& row) {
-    return row.from == from && row.response.askId == response.askId && row.index == index;
+    return row.from == from && row.response.requestId == response.requestId && row.index == index;
   });
   if (!waits) waiters.push_back(Waiter{from, index, std::move(response)});
 }
@@ -34,13 +35,13 @@
 }
 
 bool ReplicatedLog::respondFromMemory(Effects& effects, const std::string& from, const ChangeRequest& ask) {
-  ChangeResponse taken{ask.askId, static_cast<int>(Code::changeTaken), {}, codeText(Code::changeTaken), 0, 0, 0};
-  if (auto revision = head.takenAs(ask.changeId); revision && defences.isEnabled(Defence::changeIdOnce)) {
+  ChangeResponse taken{ask.requestId, static_cast<int>(Code::changeTaken), {}, codeText(Code::changeTaken), 0, 0, 0};
+  if (auto revision = head.revisionOfChange(ask.changeId); revision && defences.isEnabled(Defence::changeIdOnce)) {
     taken.revision = *revision;
     respondOnceAgreed(effects, from, taken, indexOfChange(ask.changeId));
     return true;
   }
-  if (static_cast<Manner>(ask.manner) == Manner::weights && head.hasWeights(ask.body)) {
+  if (static_cast<ChangeFormat>(ask.changeFormat) == ChangeFormat::weights && head.hasWeights(ask.body)) {
     taken.revision = head.revision();
     respondOnceAgreed(effects, from, taken, logEnd());
     return true;
@@ -48,7 +49,7 @@
   if (const auto* refusal = head.refusedAfter(ask.changeId, ask.seen)) {
     respondOnceAgreed(
         effects, from,
-        ChangeResponse{ask.askId, refusal->code, refusal->subject, refusal->text, refusal->revision, 0, 0},
+        ChangeResponse{ask.requestId, refusal->code, refusal->subject, refusal->text, refusal->revision, 0, 0},
         refusal->index);
     return true;
   }
@@ -65,7 +66,8 @@
     return fault(Code::staleRevision, "ifRevision");
   if (ask.toRevision > 0 && static_cast<std::uint64_t>(ask.toRevision) <= head.revision())
     return fault(Code::revisionOld, "revision");
-  auto patch = head.preparePatch(ask.body, ask.whole ? Manner::whole : static_cast<Manner>(ask.manner));
+  auto patch =
+      head.preparePatch(ask.body, ask.whole ? ChangeFormat::whole : static_cast<ChangeFormat>(ask.changeFormat));
   if (patch && head.bytes() + patch.value().size() > room) return fault(Code::blueprintLarge, "body");
   return patch;
 }
@@ -80,7 +82,7 @@
                   head.revision()};
   append(effects, EntryKind::refusal, encodeRefusal(refusal), {});
   respondOnceAgreed(effects, from,
-                    ChangeResponse{ask.askId, refusal.code, refusal.subject, refusal.text, refusal.revision, 0, 0},
+                    ChangeResponse{ask.requestId, refusal.code, refusal.subject, refusal.text, refusal.revision, 0, 0},
                     refusal.index);
 }
 
@@ -88,7 +90,7 @@
   if (!election.holds(effects.now)) return respond(effects, from, ask, Code::notLeading, "accord");
   if (respondFromMemory(effects, from, ask)) return;
   if (waiters.size() >= mostWaiters) return respond(effects, from, ask, Code::changesFull, "changes");
-  bool weights = static_cast<Manner>(ask.manner) == Manner::weights;
+  bool weights = static_cast<ChangeFormat>(ask.changeFormat) == ChangeFormat::weights;
   if (weights && head.revision() == 0) return respond(effects, from, ask, Code::notLeading, "revision");
   auto patch = judge(ask);
   if (patch && bytesAfter(commitIndex) + patch.value().size() > room)
@@ -101,7 +103,7 @@
     respondOnceAgreed(
         effects, from,
         ChangeResponse{
-            ask.askId, static_cast<int>(Code::changeTaken), {}, codeText(Code::changeTaken), head.revision(), 0, 0},
+            ask.requestId, static_cast<int>(Code::changeTaken), {}, codeText(Code::changeTaken), head.revision(), 0, 0},
         logEnd());
   } else {
     refuse(effects, from, ask, patch.error());
--- a/src/consensus/replicated_log.cpp
+++ b/src/consensus/replicated_log.cpp
@@ -109,8 +109,8 @@
   followers.clear();
   if (!won) {
     for (const auto& waiter : waiters)
-      effects.send(waiter.from, ChangeResponse{waiter.response.askId, static_cast<int>(Code::changeUnsure), "accord",
-                                               codeText(Code::changeUnsure), 0, 0, 0});
+      effects.send(waiter.from, ChangeResponse{waiter.response.requestId, static_cast<int>(Code::changeUnsure),
+                                               "accord", codeText(Code::changeUnsure), 0, 0, 0});
     waiters.clear();
     return;
   }
--- a/src/fuzz/configurations.cpp
+++ b/src/fuzz/configurations.cpp
@@ -33,7 +33,7 @@
   for (const auto& [name, item] : view.section("routes")) {
     auto route = view.findRoute(name);
     if (!route) return "a route has no row";
-    const auto* owner = route->byPath() ? view.routeFor(route->host, route->prefix) : nullptr;
+    const auto* owner = route->matchesPath() ? view.routeFor(route->host, route->prefix) : nullptr;
     text += "|" + name + ">" + (owner ? owner->name : "") + "," + std::to_string(route->timeout.count()) + "," +
             std::to_string(route->tries) + "," + std::to_string(route->priority);
     for (const auto& [service, weight] : route->split) text += "," + service + "=" + std::to_string(weight);
@@ -65,10 +65,11 @@
 
   FuzzOutcome once(Mutator& mutator) {
     if (++rounds % 64 == 0) view = Configuration();
-    constexpr Manner manners[] = {Manner::patch, Manner::patch, Manner::whole, Manner::sections, Manner::items};
-    auto manner = manners[mutator.randomBelow(std::size(manners))];
+    constexpr ChangeFormat manners[] = {ChangeFormat::patch, ChangeFormat::patch, ChangeFormat::whole,
+                                        ChangeFormat::sections, ChangeFormat::items};
+    auto changeFormat = manners[mutator.randomBelow(std::size(manners))];
     std::string input = mutator.bentText(goodPatches), before = listed(view);
-    auto patch = view.preparePatch(input, manner);
+    auto patch = view.preparePatch(input, changeFormat);
     if (listed(view) != before) return broken("a change that was only prepared shows", input);
     if (!patch) return rejectedWith(patch.error(), input);
     LogEntry entry{view.index() + 1, 1, static_cast<int>(EntryKind::change), patch.value(), "id", view.revision() + 1};
@@ -80,7 +81,7 @@
     if (!whole.adopt(view.snapshot())) return broken("its snapshot cannot be adopted", input);
     if (listed(whole) != listed(view))
       return broken("whole it reads otherwise than applied:\n" + listed(whole) + "\n" + listed(view), input);
-    auto again = view.preparePatch(view.text(), Manner::whole);
+    auto again = view.preparePatch(view.text(), ChangeFormat::whole);
     if (!again) return broken("what is in force would be refused: " + again.error().subject, input);
     LogEntry repeated{view.index() + 1, 1, static_cast<int>(EntryKind::change), again.value(), {}, view.revision() + 1};
     Configuration over = view;
@@ -99,8 +100,9 @@
   auto spaced = Policy::read(input + "\n# no more\n\n");
   if (!spaced) return broken("a comment makes it invalid", input);
   for (bool store : {false, true}) {
-    FetchFacts facts{store, static_cast<double>(mutator.randomBelow(9)), static_cast<double>(mutator.randomBelow(20)),
-                     static_cast<double>(mutator.randomBelow(10)) / 10};
+    FetchCandidate facts{store, static_cast<double>(mutator.randomBelow(9)),
+                         static_cast<double>(mutator.randomBelow(20)),
+                         static_cast<double>(mutator.randomBelow(10)) / 10};
     if (read.value().fetches(facts) != spaced.value().fetches(facts)) return broken("a comment changes it", input);
   }
   return accepted();
--- a/src/index/cell.cpp
+++ b/src/index/cell.cpp
@@ -129,7 +129,7 @@
     keeper.askedAt = effects.now;
     effects.send(keeper.machine.address,
                  ReportAsk{keeper.applied, keeper.last.incarnation, sweeping || !keeper.confirmed,
-                           static_cast<int>(settings.apart ? Scope::index : Scope::all), name});
+                           static_cast<int>(settings.apart ? ReportScope::index : ReportScope::all), name});
   }
   if (effects.now - sweptAt > 2 * settings.sweepEvery) sweptLast.clear();
 }
@@ -144,7 +144,7 @@
   if (effects.now - keeper.conditionAskedAt < every) return;
   keeper.conditionAskedAt = effects.now;
   effects.send(keeper.machine.address,
-               ReportAsk{0, {}, false, static_cast<int>(Scope::condition), keeper.machine.name});
+               ReportAsk{0, {}, false, static_cast<int>(ReportScope::condition), keeper.machine.name});
 }
 
 void Cell::onCondition(Effects& effects, Keeper& keeper, const Report& report) {
@@ -172,13 +172,13 @@
     return;
   }
   auto& keeper = found->second;
-  if (report.scope == static_cast<int>(Scope::condition)) return onCondition(effects, keeper, report);
+  if (report.scope == static_cast<int>(ReportScope::condition)) return onCondition(effects, keeper, report);
   keeper.askPending = false;
   if (effects.now - keeper.askedAt > settings.lateAfter) {
     effects.note("report late", report.worker);
     return;
   }
-  bool indexOnly = report.scope == static_cast<int>(Scope::index);
+  bool indexOnly = report.scope == static_cast<int>(ReportScope::index);
   bool changed =
       !keeper.known || (!indexOnly && (keeper.last.running != report.running || keeper.last.weights != report.weights ||
                                        keeper.last.draining != report.draining));
@@ -227,18 +227,18 @@
       return;
     }
     keeper.applied = event.sequence;
-    switch (static_cast<KeptKind>(event.kind)) {
-      case KeptKind::stored:
+    switch (static_cast<CacheEventKind>(event.kind)) {
+      case CacheEventKind::stored:
         keeper.kept.insert(event.hashes.begin(), event.hashes.end());
         break;
-      case KeptKind::removed:
+      case CacheEventKind::removed:
         for (const auto& hash : event.hashes) {
           if (!keeper.kept.erase(hash) || keeper.machine.kind != "store") continue;
           if (keeper.dropped.size() > droppedMost) keeper.dropped.clear();
           keeper.dropped[hash] = effects.now;
         }
         break;
-      case KeptKind::cleared:
+      case CacheEventKind::cleared:
         keeper.kept.clear();
         break;
     }
@@ -257,9 +257,9 @@
   if (now - keeper.weighedAt < weighEvery) return;
   keeper.weighedAt = now;
   if (keeper.regretted * 10 > keeper.found + keeper.regretted)
-    keeper.savedShare = std::max(20, keeper.savedShare * 9 / 10);
+    keeper.savedPermille = std::max(20, keeper.savedPermille * 9 / 10);
   else
-    keeper.savedShare = std::min(1000, keeper.savedShare + keeper.savedShare / 50 + 1);
+    keeper.savedPermille = std::min(1000, keeper.savedPermille + keeper.savedPermille / 50 + 1);
   keeper.found = keeper.regretted = 0;
   newsDue = true;
 }
@@ -295,7 +295,7 @@
   return count;
 }
 
-void Cell::agentHas(const std::string& agent, const CellMark& mark, TimePoint now) {
+void Cell::agentHas(const std::string& agent, const CellVersion& mark, TimePoint now) {
   agentMarks[agent] = AgentMark{mark, now};
 }
 
@@ -350,7 +350,7 @@
   bool whole = sequence <= 1 || said.empty();
   auto stated = [](const WorkerView& row) {
     return std::tie(row.address, row.kind, row.weights, row.model, row.running, row.slots, row.held, row.alive,
-                    row.confirmed, row.service, row.waiting, row.savedShare);
+                    row.confirmed, row.service, row.waiting, row.savedPermille);
   };
   if (!whole) {
     news.base = news.sequence - 1;
@@ -368,12 +368,12 @@
   if (effects.now - publishedAt < (newsDue ? settings.publishEvery : publishIdle)) return;
   if (!election.holds(effects.now)) return;
   publishedAt = effects.now;
-  bool light = sequence > 0 && effects.now - summariesAt < summariesEvery;
-  if (!light) summariesAt = effects.now;
-  newsDue = light;
-  CellNews news{place, election.term(), ++sequence, selfAddress, {}, {}, light};
+  bool omitsSummaries = sequence > 0 && effects.now - summariesAt < summariesEvery;
+  if (!omitsSummaries) summariesAt = effects.now;
+  newsDue = omitsSummaries;
+  CellNews news{place, election.term(), ++sequence, selfAddress, {}, {}, omitsSummaries};
   for (auto& [name, keeper] : rows) {
-    if (keeper.summaryStale && !light && settings.summaries) {
+    if (keeper.summaryStale && !omitsSummaries && settings.summaries) {
       keeper.summary = Summary::make(keeper.kept);
       keeper.summaryStale = false;
     }
@@ -386,8 +386,8 @@
     news.workers.push_back(WorkerView{name, keeper.machine.address, place, keeper.machine.kind, keeper.last.weights,
                                       keeper.last.model, keeper.last.running, keeper.last.slots, held, alive,
                                       keeper.confirmed, keeper.kept.size(), keeper.last.sequence,
-                                      light ? std::string() : keeper.summary, keeper.machine.service,
-                                      keeper.last.waiting, keeper.last.memory, keeper.savedShare});
+                                      omitsSummaries ? std::string() : keeper.summary, keeper.machine.service,
+                                      keeper.last.waiting, keeper.last.memory, keeper.savedPermille});
   }
   if (!settings.summaries) tellChanges(news);
   for (auto speed = speeds.begin(); speed != speeds.end();) {
--- a/src/index/cell.hpp
+++ b/src/index/cell.hpp
@@ -27,7 +27,7 @@
   /// A store's prefixes that gave way of late; of lookups lately, those it had and those that it had let go; and the
   /// share of prefixes, in thousandths, that it is to be given so that what it has is still there when it is wanted.
   std::unordered_map<BlockHash, TimePoint, BlockHashHasher> dropped;
-  int found{0}, regretted{0}, savedShare{1000};
+  int found{0}, regretted{0}, savedPermille{1000};
   TimePoint weighedAt{};
 };
 
@@ -64,7 +64,7 @@
   void tick(Effects& effects, const Configuration& configuration);
   void handle(Effects& effects, const std::string& from, const Message& message);
   /// What an agent is known to have applied of this cell's news.
-  void agentHas(const std::string& agent, const CellMark& mark, TimePoint now);
+  void agentHas(const std::string& agent, const CellVersion& mark, TimePoint now);
   /// Where fresh news go: the other cores and the agents that follow this core.
   std::function<void(Effects&, const CellNews&)> publish;
   /// All cells' newest news, so that small cells can take turns.
@@ -97,7 +97,7 @@
     std::unique_ptr<StateMachine<Cell, Effects&, Watch&>> walk;
   };
   struct AgentMark {
-    CellMark mark;
+    CellVersion mark;
     TimePoint at{};
   };
   std::string place, selfId, selfAddress;
--- a/src/model/history.cpp
+++ b/src/model/history.cpp
@@ -84,7 +84,7 @@
       row.toRevision = other ? other->toRevision : static_cast<std::int64_t>(acknowledgedRevision) + 1;
   }
   ChangeRequest ask;
-  ask.askId = idOf(change);
+  ask.requestId = idOf(change);
   ask.changeId = idOf(change);
   ask.body = R"({"extra":{"value":{"is":)" + std::to_string(change) + "}}}";
   ask.ifRevision = row.ifRevision;
--- a/src/model/model_world.cpp
+++ b/src/model/model_world.cpp
@@ -139,7 +139,7 @@
 }
 
 void ModelWorld::toClient(int from, const ChangeResponse& answer) {
-  auto change = changeNumber(answer.askId);
+  auto change = changeNumber(answer.requestId);
   if (!change) return;
   const auto& log = *machines[static_cast<std::size_t>(from)].log;
   std::uint64_t newestIndex = 0, newestTerm = 0;
--- a/src/model/state_dump.cpp
+++ b/src/model/state_dump.cpp
@@ -73,7 +73,7 @@
     out.groups.back().push_back(rowOf(id, {follower.next, follower.matched, follower.toldCommit, follower.pending,
                                            follower.sentEnd, follower.round, follower.transfer.has_value()}));
   for (const auto& waiter : log.waiters) {
-    out.word(waiter.response.askId);
+    out.word(waiter.response.requestId);
     out.number(static_cast<std::uint64_t>(waiter.response.code));
     out.number(waiter.index);
   }
--- a/src/net/contract.cpp
+++ b/src/net/contract.cpp
@@ -136,10 +136,10 @@
     if (!body.get<JsonObject>().count("token")) return std::monostate{};
     return WorkerChunk{orderId, stringOr(body, "token")};
   }
-  Outcome outcome = end == "done"     ? Outcome::done
-                    : end == "denied" ? Outcome::denied
-                    : end == "broken" ? Outcome::broken
-                                      : Outcome::failed;
+  OrderOutcome outcome = end == "done"     ? OrderOutcome::done
+                         : end == "denied" ? OrderOutcome::denied
+                         : end == "broken" ? OrderOutcome::broken
+                                           : OrderOutcome::failed;
   return WorkerEnd{orderId,
                    static_cast<int>(outcome),
                    intOr(body, "code", 0),
@@ -201,13 +201,13 @@
   if (auto events = body.find("events"); events != body.end() && events->second.is<JsonArray>())
     for (const auto& row : events->second.get<JsonArray>()) {
       if (!row.is<JsonObject>()) return fault(Code::badField, "events");
-      KeptEvent event;
+      CacheEvent event;
       event.sequence = countOr(row, "sequence");
       std::string kind = stringOr(row, "kind");
       if (kind != "stored" && kind != "removed" && kind != "cleared") return fault(Code::badField, "events.kind");
-      event.kind = static_cast<int>(kind == "stored"    ? KeptKind::stored
-                                    : kind == "removed" ? KeptKind::removed
-                                                        : KeptKind::cleared);
+      event.kind = static_cast<int>(kind == "stored"    ? CacheEventKind::stored
+                                    : kind == "removed" ? CacheEventKind::removed
+                                                        : CacheEventKind::cleared);
       auto hashes = readHashes(row.get<JsonObject>(), "hashes");
       if (!hashes) return hashes.error();
       event.hashes = hashes.value();
--- a/src/net/web.cpp
+++ b/src/net/web.cpp
@@ -356,11 +356,11 @@
 }
 
 WorkerEnd endOfCall(const std::string& sendId, const WebResult& result) {
-  WorkerEnd end{sendId, static_cast<int>(Outcome::broken), static_cast<int>(Code::workerBroke), 0, 0, 0};
+  WorkerEnd end{sendId, static_cast<int>(OrderOutcome::broken), static_cast<int>(Code::workerBroke), 0, 0, 0};
   if (result.nothingSent) {
-    end.outcome = static_cast<int>(Outcome::brokenUnsent);
+    end.outcome = static_cast<int>(OrderOutcome::brokenBeforeSend);
   } else if (result.reached && (result.status == 409 || result.status == 503 || result.status == 400)) {
-    end.outcome = static_cast<int>(Outcome::denied);
+    end.outcome = static_cast<int>(OrderOutcome::denied);
     auto said = readWorkerLine(sendId, result.body);
     if (auto* denied = std::get_if<WorkerEnd>(&said)) end.code = denied->code;
   }
--- a/src/rollout/version_timeline.cpp
+++ b/src/rollout/version_timeline.cpp
@@ -34,7 +34,7 @@
   for (; newest != told.rend(); ++newest) known.push_front(*newest);
 }
 
-void VersionTimeline::learn(const std::vector<VersionNaming>& told, TimePoint askedAt) {
+void VersionTimeline::learn(const std::vector<WeightsAnnouncement>& told, TimePoint askedAt) {
   std::map<std::string, std::vector<Naming>> toldByModel;
   for (const auto& naming : told) {
     std::optional<TimePoint> notBefore;
@@ -47,8 +47,8 @@
   }
 }
 
-std::vector<VersionNaming> VersionTimeline::tell(TimePoint now, Duration span, bool unknownToo) const {
-  std::vector<VersionNaming> rows;
+std::vector<WeightsAnnouncement> VersionTimeline::tell(TimePoint now, Duration span, bool unknownToo) const {
+  std::vector<WeightsAnnouncement> rows;
   for (const auto& [model, namings] : namingsByModel) {
     std::size_t first = 0;
     while (first < namings.size() && !(namings[first].notBefore && now - *namings[first].notBefore < span)) ++first;
@@ -57,18 +57,18 @@
     for (std::size_t at = first > 0 ? first - 1 : 0; at < namings.size(); ++at) {
       const auto& naming = namings[at];
       std::int64_t age = naming.notBefore ? (now - *naming.notBefore).count() : unknownAge;
-      rows.push_back(VersionNaming{model, naming.weights, age, naming.index});
+      rows.push_back(WeightsAnnouncement{model, naming.weights, age, naming.index});
     }
   }
   return rows;
 }
 
-std::vector<VersionNaming> VersionTimeline::knownNewest(TimePoint now) const {
-  std::vector<VersionNaming> rows;
+std::vector<WeightsAnnouncement> VersionTimeline::knownNewest(TimePoint now) const {
+  std::vector<WeightsAnnouncement> rows;
   for (const auto& [model, namings] : namingsByModel)
     if (!namings.empty() && namings.back().notBefore)
-      rows.push_back(VersionNaming{model, namings.back().weights, (now - *namings.back().notBefore).count(),
-                                   namings.back().index});
+      rows.push_back(WeightsAnnouncement{model, namings.back().weights, (now - *namings.back().notBefore).count(),
+                                         namings.back().index});
   return rows;
 }
 
--- a/src/rollout/version_timeline.hpp
+++ b/src/rollout/version_timeline.hpp
@@ -18,14 +18,14 @@
   void observe(const std::string& model, const std::string& weights, std::optional<TimePoint> notBefore, Uint64 index);
   /// Takes from another process the moments of namings that are unknown here, and the namings before those known here.
   /// `askedAt` is the moment before which the other was asked; ages in `told` are of the moment when it answered.
-  void learn(const std::vector<VersionNaming>& told, TimePoint askedAt);
+  void learn(const std::vector<WeightsAnnouncement>& told, TimePoint askedAt);
   /// What others may learn of the namings younger than `span`: those of each model, oldest first, and the one before
   /// them, so that who learns can tell what is older still. With `unknownToo`, also a newest one of unknown moment.
-  std::vector<VersionNaming> tell(TimePoint now, Duration span, bool unknownToo) const;
+  std::vector<WeightsAnnouncement> tell(TimePoint now, Duration span, bool unknownToo) const;
   /// All that is known, whatever its age.
-  std::vector<VersionNaming> tellAll(TimePoint now) const { return tell(now, Duration::max(), false); }
+  std::vector<WeightsAnnouncement> tellAll(TimePoint now) const { return tell(now, Duration::max(), false); }
   /// The newest naming of each model whose moment is known.
-  std::vector<VersionNaming> knownNewest(TimePoint now) const;
+  std::vector<WeightsAnnouncement> knownNewest(TimePoint now) const;
   /// Forgets the namings that no end can depend on any more, `span` being the longest use of an old version.
   void forgetEnded(TimePoint now, Duration span);
 
--- a/src/routing/edge.cpp
+++ b/src/routing/edge.cpp
@@ -112,8 +112,8 @@
                    order.lastPiece,
                    !order.ask.repeatable};
   if (TimePoint end = endOfWeights(order.plan.model, order.plan.weights, timing.rolloutMost); end != TimePoint::max())
-    sent.leaveBy = toNanoseconds(end);
-  if (order.route.byPath()) {
+    sent.sendDeadline = toNanoseconds(end);
+  if (order.route.matchesPath()) {
     sent.deadlineMs = std::max<std::int64_t>(1, toMilliseconds(order.deadline - effects.now));
     if (order.plan.source) sent.sourceAddress = order.plan.source->address;
     order.sentAt = effects.now;
@@ -151,7 +151,7 @@
 }
 
 void Edge::noteVersions() {
-  const auto* models = view.sectionAt("models");
+  const auto* models = view.findSection("models");
   if (!models) return;
   std::optional<TimePoint> complete;
   if (freshUntil != TimePoint{}) complete = freshUntil - timing.freshFor;
@@ -185,9 +185,9 @@
   if (effects.now - feedAt >= timing.feedEvery) {
     feedAt = effects.now;
     versions.forgetEnded(effects.now, timing.versionMost);
-    std::vector<CellMark> rows;
-    for (const auto& [locality, news] : cells) rows.push_back(CellMark{locality, news.term, news.sequence});
-    effects.send(settings.agentAddress, FeedAsk{toNanoseconds(effects.now), view.index(), rows, marksDigest});
+    std::vector<CellVersion> rows;
+    for (const auto& [locality, news] : cells) rows.push_back(CellVersion{locality, news.term, news.sequence});
+    effects.send(settings.agentAddress, FeedAsk{toNanoseconds(effects.now), view.index(), rows, machineListDigest});
     for (auto* moments : {&admittedAt, &retriedAt, &doneAt})
       while (!moments->empty() && effects.now - moments->front() > settings.retrySpan) moments->pop_front();
   }
@@ -214,7 +214,7 @@
     else if (beginsTooLate(order, effects.now)) {
       effects.note("unbegun dropped", orderId + " " + order.plan.worker);
       dispatch(effects, orderId, "silent");
-    } else if (order.route.byPath() && !order.walk->in("pending")) {
+    } else if (order.route.matchesPath() && !order.walk->in("pending")) {
       if (effects.now >= order.deadline + deadlineSlack) dispatch(effects, orderId, "silent");
     } else if (order.walk->in("sent") && effects.now - order.heardAt >= settings.firstByteWait)
       dispatch(effects, orderId, "silent");
@@ -244,23 +244,24 @@
   dispatch(effects, orderId, late ? "revoked" : "chunk");
 }
 
-const char* Edge::eventOf(const Order& order, Outcome outcome) const {
+const char* Edge::eventOf(const Order& order, OrderOutcome outcome) const {
   bool goesOn = order.walk->in("streaming") && order.route.resumable;
-  bool brokeOff = outcome == Outcome::broken || outcome == Outcome::denied || outcome == Outcome::brokenUnsent;
-  if (outcome == Outcome::broken && order.walk->in("streaming") &&
+  bool brokeOff =
+      outcome == OrderOutcome::broken || outcome == OrderOutcome::denied || outcome == OrderOutcome::brokenBeforeSend;
+  if (outcome == OrderOutcome::broken && order.walk->in("streaming") &&
       !settings.defences.isEnabled(Defence::retryBeforeBytes))
     return "brokenAnew";
   if (goesOn && brokeOff) return "cut";
   switch (outcome) {
-    case Outcome::done:
+    case OrderOutcome::done:
       return "finished";
-    case Outcome::denied:
+    case OrderOutcome::denied:
       return "denied";
-    case Outcome::brokenUnsent:
+    case OrderOutcome::brokenBeforeSend:
       return "unsent";
-    case Outcome::failed:
+    case OrderOutcome::failed:
       return "failed";
-    case Outcome::silent:
+    case OrderOutcome::silent:
       return "silent";
     default:
       return "broken";
@@ -268,33 +269,33 @@
 }
 
 void Edge::onWorkerEnd(Effects& effects, const WorkerEnd& end) {
-  auto outcome = static_cast<Outcome>(end.outcome);
+  auto outcome = static_cast<OrderOutcome>(end.outcome);
   if (auto move = moveBySend.find(end.orderId); move != moveBySend.end()) {
     std::string moveId = move->second;
-    if (outcome != Outcome::done) settleMove(effects, moveId, false);
+    if (outcome != OrderOutcome::done) settleMove(effects, moveId, false);
     return;
   }
   auto* order = orderSentAs(end.orderId);
   if (!order) return;
   order->end = end;
   eject(*order, outcome, effects.now);
-  if (outcome == Outcome::denied)
+  if (outcome == OrderOutcome::denied)
     effects.note(std::string("turned away ") + codeName(static_cast<Code>(end.code)), end.orderId);
   std::string orderId = order->ask.orderId;
   dispatch(effects, orderId, eventOf(*order, outcome));
   servePending(effects);
 }
 
-void Edge::eject(const Order& order, Outcome outcome, TimePoint now) {
+void Edge::eject(const Order& order, OrderOutcome outcome, TimePoint now) {
   auto& local = locals[order.plan.worker];
-  if (outcome == Outcome::denied) {
+  if (outcome == OrderOutcome::denied) {
     local.shunUntil = now + deniedShunFor;
     return;
   }
-  bool brokeOff = outcome == Outcome::brokenUnsent || outcome == Outcome::broken;
-  bool plain = order.route.byPath() && order.plan.model.empty();
+  bool brokeOff = outcome == OrderOutcome::brokenBeforeSend || outcome == OrderOutcome::broken;
+  bool plain = order.route.matchesPath() && order.plan.model.empty();
   int spans = brokeOff ? 1 : 0;
-  if (plain) spans = local.outliers.note(brokeOff || outcome == Outcome::failed);
+  if (plain) spans = local.outliers.note(brokeOff || outcome == OrderOutcome::failed);
   if (spans > 0) local.shunUntil = now + spans * shunFor;
 }
 
@@ -333,7 +334,7 @@
 
 void Edge::onCellNews(Effects& effects, const CellNews& news) {
   auto& kept = cells[news.locality];
-  if (!takeCellNews(kept, news)) return;
+  if (!applyCellNews(kept, news)) return;
   newsAt[kept.locality] = effects.now;
   for (const auto& worker : kept.workers) {
     auto& local = locals[worker.name];
@@ -348,10 +349,10 @@
 
 void Edge::onMarks(const MarksMsg& marks, TimePoint now) {
   TimePoint listedAt = now - Duration(marks.age);
-  bool older = marksDigest && listedAt < marksAt && settings.defences.isEnabled(Defence::listOrder);
+  bool older = machineListDigest && listedAt < machineListAt && settings.defences.isEnabled(Defence::listOrder);
   if (marks.age < 0 || marks.machines.empty() || older) return;
-  marksAt = listedAt;
-  marksDigest = digestOf(marks.machines);
+  machineListAt = listedAt;
+  machineListDigest = digestOfMachineList(marks.machines);
   staying.clear();
   for (const auto& machine : marks.machines)
     if (!machine.leaving) staying.insert(machine.name);
--- a/src/routing/edge.hpp
+++ b/src/routing/edge.hpp
@@ -115,8 +115,8 @@
   Configuration view;
   std::map<std::string, CellNews> cells;
   std::map<std::string, TimePoint> newsAt;
-  Uint64 marksDigest{0};
-  TimePoint marksAt{};
+  Uint64 machineListDigest{0};
+  TimePoint machineListAt{};
   /// Listed by the platform and not marked as leaving: only these are drawn.
   std::set<std::string> staying;
   std::map<std::string, std::unique_ptr<Order>> orders;
@@ -183,7 +183,7 @@
   /// The order that was sent to a worker under this id; null if it is over or was sent again since.
   Order* orderSentAs(const std::string& sendId);
   /// The event of the order chart that a worker's end of an order is.
-  const char* eventOf(const Order& order, Outcome outcome) const;
+  const char* eventOf(const Order& order, OrderOutcome outcome) const;
 
   void admit(Effects& effects, const CallerOrder& ask);
   void accept(Effects& effects, std::unique_ptr<Order> order);
@@ -198,7 +198,7 @@
   bool drawPlain(Effects& effects, Order& order);
   PlainCandidate plainCandidate(const WorkerView& worker, TimePoint now) const;
   /// Leaves a worker out for a while for how an order ended there.
-  void eject(const Order& order, Outcome outcome, TimePoint now);
+  void eject(const Order& order, OrderOutcome outcome, TimePoint now);
   void drawRideSources(Order& order, TimePoint now);
   bool settleRide(Effects& effects, Order& order);
   /// Tokens of a prompt's leading parts.
@@ -230,7 +230,7 @@
   bool savesTo(const std::string& store, const BlockHash& prefix, TimePoint now);
   void noteDelay(const Order& order, TimePoint now);
   bool sheds(Effects& effects, const Order& order);
-  static bool overdue(const Order& order, TimePoint now) { return order.route.byPath() && now >= order.deadline; }
+  static bool overdue(const Order& order, TimePoint now) { return order.route.matchesPath() && now >= order.deadline; }
   /// Whether an order is ended for its proxy's sake, not for its key's.
   static bool endsWithProxy(const Order& order) {
     return order.lastCode == Code::staleEdge || order.lastCode == Code::stopping;
--- a/src/routing/edge_admission.cpp
+++ b/src/routing/edge_admission.cpp
@@ -70,19 +70,19 @@
   if (!ask.path.empty() && !pathRoute) return deny(Code::unknownRoute, "path");
   order->keyHash = sha256Hex(ask.key);
   auto key = view.findKey(order->keyHash);
-  bool open = pathRoute && (pathRoute->open || !view.asksKeys());
+  bool open = pathRoute && (pathRoute->open || !view.requiresKeys());
   if (!key && !open) return deny(Code::keyDenied, "authorization");
   if (key) order->tenant = key->tenant;
   if (pathRoute) {
     order->ask.route = pathRoute->name;
-    order->ask.repeatable = pathRoute->repeat == Repeat::safe || pathRoute->resumable;
+    order->ask.repeatable = pathRoute->repeat == RetryMode::safe || pathRoute->resumable;
     order->priority = pathRoute->priority;
     if (key)
       if (auto tenant = view.findTenant(order->tenant); tenant && tenant->priority) order->priority = *tenant->priority;
     order->urgency = order->priority;
     if (priorities.size() < mostPriorities) priorities.insert(order->priority);
-    if (!ask.model.empty() && pathRoute->aim > Duration(0)) {
-      double aimMs = std::chrono::duration<double, std::milli>(pathRoute->aim).count();
+    if (!ask.model.empty() && pathRoute->targetLatency > Duration(0)) {
+      double aimMs = std::chrono::duration<double, std::milli>(pathRoute->targetLatency).count();
       tightestAimMs = tightestAimMs > 0 ? std::min(tightestAimMs, aimMs) : aimMs;
     }
     Duration wait = ask.deadlineMs > 0 ? Duration(std::chrono::milliseconds(ask.deadlineMs)) : Duration(120s);
@@ -105,7 +105,7 @@
   }
   if (mayEndBefore(TimePoint::max(), effects.now)) return deny(Code::stopping);
   auto route = view.findRoute(ask.route);
-  if (!route || route->byPath()) return deny(Code::unknownRoute, "route");
+  if (!route || route->matchesPath()) return deny(Code::unknownRoute, "route");
   if (!view.knowsModel(ask.model)) return deny(Code::unknownModel, "model");
   if (route->model != ask.model) return deny(Code::badField, "model", "this route serves model " + route->model);
   if (!route->tenants.empty() && !route->tenants.count(order->tenant)) return deny(Code::unknownTenant, "route");
@@ -130,8 +130,8 @@
 }
 
 Duration Edge::pendingMostOf(const Order& order) const {
-  if (!order.route.byPath() || order.route.aim <= Duration(0)) return settings.pendingWait;
-  return std::min(settings.pendingWait, order.route.aim / 5);
+  if (!order.route.matchesPath() || order.route.targetLatency <= Duration(0)) return settings.pendingWait;
+  return std::min(settings.pendingWait, order.route.targetLatency / 5);
 }
 
 void Edge::servePending(Effects& effects) {
--- a/src/routing/edge_outcomes.cpp
+++ b/src/routing/edge_outcomes.cpp
@@ -67,7 +67,7 @@
 }
 
 void Edge::passChunk(Effects& effects, Order& order) {
-  if (!order.began && order.route.byPath() && !order.plan.model.empty()) noteDelay(order, effects.now);
+  if (!order.began && order.route.matchesPath() && !order.plan.model.empty()) noteDelay(order, effects.now);
   if (!order.began && order.plan.source)
     effects.note("transfer inferred", order.plan.source->name, toMilliseconds(effects.now - order.heardAt));
   readDone(effects, order, true);
@@ -112,7 +112,7 @@
   freeWorker(effects, order);
   order.tried.insert(order.plan.worker);
   orderBySend.erase(order.sendId);
-  if (order.route.byPath() && static_cast<Outcome>(order.end.outcome) == Outcome::brokenUnsent &&
+  if (order.route.matchesPath() && static_cast<OrderOutcome>(order.end.outcome) == OrderOutcome::brokenBeforeSend &&
       ++order.unsent <= mostUnsent)
     --order.tries;
   order.retryAsked = order.tries < mostTriesOf(order) && !overdue(order, effects.now);
@@ -132,7 +132,7 @@
 
 void Edge::weighBroken(Effects& effects, Order& order) {
   freeWorker(effects, order);
-  if (static_cast<Outcome>(order.end.outcome) != Outcome::forgotten) order.tried.insert(order.plan.worker);
+  if (static_cast<OrderOutcome>(order.end.outcome) != OrderOutcome::forgotten) order.tried.insert(order.plan.worker);
   orderBySend.erase(order.sendId);
   order.mayHaveRun = settings.defences.isEnabled(Defence::unknownOnceSent);
   bool mayRepeat = order.ask.repeatable || !settings.defences.isEnabled(Defence::retryOnlyRepeatable);
--- a/src/routing/edge_placement.cpp
+++ b/src/routing/edge_placement.cpp
@@ -35,7 +35,7 @@
 
 bool Edge::savesTo(const std::string& store, const BlockHash& prefix, TimePoint now) {
   const auto* keeper = workerView(store);
-  if (!keeper || static_cast<int>(prefix.high % 1000) >= keeper->savedShare) return false;
+  if (!keeper || static_cast<int>(prefix.high % 1000) >= keeper->savedPermille) return false;
   auto row = savedAt.find(prefix);
   return row == savedAt.end() || now - row->second >= savedSure;
 }
@@ -49,8 +49,9 @@
 }
 
 bool Edge::sheds(Effects& effects, const Order& order) {
-  if (settings.shedMost <= 0 || order.route.aim <= Duration(0) || effects.now - delayAt > delayOld) return false;
-  double aimMs = std::chrono::duration<double, std::milli>(order.route.aim).count();
+  if (settings.shedMost <= 0 || order.route.targetLatency <= Duration(0) || effects.now - delayAt > delayOld)
+    return false;
+  double aimMs = std::chrono::duration<double, std::milli>(order.route.targetLatency).count();
   double over = delayMs / aimMs - 1;
   if (over <= 0) return false;
   double size = std::clamp(order.plan.unread / std::max(1.0, meanUnread), 0.2, 2.0);
@@ -63,7 +64,7 @@
     std::uint64_t rank;
   };
   std::size_t shared = order.ask.parts.size() > 1 ? order.ask.parts.size() - 1 : order.ask.parts.size();
-  std::string domain = order.tenant.empty() ? "shared" : view.domainOf(order.tenant);
+  std::string domain = order.tenant.empty() ? "shared" : view.cacheDomainOf(order.tenant);
   std::string key = domain + "/" + order.ask.model;
   key += "/" + (shared > 0 ? order.ask.parts[shared - 1] : order.ask.orderId);
   std::vector<Choice> ranked;
@@ -184,8 +185,8 @@
 }
 
 bool Edge::drawWorker(Effects& effects, Order& order) {
-  if (order.route.byPath() && isPlain(order.service)) return drawPlain(effects, order);
-  if (order.route.byPath()) return drawByPrefix(effects, order);
+  if (order.route.matchesPath() && isPlain(order.service)) return drawPlain(effects, order);
+  if (order.route.matchesPath()) return drawByPrefix(effects, order);
   struct Choice {
     const WorkerView* worker;
     std::size_t hits;
@@ -214,7 +215,7 @@
   std::shuffle(able.begin(), able.end(), effects.randomSource);
   if (able.size() > 4) able.resize((able.size() + 1) / 2);
   std::map<std::string, std::pair<std::string, Hashes>> byWeights;
-  std::string domain = view.domainOf(order.tenant);
+  std::string domain = view.cacheDomainOf(order.tenant);
   std::optional<Choice> best;
   for (const auto* worker : able) {
     Choice choice{worker, 0, 0, {}, {}};
--- a/src/routing/edge_sources.cpp
+++ b/src/routing/edge_sources.cpp
@@ -100,7 +100,7 @@
     if (candidate.name == target.name) continue;
     int tokens = keptTokens(order, candidate);
     if (auto local = locals.find(candidate.name); local != locals.end() && now < local->second.shunUntil) continue;
-    FetchFacts facts{candidate.store, static_cast<double>(tokens), unmeasuredSpeed, 0};
+    FetchCandidate facts{candidate.store, static_cast<double>(tokens), unmeasuredSpeed, 0};
     if (tokens < own + leastTokens || !order.policy.fetches(facts)) continue;
     const auto* other = best.candidate;
     bool nearer = other && candidate.locality == target.locality && other->locality != target.locality;
@@ -194,7 +194,7 @@
 }
 
 void Edge::drawSources(Order& order, TimePoint now) {
-  if (order.route.byPath()) return drawRideSources(order, now);
+  if (order.route.matchesPath()) return drawRideSources(order, now);
   auto& plan = order.plan;
   plan.candidates.clear();
   bool namesSource = false;
@@ -215,7 +215,7 @@
         ++candidate.guessedHits;
       if (candidate.guessedHits < plan.localHits + leastGain) continue;
       candidate.busyness = keeper.slots > 0 ? static_cast<double>(busyOf(keeper, now)) / keeper.slots : 0;
-      FetchFacts facts{store, static_cast<double>(candidate.guessedHits), candidate.speed, candidate.busyness};
+      FetchCandidate facts{store, static_cast<double>(candidate.guessedHits), candidate.speed, candidate.busyness};
       if (!order.policy.fetches(facts)) continue;
       auto& best = store ? bestStore : bestPeer;
       if (!best || candidate.guessedHits > best->guessedHits ||
@@ -243,7 +243,7 @@
   effects.note("lookup settled", order.ask.orderId, toMilliseconds(effects.now - order.lookupAt));
   plan.source.reset();
   plan.wantedHits = plan.confirmedHits = 0;
-  if (order.route.byPath()) {
+  if (order.route.matchesPath()) {
     bool rides = settleRide(effects, order);
     bool shed = order.lastCode == Code::pendingFull && order.tries == 0;
     for (auto row = orderByLookup.begin(); row != orderByLookup.end();)
@@ -255,7 +255,7 @@
     auto reply = order.replies.find(candidate.name);
     std::size_t confirmed = reply == order.replies.end() ? 0 : prefixHits(reply->second.hits);
     std::size_t hits = settings.defences.isEnabled(Defence::hitsConfirmed) ? confirmed : candidate.guessedHits;
-    FetchFacts facts{candidate.store, static_cast<double>(hits), candidate.speed, candidate.busyness};
+    FetchCandidate facts{candidate.store, static_cast<double>(hits), candidate.speed, candidate.busyness};
     if (hits < plan.localHits + leastGain || hits <= plan.wantedHits || !order.policy.fetches(facts)) continue;
     plan.source = candidate;
     plan.wantedHits = hits;
--- a/src/sim/operators.cpp
+++ b/src/sim/operators.cpp
@@ -92,7 +92,7 @@
 RegisterItems watchedItems(const Configuration& configuration) {
   JsonObject sections;
   for (const char* name : watchedSections)
-    if (const auto* section = configuration.sectionAt(name)) sections[name] = Json(*section);
+    if (const auto* section = configuration.findSection(name)) sections[name] = Json(*section);
   return watchedItems(sections);
 }
 
--- a/src/sim/scale/configuration_trial.cpp
+++ b/src/sim/scale/configuration_trial.cpp
@@ -26,7 +26,7 @@
     measureItemChanges();
     measureSnapshot();
     std::int64_t start = threadCpuNs();
-    auto again = view->preparePatch(whole, Manner::sections);
+    auto again = view->preparePatch(whole, ChangeFormat::sections);
     addMs("ms to prepare the whole again", threadCpuNs() - start);
     return std::move(figures);
   }
@@ -43,7 +43,7 @@
 
   void measureWhole() {
     std::int64_t start = threadCpuNs();
-    auto patch = view->preparePatch(whole, Manner::sections);
+    auto patch = view->preparePatch(whole, ChangeFormat::sections);
     addMs("ms to prepare the whole", threadCpuNs() - start);
     LogEntry entry = changeEntry(1, patch.value(), "first");
     start = threadCpuNs();
@@ -61,7 +61,7 @@
     for (int turn = 0; turn < itemChanges; ++turn) {
       std::string body = tenantChange(turn % tenants, turn + 1);
       std::int64_t start = threadCpuNs();
-      auto patch = view->preparePatch(body, Manner::items);
+      auto patch = view->preparePatch(body, ChangeFormat::items);
       prepareNs += threadCpuNs() - start;
       LogEntry change = changeEntry(static_cast<Uint64>(turn + 2), patch.value(), fmt::format("change-{}", turn));
       entryBytes += static_cast<std::int64_t>(encodeEntry(change).size());
--- a/src/sim/scale/draw_trial.cpp
+++ b/src/sim/scale/draw_trial.cpp
@@ -98,10 +98,10 @@
     constexpr int change = static_cast<int>(EntryKind::change);
     Configuration configuration;
     std::string firstPatch =
-        configuration.preparePatch(firstSections(size.tenants, size.models), Manner::sections).value();
+        configuration.preparePatch(firstSections(size.tenants, size.models), ChangeFormat::sections).value();
     LogEntry first{1, 1, change, firstPatch, "first", 1};
     configuration.apply(first);
-    std::string modelPatch = configuration.preparePatch(modelSections(size.models), Manner::items).value();
+    std::string modelPatch = configuration.preparePatch(modelSections(size.models), ChangeFormat::items).value();
     LogEntry models{configurationIndex, 1, change, modelPatch, "models", configurationIndex};
     tell(agentAddress, NewsMsg{configurationIndex, {first, models}, {}});
   }
@@ -131,7 +131,7 @@
     for (int piece = 0; piece < answerPieces; ++piece)
       time(pieces, "worker", WorkerChunk{order->orderId, std::string(answerPieceBytes, 'x'), std::to_string(piece)});
     time(ends, "worker",
-         WorkerEnd{order->orderId, static_cast<int>(Outcome::done), static_cast<int>(Code::done), 0, 0, 0});
+         WorkerEnd{order->orderId, static_cast<int>(OrderOutcome::done), static_cast<int>(Code::done), 0, 0, 0});
   }
 
   /// Answers the lookups of the request just drawn, each with no kept block, until it is sent to a worker.
--- a/src/sim/scale/fleet_trial.cpp
+++ b/src/sim/scale/fleet_trial.cpp
@@ -48,9 +48,9 @@
 
   Result<FleetCost> run() {
     if (auto formed = formCores(); !formed) return formed.error();
-    fleet.requestChange("first", firstSections(size.tenants, size.models), Manner::sections, 1);
+    fleet.requestChange("first", firstSections(size.tenants, size.models), ChangeFormat::sections, 1);
     fleet.runUntil(fleet.now() + 1s);
-    fleet.requestChange("models", modelSections(size.models), Manner::items, -1);
+    fleet.requestChange("models", modelSections(size.models), ChangeFormat::items, -1);
     fleet.startDaemons();
     if (auto settled = waitUntilFresh(); !settled) return settled.error();
     fleet.forgetChanges();
@@ -122,7 +122,8 @@
   void requestNextChange() {
     constexpr int firstChangeRevision = 2;
     std::string body = tenantChange(changeCount % std::max(1, size.tenants), changeCount);
-    fleet.requestChange(fmt::format("change-{}", changeCount), body, Manner::items, firstChangeRevision + changeCount);
+    fleet.requestChange(fmt::format("change-{}", changeCount), body, ChangeFormat::items,
+                        firstChangeRevision + changeCount);
     ++changeCount;
   }
 
--- a/src/sim/scale/hollow_fleet.cpp
+++ b/src/sim/scale/hollow_fleet.cpp
@@ -304,14 +304,14 @@
   return count;
 }
 
-void HollowFleet::requestChange(const std::string& changeId, const std::string& body, Manner manner,
+void HollowFleet::requestChange(const std::string& changeId, const std::string& body, ChangeFormat changeFormat,
                                 std::int64_t toRevision) {
   changeById[changeId].askedAt = clock;
   OperatorRequest change;
-  change.askId = changeId;
+  change.requestId = changeId;
   change.body = body;
   change.ifRevision = -1;
-  change.manner = static_cast<int>(manner);
+  change.changeFormat = static_cast<int>(changeFormat);
   change.changeId = changeId;
   change.toRevision = toRevision;
   schedule(clock, cores[(leader() + 1) % cores.size()], changeId, std::move(change));
@@ -353,7 +353,7 @@
   total.configurationBytes = static_cast<std::int64_t>(core(0).agreement().configuration().bytes());
   collectCells(total);
   std::map<std::string, int> followersByAddress;
-  for (std::size_t number = 0; number < agents.size(); ++number) ++followersByAddress[agent(number).followed()];
+  for (std::size_t number = 0; number < agents.size(); ++number) ++followersByAddress[agent(number).parentAddress()];
   for (const auto& process : processes)
     total.daemonsByRole[process->role].push_back(costOf(*process, followersByAddress));
   return total;
--- a/src/sim/scale/hollow_fleet.hpp
+++ b/src/sim/scale/hollow_fleet.hpp
@@ -34,7 +34,8 @@
     std::uint64_t index{0};
     int code{-1};
   };
-  void requestChange(const std::string& changeId, const std::string& body, Manner manner, std::int64_t toRevision);
+  void requestChange(const std::string& changeId, const std::string& body, ChangeFormat changeFormat,
+                     std::int64_t toRevision);
   const std::map<std::string, Change>& changes() const { return changeById; }
   void forgetChanges() { changeById.clear(); }
   /// Notes which changes have reached all agents or all proxies.
--- a/src/sim/scale/hollow_workers.cpp
+++ b/src/sim/scale/hollow_workers.cpp
@@ -13,11 +13,11 @@
 
 }  // namespace
 
-KeptEvent eventOf(std::uint64_t worker, std::int64_t event, std::int64_t keptBlocks) {
+CacheEvent eventOf(std::uint64_t worker, std::int64_t event, std::int64_t keptBlocks) {
   bool stored = event % 2 == 1;
   auto block = static_cast<std::uint64_t>(stored ? keptBlocks + (event - 1) / 2 : event / 2 - 1);
-  auto kind = static_cast<int>(stored ? KeptKind::stored : KeptKind::removed);
-  return KeptEvent{static_cast<Uint64>(event), kind, {blockOf(worker, block)}};
+  auto kind = static_cast<int>(stored ? CacheEventKind::stored : CacheEventKind::removed);
+  return CacheEvent{static_cast<Uint64>(event), kind, {blockOf(worker, block)}};
 }
 
 HollowWorkers::HollowWorkers(const FleetSize& fleetSize, TimePoint since) : size(fleetSize), startedAt(since) {
@@ -51,7 +51,7 @@
 Report HollowWorkers::emptyReport(int number) const {
   Report report;
   report.worker = rows[static_cast<std::size_t>(number)].name;
-  report.scope = static_cast<int>(Scope::index);
+  report.scope = static_cast<int>(ReportScope::index);
   report.incarnation = incarnation;
   report.gaps = true;
   return report;
@@ -61,7 +61,7 @@
   const auto& machine = rows[static_cast<std::size_t>(number)];
   Report report;
   report.worker = machine.name;
-  report.scope = static_cast<int>(Scope::condition);
+  report.scope = static_cast<int>(ReportScope::condition);
   report.model = machine.model;
   report.weights = machine.weights;
   report.running = runningRequests;
@@ -91,7 +91,7 @@
 HollowWorkers::TimedMessage HollowWorkers::answer(int number, const ReportAsk& asked, TimePoint now) const {
   TimePoint arrival = now + 2 * size.link;
   auto after = static_cast<std::int64_t>(asked.after);
-  if (asked.scope == static_cast<int>(Scope::condition)) return {arrival, conditionReport(number)};
+  if (asked.scope == static_cast<int>(ReportScope::condition)) return {arrival, conditionReport(number)};
   if (asked.whole) return {arrival, wholeReport(number, now)};
   if (lastEvent(now) > after) return {arrival, eventsReport(number, after, now)};
   return {arrival + waitForEvent(), asked};
@@ -105,7 +105,7 @@
     messages.push_back({when, WorkerChunk{order.orderId, std::string(answerPieceBytes, 'x'), std::to_string(piece)}});
     when += answerSpan / answerPieces;
   }
-  WorkerEnd end{order.orderId, static_cast<int>(Outcome::done), static_cast<int>(Code::done), 0, 0, 0};
+  WorkerEnd end{order.orderId, static_cast<int>(OrderOutcome::done), static_cast<int>(Code::done), 0, 0, 0};
   messages.push_back({when, end});
   return messages;
 }
--- a/src/sim/scale/hollow_workers.hpp
+++ b/src/sim/scale/hollow_workers.hpp
@@ -45,7 +45,7 @@
 
 /// What a worker stored or removed as its event of a number: it stores with every odd one and removes the oldest block
 /// with every even one.
-KeptEvent eventOf(std::uint64_t worker, std::int64_t event, std::int64_t keptBlocks);
+CacheEvent eventOf(std::uint64_t worker, std::int64_t event, std::int64_t keptBlocks);
 
 /// Of an answer to a request: how many pieces it has, and the bytes of each.
 constexpr int answerPieces = 8;
--- a/src/sim/scale/index_trial.cpp
+++ b/src/sim/scale/index_trial.cpp
@@ -84,7 +84,7 @@
   Report emptyReport(std::size_t worker) const {
     Report report;
     report.worker = machines[worker].name;
-    report.scope = static_cast<int>(Scope::index);
+    report.scope = static_cast<int>(ReportScope::index);
     report.incarnation = "1";
     report.gaps = true;
     return report;
--- a/src/sim/scenario.cpp
+++ b/src/sim/scenario.cpp
@@ -618,7 +618,7 @@
         std::string at = name;
         int depth = 1;
         for (; depth < 20; ++depth) {
-          std::string next = world->nameAt(world->agent(at)->followed());
+          std::string next = world->nameAt(world->agent(at)->parentAddress());
           if (next.rfind("agent-", 0) != 0) break;
           at = next;
         }
--- a/src/sim/sim.cpp
+++ b/src/sim/sim.cpp
@@ -258,8 +258,9 @@
       later(2ms, [this, orderId, proxy] {
         auto& end = *actors.at(proxy);
         if (end.alive)
-          give(end, "worker",
-               WorkerEnd{orderId, static_cast<int>(Outcome::broken), static_cast<int>(Code::workerBroke), 0, 0, 0});
+          give(
+              end, "worker",
+              WorkerEnd{orderId, static_cast<int>(OrderOutcome::broken), static_cast<int>(Code::workerBroke), 0, 0, 0});
       });
       row = streams.erase(row);
     } else if (row->second.proxy == name) {
@@ -390,12 +391,13 @@
 }
 
 bool World::leftTooLate(const Actor& actor, const WorkerOrder& order) const {
-  return order.leaveBy != 0 && defences.isEnabled(Defence::leaveByKept) &&
-         actor.local(clock) >= fromNanoseconds(order.leaveBy);
+  return order.sendDeadline != 0 && defences.isEnabled(Defence::leaveByKept) &&
+         actor.local(clock) >= fromNanoseconds(order.sendDeadline);
 }
 
 void World::endUnsent(const Actor& actor, const WorkerOrder& order) {
-  WorkerEnd end{order.orderId, static_cast<int>(Outcome::brokenUnsent), static_cast<int>(Code::workerBroke), 0, 0, 0};
+  WorkerEnd end{
+      order.orderId, static_cast<int>(OrderOutcome::brokenBeforeSend), static_cast<int>(Code::workerBroke), 0, 0, 0};
   later(Duration(0), [this, name = actor.name, life = actor.life, end] { arrive("worker", name, life, end); });
 }
 
@@ -441,7 +443,8 @@
   if (auto* chunk = std::get_if<WorkerChunk>(&message)) {
     auto piece = chunk->text.substr(chunk->text.find(':') + 1);
     phase = piece == "1 " ? "start" : piece == "3 " ? "middle" : "";
-  } else if (auto* end = std::get_if<WorkerEnd>(&message); end && end->outcome == static_cast<int>(Outcome::done)) {
+  } else if (auto* end = std::get_if<WorkerEnd>(&message);
+             end && end->outcome == static_cast<int>(OrderOutcome::done)) {
     if (orderRows.count(baseOrder(end->orderId))) phase = "end";
   }
   auto found = crashes.find(phase);
@@ -489,9 +492,9 @@
       later(up ? 2ms : 1000ms, [this, proxy, sendId, life] {
         auto& actor = *actors.at(proxy);
         if (actor.alive && actor.life == life)
-          give(
-              actor, "worker",
-              WorkerEnd{sendId, static_cast<int>(Outcome::brokenUnsent), static_cast<int>(Code::workerBroke), 0, 0, 0});
+          give(actor, "worker",
+               WorkerEnd{sendId, static_cast<int>(OrderOutcome::brokenBeforeSend), static_cast<int>(Code::workerBroke),
+                         0, 0, 0});
       });
       return;
     }
@@ -959,12 +962,14 @@
     if (!ack.acked || ack.code != static_cast<int>(Code::changeTaken)) continue;
     bool held = false;
     for (const auto& [name, actor] : actors)
-      if (auto* node = core(name)) held = held || node->agreement().configuration().takenAs(ack.changeId).has_value();
+      if (auto* node = core(name))
+        held = held || node->agreement().configuration().revisionOfChange(ack.changeId).has_value();
     if (!held) violate("acked-lost", ack.changeId + " is in no core's blueprint");
     for (const auto& [name, actor] : actors) {
       auto* node = core(name);
       if (!node || !node->agreement().formed() || clock < actor->frozenUntil + 5s) continue;
-      if (node->agreement().leads(actor->local(clock)) && !node->agreement().configuration().takenAs(ack.changeId))
+      if (node->agreement().leads(actor->local(clock)) &&
+          !node->agreement().configuration().revisionOfChange(ack.changeId))
         violate("acked-lost", ack.changeId + " is unknown to the leader " + name);
     }
   }
--- a/src/sim/sim_operators.cpp
+++ b/src/sim/sim_operators.cpp
@@ -12,7 +12,7 @@
 std::int64_t sinceStart(TimePoint at) {
   return std::chrono::duration_cast<std::chrono::nanoseconds>(at - dayStart).count();
 }
-std::string withoutAttempt(const std::string& askId) { return askId.substr(0, askId.find('#')); }
+std::string withoutAttempt(const std::string& requestId) { return requestId.substr(0, requestId.find('#')); }
 std::string routeItem(const std::string& name, const std::string& fields) {
   return "\"" + name + "\":" + (fields.empty() ? std::string("null") : "{" + fields + "}");
 }
@@ -42,7 +42,7 @@
 void World::change(const std::string& body, bool whole, const std::string& changeId, std::int64_t ifRevision,
                    int coreNumber, bool loseAnswer) {
   OperatorRequest ask{};
-  ask.askId = "ask-" + std::to_string(++askCount);
+  ask.requestId = "ask-" + std::to_string(++askCount);
   ask.body = body;
   ask.whole = whole;
   ask.ifRevision = ifRevision;
@@ -51,15 +51,15 @@
   row.changeId = ask.changeId;
   row.askedAt = clock;
   std::size_t at = ackRows.size();
-  ackByAsk[ask.askId] = at;
+  ackByAsk[ask.requestId] = at;
   ackRows.push_back(row);
-  if (loseAnswer) lostAnswers.insert(ask.askId);
+  if (loseAnswer) lostAnswers.insert(ask.requestId);
   askCore(ask, at, coreNumber);
 }
 
 void World::askCore(const OperatorRequest& ask, std::size_t at, int number) {
   if (ackRows[at].acked || clock > ackRows[at].askedAt + giveUpAfter) return;
-  sendAttempt(ask, ask.askId, "core-" + std::to_string((number - 1) % shape.cores + 1));
+  sendAttempt(ask, ask.requestId, "core-" + std::to_string((number - 1) % shape.cores + 1));
   later(1500ms, [this, ask, at, number] { askCore(ask, at, number + 1); });
 }
 
@@ -67,7 +67,7 @@
   auto& actor = *actors.at(coreName);
   if (!actor.alive) return;
   OperatorRequest attempt = ask;
-  attempt.askId = withoutAttempt(ask.askId) + "#" + std::to_string(++attemptCount);
+  attempt.requestId = withoutAttempt(ask.requestId) + "#" + std::to_string(++attemptCount);
   Operation operation = operationOf(attempt);
   operation.client = client;
   operation.through = coreName;
@@ -77,7 +77,7 @@
     operation.model = namedModel;
     operation.revision = weightsNumber(attempt.changeId);
   }
-  operationByAttempt[attempt.askId] = operations.begin(std::move(operation));
+  operationByAttempt[attempt.requestId] = operations.begin(std::move(operation));
   later(1ms, [this, coreName, life = actor.life, attempt] {
     auto& there = *actors.at(coreName);
     if (there.alive && there.life == life) give(there, "operator", attempt);
@@ -85,14 +85,14 @@
 }
 
 void World::operatorAnswer(const OperatorResponse& reply) {
-  std::string askId = withoutAttempt(reply.askId);
-  auto client = clientByAsk.find(askId);
+  std::string requestId = withoutAttempt(reply.requestId);
+  auto client = clientByAsk.find(requestId);
   auto outcome = outcomeOf(static_cast<Code>(reply.code));
-  if (outcome != OperationOutcome::unclear && lostAnswers.erase(askId)) return;
+  if (outcome != OperationOutcome::unclear && lostAnswers.erase(requestId)) return;
   if (client != clientByAsk.end() && rollOperators(100) < client->second->crew->plan.lostPerCent) return;
-  if (auto found = operationByAttempt.find(reply.askId); found != operationByAttempt.end())
+  if (auto found = operationByAttempt.find(reply.requestId); found != operationByAttempt.end())
     operations.end(found->second, sinceStart(clock), reply);
-  if (auto found = ackByAsk.find(askId); found != ackByAsk.end()) {
+  if (auto found = ackByAsk.find(requestId); found != ackByAsk.end()) {
     auto& ack = ackRows[found->second];
     auto code = static_cast<Code>(reply.code);
     bool again = code == Code::notLeading || code == Code::changeUnsure || code == Code::changesFull;
@@ -197,22 +197,22 @@
                         "\":{\"weights\":\"" + weights + "\"}}}";
   client.request.ifRevision = -1;
   client.request.toRevision = -1;
-  client.request.manner = static_cast<int>(Manner::weights);
+  client.request.changeFormat = static_cast<int>(ChangeFormat::weights);
   client.request.changeId = "weights/" + weights;
   beginRequest(client);
 }
 
 void World::beginRequest(OperatorClient& client) {
-  client.request.askId = "ask-" + std::to_string(++askCount);
+  client.request.requestId = "ask-" + std::to_string(++askCount);
   client.tries = 0;
   client.open = true;
   client.begunAt = clock;
-  clientByAsk[client.request.askId] = &client;
+  clientByAsk[client.request.requestId] = &client;
   if (client.request.toRevision >= 0) {
     AckRow row;
     row.changeId = client.request.changeId;
     row.askedAt = clock;
-    ackByAsk[client.request.askId] = ackRows.size();
+    ackByAsk[client.request.requestId] = ackRows.size();
     ackRows.push_back(row);
   }
   sendTry(client);
@@ -230,17 +230,17 @@
   sendAttempt(client.request, client.name, coreName);
   if (rollOperators(10) == 0) sendAttempt(client.request, client.name, someCore());
   later(answerWait + operatorPause(std::min<Duration>(1600ms, 100ms * tries)),
-        [this, &client, tries, askId = client.request.askId] {
-          if (client.open && client.tries == tries && client.request.askId == askId) sendTry(client);
+        [this, &client, tries, requestId = client.request.requestId] {
+          if (client.open && client.tries == tries && client.request.requestId == requestId) sendTry(client);
         });
 }
 
 void World::clientAnswered(OperatorClient& client, const OperatorResponse& reply) {
-  if (!client.open || withoutAttempt(reply.askId) != client.request.askId) return;
+  if (!client.open || withoutAttempt(reply.requestId) != client.request.requestId) return;
   auto outcome = outcomeOf(static_cast<Code>(reply.code));
   if (outcome == OperationOutcome::unclear) {
-    later(operatorPause(200ms), [this, &client, tries = client.tries, askId = client.request.askId] {
-      if (client.open && client.tries == tries && client.request.askId == askId) sendTry(client);
+    later(operatorPause(200ms), [this, &client, tries = client.tries, requestId = client.request.requestId] {
+      if (client.open && client.tries == tries && client.request.requestId == requestId) sendTry(client);
     });
     return;
   }
@@ -258,7 +258,7 @@
 
 void World::sendAgainLate(const OperatorClient& client) {
   OperatorRequest again = client.request;
-  again.askId = "again-" + std::to_string(++askCount);
+  again.requestId = "again-" + std::to_string(++askCount);
   Duration wait = rollOperators(2) ? Duration(0) : std::chrono::milliseconds(rollOperators(8000));
   for (int copies = 1 + rollOperators(8) / 7 * 7; copies > 0; --copies)
     later(wait, [this, again, name = client.name] { sendAttempt(again, name, someCore()); });
@@ -276,16 +276,16 @@
 void World::readThrough(const std::string& coreName, std::function<void(std::uint64_t revision)> done) {
   auto& actor = *actors.at(coreName);
   if (!actor.alive) return;
-  std::string askId = "read-" + std::to_string(++readCount);
-  readsOpen[askId] = OpenRead{clock, std::move(done)};
-  later(1ms, [this, coreName, askId, life = actor.life] {
+  std::string requestId = "read-" + std::to_string(++readCount);
+  readsOpen[requestId] = OpenRead{clock, std::move(done)};
+  later(1ms, [this, coreName, requestId, life = actor.life] {
     auto& there = *actors.at(coreName);
-    if (there.alive && there.life == life) give(there, "operator", ReadRequest{askId});
+    if (there.alive && there.life == life) give(there, "operator", ReadRequest{requestId});
   });
 }
 
 void World::readAnswered(const Actor& actor, const ReadResponse& response) {
-  auto found = readsOpen.find(response.askId);
+  auto found = readsOpen.find(response.requestId);
   if (found == readsOpen.end()) return;
   auto read = std::move(found->second);
   readsOpen.erase(found);
--- a/src/sim/standin.cpp
+++ b/src/sim/standin.cpp
@@ -21,10 +21,10 @@
                                                                               : nullptr;
 }
 
-void KeeperNode::tell(Effects& effects, KeptKind kind, const Hashes& hashes) {
-  if (hashes.empty() && kind != KeptKind::cleared) return;
+void KeeperNode::tell(Effects& effects, CacheEventKind kind, const Hashes& hashes) {
+  if (hashes.empty() && kind != CacheEventKind::cleared) return;
   if (faults.forgetEvents && static_cast<int>(effects.randomBelow(100)) < faults.forgetEvents) return;
-  Told told{KeptEvent{++sequence, static_cast<int>(kind), hashes}, effects.now, false};
+  Told told{CacheEvent{++sequence, static_cast<int>(kind), hashes}, effects.now, false};
   told.lost = faults.loseEvents && static_cast<int>(effects.randomBelow(100)) < faults.loseEvents;
   events.push_back(std::move(told));
   if (events.size() > eventsMost) events.pop_front();
@@ -42,14 +42,14 @@
     kept[hashes[at]] = Kept{at < origins.size() ? origins[at] : std::string(), std::prev(byUse.end())};
     fresh.push_back(hashes[at]);
   }
-  tell(effects, KeptKind::stored, fresh);
+  tell(effects, CacheEventKind::stored, fresh);
   Hashes gone;
   while (kept.size() > given.keepMost) {
     gone.push_back(byUse.front());
     kept.erase(byUse.front());
     byUse.pop_front();
   }
-  tell(effects, KeptKind::removed, gone);
+  tell(effects, CacheEventKind::removed, gone);
 }
 
 void KeeperNode::drop(Effects& effects, const Hashes& hashes) {
@@ -61,16 +61,16 @@
     kept.erase(found);
     gone.push_back(hash);
   }
-  tell(effects, KeptKind::removed, gone);
+  tell(effects, CacheEventKind::removed, gone);
 }
 
 void KeeperNode::forget(Effects& effects, bool saying) {
   kept.clear();
   byUse.clear();
-  if (saying) tell(effects, KeptKind::cleared, {});
+  if (saying) tell(effects, CacheEventKind::cleared, {});
 }
 
-void KeeperNode::end(Effects& effects, const std::string& orderId, Outcome outcome, Code code, const char* word) {
+void KeeperNode::end(Effects& effects, const std::string& orderId, OrderOutcome outcome, Code code, const char* word) {
   auto found = running.find(orderId);
   if (found == running.end()) return;
   WorkerEnd said{orderId, static_cast<int>(outcome), static_cast<int>(code), 0, 0, 0};
@@ -87,7 +87,7 @@
 void KeeperNode::onOrder(Effects& effects, const std::string& from, const WorkerOrder& ask) {
   auto deny = [&](Code code) {
     effects.note("worker denied", ask.orderId, static_cast<int>(code));
-    effects.send(from, WorkerEnd{ask.orderId, static_cast<int>(Outcome::denied), static_cast<int>(code), 0, 0, 0});
+    effects.send(from, WorkerEnd{ask.orderId, static_cast<int>(OrderOutcome::denied), static_cast<int>(code), 0, 0, 0});
   };
   if (drains || loadDue != TimePoint{}) return deny(Code::workerDraining);
   if (given.kind == "language" &&
@@ -217,7 +217,8 @@
       if (currentWeights != ask.weights) {
         Strings open;
         for (const auto& [orderId, run] : running) open.push_back(orderId);
-        for (const auto& orderId : open) end(effects, orderId, Outcome::broken, Code::workerDraining, "cut by load");
+        for (const auto& orderId : open)
+          end(effects, orderId, OrderOutcome::broken, Code::workerDraining, "cut by load");
         loadingWeights = ask.weights;
         loadDue = effects.now + std::chrono::milliseconds(faults.loadMs > 0 ? faults.loadMs : given.loadMs);
       }
@@ -271,7 +272,7 @@
         effects.send(run.from, WorkerChunk{orderId, given.name + ":" + std::to_string(run.said) + " "});
         run.due += spanOf(given.tokenMs);
       }
-      if (run.said >= run.ask.maxTokens) end(effects, orderId, Outcome::done, Code::done, "done");
+      if (run.said >= run.ask.maxTokens) end(effects, orderId, OrderOutcome::done, Code::done, "done");
     }
   }
 }
--- a/src/sim/standin.hpp
+++ b/src/sim/standin.hpp
@@ -87,7 +87,7 @@
   std::unordered_map<BlockHash, Kept, BlockHashHasher> kept;
   std::list<BlockHash> byUse;
   struct Told {
-    KeptEvent event;
+    CacheEvent event;
     TimePoint at;
     bool lost{false};
   };
@@ -97,13 +97,13 @@
   std::deque<RunRecord> records;
   std::string lastHolder;
 
-  void tell(Effects& effects, KeptKind kind, const Hashes& hashes);
+  void tell(Effects& effects, CacheEventKind kind, const Hashes& hashes);
   void keep(Effects& effects, const Hashes& hashes, const Strings& origins);
   void drop(Effects& effects, const Hashes& hashes);
   /// Fetches what a move brings, or begins at once.
   void leaveQueue(Effects& effects, Run& run);
   void begin(Effects& effects, Run& run);
-  void end(Effects& effects, const std::string& orderId, Outcome outcome, Code code, const char* word);
+  void end(Effects& effects, const std::string& orderId, OrderOutcome outcome, Code code, const char* word);
   void onOrder(Effects& effects, const std::string& from, const WorkerOrder& ask);
   void onReport(Effects& effects, const std::string& from, const ReportAsk& ask);
   void onControl(Effects& effects, const std::string& from, const ControlAsk& ask);
--- a/src/tools/main_core.cpp
+++ b/src/tools/main_core.cpp
@@ -181,7 +181,7 @@
         return answer->finish(200, text);
       }
       ReadRequest read{answers.add(answer)};
-      return host.handle(read.askId, read);
+      return host.handle(read.requestId, read);
     }
     if (ask.method != "PUT" && ask.method != "PATCH") return deny(fault(Code::unknownPath, ask.method));
     if (ask.body.size() > given.settings.recordRoom) return deny(fault(Code::tooLarge, "body"));
@@ -198,7 +198,7 @@
       }
     }
     std::string name = answers.add(answer);
-    change.askId = name;
+    change.requestId = name;
     host.handle(name, change);
   });
 
--- a/src/tools/main_proxy.cpp
+++ b/src/tools/main_proxy.cpp
@@ -75,11 +75,11 @@
       call.onceOnly = true;
       call.wholeWait = 120s;
       std::string sendId = order->orderId;
-      if (order->leaveBy != 0) {
-        Duration left = fromNanoseconds(order->leaveBy) - Clock::now();
+      if (order->sendDeadline != 0) {
+        Duration left = fromNanoseconds(order->sendDeadline) - Clock::now();
         if (left <= Duration(0)) {
-          WorkerEnd unsent{sendId, static_cast<int>(Outcome::brokenUnsent), static_cast<int>(Code::workerBroke), 0, 0,
-                           0};
+          WorkerEnd unsent{
+              sendId, static_cast<int>(OrderOutcome::brokenBeforeSend), static_cast<int>(Code::workerBroke), 0, 0, 0};
           return asio::post(context, [&host, unsent] { host.handle("worker", unsent); });
         }
         call.connectWait = std::min(call.connectWait, left);
--- a/tests/cell_bench.hpp
+++ b/tests/cell_bench.hpp
@@ -30,7 +30,7 @@
   Uint64 sequence{100}, fence{0}, orders{0};
   bool countsOrders{false};
   std::set<BlockHash> kept;
-  std::vector<KeptEvent> events;
+  std::vector<CacheEvent> events;
   bool answers{true}, answersCommands{true}, obeys{true}, lost{false};
   Duration loadSpan{700ms};
   std::string loading;
@@ -40,12 +40,12 @@
   void store(const std::string& id, Uint64 skip = 1) {
     sequence += skip;
     kept.insert(part(id));
-    events.push_back(KeptEvent{sequence, static_cast<int>(KeptKind::stored), {part(id)}});
+    events.push_back(CacheEvent{sequence, static_cast<int>(CacheEventKind::stored), {part(id)}});
   }
   void remove(const std::string& id, Uint64 skip = 1) {
     sequence += skip;
     kept.erase(part(id));
-    events.push_back(KeptEvent{sequence, static_cast<int>(KeptKind::removed), {part(id)}});
+    events.push_back(CacheEvent{sequence, static_cast<int>(CacheEventKind::removed), {part(id)}});
   }
 };
 
@@ -96,7 +96,7 @@
   void name(const std::string& weights) {
     auto patch = configuration.preparePatch(
         R"({"weights":{")" + weights + R"(":{"model":"moss"}},"models":{"moss":{"weights":")" + weights + R"("}}})",
-        Manner::patch);
+        ChangeFormat::patch);
     cr_assert(bool(patch));
     configuration.apply(
         LogEntry{configuration.index() + 1, 1, static_cast<int>(EntryKind::change), patch.value(), {}, 0});
@@ -149,7 +149,7 @@
       Report report;
       report.worker = worker.name;
       report.scope = ask->scope;
-      if (ask->scope == static_cast<int>(Scope::condition)) {
+      if (ask->scope == static_cast<int>(ReportScope::condition)) {
         report.weights = worker.weights;
         report.model = "moss";
         report.draining = !worker.loading.empty();
--- a/tests/cells.cpp
+++ b/tests/cells.cpp
@@ -79,11 +79,11 @@
   cr_expect(bench.lookup("w1", {"a", "b"}) == (std::vector<int>{1, 0}));
   Report overtaken;
   overtaken.worker = "w1";
-  overtaken.scope = static_cast<int>(Scope::index);
+  overtaken.scope = static_cast<int>(ReportScope::index);
   overtaken.incarnation = "1";
   overtaken.gaps = true;
   overtaken.sequence = 105;
-  overtaken.events = {KeptEvent{105, static_cast<int>(KeptKind::stored), {part("b")}}};
+  overtaken.events = {CacheEvent{105, static_cast<int>(CacheEventKind::stored), {part("b")}}};
   bench.with(bench.holder(), [&](Effects& effects, Cell& cell) { cell.handle(effects, "w1:80", overtaken); });
   cr_expect(bench.lookup("w1", {"a", "b"}) == (std::vector<int>{1, 0}), "b was removed after that report was made");
 }
--- a/tests/core_bench.hpp
+++ b/tests/core_bench.hpp
@@ -98,7 +98,7 @@
     for (auto& [to, message] : effects.sends) {
       if (to.rfind("operator", 0) == 0) {
         auto& reply = std::get<OperatorResponse>(message);
-        replies[reply.askId] = reply;
+        replies[reply.requestId] = reply;
       } else if (to == machine.address) {
         due.emplace(now, std::make_pair(machine.life, Mail{machine.address, to, std::move(message)}));
       } else if (auto* other = at(to)) {
@@ -190,17 +190,17 @@
     cr_assert(runUntil([&] { return allVote({"core-1", "core-2", "core-3", "core-4"}) && !leader().empty(); }, 20s));
   }
   std::string ask(const std::string& name, const std::string& changeName) {
-    std::string askId = "ask-" + std::to_string(++askCount);
+    std::string requestId = "ask-" + std::to_string(++askCount);
     OperatorRequest change;
-    change.askId = askId;
+    change.requestId = requestId;
     change.body = R"({"weights":{")" + changeName + R"(":{"model":"moss"}}})";
     change.ifRevision = -1;
     change.changeId = changeName;
     with(machines.at(name), [&](Effects& effects, Core& core) { core.handle(effects, "operator", change); });
-    return askId;
+    return requestId;
   }
-  bool acknowledged(const std::string& askId) const {
-    auto found = replies.find(askId);
+  bool acknowledged(const std::string& requestId) const {
+    auto found = replies.find(requestId);
     return found != replies.end() && found->second.code == static_cast<int>(Code::changeTaken);
   }
   std::string told() const {
--- a/tests/drain_plan.cpp
+++ b/tests/drain_plan.cpp
@@ -18,7 +18,7 @@
   void say(const std::string& orderId, const std::string& text, const std::string& piece = {}) {
     give("worker", WorkerChunk{sendsOf(orderId).back().orderId, text, piece});
   }
-  void finish(const std::string& orderId, Outcome outcome = Outcome::done) {
+  void finish(const std::string& orderId, OrderOutcome outcome = OrderOutcome::done) {
     give("worker", WorkerEnd{sendsOf(orderId).back().orderId, static_cast<int>(outcome), 0, 0, 0, 0});
   }
   void expectRefused(const std::string& orderId) {
@@ -118,7 +118,7 @@
     struct Placed {
       std::string orderId;
       TimePoint at, deadline, finishAt;
-      Outcome outcome;
+      OrderOutcome outcome;
     };
     std::vector<Placed> placed;
     while (proxy.now < proxy.plan.exitsBy) {
@@ -131,7 +131,7 @@
         TimePoint deadline = proxy.now + std::min<Duration>(timeout, std::chrono::milliseconds(ask.deadlineMs));
         placed.push_back(Placed{proxy.place(ask), proxy.now, deadline,
                                 proxy.now + std::chrono::milliseconds(20 + randomBelow(6000)),
-                                randomBelow(10) ? Outcome::done : Outcome::broken});
+                                randomBelow(10) ? OrderOutcome::done : OrderOutcome::broken});
       }
       for (const auto& row : placed)
         if (proxy.now >= row.finishAt && proxy.verdictsOf(row.orderId).empty() && !proxy.sendsOf(row.orderId).empty())
--- a/tests/fleet_bench.hpp
+++ b/tests/fleet_bench.hpp
@@ -10,7 +10,7 @@
 namespace tt {
 
 /// Real cores and agents on links that can be cut one by one and in one direction, under one clock that the test moves.
-struct FleetBench {
+struct FleetHarness {
   struct Mail {
     std::string from, to;
     Message message;
@@ -42,7 +42,7 @@
   /// Readers found fresh without an entry that had been acknowledged.
   Strings staleReaders;
 
-  explicit FleetBench(std::uint64_t seed = 1) : randomSource(seed) {
+  explicit FleetHarness(std::uint64_t seed = 1) : randomSource(seed) {
     timing.memberGone = 6s;
     timing.votersLeast = 3;
   }
@@ -116,9 +116,9 @@
     action(effects);
     for (auto& [to, message] : effects.sends) {
       if (auto* reply = std::get_if<OperatorResponse>(&message)) {
-        replies[reply->askId] = *reply;
+        replies[reply->requestId] = *reply;
       } else if (auto* read = std::get_if<ReadResponse>(&message)) {
-        reads[read->askId] = *read;
+        reads[read->requestId] = *read;
       } else if (to == machine.address) {
         due.emplace(now, std::make_pair(machine.life, Mail{machine.address, to, std::move(message)}));
       } else if (auto* other = at(to)) {
@@ -205,25 +205,25 @@
     return askWith(name, changeName, R"({"weights":{")" + changeName + R"(":{"model":"moss"}}})");
   }
   std::string askWith(const std::string& name, const std::string& changeName, const std::string& body) {
-    std::string askId = "ask-" + std::to_string(++askCount);
+    std::string requestId = "ask-" + std::to_string(++askCount);
     OperatorRequest change;
-    change.askId = askId;
+    change.requestId = requestId;
     change.body = body;
     change.ifRevision = -1;
     change.changeId = changeName;
     with(machines.at(name), [&](Effects& effects) { machines.at(name).node->handle(effects, "operator", change); });
-    return askId;
+    return requestId;
   }
   std::string read(const std::string& name) {
-    std::string askId = "read-" + std::to_string(++askCount);
+    std::string requestId = "read-" + std::to_string(++askCount);
     with(machines.at(name),
-         [&](Effects& effects) { machines.at(name).node->handle(effects, askId, ReadRequest{askId}); });
-    return askId;
+         [&](Effects& effects) { machines.at(name).node->handle(effects, requestId, ReadRequest{requestId}); });
+    return requestId;
   }
   ReadResponse readThrough(const std::string& name) {
-    auto askId = read(name);
-    cr_assert(runUntil([&] { return reads.count(askId) > 0; }, 1s), "a read is answered or turned away in time");
-    return reads[askId];
+    auto requestId = read(name);
+    cr_assert(runUntil([&] { return reads.count(requestId) > 0; }, 1s), "a read is answered or turned away in time");
+    return reads[requestId];
   }
   Strings allBut(const std::string& left) {
     Strings names;
@@ -231,8 +231,8 @@
       if (name != left && machine.core) names.push_back(name);
     return names;
   }
-  bool acknowledged(const std::string& askId) const {
-    auto found = replies.find(askId);
+  bool acknowledged(const std::string& requestId) const {
+    auto found = replies.find(requestId);
     return found != replies.end() && found->second.code == static_cast<int>(Code::changeTaken);
   }
   bool has(const std::string& name, const std::string& changeName) {
--- a/tests/freshness.cpp
+++ b/tests/freshness.cpp
@@ -7,7 +7,7 @@
 using namespace tt;
 
 Test(freshness, a_core_that_restarted_does_not_vouch_for_the_readers_that_it_forgot) {
-  FleetBench bench;
+  FleetHarness bench;
   bench.form(4);
   std::string leader = bench.leader();
   auto others = bench.followers();
@@ -22,15 +22,15 @@
   bench.run(50ms);
   bench.startCore(restarted, false);
   bench.run(50ms);
-  auto askId = bench.ask(leader, "late");
-  cr_assert(bench.runUntil([&] { return bench.acknowledged(askId); }, 5s));
+  auto requestId = bench.ask(leader, "late");
+  cr_assert(bench.runUntil([&] { return bench.acknowledged(requestId); }, 5s));
   bench.run(3s);
   cr_expect(bench.staleReaders.empty(), "fresh without an acknowledged change on %d occasions",
             static_cast<int>(bench.staleReaders.size()));
 }
 
 Test(freshness, a_change_before_a_removal_that_is_not_agreed_needs_the_quorum_of_the_old_members) {
-  FleetBench bench;
+  FleetHarness bench;
   bench.form(4);
   std::string leader = bench.leader();
   auto others = bench.followers();
@@ -50,7 +50,7 @@
 }
 
 Test(freshness, readers_with_the_old_members_are_waited_for_from_when_the_new_ones_are_agreed) {
-  FleetBench bench;
+  FleetHarness bench;
   bench.form(4);
   bench.startAgent("edge-1");
   cr_assert(bench.runUntil([&] { return bench.agentFresh("edge-1"); }, 5s));
@@ -69,8 +69,8 @@
   bench.join(far, leader);
   cr_assert(bench.runUntil([&] { return bench.logOf(leader).commit() >= membersIndex; }, 2s));
   bench.cut(far, leader);
-  auto askId = bench.ask(leader, "late");
-  cr_assert(bench.runUntil([&] { return bench.acknowledged(askId); }, 5s));
+  auto requestId = bench.ask(leader, "late");
+  cr_assert(bench.runUntil([&] { return bench.acknowledged(requestId); }, 5s));
   bench.run(3s);
   cr_expect(bench.staleReaders.empty(), "fresh without an acknowledged change on %d occasions",
             static_cast<int>(bench.staleReaders.size()));
@@ -78,7 +78,7 @@
 
 Test(freshness, a_core_that_is_cut_off_reads_back_nothing_older_than_what_was_acknowledged) {
   for (int cores : {4, 5, 8}) {
-    FleetBench bench;
+    FleetHarness bench;
     timing.freshFor = 4s;
     timing.readersWait = 666ms;
     bench.form(cores);
@@ -87,8 +87,8 @@
       std::string leader = bench.leader(), cutOff = bench.followers()[0], name = "late-" + std::to_string(round);
       cr_assert(bench.readThrough(cutOff).confirmed, "in touch it reads");
       bench.cutSides({cutOff}, bench.allBut(cutOff));
-      auto askId = bench.ask(leader, name);
-      cr_assert(bench.runUntil([&] { return bench.acknowledged(askId); }, 3s));
+      auto requestId = bench.ask(leader, name);
+      cr_assert(bench.runUntil([&] { return bench.acknowledged(requestId); }, 3s));
       cr_assert_not(bench.has(cutOff, name));
       cr_expect_not(bench.readThrough(cutOff).confirmed, "%d cores, round %d: no majority, no read", cores, round);
       auto kept = bench.readThrough(leader);
@@ -102,7 +102,7 @@
 }
 
 Test(freshness, a_read_needs_a_majority_asked_after_it_came) {
-  FleetBench bench;
+  FleetHarness bench;
   bench.form(4);
   bench.run(1s);
   bench.cutSides({"core-1", "core-2"}, {"core-3", "core-4"});
@@ -116,7 +116,7 @@
 Test(freshness, a_leader_that_hears_nobody_reads_refuses_and_confirms_nothing) {
   for (int cores : {4, 5, 8}) {
     for (bool hears : {false, true}) {
-      FleetBench bench;
+      FleetHarness bench;
       bench.form(cores);
       bench.run(2s);
       std::string old = bench.leader();
@@ -126,7 +126,7 @@
       }
       auto lone = bench.ask(old, "lone");
       OperatorRequest stale;
-      stale.askId = "stale";
+      stale.requestId = "stale";
       stale.body = R"({"weights":{"stale":{"model":"moss"}}})";
       stale.ifRevision = 77;
       stale.changeId = "stale";
@@ -135,11 +135,11 @@
                  [&](Effects& effects) { bench.machines.at(old).node->handle(effects, "operator", stale); });
       bench.run(hears ? Duration(5s) : Duration(12s));
       cr_expect_not(bench.readThrough(old).confirmed);
-      for (const auto* askId : {&lone, &stale.askId}) {
-        if (!bench.replies.count(*askId)) continue;
-        auto code = static_cast<Code>(bench.replies[*askId].code);
+      for (const auto* requestId : {&lone, &stale.requestId}) {
+        if (!bench.replies.count(*requestId)) continue;
+        auto code = static_cast<Code>(bench.replies[*requestId].code);
         cr_expect(code == Code::changeUnsure || code == Code::notLeading, "%d cores: %s answered %s", cores,
-                  askId->c_str(), codeName(code));
+                  requestId->c_str(), codeName(code));
       }
     }
   }
@@ -149,7 +149,7 @@
   int confirmed = 0, deniedReads = 0, acked = 0;
   for (int cores : {4, 5, 8})
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-      FleetBench bench(seed);
+      FleetHarness bench(seed);
       timing.freshFor = 4s;
       timing.readersWait = 666ms;
       bench.form(cores);
@@ -180,7 +180,7 @@
           open = openReads.erase(open);
         }
       }
-      for (const auto& askId : openChanges) acked += bench.acknowledged(askId);
+      for (const auto& requestId : openChanges) acked += bench.acknowledged(requestId);
     }
   cr_expect_gt(confirmed, 3000);
   cr_expect_gt(deniedReads, 1000);
@@ -214,7 +214,7 @@
       for (std::size_t at = 0; at < voters; ++at) {
         if (to != nameOf(at) + ":1" || !(heard >> at & 1)) continue;
         auto word = wordOf(at);
-        word.askId = std::get<LogEndRequest>(message).askId;
+        word.requestId = std::get<LogEndRequest>(message).requestId;
         word.core = nameOf(at);
         Effects taking{now, randomSource, journal, {}, {}};
         reader.handle(taking, to, word, view);
--- a/tests/fuzz_findings.cpp
+++ b/tests/fuzz_findings.cpp
@@ -23,7 +23,7 @@
   cr_assert(bool(patch), "%s: %s", patch.error().subject.c_str(), patch.error().text.c_str());
   view.apply(LogEntry{1, 1, static_cast<int>(EntryKind::change), patch.value(), {}, 1});
   auto route = view.findRoute("r");
-  cr_assert(route->timeout > 1h && route->aim > 1h && route->gap > 1h);
+  cr_assert(route->timeout > 1h && route->targetLatency > 1h && route->gap > 1h);
   const auto& limits = view.callerLimits();
   cr_assert(limits.headerWait > 1h);
   cr_assert(limits.idleWait == Duration(0));
--- a/tests/gate_faults.cpp
+++ b/tests/gate_faults.cpp
@@ -168,14 +168,14 @@
   std::string askedAs(const std::string& changeId) {
     out.clear();
     OperatorRequest request;
-    request.askId = "operator";
+    request.requestId = "operator";
     request.body = "{\"policies\":{\"" + changeId + "\":\"recompute\"}}";
     request.changeId = changeId;
     request.ifRevision = -1;
     request.toRevision = -1;
     handle("operator", request);
     for (const auto& [to, message] : out)
-      if (auto* change = std::get_if<ChangeRequest>(&message)) return change->askId;
+      if (auto* change = std::get_if<ChangeRequest>(&message)) return change->requestId;
     return {};
   }
   std::size_t told() const {
--- a/tests/leave_by.cpp
+++ b/tests/leave_by.cpp
@@ -44,7 +44,7 @@
   std::size_t arrived() const { return worker.copies("X-Attempt-Id: a-" + std::to_string(asked) + "\r\n"); }
   void expectUnsent() {
     cr_assert(until([&] { return lastTold<WorkerEnd>() != nullptr; }), "the logic is told of the end");
-    cr_expect_eq(lastTold<WorkerEnd>()->outcome, static_cast<int>(Outcome::brokenUnsent));
+    cr_expect_eq(lastTold<WorkerEnd>()->outcome, static_cast<int>(OrderOutcome::brokenBeforeSend));
     pass(50ms);
     cr_expect_eq(arrived(), 0u);
   }
@@ -53,9 +53,9 @@
 
 Test(leave_by, an_order_without_a_last_moment_or_before_it_leaves) {
   LeaveBench bench;
-  for (std::int64_t leaveBy : {std::int64_t{0}, toNanoseconds(Clock::now() + 1h)}) {
+  for (std::int64_t sendDeadline : {std::int64_t{0}, toNanoseconds(Clock::now() + 1h)}) {
     auto order = bench.nextOrder();
-    order.leaveBy = leaveBy;
+    order.sendDeadline = sendDeadline;
     bench.send(order);
     cr_assert(bench.until([&] { return bench.arrived() == 1; }));
   }
@@ -64,7 +64,7 @@
 Test(leave_by, an_order_past_its_last_moment_is_not_sent) {
   LeaveBench bench;
   auto order = bench.nextOrder();
-  order.leaveBy = toNanoseconds(Clock::now() - 1ms);
+  order.sendDeadline = toNanoseconds(Clock::now() - 1ms);
   bench.send(order);
   bench.expectUnsent();
 }
@@ -72,7 +72,7 @@
 Test(leave_by, an_order_whose_last_moment_passes_before_it_is_written_is_not_sent) {
   LeaveBench bench;
   auto order = bench.nextOrder();
-  order.leaveBy = toNanoseconds(Clock::now() + 20ms);
+  order.sendDeadline = toNanoseconds(Clock::now() + 20ms);
   bench.send(order);
   std::this_thread::sleep_for(30ms);
   bench.expectUnsent();
--- a/tests/linearizability.cpp
+++ b/tests/linearizability.cpp
@@ -95,7 +95,7 @@
   struct Register {
     std::uint64_t revision{0};
     RegisterItems items;
-    std::map<std::string, std::uint64_t> takenAs, weights;
+    std::map<std::string, std::uint64_t> revisionOfChange, weights;
     std::set<std::string> refusedIds, namedWeights, refusedWeights;
   };
   const History& history;
@@ -153,8 +153,8 @@
     return std::nullopt;
   }
   static std::optional<Register> afterChange(Register state, const Operation& operation) {
-    auto known = state.takenAs.find(operation.changeId);
-    bool wasTaken = known != state.takenAs.end();
+    auto known = state.revisionOfChange.find(operation.changeId);
+    bool wasTaken = known != state.revisionOfChange.end();
     bool stale = (operation.base && *operation.base != state.revision) ||
                  (operation.revision && operation.revision <= state.revision);
     if (operation.outcome == OperationOutcome::refusedStale || operation.outcome == OperationOutcome::refusedInvalid) {
@@ -172,7 +172,7 @@
     state.revision = operation.revision ? operation.revision : state.revision + 1;
     if (acknowledged && operation.seenRevision && operation.seenRevision != state.revision) return std::nullopt;
     state.items = itemsAfter(state.items, operation);
-    state.takenAs[operation.changeId] = state.revision;
+    state.revisionOfChange[operation.changeId] = state.revision;
     return state;
   }
   static std::optional<Register> afterNaming(Register state, const Operation& operation) {
@@ -210,7 +210,7 @@
   History history;
   std::vector<Operation> pool;
   std::vector<std::pair<std::uint64_t, RegisterItems>> states{{0, {}}};
-  std::map<std::string, std::uint64_t> takenAs;
+  std::map<std::string, std::uint64_t> revisionOfChange;
   std::set<std::string> refusedIds;
   std::vector<std::uint64_t> weights{0};
   std::int64_t clock{0};
@@ -245,9 +245,9 @@
     auto revision = states.back().first;
     bool stale = (made.base && *made.base != revision) || (made.revision && made.revision <= revision);
     bool lies = randomBelow(14) == 0;
-    if (takenAs.count(made.changeId)) {
+    if (revisionOfChange.count(made.changeId)) {
       made.outcome = lies ? OperationOutcome::refusedStale : OperationOutcome::taken;
-      made.seenRevision = takenAs[made.changeId];
+      made.seenRevision = revisionOfChange[made.changeId];
     } else if (!made.valid.value_or(true)) {
       made.outcome = lies ? OperationOutcome::taken : OperationOutcome::refusedInvalid;
     } else if (stale != lies || refusedIds.count(made.changeId)) {
@@ -257,7 +257,7 @@
       made.outcome = OperationOutcome::taken;
       made.seenRevision = made.revision ? made.revision : revision + 1;
       states.emplace_back(made.seenRevision, itemsAfter(states.back().second, made));
-      takenAs[made.changeId] = made.seenRevision;
+      revisionOfChange[made.changeId] = made.seenRevision;
     }
     if (randomBelow(5) == 0) made.seenRevision = 0;
     if (randomBelow(4) == 0) made.outcome = OperationOutcome::unclear;
--- a/tests/load.cpp
+++ b/tests/load.cpp
@@ -36,37 +36,37 @@
 
 Test(load, news_with_a_base_change_only_the_rows_they_name) {
   CellNews kept;
-  cr_assert(takeCellNews(kept, newsOf(2, 4, 0, {viewOf("w1", 1), viewOf("w2", 2), viewOf("w3", 3)})));
-  cr_expect(takeCellNews(kept, newsOf(2, 5, 4, {viewOf("w2", 7), viewOf("w4", 4)}, {"w1"})));
+  cr_assert(applyCellNews(kept, newsOf(2, 4, 0, {viewOf("w1", 1), viewOf("w2", 2), viewOf("w3", 3)})));
+  cr_expect(applyCellNews(kept, newsOf(2, 5, 4, {viewOf("w2", 7), viewOf("w4", 4)}, {"w1"})));
   cr_expect(waitingOf(kept) == (Waiting{{"w2", 7}, {"w3", 3}, {"w4", 4}}));
   cr_expect_eq(kept.sequence, 5u);
   cr_expect_eq(kept.base, 0u, "what is kept is whole and can be passed on as such");
   cr_expect(kept.gone.empty());
-  cr_expect(takeCellNews(kept, newsOf(2, 6, 5, {})));
+  cr_expect(applyCellNews(kept, newsOf(2, 6, 5, {})));
   cr_expect(waitingOf(kept) == (Waiting{{"w2", 7}, {"w3", 3}, {"w4", 4}}));
   cr_expect_eq(kept.sequence, 6u);
   CellNews other;
-  cr_expect(takeCellNews(other, kept), "a third may take what was merged");
+  cr_expect(applyCellNews(other, kept), "a third may take what was merged");
   cr_expect(waitingOf(other) == waitingOf(kept));
 }
 
 Test(load, news_with_another_base_or_term_are_not_taken_and_a_whole_one_after_them_is) {
   CellNews kept;
-  cr_expect_not(takeCellNews(kept, newsOf(2, 5, 4, {viewOf("w1")})), "there is nothing to merge with");
+  cr_expect_not(applyCellNews(kept, newsOf(2, 5, 4, {viewOf("w1")})), "there is nothing to merge with");
   cr_expect(kept.workers.empty());
-  cr_assert(takeCellNews(kept, newsOf(2, 4, 0, {viewOf("w1", 1), viewOf("w2", 2)})));
+  cr_assert(applyCellNews(kept, newsOf(2, 4, 0, {viewOf("w1", 1), viewOf("w2", 2)})));
   auto before = waitingOf(kept);
   for (const auto& news : {newsOf(2, 6, 5, {viewOf("w1", 9)}, {"w2"}), newsOf(3, 5, 4, {viewOf("w1", 9)}, {"w2"}),
                            newsOf(1, 5, 4, {viewOf("w1", 9)}, {"w2"}), newsOf(2, 4, 3, {viewOf("w1", 9)}, {"w2"}),
                            newsOf(2, 5, 3, {viewOf("w1", 9)}, {"w2"})}) {
-    cr_expect_not(takeCellNews(kept, news));
+    cr_expect_not(applyCellNews(kept, news));
     cr_expect(waitingOf(kept) == before);
     cr_expect_eq(kept.term, 2u);
     cr_expect_eq(kept.sequence, 4u);
   }
-  cr_expect(takeCellNews(kept, newsOf(2, 7, 0, {viewOf("w3", 5)})));
+  cr_expect(applyCellNews(kept, newsOf(2, 7, 0, {viewOf("w3", 5)})));
   cr_expect(waitingOf(kept) == (Waiting{{"w3", 5}}));
-  cr_expect(takeCellNews(kept, newsOf(3, 1, 0, {viewOf("w4", 6)})), "another holder begins anew");
+  cr_expect(applyCellNews(kept, newsOf(3, 1, 0, {viewOf("w4", 6)})), "another holder begins anew");
   cr_expect(waitingOf(kept) == (Waiting{{"w4", 6}}));
 }
 
@@ -76,7 +76,7 @@
   struct TestKeeper {
     bool store{false};
     std::set<BlockHash> kept;
-    std::vector<KeptEvent> events;
+    std::vector<CacheEvent> events;
     Uint64 sequence{0};
     int running{0}, waiting{0};
   };
@@ -97,7 +97,7 @@
     settings.askEvery = 50ms;
     settings.conditionEvery = 100ms;
     auto patch = configuration.preparePatch(
-        R"({"weights":{"moss/3":{"model":"moss"}},"models":{"moss":{"weights":"moss/3"}}})", Manner::patch);
+        R"({"weights":{"moss/3":{"model":"moss"}},"models":{"moss":{"weights":"moss/3"}}})", ChangeFormat::patch);
     cr_assert(bool(patch));
     configuration.apply(LogEntry{1, 1, static_cast<int>(EntryKind::change), patch.value(), {}, 0});
     Member self{"core-1", "core-1", "core-1:1", "north-a", true};
@@ -107,7 +107,7 @@
     cell->publish = [this](Effects&, const CellNews& told) {
       news.push_back(told);
       newsAt.push_back(now);
-      missed += !takeCellNews(follower, told);
+      missed += !applyCellNews(follower, told);
     };
   }
   void list(const Strings& workers, const Strings& stores = {}) {
@@ -134,7 +134,8 @@
   void drop(const std::string& keeper, const std::string& id) {
     auto& row = keepers.at(keeper);
     row.kept.erase(hashPromptPart("salt", id));
-    row.events.push_back(KeptEvent{++row.sequence, static_cast<int>(KeptKind::removed), {hashPromptPart("salt", id)}});
+    row.events.push_back(
+        CacheEvent{++row.sequence, static_cast<int>(CacheEventKind::removed), {hashPromptPart("salt", id)}});
   }
   void with(const std::function<void(Effects&)>& action) {
     Effects effects{now, randomSource, journal, {}, {}};
@@ -161,7 +162,7 @@
     Report report;
     report.worker = ask.worker;
     report.scope = ask.scope;
-    if (ask.scope == static_cast<int>(Scope::condition)) {
+    if (ask.scope == static_cast<int>(ReportScope::condition)) {
       report.weights = "moss/3";
       report.model = "moss";
       report.slots = 8;
@@ -205,10 +206,10 @@
       if (auto* reply = std::get_if<LookupReply>(&message)) return reply->hits;
     return {};
   }
-  int shareOf(const std::string& keeper) const { return cell->keepers().at(keeper).savedShare; }
+  int shareOf(const std::string& keeper) const { return cell->keepers().at(keeper).savedPermille; }
   int toldShare(const std::string& keeper) const {
     for (const auto& worker : follower.workers)
-      if (worker.name == keeper) return worker.savedShare;
+      if (worker.name == keeper) return worker.savedPermille;
     return -1;
   }
 };
@@ -466,7 +467,7 @@
   }
   WorkerView& store() {
     auto& row = ProxyBench::store("barn", "north-b");
-    row.savedShare = 1000;
+    row.savedPermille = 1000;
     return row;
   }
   std::string place(int number, const std::string& path = "/aim/x", const std::vector<int>& tokens = promptTokens) {
@@ -486,7 +487,7 @@
     return orderId;
   }
   void chunk(const std::string& orderId) { give("worker", WorkerChunk{sends.at(orderId).back().orderId, "piece", ""}); }
-  void end(const std::string& orderId, Outcome outcome = Outcome::done) {
+  void end(const std::string& orderId, OrderOutcome outcome = OrderOutcome::done) {
     ProxyBench::end(sends.at(orderId).back().orderId, outcome);
   }
   std::string sinkOf(int number, const Hits& hits = {}, const std::vector<int>& tokens = promptTokens) {
@@ -562,10 +563,10 @@
   for (int number = 1; number <= 20; ++number) {
     int place = static_cast<int>(probe.prefixOf(number).high % 1000);
     EdgeBench bench;
-    bench.store().savedShare = place;
+    bench.store().savedPermille = place;
     bench.workers(3);
     cr_expect_eq(bench.sinkOf(number), "", "share %d", place);
-    bench.store().savedShare = place + 1;
+    bench.store().savedPermille = place + 1;
     bench.tell();
     cr_expect_eq(bench.sinkOf(number), "barn:80", "share %d", place + 1);
   }
@@ -610,7 +611,7 @@
   bench.workers(4);
   auto orderId = bench.placeAndAnswer(1, "/free/x");
   cr_expect_eq(bench.onlySend(orderId).sinkAddress, "barn:80");
-  bench.end(orderId, Outcome::denied);
+  bench.end(orderId, OrderOutcome::denied);
   bench.run(20ms);
   bench.answer();
   cr_assert_eq(bench.sends[orderId].size(), 2u);
@@ -680,7 +681,7 @@
   bench.slow(60, 4s);
   for (const auto& orderId : ids) {
     cr_expect_gt(bench.shedOf(20), 0, "others are shed meanwhile");
-    bench.end(orderId, Outcome::denied);
+    bench.end(orderId, OrderOutcome::denied);
     bench.answer();
     bench.run(20ms);
     cr_expect(bench.verdicts[orderId].empty());
--- a/tests/log_fleet.hpp
+++ b/tests/log_fleet.hpp
@@ -76,7 +76,7 @@
     request.body = R"({"weights":{")" + name + R"(":{"model":")" + std::to_string(changes) + "." +
                    std::string(changeBytes, 'm') + R"("}}})";
     request.changeId = "config/" + std::to_string(changes) + "/" + sha256Hex(std::to_string(changes));
-    request.askId = request.changeId;
+    request.requestId = request.changeId;
     request.ifRevision = -1;
     with(machines.at(id), [&](Effects& effects, ReplicatedLog& log) { log.takeChange(effects, "operator", request); });
     return true;
--- a/tests/members.cpp
+++ b/tests/members.cpp
@@ -35,8 +35,8 @@
 Test(members, one_that_comes_back_empty_waits_for_the_others_and_joins_as_another) {
   CoreBench bench;
   bench.formFour();
-  auto askId = bench.ask("core-2", "kept");
-  cr_assert(bench.runUntil([&] { return bench.acknowledged(askId); }, 10s));
+  auto requestId = bench.ask("core-2", "kept");
+  cr_assert(bench.runUntil([&] { return bench.acknowledged(requestId); }, 10s));
   bench.run(1s);
   std::string oldId = bench.machines["core-1"].core->id();
   int formedBefore = bench.notes["formed"];
@@ -86,9 +86,9 @@
   bench.run(30s);
   cr_assert_not(bench.leader().empty(), "two of three still agree");
   cr_expect_eq(bench.votersAt(bench.leader()), 3u, "the least stay");
-  auto askId = bench.ask(bench.leader(), "late");
-  cr_expect(bench.runUntil([&] { return bench.acknowledged(askId); }, 10s), "%s and then %s stopped, code %d:%s",
-            first.c_str(), second.c_str(), bench.replies.count(askId) ? bench.replies[askId].code : -1,
+  auto requestId = bench.ask(bench.leader(), "late");
+  cr_expect(bench.runUntil([&] { return bench.acknowledged(requestId); }, 10s), "%s and then %s stopped, code %d:%s",
+            first.c_str(), second.c_str(), bench.replies.count(requestId) ? bench.replies[requestId].code : -1,
             bench.told().c_str());
 }
 
@@ -137,8 +137,8 @@
     std::string name = "change-" + std::to_string(round), asked = bench.leader();
     for (const auto& other : four)
       if (other != away && bench.randomSource() % 2) asked = other;
-    auto askId = bench.ask(asked, name);
-    cr_assert(bench.runUntil([&] { return bench.acknowledged(askId); }, 15s), "seed %d round %d",
+    auto requestId = bench.ask(asked, name);
+    cr_assert(bench.runUntil([&] { return bench.acknowledged(requestId); }, 15s), "seed %d round %d",
               static_cast<int>(seed), round);
     acked.push_back(name);
     std::string wiped;
@@ -181,8 +181,8 @@
     std::string gone = bench.follower();
     bench.stop(gone);
     cr_assert(bench.runUntil([&] { return !bench.leader().empty() && bench.votersAt(bench.leader()) == 3; }, 15s));
-    auto askId = bench.ask(bench.leader(), "kept");
-    cr_assert(bench.runUntil([&] { return bench.acknowledged(askId); }, 10s));
+    auto requestId = bench.ask(bench.leader(), "kept");
+    cr_assert(bench.runUntil([&] { return bench.acknowledged(requestId); }, 10s));
     bench.run(2s);
     std::string lost = bench.follower();
     for (const auto& name : four)
@@ -220,8 +220,8 @@
 Test(members, all_disks_but_the_budget_are_needed_to_go_on) {
   CoreBench bench;
   bench.formFour();
-  auto askId = bench.ask("core-1", "kept");
-  cr_assert(bench.runUntil([&] { return bench.acknowledged(askId); }, 10s));
+  auto requestId = bench.ask("core-1", "kept");
+  cr_assert(bench.runUntil([&] { return bench.acknowledged(requestId); }, 10s));
   for (const auto& name : four) bench.stop(name);
   for (const char* name : {"core-2", "core-3", "core-4"}) bench.wipe(name);
   for (const auto& name : four) bench.start(name, false);
--- a/tests/membership.cpp
+++ b/tests/membership.cpp
@@ -70,8 +70,8 @@
     return who.empty() ? 0 : votersAt(who);
   }
   void change(const std::string& name, const std::string& askedOf = {}) {
-    auto askId = ask(askedOf.empty() ? leader() : askedOf, name);
-    cr_assert(runUntil([&] { return acknowledged(askId); }, 20s), "%s:%s", name.c_str(), told().c_str());
+    auto requestId = ask(askedOf.empty() ? leader() : askedOf, name);
+    cr_assert(runUntil([&] { return acknowledged(requestId); }, 20s), "%s:%s", name.c_str(), told().c_str());
     acked.push_back(name);
   }
   /// All processes die at once, with what they have not synced; some never come back.
@@ -293,13 +293,13 @@
     bench.run(1s);
     bool enough = quorum - 1 >= timing.copiesLeast();
     cr_expect_eq(core.mayEnd(), enough, "%d machines", deployment.count);
-    auto askId = bench.ask(bench.leader(), "after");
+    auto requestId = bench.ask(bench.leader(), "after");
     bench.run(2s);
-    cr_expect_not(bench.acknowledged(askId), "one that leaves counts for no copy");
+    cr_expect_not(bench.acknowledged(requestId), "one that leaves counts for no copy");
     bench.cutOff.clear();
     bench.run(500ms);
     cr_expect(core.mayEnd(), "%d machines", deployment.count);
-    cr_expect(bench.runUntil([&] { return bench.acknowledged(askId); }, 10s));
+    cr_expect(bench.runUntil([&] { return bench.acknowledged(requestId); }, 10s));
   }
 }
 
@@ -400,7 +400,7 @@
   for (const char* id : {"b", "c", "d"}) log.acknowledge(id, 2);
   cr_assert_eq(log.log.commit(), 2u);
   ChangeRequest change;
-  change.askId = change.changeId = "x";
+  change.requestId = change.changeId = "x";
   change.body = R"({"weights":{"x":{"model":"moss"}}})";
   change.ifRevision = -1;
   for (const char* id : {"b", "c", "d"}) log.renew(id);
@@ -498,7 +498,7 @@
       if (voters[at].address != to || !(heard & (1u << at))) continue;
       bool has = holding & (1u << at);
       LogEndResponse reply;
-      reply.askId = std::get<LogEndRequest>(message).askId;
+      reply.requestId = std::get<LogEndRequest>(message).requestId;
       reply.core = voters[at].id;
       reply.term = has ? 2 : 1;
       reply.leads = oldLeader && !has;
--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -80,7 +80,7 @@
   void collect(Machine& machine, Effects& effects) {
     for (auto& [to, message] : effects.sends) {
       if (auto* reply = std::get_if<OperatorResponse>(&message)) {
-        replies[reply->askId].push_back(*reply);
+        replies[reply->requestId].push_back(*reply);
         continue;
       }
       Mail mail{machine.address, to, std::move(message)};
@@ -156,19 +156,19 @@
     return {};
   }
   std::string ask(const std::string& name, OperatorRequest change) {
-    change.askId = "ask-" + std::to_string(++askCount);
+    change.requestId = "ask-" + std::to_string(++askCount);
     give(name, "operator", change);
-    return change.askId;
+    return change.requestId;
   }
   /// The first answer that an ask got; nothing before it has one.
-  std::optional<Code> answer(const std::string& askId) const {
-    auto found = replies.find(askId);
+  std::optional<Code> answer(const std::string& requestId) const {
+    auto found = replies.find(requestId);
     if (found == replies.end()) return std::nullopt;
     return static_cast<Code>(found->second.front().code);
   }
-  Code answered(const std::string& askId, Duration most = 10s) {
-    cr_assert(runUntil([&] { return answer(askId).has_value(); }, most), "%s got no answer", askId.c_str());
-    return *answer(askId);
+  Code answered(const std::string& requestId, Duration most = 10s) {
+    cr_assert(runUntil([&] { return answer(requestId).has_value(); }, most), "%s got no answer", requestId.c_str());
+    return *answer(requestId);
   }
   void mustTake(const OperatorRequest& change) {
     auto name = leader();
@@ -192,7 +192,7 @@
   change.body = R"({"services":{")" + service + R"(":{}}})";
   change.ifRevision = base;
   change.toRevision = revision;
-  change.manner = static_cast<int>(Manner::items);
+  change.changeFormat = static_cast<int>(ChangeFormat::items);
   change.changeId = "config/" + std::to_string(revision) + "/" + service;
   return change;
 }
@@ -274,11 +274,11 @@
   fleet.mustTake(numbered(1, 5, "second"));
   ChangeRequest change;
   auto next = numbered(5, 6, "third");
-  change.askId = "asked of one that slept";
+  change.requestId = "asked of one that slept";
   change.body = next.body;
   change.ifRevision = next.ifRevision;
   change.toRevision = next.toRevision;
-  change.manner = next.manner;
+  change.changeFormat = next.changeFormat;
   change.changeId = next.changeId;
   auto& asleep = fleet.machines.at(old);
   Effects effects{beforeItStood, fleet.randomSource, asleep.core->journal, {}, {}};
@@ -340,7 +340,7 @@
   change.body = R"({"routes":{"r-early":{"host":"one.example","prefix":"/a/","service":"second"}}})";
   change.ifRevision = -1;
   change.toRevision = 9;
-  change.manner = static_cast<int>(Manner::items);
+  change.changeFormat = static_cast<int>(ChangeFormat::items);
   change.changeId = "config/9/early";
   fleet.ask(slow, change);
   cr_assert_eq(fleet.answered(fleet.ask(quick, change)), Code::blueprintBad);
@@ -441,11 +441,11 @@
   };
   auto ask = [&](const OperatorRequest& change) {
     ChangeRequest request;
-    request.askId = "a";
+    request.requestId = "a";
     request.body = change.body;
     request.ifRevision = change.ifRevision;
     request.changeId = change.changeId;
-    request.manner = change.manner;
+    request.changeFormat = change.changeFormat;
     request.toRevision = change.toRevision;
     answers.clear();
     with([&](Effects& effects) { log.takeChange(effects, "door", request); });
--- a/tests/parts.cpp
+++ b/tests/parts.cpp
@@ -190,7 +190,7 @@
   Configuration copy;
   cr_assert(bool(copy.adopt(view.snapshot())));
   cr_assert_eq(copy.text(), view.text());
-  cr_assert_eq(copy.takenAs("c2").value(), 2u);
+  cr_assert_eq(copy.revisionOfChange("c2").value(), 2u);
 }
 
 Test(configuration, bent_texts_are_denied_with_a_field_or_taken_whole) {
@@ -319,8 +319,8 @@
   cr_assert_eq(view.forgottenRevision(), 0u);
   for (std::uint64_t number = 4096; number <= 4200; ++number) change(number);
   cr_assert_eq(view.forgottenRevision(), 4200u - 4096u);
-  cr_assert_not(view.takenAs("id-104").has_value());
-  cr_assert_eq(*view.takenAs("id-105"), 105u);
+  cr_assert_not(view.revisionOfChange("id-104").has_value());
+  cr_assert_eq(*view.revisionOfChange("id-105"), 105u);
   Configuration again;
   cr_assert(bool(again.adopt(view.snapshot())));
   cr_assert_eq(again.forgottenRevision(), view.forgottenRevision(),
@@ -539,9 +539,9 @@
     asio::ip::tcp::acceptor acceptor(io, asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
     gone = "http://127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()) + "/v1/orders";
   }
-  cr_expect_eq(callCutWorker(gone).outcome, static_cast<int>(Outcome::brokenUnsent), "nobody listens there");
-  std::string denial =
-      writeWorkerEnd(WorkerEnd{"send", static_cast<int>(Outcome::denied), static_cast<int>(Code::workerFull), 0, 0, 0});
+  cr_expect_eq(callCutWorker(gone).outcome, static_cast<int>(OrderOutcome::brokenBeforeSend), "nobody listens there");
+  std::string denial = writeWorkerEnd(
+      WorkerEnd{"send", static_cast<int>(OrderOutcome::denied), static_cast<int>(Code::workerFull), 0, 0, 0});
   auto answer = [&](const std::string& body, std::size_t claimed) {
     return "HTTP/1.1 503 Busy\r\nContent-Type: application/json\r\nContent-Length: " + std::to_string(claimed) +
            "\r\n\r\n" + body;
@@ -550,18 +550,19 @@
     const char* about;
     std::size_t readBytes;
     std::string answer;
-    Outcome wanted;
+    OrderOutcome wanted;
   };
-  std::vector<Case> cases{{"closed before anything was read", 0, "", Outcome::broken},
-                          {"closed within the head", 10, "", Outcome::broken},
-                          {"closed before the last byte", 200000, "", Outcome::broken},
-                          {"closed after the last byte", 300100, "", Outcome::broken},
-                          {"a denial that is cut", 300100, answer(denial.substr(0, 5), denial.size()), Outcome::broken},
-                          {"a whole denial", 300100, answer(denial, denial.size()), Outcome::denied}};
+  std::vector<Case> cases{
+      {"closed before anything was read", 0, "", OrderOutcome::broken},
+      {"closed within the head", 10, "", OrderOutcome::broken},
+      {"closed before the last byte", 200000, "", OrderOutcome::broken},
+      {"closed after the last byte", 300100, "", OrderOutcome::broken},
+      {"a denial that is cut", 300100, answer(denial.substr(0, 5), denial.size()), OrderOutcome::broken},
+      {"a whole denial", 300100, answer(denial, denial.size()), OrderOutcome::denied}};
   for (auto& row : cases) {
     CutWorker worker(row.readBytes, row.answer);
     auto end = callCutWorker(worker.url());
     cr_expect_eq(end.outcome, static_cast<int>(row.wanted), "%s", row.about);
-    if (row.wanted == Outcome::denied) cr_expect_eq(end.code, static_cast<int>(Code::workerFull));
+    if (row.wanted == OrderOutcome::denied) cr_expect_eq(end.code, static_cast<int>(Code::workerFull));
   }
 }
--- a/tests/path_routes.cpp
+++ b/tests/path_routes.cpp
@@ -64,19 +64,20 @@
 }
 
 Test(path_routes, prefixes_may_change_places_within_one_patch) {
-  for (auto manner : {Manner::patch, Manner::items}) {
+  for (auto changeFormat : {ChangeFormat::patch, ChangeFormat::items}) {
     Declared declared;
     declared.change(someRoutes);
     declared.change(
         R"({"routes":{"alpha":{"host":"one.example","prefix":"/alpha/deep/","service":"mill"},"deep":{"host":"one.example","prefix":"/alpha/","service":"weir"}}})",
-        manner);
+        changeFormat);
     cr_expect_eq(declared.routeOf("one.example", "/alpha/x"), "deep");
     cr_expect_eq(declared.routeOf("one.example", "/alpha/deep/x"), "alpha");
     cr_expect_eq(declared.routeOf("one.example", "/x"), "all");
     declared.change(
-        R"({"routes":{"alpha":null,"fresh":{"host":"one.example","prefix":"/alpha/deep/","service":"mill"}}})", manner);
+        R"({"routes":{"alpha":null,"fresh":{"host":"one.example","prefix":"/alpha/deep/","service":"mill"}}})",
+        changeFormat);
     cr_expect_eq(declared.routeOf("one.example", "/alpha/deep/x"), "fresh");
-    declared.change(R"({"routes":{"other":null}})", manner);
+    declared.change(R"({"routes":{"other":null}})", changeFormat);
     cr_expect_eq(declared.routeOf("two.example", "/alpha/x"), "none");
   }
 }
@@ -90,22 +91,23 @@
   cr_expect_eq(declared.deniedAt(R"({"tenants":{"yew":{"secrets":["key-b"]}}})"), "tenants.yew.secrets",
                "the other tenant is in the state only");
   cr_expect_eq(declared.deniedAt(R"({"tenants":{"asp":{"secrets":["key-c"]}}})"), "tenants.asp.secrets");
-  cr_expect_eq(declared.deniedAt(R"({"tenants":{"asp":{"secrets":["key-c"]}}})", Manner::items), "tenants.asp.secrets");
-  cr_expect_eq(
-      declared.deniedAt(R"({"tenants":{"asp":{"secrets":["key-c"]},"olm":{"secrets":["key-c"]}}})", Manner::sections),
-      "tenants.asp.secrets");
+  cr_expect_eq(declared.deniedAt(R"({"tenants":{"asp":{"secrets":["key-c"]}}})", ChangeFormat::items),
+               "tenants.asp.secrets");
+  cr_expect_eq(declared.deniedAt(R"({"tenants":{"asp":{"secrets":["key-c"]},"olm":{"secrets":["key-c"]}}})",
+                                 ChangeFormat::sections),
+               "tenants.asp.secrets");
   cr_expect_eq(declared.deniedAt(R"({"tenants":{"asp":{"secrets":["key-c"]},"olm":null}})"), "taken");
 }
 
 Test(path_routes, a_secret_may_move_to_another_tenant_within_one_patch) {
-  for (auto manner : {Manner::patch, Manner::items, Manner::sections}) {
+  for (auto changeFormat : {ChangeFormat::patch, ChangeFormat::items, ChangeFormat::sections}) {
     Declared declared;
     declared.change(R"({"tenants":{"asp":{"secrets":["key-a","key-b"]},"olm":{"secrets":["key-c"]}}})");
-    declared.change(R"({"tenants":{"asp":{"secrets":["key-a","key-c"]},"olm":{"secrets":["key-b"]}}})", manner);
+    declared.change(R"({"tenants":{"asp":{"secrets":["key-a","key-c"]},"olm":{"secrets":["key-b"]}}})", changeFormat);
     cr_expect_eq(declared.tenantOf("key-a"), "asp");
     cr_expect_eq(declared.tenantOf("key-b"), "olm");
     cr_expect_eq(declared.tenantOf("key-c"), "asp");
-    declared.change(R"({"tenants":{"asp":{"secrets":["key-a"]},"olm":{"secrets":[]}}})", manner);
+    declared.change(R"({"tenants":{"asp":{"secrets":["key-a"]},"olm":{"secrets":[]}}})", changeFormat);
     cr_expect_eq(declared.tenantOf("key-b"), "none");
     cr_expect_eq(declared.tenantOf("key-c"), "none");
     cr_expect_eq(declared.tenantOf("key-a"), "asp");
@@ -139,7 +141,7 @@
               weights = Json(declared.view.section("weights")).serialize();
   std::string given =
       R"({"services":{"mill":{"extra":{"deep":{"two":2},"list":[3]}}},"routes":{"a":{"host":"h","prefix":"/a/","service":"mill"}}})";
-  declared.change(given, Manner::sections);
+  declared.change(given, ChangeFormat::sections);
   auto wanted = parseJson(given).value().get<JsonObject>();
   for (const char* section : {"services", "routes"})
     cr_expect_eq(Json(declared.view.section(section)).serialize(), wanted[section].serialize(), "%s", section);
@@ -147,7 +149,7 @@
   cr_expect_eq(declared.view.findRoute("a")->tries, 0);
   cr_expect_eq(Json(declared.view.section("models")).serialize(), models);
   cr_expect_eq(Json(declared.view.section("weights")).serialize(), weights);
-  declared.change(R"({"routes":{}})", Manner::sections);
+  declared.change(R"({"routes":{}})", ChangeFormat::sections);
   cr_expect(declared.view.section("routes").empty());
   cr_expect_eq(Json(declared.view.section("services")).serialize(), wanted["services"].serialize(),
                "a section that is not named stays");
@@ -157,7 +159,7 @@
   Declared declared;
   declared.change(
       R"({"services":{"mill":{"healthPath":"/well","extra":{"deep":{"one":1,"two":2}}},"weir":{"healthPath":"w"},"barn":{"tokens":3}}})");
-  declared.change(R"({"services":{"mill":{"extra":{"deep":{"two":{"three":3}}}},"barn":null}})", Manner::items);
+  declared.change(R"({"services":{"mill":{"extra":{"deep":{"two":{"three":3}}}},"barn":null}})", ChangeFormat::items);
   cr_expect_eq(itemOf(declared.view, "services", "mill").serialize(), R"({"extra":{"deep":{"two":{"three":3}}}})");
   cr_expect_eq(itemOf(declared.view, "services", "weir").serialize(), R"({"healthPath":"w"})");
   cr_expect(itemOf(declared.view, "services", "barn").is<picojson::null>());
@@ -168,18 +170,18 @@
 
 Test(path_routes, revisions_are_the_operators_or_the_next_and_stay_when_weights_are_named) {
   Declared declared;
-  declared.change(someRoutes, Manner::sections, 40, "first");
+  declared.change(someRoutes, ChangeFormat::sections, 40, "first");
   cr_expect_eq(declared.view.revision(), 40u);
-  declared.change(R"({"weights":{"moss/4":{"model":"moss"}},"models":{"moss":{"weights":"moss/4"}}})", Manner::patch,
-                  declared.view.revision(), "named");
+  declared.change(R"({"weights":{"moss/4":{"model":"moss"}},"models":{"moss":{"weights":"moss/4"}}})",
+                  ChangeFormat::patch, declared.view.revision(), "named");
   cr_expect_eq(declared.view.revision(), 40u);
-  declared.change(R"({"services":{"barn":{}}})", Manner::items, 77, "third");
+  declared.change(R"({"services":{"barn":{}}})", ChangeFormat::items, 77, "third");
   cr_expect_eq(declared.view.revision(), 77u);
-  declared.change(R"({"services":{"barn":null}})", Manner::items, 0, "fourth");
+  declared.change(R"({"services":{"barn":null}})", ChangeFormat::items, 0, "fourth");
   cr_expect_eq(declared.view.revision(), 78u);
-  cr_expect_eq(declared.view.takenAs("first").value_or(0), 40u);
-  cr_expect_eq(declared.view.takenAs("named").value_or(0), 40u);
-  cr_expect_eq(declared.view.takenAs("third").value_or(0), 77u);
+  cr_expect_eq(declared.view.revisionOfChange("first").value_or(0), 40u);
+  cr_expect_eq(declared.view.revisionOfChange("named").value_or(0), 40u);
+  cr_expect_eq(declared.view.revisionOfChange("third").value_or(0), 77u);
   LogEntry entry{9, 2, static_cast<int>(EntryKind::change), "{}", "id", 123456789012345};
   auto read = decodeEntry(encodeEntry(entry));
   cr_assert(bool(read));
@@ -190,12 +192,12 @@
 
 Test(path_routes, a_capture_keeps_all_lookups) {
   Declared declared;
-  declared.change(someRoutes, Manner::patch, 12, "first");
+  declared.change(someRoutes, ChangeFormat::patch, 12, "first");
   declared.change(R"({"tenants":{"asp":{"secrets":["key-a"],"isolated":true,"priority":2},"olm":{"secrets":["key-b"]}},
     "keys":{"k1":{"tenant":"olm","secret":"secret-one"}},"services":{"barn":{"storeAddress":"10.0.0.9:80","locality":"north-b"}},
     "limits":{"callers":{"headerBytes":1000,"bodyBytes":2000,"headerMs":30,"idleMs":40}},"policies":{"p":"fetch peer when hits >= 5"},
     "weights":{"moss/3":{"model":"moss"}},"models":{"moss":{"weights":"moss/3"}},"extra":{"mark":{"a":[1,{"b":2}]}}})",
-                  Manner::patch, 0, "second");
+                  ChangeFormat::patch, 0, "second");
   auto read = decodeSnapshot(encodeSnapshot(declared.view.snapshot()));
   cr_assert(bool(read));
   Declared again;
@@ -205,14 +207,14 @@
   cr_expect_eq(again.view.text(), declared.view.text());
   cr_expect_eq(again.view.revision(), 13u);
   cr_expect_eq(again.view.index(), declared.view.index());
-  cr_expect_eq(again.view.takenAs("second").value_or(0), 13u);
+  cr_expect_eq(again.view.revisionOfChange("second").value_or(0), 13u);
   for (const char* path : {"/alpha/x", "/alpha/deep/x", "/y"})
     cr_expect_eq(again.routeOf("one.example", path), declared.routeOf("one.example", path));
   cr_expect_eq(again.routeOf("old.example", "/"), "none");
   cr_expect_eq(again.tenantOf("key-a"), "asp");
   cr_expect_eq(again.tenantOf("secret-one"), "olm");
   cr_expect_eq(again.tenantOf("key-old"), "none");
-  cr_expect_eq(again.view.domainOf("asp"), "own:asp");
+  cr_expect_eq(again.view.cacheDomainOf("asp"), "own:asp");
   cr_expect_eq(again.view.findTenant("asp")->priority.value_or(-1), 2);
   cr_assert_eq(again.view.stores().size(), 1u);
   cr_expect_eq(again.view.stores()[0].address, "10.0.0.9:80");
@@ -354,7 +356,7 @@
     cr_expect_eq(made.weights, made.worker == "w2" ? "moss/4" : "moss/3");
     cr_expect_neq(made.sourceAddress, "w2:80");
     if (made.worker == "w2") cr_expect_eq(made.sourceAddress, "");
-    bench.end(made.orderId, Outcome::done);
+    bench.end(made.orderId, OrderOutcome::done);
   }
 }
 
@@ -392,7 +394,7 @@
       cr_expect_eq(prefixOf(hits[source]), most, "the one that has the most");
     }
     if (prefixOf(hits["barn"]) == 2) cr_expect_eq(made.sinkAddress, "", "the store has it all");
-    bench.end(made.orderId, Outcome::done);
+    bench.end(made.orderId, OrderOutcome::done);
     bench.now += 1ms;
   }
   cr_expect_gt(named, 50);
@@ -469,7 +471,7 @@
     auto made = bench.onlySend(orderId);
     for (std::size_t at = 0; at < hashes.size(); ++at)
       cr_expect(hashes[at] == hashPromptPart(made.cacheSalt, promptOf(1)[at]));
-    bench.end(made.orderId, Outcome::done);
+    bench.end(made.orderId, OrderOutcome::done);
     return made.cacheSalt;
   };
   auto shared = saltOf("/once/x", "key-a");
@@ -524,7 +526,7 @@
   auto made = bench.onlySend(orderId);
   cr_expect(made.once, "the wire must not resend it by itself");
   cr_expect(bench.verdictsOf(orderId).empty());
-  bench.end(made.orderId, Outcome::denied);
+  bench.end(made.orderId, OrderOutcome::denied);
   auto verdict = bench.verdictOf(orderId);
   cr_expect_eq(verdict.verdict, "not run");
   cr_expect_gt(verdict.retryAfterMs, 0);
@@ -539,25 +541,25 @@
   ProxyBench bench;
   bench.workers(4);
   auto orderId = bench.place("/two/x");
-  bench.end(bench.onlySend(orderId).orderId, Outcome::denied);
+  bench.end(bench.onlySend(orderId).orderId, OrderOutcome::denied);
   bench.run(50ms);
   auto sends = bench.sendsOf(orderId);
   cr_assert_eq(sends.size(), 2u);
   cr_expect_neq(sends[0].worker, sends[1].worker);
   cr_expect_neq(sends[0].orderId, sends[1].orderId);
-  bench.end(sends[1].orderId, Outcome::denied);
+  bench.end(sends[1].orderId, OrderOutcome::denied);
   bench.run(3s);
   cr_expect_eq(bench.sendsOf(orderId).size(), 2u);
   cr_expect_eq(bench.verdictOf(orderId).verdict, "not run");
   auto again = bench.place("/two/x");
-  bench.end(bench.onlySend(again).orderId, Outcome::denied);
+  bench.end(bench.onlySend(again).orderId, OrderOutcome::denied);
   bench.run(50ms);
-  bench.end(bench.sendsOf(again).back().orderId, Outcome::done);
+  bench.end(bench.sendsOf(again).back().orderId, OrderOutcome::done);
   cr_expect_eq(bench.verdictOf(again).verdict, "done");
 }
 
 Test(path_orders, an_order_is_at_no_more_workers_than_it_has_tries) {
-  for (auto outcome : {Outcome::denied, Outcome::broken}) {
+  for (auto outcome : {OrderOutcome::denied, OrderOutcome::broken}) {
     ProxyBench bench;
     bench.workers(8);
     auto orderId = bench.place("/safe/x");
@@ -569,7 +571,7 @@
       bench.run(50ms);
     }
     cr_expect_eq(names.size(), 3u);
-    cr_expect_eq(bench.verdictOf(orderId).verdict, outcome == Outcome::denied ? "not run" : "unknown");
+    cr_expect_eq(bench.verdictOf(orderId).verdict, outcome == OrderOutcome::denied ? "not run" : "unknown");
   }
 }
 
@@ -578,20 +580,20 @@
   bench.workers(4);
   for (const char* path : {"/once/x", "/two/x"}) {
     auto orderId = bench.place(path);
-    bench.end(bench.onlySend(orderId).orderId, Outcome::broken);
+    bench.end(bench.onlySend(orderId).orderId, OrderOutcome::broken);
     cr_expect_eq(bench.verdictOf(orderId).verdict, "unknown");
     bench.run(1s);
     cr_expect_eq(bench.sendsOf(orderId).size(), 1u);
   }
   bench.run(3s);
   auto safe = bench.place("/safe/x");
-  bench.end(bench.onlySend(safe).orderId, Outcome::broken);
+  bench.end(bench.onlySend(safe).orderId, OrderOutcome::broken);
   bench.run(50ms);
   cr_assert_eq(bench.sendsOf(safe).size(), 2u);
-  bench.end(bench.sendsOf(safe)[1].orderId, Outcome::denied);
+  bench.end(bench.sendsOf(safe)[1].orderId, OrderOutcome::denied);
   bench.run(50ms);
   cr_assert_eq(bench.sendsOf(safe).size(), 3u);
-  bench.end(bench.sendsOf(safe)[2].orderId, Outcome::denied);
+  bench.end(bench.sendsOf(safe)[2].orderId, OrderOutcome::denied);
   cr_expect_eq(bench.verdictOf(safe).verdict, "unknown", "the first worker may have run it");
 }
 
@@ -599,12 +601,12 @@
   ProxyBench bench;
   bench.workers(3);
   auto orderId = bench.place("/once/x");
-  bench.end(bench.onlySend(orderId).orderId, Outcome::brokenUnsent);
+  bench.end(bench.onlySend(orderId).orderId, OrderOutcome::brokenBeforeSend);
   bench.run(50ms);
   auto sends = bench.sendsOf(orderId);
   cr_assert_eq(sends.size(), 2u);
   cr_expect_neq(sends[0].worker, sends[1].worker);
-  bench.end(sends[1].orderId, Outcome::denied);
+  bench.end(sends[1].orderId, OrderOutcome::denied);
   cr_expect_eq(bench.verdictOf(orderId).verdict, "not run");
 }
 
@@ -616,23 +618,23 @@
   cr_expect_eq(first.resumeAfter, "");
   bench.give("worker", WorkerChunk{first.orderId, "one ", "p1"});
   bench.give("worker", WorkerChunk{first.orderId, "two ", "p2"});
-  bench.end(first.orderId, Outcome::broken);
+  bench.end(first.orderId, OrderOutcome::broken);
   bench.run(50ms);
   auto sends = bench.sendsOf(orderId);
   cr_assert_eq(sends.size(), 2u);
   cr_expect_neq(sends[1].worker, first.worker);
   cr_expect_eq(sends[1].resumeAfter, "p2");
   bench.give("worker", WorkerChunk{first.orderId, "late ", "p9"});
-  bench.end(first.orderId, Outcome::broken);
+  bench.end(first.orderId, OrderOutcome::broken);
   cr_expect(bench.verdictsOf(orderId).empty());
   bench.give("worker", WorkerChunk{sends[1].orderId, "three ", "p3"});
-  bench.end(sends[1].orderId, Outcome::broken);
+  bench.end(sends[1].orderId, OrderOutcome::broken);
   bench.run(50ms);
   sends = bench.sendsOf(orderId);
   cr_assert_eq(sends.size(), 3u);
   cr_expect_eq(sends[2].resumeAfter, "p3");
   bench.give("worker", WorkerChunk{sends[2].orderId, "four", "p4"});
-  bench.end(sends[2].orderId, Outcome::done);
+  bench.end(sends[2].orderId, OrderOutcome::done);
   std::string text;
   for (const auto& chunk : bench.all<CallerChunk>()) text += chunk.text;
   cr_expect_eq(text, "one two three four");
@@ -648,7 +650,7 @@
     auto sends = bench.sendsOf(orderId);
     cr_assert_eq(sends.size(), tried + 1);
     bench.give("worker", WorkerChunk{sends[tried].orderId, "piece", "p" + std::to_string(tried)});
-    bench.end(sends[tried].orderId, Outcome::broken);
+    bench.end(sends[tried].orderId, OrderOutcome::broken);
     bench.run(50ms);
   }
   cr_expect_eq(bench.sendsOf(orderId).size(), 3u);
@@ -656,7 +658,7 @@
   auto safe = bench.place("/safe/x");
   auto made = bench.onlySend(safe);
   bench.give("worker", WorkerChunk{made.orderId, "piece", ""});
-  bench.end(made.orderId, Outcome::broken);
+  bench.end(made.orderId, OrderOutcome::broken);
   bench.run(50ms);
   cr_expect_eq(bench.sendsOf(safe).size(), 1u, "its caller has had a piece");
   cr_expect_eq(bench.verdictOf(safe).verdict, "failed");
@@ -677,7 +679,7 @@
       if (made->orderId.substr(made->orderId.rfind('.')) != ".1") repeated.push_back(bench.sent[seen].at);
       ++denials;
       std::string sendId = made->orderId;
-      bench.end(sendId, Outcome::denied);
+      bench.end(sendId, OrderOutcome::denied);
     }
   };
   for (int round = 0; round < 3000; ++round) {
@@ -751,7 +753,7 @@
   broken.deadlineMs = 700;
   auto brokenId = bench.place(broken);
   bench.run(750ms);
-  bench.end(bench.sendsOf(brokenId).front().orderId, Outcome::broken);
+  bench.end(bench.sendsOf(brokenId).front().orderId, OrderOutcome::broken);
   bench.run(50ms);
   cr_expect_eq(bench.sendsOf(brokenId).size(), 1u, "it broke after its deadline");
 }
@@ -786,7 +788,7 @@
     auto isDrop = [](const auto& row) { return std::holds_alternative<WorkerDrop>(row.message); };
     auto sentLast = std::find_if(bench.sent.rbegin(), bench.sent.rend(), isDrop);
     cr_expect_eq(sentLast->to, made.worker + ":80");
-    bench.end(made.orderId, Outcome::broken);
+    bench.end(made.orderId, OrderOutcome::broken);
     bench.run(1s);
     cr_expect_eq(bench.sendsOf(orderId).size(), 1u);
     cr_expect(bench.verdictsOf(orderId).empty());
@@ -813,7 +815,7 @@
   cr_expect_eq(denied.verdict, "not run");
   cr_expect_eq(codeStatus(static_cast<Code>(denied.code)), 401);
   bench.give("worker", WorkerChunk{made.orderId, "two", "p2"});
-  bench.end(made.orderId, Outcome::done);
+  bench.end(made.orderId, OrderOutcome::done);
   std::string text;
   for (const auto& chunk : bench.all<CallerChunk>()) text += chunk.text;
   cr_expect_eq(text, "one two");
@@ -833,6 +835,6 @@
   cr_expect_eq(codeStatus(static_cast<Code>(denied.code)), 503);
   cr_expect_gt(denied.retryAfterMs, 0);
   bench.give("worker", WorkerChunk{made.orderId, "two", "p2"});
-  bench.end(made.orderId, Outcome::done);
+  bench.end(made.orderId, OrderOutcome::done);
   cr_expect_eq(bench.verdictOf(orderId).verdict, "done");
 }
--- a/tests/placement.cpp
+++ b/tests/placement.cpp
@@ -173,7 +173,7 @@
 }
 
 Test(plain_services, a_worker_that_fails_or_is_gone_is_left_out_and_comes_back) {
-  for (auto outcome : {Outcome::broken, Outcome::brokenUnsent, Outcome::failed}) {
+  for (auto outcome : {OrderOutcome::broken, OrderOutcome::brokenBeforeSend, OrderOutcome::failed}) {
     MixedBench bench;
     bench.declarePlain();
     auto first = bench.onlySend(bench.placePlain());
@@ -181,7 +181,7 @@
     for (int number = 0; number < 5; ++number) {
       auto made = bench.onlySend(bench.placePlain());
       cr_expect_neq(made.worker, first.worker);
-      bench.end(made.orderId, Outcome::done);
+      bench.end(made.orderId, OrderOutcome::done);
     }
     bench.run(3s);
     bool back = false;
@@ -195,12 +195,12 @@
   MixedBench bench;
   bench.declarePlain();
   auto broken = bench.placePlain();
-  bench.end(bench.onlySend(broken).orderId, Outcome::broken);
+  bench.end(bench.onlySend(broken).orderId, OrderOutcome::broken);
   bench.run(500ms);
   cr_expect_eq(bench.sendsOf(broken).size(), 1u);
   cr_expect_eq(bench.verdictOf(broken).verdict, "unknown");
   auto unsent = bench.placePlain();
-  bench.end(bench.onlySend(unsent).orderId, Outcome::brokenUnsent);
+  bench.end(bench.onlySend(unsent).orderId, OrderOutcome::brokenBeforeSend);
   bench.run(100ms);
   auto sends = bench.sendsOf(unsent);
   cr_assert_eq(sends.size(), 2u);
@@ -231,7 +231,7 @@
     waiting[idle] = 0;
     auto made = placeWith(bench, number, waiting);
     cr_expect_eq(made.worker, idle);
-    bench.end(made.orderId, Outcome::done);
+    bench.end(made.orderId, OrderOutcome::done);
   }
 }
 
@@ -243,11 +243,11 @@
     auto made = placeWith(bench, number, {{reader, 4000}}, {{reader, 2}});
     cr_expect_eq(made.worker, reader);
     cr_expect_eq(made.sourceAddress, "");
-    bench.end(made.orderId, Outcome::done);
+    bench.end(made.orderId, OrderOutcome::done);
     auto elsewhere = placeWith(bench, number + 1000, {{reader, 900000}}, {{reader, 2}});
     cr_expect_neq(elsewhere.worker, reader);
     cr_expect_eq(elsewhere.sourceAddress, "", "what is not confirmed is no source");
-    bench.end(elsewhere.orderId, Outcome::done);
+    bench.end(elsewhere.orderId, OrderOutcome::done);
   }
 }
 
@@ -260,17 +260,17 @@
     switch (randomSource() % 4) {
       case 0:
         bench.give("worker", WorkerChunk{made.orderId, "piece", "1"});
-        bench.end(made.orderId, Outcome::done);
+        bench.end(made.orderId, OrderOutcome::done);
         break;
       case 1:
-        bench.end(made.orderId, Outcome::broken);
+        bench.end(made.orderId, OrderOutcome::broken);
         bench.run(3s, 100ms);
         break;
       case 2:
         bench.give("caller", CallerGone{made.callerOrderId});
         break;
       default:
-        bench.end(made.orderId, Outcome::failed);
+        bench.end(made.orderId, OrderOutcome::failed);
     }
     bench.run(10ms);
   }
--- a/tests/plain_cells.cpp
+++ b/tests/plain_cells.cpp
@@ -34,7 +34,7 @@
 CellNews publishedBy(CellBench& bench) {
   CellNews kept;
   for (auto& [address, core] : bench.cores)
-    for (const auto& news : core.news) takeCellNews(kept, news);
+    for (const auto& news : core.news) applyCellNews(kept, news);
   return kept;
 }
 }  // namespace
@@ -118,7 +118,7 @@
   Configuration view;
   Uint64 index = 0;
   auto change = [&](const std::string& text) {
-    auto patch = view.preparePatch(text, Manner::patch);
+    auto patch = view.preparePatch(text, ChangeFormat::patch);
     cr_assert(bool(patch), "%s", patch ? "" : patch.error().text.c_str());
     view.apply(LogEntry{++index, 1, static_cast<int>(EntryKind::change), patch.value(), {}, 0});
   };
--- a/tests/proxy_bench.hpp
+++ b/tests/proxy_bench.hpp
@@ -207,7 +207,7 @@
     "single":{"host":"h","prefix":"/single/","service":"mill","repeat":"safe","tries":1,"timeoutMs":4000},
     "stream":{"host":"h","prefix":"/stream/","service":"mill","repeat":"stream","tries":3,"timeoutMs":4000},
     "resume":{"host":"h","prefix":"/resume/","service":"mill","repeat":"stream","resumable":true,"tries":3,"timeoutMs":4000}}})",
-        Manner::patch);
+        ChangeFormat::patch);
     cr_assert(bool(patch));
     view.apply(LogEntry{1, 1, static_cast<int>(EntryKind::change), patch.value(), {}, 1});
     NewsMsg news;
--- a/tests/proxy_fixture.hpp
+++ b/tests/proxy_fixture.hpp
@@ -164,7 +164,7 @@
     std::uint64_t index = 0;
     {
       std::lock_guard<std::mutex> guard(lock);
-      auto prepared = view.preparePatch(patch, Manner::patch);
+      auto prepared = view.preparePatch(patch, ChangeFormat::patch);
       cr_assert(bool(prepared));
       index = view.index() + 1;
       view.apply(LogEntry{index, 1, static_cast<int>(EntryKind::change), prepared.value(), {}, 0});
--- a/tests/routing_bench.hpp
+++ b/tests/routing_bench.hpp
@@ -12,12 +12,12 @@
 class Declared {
  public:
   Configuration view;
-  Result<std::string> prepare(const std::string& text, Manner manner = Manner::patch) const {
-    return view.preparePatch(text, manner);
+  Result<std::string> prepare(const std::string& text, ChangeFormat changeFormat = ChangeFormat::patch) const {
+    return view.preparePatch(text, changeFormat);
   }
-  LogEntry change(const std::string& text, Manner manner = Manner::patch, std::uint64_t revision = 0,
+  LogEntry change(const std::string& text, ChangeFormat changeFormat = ChangeFormat::patch, std::uint64_t revision = 0,
                   const std::string& changeId = {}) {
-    auto patch = prepare(text, manner);
+    auto patch = prepare(text, changeFormat);
     cr_assert(bool(patch), "%s: %s", patch.error().subject.c_str(), patch.error().text.c_str());
     LogEntry entry{view.index() + 1, 1, static_cast<int>(EntryKind::change), patch.value(), changeId, revision};
     view.apply(entry);
@@ -31,8 +31,8 @@
     auto key = view.findKey(sha256Hex(secret));
     return key ? key->tenant : "none";
   }
-  std::string deniedAt(const std::string& text, Manner manner = Manner::patch) const {
-    auto patch = prepare(text, manner);
+  std::string deniedAt(const std::string& text, ChangeFormat changeFormat = ChangeFormat::patch) const {
+    auto patch = prepare(text, changeFormat);
     return patch ? "taken" : patch.error().subject;
   }
 };
@@ -142,8 +142,8 @@
       tick();
     }
   }
-  void change(const std::string& text, Manner manner = Manner::patch) {
-    LogEntry entry = declared.change(text, manner);
+  void change(const std::string& text, ChangeFormat changeFormat = ChangeFormat::patch) {
+    LogEntry entry = declared.change(text, changeFormat);
     NewsMsg news;
     news.commit = entry.index;
     news.entries.push_back(entry);
@@ -235,14 +235,14 @@
     cr_assert_eq(rows.size(), 1u, "%s was sent %zu times", orderId.c_str(), rows.size());
     return rows[0];
   }
-  void end(const std::string& sendId, Outcome outcome) {
+  void end(const std::string& sendId, OrderOutcome outcome) {
     give("worker", WorkerEnd{sendId, static_cast<int>(outcome), static_cast<int>(Code::workerFull), 0, 0, 0});
   }
   std::string placeAndEnd(const CallerOrder& ask) {
     auto orderId = place(ask);
     answerLookups({});
     auto made = onlySend(orderId);
-    end(made.orderId, Outcome::done);
+    end(made.orderId, OrderOutcome::done);
     return made.worker;
   }
   std::size_t answered{0};
--- a/tests/snapshots.cpp
+++ b/tests/snapshots.cpp
@@ -116,7 +116,7 @@
     ChangeRequest request;
     request.body = weightsBody(++changes, bytes);
     request.changeId = "change " + std::to_string(changes);
-    request.askId = request.changeId;
+    request.requestId = request.changeId;
     request.ifRevision = -1;
     with([&](Effects& effects) { log->takeChange(effects, "operator", request); });
   }
@@ -486,7 +486,7 @@
     replica.renew();
     std::size_t bytes = room / 3 - static_cast<std::size_t>(round % 7) * room / 24;
     ChangeRequest request;
-    request.askId = request.changeId = "large " + std::to_string(round);
+    request.requestId = request.changeId = "large " + std::to_string(round);
     request.body = weightsBody(7, bytes);
     request.ifRevision = -1;
     replica.with([&](Effects& effects) { replica.log->takeChange(effects, "operator", request); });
--- a/tests/version_ends_proxy.cpp
+++ b/tests/version_ends_proxy.cpp
@@ -66,7 +66,7 @@
       run(50ms);
       for (int number = 0; number < 4; ++number) {
         auto orderId = placeNext();
-        for (const auto& made : sendsOf(orderId)) end(made.orderId, Outcome::done);
+        for (const auto& made : sendsOf(orderId)) end(made.orderId, OrderOutcome::done);
       }
     }
   }
@@ -116,7 +116,7 @@
       auto orderId = placeNext(path);
       auto made = onlySend(orderId);
       if (made.weights == weights) return made;
-      end(made.orderId, Outcome::done);
+      end(made.orderId, OrderOutcome::done);
     }
     cr_assert_fail("no order went to %s", weights.c_str());
     return {};
@@ -280,7 +280,7 @@
 
 Test(version_ends_proxy, a_retry_after_the_end_goes_to_newer_weights) {
   for (const auto& versions : oneNamingAndTwo)
-    for (auto outcome : {Outcome::denied, Outcome::broken}) {
+    for (auto outcome : {OrderOutcome::denied, OrderOutcome::broken}) {
       VersionBench bench;
       for (const char* name : {"w3", "w33", "w333", "w3333"}) bench.worker(name);
       bench.worker("w4", "north-a", versions.back());
@@ -311,7 +311,7 @@
     auto made = bench.sentTo("moss/3", "/stream/x");
     bench.give("worker", WorkerChunk{made.orderId, "one ", "p1"});
     bench.run(600ms);
-    bench.end(made.orderId, Outcome::broken);
+    bench.end(made.orderId, OrderOutcome::broken);
     bench.run(100ms);
     auto sends = bench.sendsOf(made.callerOrderId);
     cr_assert_eq(sends.size(), 2u);
@@ -351,7 +351,7 @@
     for (int number = 0; number < 40; ++number) {
       orderId = placeNext("/split/x");
       if (sendsOf(orderId).empty()) return orderId;
-      end(onlySend(orderId).orderId, Outcome::done);
+      end(onlySend(orderId).orderId, OrderOutcome::done);
     }
     cr_assert_fail("all orders went to the first service");
     return orderId;
@@ -402,7 +402,7 @@
 }
 
 Test(version_ends_proxy, after_a_freeze_over_the_end_a_turned_away_order_is_not_sent_to_the_old_version) {
-  for (auto outcome : {Outcome::denied, Outcome::brokenUnsent, Outcome::broken}) {
+  for (auto outcome : {OrderOutcome::denied, OrderOutcome::brokenBeforeSend, OrderOutcome::broken}) {
     FrozenBench bench;
     bench.end(bench.atWorker.orderId, outcome);
     bench.expectNothingLate();
@@ -516,7 +516,7 @@
         ask.model.clear();
         auto made = bench.onlySend(bench.place(ask));
         weightsByWorker[made.worker] = made.weights;
-        bench.end(made.orderId, Outcome::done);
+        bench.end(made.orderId, OrderOutcome::done);
       }
       return weightsByWorker;
     };
@@ -586,7 +586,7 @@
       bench.give("worker", WorkerChunk{bench.made.orderId, "late ", "p9"});
       cr_expect(bench.all<CallerChunk>().empty(), "the dropped call's answer reaches nobody");
       bench.give("worker", WorkerChunk{sends[1].orderId, "one", "p1"});
-      bench.end(sends[1].orderId, Outcome::done);
+      bench.end(sends[1].orderId, OrderOutcome::done);
       cr_expect_eq(bench.verdictOf(bench.made.callerOrderId).verdict, "done");
       bench.expectEndsKept();
     }
@@ -614,7 +614,7 @@
       bench.run(500ms);
       cr_expect_eq(bench.drops, 0u);
       bench.give("worker", WorkerChunk{bench.made.orderId, "two", "p2"});
-      bench.end(bench.made.orderId, Outcome::done);
+      bench.end(bench.made.orderId, OrderOutcome::done);
       cr_expect_eq(bench.verdictOf(bench.made.callerOrderId).verdict, "done");
       cr_expect_eq(bench.all<CallerChunk>().size(), 2u);
     }
@@ -630,7 +630,7 @@
   bench.run(1500ms);
   cr_expect_eq(bench.drops, 0u);
   cr_expect(bench.verdictsOf(made.callerOrderId).empty());
-  bench.end(made.orderId, Outcome::done);
+  bench.end(made.orderId, OrderOutcome::done);
   cr_expect_eq(bench.verdictOf(made.callerOrderId).verdict, "done");
 }
 
@@ -686,7 +686,7 @@
         ask.orderId = "talk/" + std::to_string(++placed);
         auto made = bench.onlySend(bench.place(ask));
         weights.insert(made.weights);
-        bench.end(made.orderId, Outcome::done);
+        bench.end(made.orderId, OrderOutcome::done);
       }
       return weights;
     };
--- a/tests/version_namings.cpp
+++ b/tests/version_namings.cpp
@@ -8,14 +8,14 @@
 constexpr Duration roundsSlack = 800ms;
 
 /// Cores and agents that are asked when weights were named.
-struct NamingBench : FleetBench {
+struct NamingBench : FleetHarness {
   struct Naming {
     std::string weights;
     TimePoint askedAt, ackedAt;
   };
   std::vector<Naming> namings;
 
-  explicit NamingBench(std::uint64_t seed = 1) : FleetBench(seed) {
+  explicit NamingBench(std::uint64_t seed = 1) : FleetHarness(seed) {
     form(4);
     startAgent("edge-1");
     startAgent("edge-2");
@@ -24,14 +24,14 @@
   }
   void name(const std::string& weights) {
     TimePoint askedAt = now;
-    auto askId = askWith(
+    auto requestId = askWith(
         leader(), weights,
         R"({"weights":{")" + weights + R"(":{"model":"moss"}},"models":{"moss":{"weights":")" + weights + R"("}}})");
-    cr_assert(runUntil([&] { return acknowledged(askId); }, 5s));
+    cr_assert(runUntil([&] { return acknowledged(requestId); }, 5s));
     namings.push_back(Naming{weights, askedAt, now});
   }
   template <class Reply>
-  std::vector<VersionNaming> askedOf(const std::string& name, const Message& ask) {
+  std::vector<WeightsAnnouncement> askedOf(const std::string& name, const Message& ask) {
     outside.clear();
     with(machines.at(name), [&](Effects& effects) { machines.at(name).node->handle(effects, "reader:1", ask); });
     for (const auto& [to, message] : outside)
@@ -39,21 +39,21 @@
     cr_assert_fail("%s does not answer", name.c_str());
     return {};
   }
-  std::vector<VersionNaming> toldByAgent(const std::string& name) {
+  std::vector<WeightsAnnouncement> toldByAgent(const std::string& name) {
     FeedAsk ask;
     ask.sentAt = toNanoseconds(now);
     return askedOf<FeedReply>(name, ask);
   }
-  std::vector<VersionNaming> toldByCore(const std::string& name) {
+  std::vector<WeightsAnnouncement> toldByCore(const std::string& name) {
     LogEndRequest ask;
-    ask.askId = 1;
+    ask.requestId = 1;
     ask.agent = "reader:1";
     return askedOf<LogEndResponse>(name, ask);
   }
   /// Each naming must be told, in order, and none as younger than it is or as much older.
-  void expectTold(const std::vector<VersionNaming>& told, const std::string& teller,
+  void expectTold(const std::vector<WeightsAnnouncement>& told, const std::string& teller,
                   Duration slack = roundsSlack) const {
-    std::vector<VersionNaming> rows;
+    std::vector<WeightsAnnouncement> rows;
     for (const auto& row : told)
       if (row.model == "moss") rows.push_back(row);
     cr_assert_geq(rows.size(), namings.size(), "%s tells of %zu namings", teller.c_str(), rows.size());
@@ -160,7 +160,7 @@
 /// A proxy that began after moss/4 was named, and is told how long ago by its agent.
 struct ToldBench : ProxyBench {
   TimingKept kept;
-  std::vector<VersionNaming> namings;
+  std::vector<WeightsAnnouncement> namings;
   TimePoint toldAt{};
   Duration replyLate{0};
   std::vector<std::pair<TimePoint, FeedReply>> replies;
@@ -204,7 +204,7 @@
       auto orderId = place("/once/x", "key-a", promptOf(++prompts));
       for (const auto& made : sendsOf(orderId)) {
         if (made.weights == "moss/3") lastOld = now;
-        end(made.orderId, Outcome::done);
+        end(made.orderId, OrderOutcome::done);
       }
     }
   }
@@ -215,7 +215,8 @@
   for (Duration late : {0ms, 300ms}) {
     ToldBench bench;
     bench.replyLate = late;
-    bench.namings = {VersionNaming{"moss", "moss/3", -1}, VersionNaming{"moss", "moss/4", Duration(1500ms).count()}};
+    bench.namings = {WeightsAnnouncement{"moss", "moss/3", -1},
+                     WeightsAnnouncement{"moss", "moss/4", Duration(1500ms).count()}};
     TimePoint endsAt = bench.now - 1500ms + useMost;
     bench.serve(5s);
     cr_expect(bench.lastOld < endsAt, "used %d ms too long", static_cast<int>(toMilliseconds(bench.lastOld - endsAt)));
@@ -225,11 +226,11 @@
 }
 
 Test(version_namings, a_proxy_that_is_told_that_nobody_knows_the_age_uses_no_older_version) {
-  for (const auto& told : {std::vector<VersionNaming>{VersionNaming{"moss", "moss/4", -1}},
-                           {VersionNaming{"moss", "moss/3", 0}},
-                           {VersionNaming{"moss", "moss/5", 0}},
-                           {VersionNaming{"fern", "moss/4", 0}},
-                           {VersionNaming{"moss", "moss/4", Duration(useMost).count()}}}) {
+  for (const auto& told : {std::vector<WeightsAnnouncement>{WeightsAnnouncement{"moss", "moss/4", -1}},
+                           {WeightsAnnouncement{"moss", "moss/3", 0}},
+                           {WeightsAnnouncement{"moss", "moss/5", 0}},
+                           {WeightsAnnouncement{"fern", "moss/4", 0}},
+                           {WeightsAnnouncement{"moss", "moss/4", Duration(useMost).count()}}}) {
     ToldBench bench;
     bench.namings = told;
     bench.serve(2s);
--- a/tests/version_timeline.cpp
+++ b/tests/version_timeline.cpp
@@ -14,10 +14,10 @@
   return now < endOfUse(timeline.supersededAt("moss", weights), useMost);
 }
 
-VersionNaming told(const std::string& weights, Duration age, const std::string& model = "moss") {
-  return VersionNaming{model, weights, age.count()};
+WeightsAnnouncement told(const std::string& weights, Duration age, const std::string& model = "moss") {
+  return WeightsAnnouncement{model, weights, age.count()};
 }
-VersionNaming toldUnknown(const std::string& weights) { return VersionNaming{"moss", weights, -1}; }
+WeightsAnnouncement toldUnknown(const std::string& weights) { return WeightsAnnouncement{"moss", weights, -1}; }
 }  // namespace
 
 Test(version_timeline, nothing_named_restricts_nothing) {
@@ -101,7 +101,7 @@
   timeline.observe("moss", "moss/3", std::nullopt, 0);
   timeline.observe("moss", "moss/4", start, 0);
   timeline.observe("moss", "moss/5", start + 3s, 0);
-  for (const auto& rows : {std::vector<VersionNaming>{told("moss/4", 1s), told("moss/5", 0s)},
+  for (const auto& rows : {std::vector<WeightsAnnouncement>{told("moss/4", 1s), told("moss/5", 0s)},
                            {told("moss/5", 0s)},
                            {told("moss/4", 0s)},
                            {toldUnknown("moss/4"), toldUnknown("moss/5")},
@@ -337,11 +337,11 @@
     for (int number = 1; number <= 4; ++number)
       timeline.observe("moss", "moss/" + std::to_string(number), start + 2s * number, 0);
     for (int round = 0; round < 20; ++round) {
-      std::vector<VersionNaming> rows;
+      std::vector<WeightsAnnouncement> rows;
       for (std::uint64_t left = drawn() % 8; left > 0; --left) {
         auto age = static_cast<std::int64_t>(drawn() % 4 == 0 ? drawn() : drawn() % 20000000000);
-        rows.push_back(VersionNaming{drawn() % 5 ? "moss" : "", "moss/" + std::to_string(drawn() % 7),
-                                     drawn() % 6 ? std::max<std::int64_t>(age, -1) : -1});
+        rows.push_back(WeightsAnnouncement{drawn() % 5 ? "moss" : "", "moss/" + std::to_string(drawn() % 7),
+                                           drawn() % 6 ? std::max<std::int64_t>(age, -1) : -1});
       }
       timeline.learn(rows, start + 10s);
       for (int number = 0; number < 4; ++number)
